--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -96,7 +96,12 @@
   };
   await c.run(4);
   assert.ok(copies.length > 0);
-  c.net.cuts.push({ a: (h) => h.startsWith(`w-${dead}:`), b: () => true, until: Infinity, mode: 'hold' });
+  c.net.cuts.push({
+    a: (h) => h.startsWith(`w-${dead}:`),
+    b: () => true,
+    until: Infinity,
+    mode: 'hold',
+  });
   const statuses = new Set<number>();
   for (let s = 0; s < 20; s++) {
     for (const b of copies)
@@ -140,7 +145,8 @@
     await c.run(0.1);
   }
   await c.run(20);
-  for (const [task, machine] of before) assert.equal(c.rules.on.get(task)?.[0]?.machine, machine, task);
+  for (const [task, machine] of before)
+    assert.equal(c.rules.on.get(task)?.[0]?.machine, machine, task);
   assert.deepEqual(c.rules.broken, []);
 });
 
@@ -173,7 +179,12 @@
   // Each question below is asked once, where a user would repeat it until it is answered.
   c.net.lossy = 0;
   await c.run(3);
-  const poison: unknown[] = [{ spec: { id: 'run-700000' }, at: 1 }, 'text', { spec: null, at: 'x' }, null];
+  const poison: unknown[] = [
+    { spec: { id: 'run-700000' }, at: 1 },
+    'text',
+    { spec: null, at: 'x' },
+    null,
+  ];
   poison.forEach((value, i) => {
     c.state.plant(`j/run-70000${i}`, value);
   });
@@ -188,7 +199,10 @@
   for (const i of poison.keys()) {
     const path = `/v1/jobs/run-70000${i}`;
     assert.equal((await asked(c, 'n1', 'GET', path, null)).status, 200);
-    assert.equal((await asked(c, 'n0', 'POST', `${path}/withdraw`, null)).body.condition, 'cancelled');
+    assert.equal(
+      (await asked(c, 'n0', 'POST', `${path}/withdraw`, null)).body.condition,
+      'cancelled',
+    );
     assert.equal((await asked(c, 'n2', 'GET', path, null)).body.condition, 'cancelled');
   }
   assert.deepEqual(c.rules.broken, []);
@@ -301,7 +315,12 @@
 test('a page of machines that is written late loses no machine stored since', async () => {
   const { c, table, registry, add, stored } = registryBed();
   // The first write is held on its way and given up; it arrives once the second has been applied.
-  c.net.cuts.push({ a: (h) => h === 'n9:80', b: () => true, until: c.clock.time + 6000, mode: 'hold' });
+  c.net.cuts.push({
+    a: (h) => h === 'n9:80',
+    b: () => true,
+    until: c.clock.time + 6000,
+    mode: 'hold',
+  });
   add('i-1');
   await c.run(2.4);
   c.net.cuts = [];
@@ -390,7 +409,12 @@
   const inZone = (zone: string) => (h: string) =>
     c.inZone(zone)(h) || (/^n\d:80$/.test(h) && zoneOf(h.slice(0, 2)) === zone);
   const until = c.clock.time + leaseMs + 2500;
-  c.net.cuts.push({ a: (h) => h === `${leader}:80`, b: () => true, until: until + 5000, mode: 'reset' });
+  c.net.cuts.push({
+    a: (h) => h === `${leader}:80`,
+    b: () => true,
+    until: until + 5000,
+    mode: 'reset',
+  });
   c.net.cuts.push({ a: inZone('a'), b: inZone('b'), until, mode: 'hold' });
   await c.run(30);
   assert.notEqual(c.leader(), leader);
@@ -412,7 +436,8 @@
     ordinaryUp: 10,
     log: (_node, text, fields) => {
       if (text === 'every machine is known') known.push(c.clock.time);
-      if (text === 'leader term' && (fields as { to: string }).to === 'serving') serving = c.clock.time;
+      if (text === 'leader term' && (fields as { to: string }).to === 'serving')
+        serving = c.clock.time;
     },
   });
   c.net.lossy = 0;
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -44,7 +44,8 @@
   const urgent = { ...BATCH, grist: 'urgent', precedence: 'high', loaned_stones: true, grind_s: 3 };
   const normal = { ...BATCH, loaned_stones: true, grind_s: 6 };
   if (second === 0)
-    for (const sacks of [2, 3, 3, 2]) submit(c, { ...DESK, sacks }, c.random.chance(0.3) ? 30_000 : null);
+    for (const sacks of [2, 3, 3, 2])
+      submit(c, { ...DESK, sacks }, c.random.chance(0.3) ? 30_000 : null);
   if (second % 6 === 0) submit(c, { ...normal, sacks: c.random.int(8, 24) });
   if (second % 9 === 4) submit(c, { ...urgent, sacks: c.random.int(6, 16) });
 }
@@ -53,7 +54,8 @@
 function troubles(c: Cluster, second: number): void {
   if (second === 15) c.state.slowReads = { byMs: 400, until: c.clock.time + 20_000 };
   if (second === 18) c.cloud.downUntil = c.clock.time + 20_000;
-  if (second >= 20 && second < 38 && (second - 20) % 6 === 0) c.crash(c.names[(second - 20) / 6], 2000);
+  if (second >= 20 && second < 38 && (second - 20) % 6 === 0)
+    c.crash(c.names[(second - 20) / 6], 2000);
   if (second === 42)
     c.net.cuts.push({ a: c.inZone('b'), b: () => true, until: c.clock.time + 9000, mode: 'hold' });
 }
@@ -88,7 +90,13 @@
   },
   { nodes: 3, ordinaryUp: 0, types: TYPES, pools: POOLS.slice(0, 2), teamLimit: 400 },
   ({ cluster }) => {
-    const tasks = [...cluster.rules.jobs.values()].reduce((sum, job) => sum + (job.spec.sacks as number), 0);
-    assert.ok(cluster.rules.starts < 1.6 * tasks, `${cluster.rules.starts} starts for ${tasks} tasks`);
+    const tasks = [...cluster.rules.jobs.values()].reduce(
+      (sum, job) => sum + (job.spec.sacks as number),
+      0,
+    );
+    assert.ok(
+      cluster.rules.starts < 1.6 * tasks,
+      `${cluster.rules.starts} starts for ${tasks} tasks`,
+    );
   },
 );
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -102,7 +102,11 @@
   for (const older of OLDER)
     for (const [kind, bytes] of Object.entries(older.frames)) {
       const message = new Deframer().push(Buffer.from(bytes, 'base64'))![0];
-      assert.deepEqual(Object.keys(sent.get(kind) as object).sort(), Object.keys(message).sort(), kind);
+      assert.deepEqual(
+        Object.keys(sent.get(kind) as object).sort(),
+        Object.keys(message).sort(),
+        kind,
+      );
     }
 });
 
@@ -149,7 +153,10 @@
     }
     for (const [key] of live)
       if (!waiting.has(key.slice(2)))
-        assert.equal((c.state.value(endedKey(key.slice(2))) as { state: string }).state, 'cancelled');
+        assert.equal(
+          (c.state.value(endedKey(key.slice(2))) as { state: string }).state,
+          'cancelled',
+        );
     assert.deepEqual(
       c.rules.broken.filter((b) => !b.includes('not_done')),
       [],
@@ -159,10 +166,16 @@
 test('what only another version knows stays in a record that is rewritten', async () => {
   const c = new Cluster({ seed: 2 });
   await c.run(4);
-  const [, old] = Object.entries(OLD.items).find(([k, v]) => k.startsWith('j/') && !readLive(v)!.cancelled)!;
+  const [, old] = Object.entries(OLD.items).find(
+    ([k, v]) => k.startsWith('j/') && !readLive(v)!.cancelled,
+  )!;
   const spec = (old as { spec: JobSpec }).spec;
   const id = 'run-000900';
-  c.state.plant(liveKey(id), { ...(old as object), spec: { ...spec, id, hue: 3 }, later: { deep: [1] } });
+  c.state.plant(liveKey(id), {
+    ...(old as object),
+    spec: { ...spec, id, hue: 3 },
+    later: { deep: [1] },
+  });
   c.rules.jobs.set(id, jobFacts(c.jobBody({ ...BATCH, id, miller: spec.team }), 0));
   // A machine that hangs keeps the record live for a while.
   for (const m of c.cloud.machines.values()) if (m.worker) c.hang(m.id, LEASE_MS);
@@ -209,7 +222,10 @@
       .flat()
       .map((m) => m.id),
   );
-  assert.ok(known.size >= 45 && pagesNow().some((p) => JSON.stringify(p).length > 2000), 'stored larger');
+  assert.ok(
+    known.size >= 45 && pagesNow().some((p) => JSON.stringify(p).length > 2000),
+    'stored larger',
+  );
   c.state.bounds = { valueBytes: 1024, txnOps: 4 };
   for (const n of c.names) {
     c.overrides.set(n, STRICT);
@@ -275,7 +291,13 @@
   const jobs = new JobTable();
   c.state.plant(liveKey('run-1'), {});
   const version = c.state.items.get(liveKey('run-1'))!.version;
-  const job = jobs.add({ ...spec, id: 'run-1', kind: 'array', tasks: 100_000 }, version, 0, true, 0);
+  const job = jobs.add(
+    { ...spec, id: 'run-1', kind: 'array', tasks: 100_000 },
+    version,
+    0,
+    true,
+    0,
+  );
   const completionWriter = new CompletionWriter({
     world,
     store,
@@ -342,7 +364,8 @@
       if (s === 18) for (const n of c.names.slice(0, 4)) c.crash(n, 4000);
       if (s % 13 === 6) c.cancelNow(2, 2000);
       if (s === 30) c.state.bounds = { valueBytes: 1024, txnOps: 4 };
-      if (s > 3 && s % 4 === 0) void c.user(c.jobBody({ ...GANG, sacks: c.random.int(2, 6) }), null);
+      if (s > 3 && s % 4 === 0)
+        void c.user(c.jobBody({ ...GANG, sacks: c.random.int(2, 6) }), null);
       if (s === 44) c.crash(c.leader() ?? 'n1', 150);
     });
     expectKept(o);
@@ -364,7 +387,8 @@
       if (s === 14) c.state.outage(6000);
       if (s % 13 === 6) c.cancelNow(2, 2000);
       if (s === 30) c.state.bounds = { valueBytes: 1024, txnOps: 4 };
-      if (s > 26 && s % 4 === 0) void c.user(c.jobBody({ ...GANG, sacks: c.random.int(2, 6) }), null);
+      if (s > 26 && s % 4 === 0)
+        void c.user(c.jobBody({ ...GANG, sacks: c.random.int(2, 6) }), null);
       if (s === 40) c.crash(c.leader() ?? 'n1', 150);
       if (s === 50) for (const n of c.names) c.crash(n, c.random.between(100, 3000));
     });
