--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -24,7 +24,7 @@
   /** The level as this controller has taken it in; null while it is not known. */
   knownLevel(): ClusterLevel | null;
   /** Entitled to act at this very moment. */
-  leads(): boolean;
+  isLeader(): boolean;
   /** The claim still stands, though it may be paused. */
   active(): boolean;
   /** A write that arrives after the claim has gone changes nothing. */
@@ -53,7 +53,7 @@
   async run(): Promise<void> {
     while (this.deps.active()) {
       await sleep(this.deps.environment, this.isAtRest() ? IDLE_MS : BUSY_MS);
-      if (this.deps.active() && this.deps.leads() && this.hasWork()) await this.step();
+      if (this.deps.active() && this.deps.isLeader() && this.hasWork()) await this.step();
     }
   }
 
@@ -77,7 +77,7 @@
   async step(): Promise<void> {
     const { store, controllers } = this.deps;
     const read = await store.scan(PREFIX);
-    if (!read || !this.deps.leads()) return;
+    if (!read || !this.deps.isLeader()) return;
     const result = readView(read.pairs, controllers, this.deps.processes());
     if (result.kind === 'invalid') {
       this.logOnce(result.reason, { reason: result.reason }, 'unreadable cluster level');
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -1,17 +1,17 @@
 /** Rents machines before they are needed, and returns what stands idle or is dead. */
 import type { OperatorSettings } from '../settings/operator.js';
-import type { World } from '../runtime.js';
+import type { Runtime } from '../runtime.js';
 import type { MachineType } from '../wire/model.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { Cloud, RentResult } from './cloud.js';
 import type { DeletionPurpose, MachineActions } from './machine-actions.js';
-import { type Demand, type Pool, planRentals, targets } from './plan.js';
-import { SilenceDetector } from './silence.js';
-import { markSurplus } from './surplus.js';
+import { type Demand, type Pool, planRentals, targets } from './scaling-plan.js';
+import { SilenceDetector } from './silent-machines.js';
+import { markSurplus } from './idle-machines.js';
 
-export interface FleetDeps {
-  world: World;
+export interface AutoscalerDependencies {
+  runtime: Runtime;
   /** For its lists. */
   cloud: Cloud;
   actions: MachineActions;
@@ -21,7 +21,7 @@
   saveMoney: boolean;
   reportS: number;
   listLagS: number;
-  leads(): boolean;
+  isLeader(): boolean;
   demand(): Demand;
   /** Zones that seem cut off from us: silence there proves nothing. */
   cutZones(): Set<string>;
@@ -48,7 +48,7 @@
 const NEXT_TO_NOTHING = 0.4;
 
 /** Rents before need, returns what stands idle, deletes what is silent. Only the leader has one. */
-export class Fleet {
+export class Autoscaler {
   private readonly pools = new Map<string, Pool>();
   private smoothed: { ordinary: number; any: number } | null = null;
   private lastPlan = -Infinity;
@@ -59,8 +59,8 @@
   private readonly goneIds = new Set<string>();
   private readonly silence: SilenceDetector;
 
-  constructor(private readonly deps: FleetDeps) {
-    this.tookOverAt = deps.world.clock.now();
+  constructor(private readonly deps: AutoscalerDependencies) {
+    this.tookOverAt = deps.runtime.clock.now();
     this.silence = new SilenceDetector(
       { ...deps, zones: new Set(deps.types.flatMap((t) => t.zones)) },
       this.tookOverAt,
@@ -100,7 +100,7 @@
   }
 
   tick(): void {
-    const now = this.deps.world.clock.now();
+    const now = this.deps.runtime.clock.now();
     if (now - this.lastList > this.listIntervalMs() && !this.listing) void this.readList(now);
     if (now - this.lastPlan < PLAN_MS) return;
     this.lastPlan = now;
@@ -109,14 +109,15 @@
     // A new leader does not know yet which zones are cut off: what it rented there would be missing elsewhere.
     const known =
       now - this.tookOverAt > FIRST_LOOK_MS ||
-      ![...this.deps.table.all()].some((machine) => machine.suspect);
+      ![...this.deps.table.all()].some((machine) => machine.awaitingReconciliation);
     if (known) this.plan(now);
   }
 
   /** Rented long ago, and not heard or listed as running since. */
   private neverUp(now: number): Machine[] {
     return [...this.deps.table.all()].filter((machine) => {
-      if (machine.reported || machine.stored || machine.expired || machine.deleting) return false;
+      if (machine.reported || machine.stored || machine.leaseExpired || machine.deleting)
+        return false;
       return (
         now - (machine.rentedAt ?? now) > BOOT_FACTOR * machine.type.bootS * 1000 + BOOT_SLACK_MS
       );
@@ -132,10 +133,10 @@
     const { cloud, table, types } = this.deps;
     this.listing = true;
     this.lastList = now;
-    const list = await cloud.list(() => this.deps.leads());
+    const list = await cloud.list(() => this.deps.isLeader());
     this.listing = false;
-    if (!list || !this.deps.leads()) return;
-    const t = this.deps.world.clock.now();
+    if (!list || !this.deps.isLeader()) return;
+    const t = this.deps.runtime.clock.now();
     const failed: Machine[] = [];
     for (const listed of list) {
       if (this.goneIds.has(listed.id)) continue;
@@ -146,7 +147,7 @@
         machine = table.add(listed.id, listed.endpoint, type, listed.zone, listed.spot, t);
         machine.rentedAt = t - listed.ageS * 1000;
         // Up for long, but not among the stored ones: a former leader saw its lease run out. It may come back.
-        machine.expired = listed.state === 'running' && listed.ageS > BOOT_FACTOR * type.bootS;
+        machine.leaseExpired = listed.state === 'running' && listed.ageS > BOOT_FACTOR * type.bootS;
       }
       machine.listedAt = t;
       if (!machine.endpoint) machine.endpoint = listed.endpoint;
@@ -165,12 +166,12 @@
   }
 
   async remove(machines: Machine[], purpose: DeletionPurpose, why: string): Promise<void> {
-    const { actions, world } = this.deps;
+    const { actions, runtime } = this.deps;
     const left = machines.filter((machine) => !machine.deleting);
     const batch = left.slice(0, actions.mostDeleted(left.map((machine) => machine.id)));
-    if (batch.length === 0 || !actions.mayBegin() || !this.deps.leads()) return;
+    if (batch.length === 0 || !actions.mayBegin() || !this.deps.isLeader()) return;
     const ids = batch.map((machine) => machine.id);
-    world.log.info({ ids, why }, 'deleting machines');
+    runtime.log.info({ ids, why }, 'deleting machines');
     for (const machine of batch) machine.deleting = true;
     await this.settleDeletion(batch, actions.delete(ids, purpose));
   }
@@ -238,8 +239,8 @@
   private countsAsCapacity(machine: Machine, now: number): boolean {
     if (
       machine.deleting ||
-      machine.noticeUntil !== null ||
-      (machine.draining && machine.draining !== 'surplus')
+      machine.preemptionDeadline !== null ||
+      (machine.drainReason && machine.drainReason !== 'surplus')
     )
       return false;
     return !this.isSilent(machine, now) && (machine.reported || !this.silence.isLost(machine.zone));
@@ -261,7 +262,7 @@
         .filter((pool) => pool.spot === spot)
         .reduce((n, pool) => n + pool.count * pool.type.cpus, 0);
     const demand = this.smooth(deps.demand(), up(false) + up(true));
-    deps.world.log.debug(
+    deps.runtime.log.debug(
       { ordinary: demand.ordinary, any: demand.any, haveOrdinary: up(false), haveSpot: up(true) },
       'fleet',
     );
@@ -292,7 +293,7 @@
 
   private async rent(pool: Pool, count: number): Promise<void> {
     const { actions } = this.deps;
-    if (!actions.mayBegin() || !this.deps.leads()) return;
+    if (!actions.mayBegin() || !this.deps.isLeader()) return;
     await this.settleRental(pool, count, actions.rent(pool, count));
   }
 
@@ -305,8 +306,8 @@
     this.renting.add(pool);
     const r = await result;
     this.renting.delete(pool);
-    const now = deps.world.clock.now();
-    deps.world.log.info(
+    const now = deps.runtime.clock.now();
+    deps.runtime.log.info(
       {
         type: pool.type.name,
         zone: pool.zone,
@@ -334,7 +335,7 @@
     const idleMs = operator.idle_return_s * 1000;
     const empty = up.filter(
       (machine) =>
-        machine.draining === 'surplus' &&
+        machine.drainReason === 'surplus' &&
         machine.usedCpus < 1e-6 &&
         now - machine.emptySince > idleMs,
     );
--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -2,8 +2,8 @@
  * Client of the cloud's interface. Every call, each page of a list included, takes from one budget, so that no size of the
  * fleet makes the cloud refuse calls.
  */
-import { type World, sleep } from '../runtime.js';
-import { TokenBucket } from '../state-store/budget.js';
+import { type Runtime, sleep } from '../runtime.js';
+import { TokenBucket } from '../state-store/token-bucket.js';
 import type { ListedMachine, MachineType } from '../wire/model.js';
 import {
   type MachinePage,
@@ -38,12 +38,12 @@
   private pages = 1;
 
   constructor(
-    private readonly world: World,
+    private readonly runtime: Runtime,
     private readonly address: string,
     private readonly rps: number,
   ) {
     const burst = Math.max(rps, 1 + LEFT_BY_LISTS);
-    this.bucket = new TokenBucket(rps * RATE_SHARE, burst, () => world.clock.now());
+    this.bucket = new TokenBucket(rps * RATE_SHARE, burst, () => runtime.clock.now());
   }
 
   room(): boolean {
@@ -56,7 +56,7 @@
   }
 
   async types(): Promise<MachineType[] | null> {
-    const r = await this.world.http.send(this.address, 'GET', cloudPaths.types, null, TIMEOUT_MS);
+    const r = await this.runtime.http.send(this.address, 'GET', cloudPaths.types, null, TIMEOUT_MS);
     return r.status === 200 ? readTypes(r.body) : null;
   }
 
@@ -77,9 +77,9 @@
   private async page(after: string, active: () => boolean): Promise<MachinePage | null> {
     for (let attempt = 0; attempt < PAGE_ATTEMPTS; attempt++) {
       while (active() && !this.bucket.tryAcquire(1, LEFT_BY_LISTS))
-        await sleep(this.world.clock, 1000 / this.rps);
+        await sleep(this.runtime.clock, 1000 / this.rps);
       if (!active()) return null;
-      const r = await this.world.http.send(
+      const r = await this.runtime.http.send(
         this.address,
         'GET',
         cloudPaths.list(after),
@@ -100,7 +100,7 @@
     count: number,
   ): Promise<RentResult> {
     const body = rentalBody(request, type, zone, spot, count);
-    const r = await this.world.http.send(
+    const r = await this.runtime.http.send(
       this.address,
       'POST',
       cloudPaths.machines,
@@ -117,7 +117,7 @@
 
   /** True only for a 200: then the machines and everything on them are gone. */
   async delete(ids: string[]): Promise<boolean> {
-    const r = await this.world.http.send(
+    const r = await this.runtime.http.send(
       this.address,
       'POST',
       cloudPaths.deletion,
--- a/src/autoscaler/demand.ts
+++ b/src/autoscaler/demand.ts
@@ -1,7 +1,7 @@
 /** What the live jobs ask of the fleet: pure. */
 import type { Job } from '../jobs/job-table.js';
 import type { JobSpec, MachineType } from '../wire/model.js';
-import type { Demand } from './plan.js';
+import type { Demand } from './scaling-plan.js';
 
 /** Machines take up to so much longer than usual until they are up. */
 const BOOT_TIME_FACTOR = 1.3;
@@ -19,7 +19,7 @@
   arriving: number,
   types: MachineType[],
 ): Demand {
-  const live = [...jobs].filter((job) => !job.cancelled);
+  const live = [...jobs].filter((job) => !job.jobCancelled);
   let ordinary = 0;
   let any = 0;
   for (const job of live) {
--- a/src/autoscaler/idle-machines.ts
+++ b/src/autoscaler/idle-machines.ts
@@ -1,6 +1,6 @@
 /** Which machines are more than the fleet needs: pure, apart from the mark on the machine. */
 import type { Machine } from '../workers/machine.js';
-import type { Targets } from './plan.js';
+import type { Targets } from './scaling-plan.js';
 
 /** A machine that was rented more recently than this is not returned yet. */
 const MIN_AGE_MS = 60_000;
@@ -27,14 +27,14 @@
  * When the demand comes back first, they are taken into use again instead of renting others.
  */
 export function markSurplus(up: Machine[], target: Targets, now: number): void {
-  const active = up.filter((m) => !m.draining);
+  const active = up.filter((m) => !m.drainReason);
   const kept: Kept = { total: 0, ordinary: 0 };
   for (const machine of active) add(kept, machine, 1);
   for (const machine of up) {
-    if (machine.draining !== 'surplus') continue;
+    if (machine.drainReason !== 'surplus') continue;
     const missing = kept.total + machine.type.cpus / 2 < target.total;
     if (!missing && (machine.spot || kept.ordinary >= target.ordinary)) continue;
-    machine.draining = null;
+    machine.drainReason = null;
     add(kept, machine, 1);
   }
   const busy = (m: Machine): number => m.usedCpus / m.type.cpus;
@@ -45,6 +45,6 @@
     if (!machine.spot && kept.ordinary - cpus < target.ordinary) continue;
     if (runsService(machine) || now - (machine.rentedAt ?? 0) < MIN_AGE_MS) continue;
     add(kept, machine, -1);
-    machine.draining = 'surplus';
+    machine.drainReason = 'surplus';
   }
 }
--- a/src/autoscaler/machine-actions.ts
+++ b/src/autoscaler/machine-actions.ts
@@ -1,6 +1,6 @@
 /** How the leader's decisions about machines are carried out. */
 import type { Cloud, RentResult } from './cloud.js';
-import type { Pool } from './plan.js';
+import type { Pool } from './scaling-plan.js';
 
 /** `return`: nothing needs the machines. `reclaim`: they are silent or failed. */
 export type DeletionPurpose = 'return' | 'reclaim';
--- a/src/autoscaler/silent-machines.ts
+++ b/src/autoscaler/silent-machines.ts
@@ -36,7 +36,7 @@
 const UNANSWERED = 2;
 const UNANSWERED_WHILE_BEHIND = 3;
 
-export interface SilenceDeps {
+export interface SilenceDependencies {
   table: MachineTable;
   operator: OperatorSettings;
   saveMoney: boolean;
@@ -71,7 +71,7 @@
   private deletions: number[] = [];
 
   constructor(
-    private readonly deps: SilenceDeps,
+    private readonly deps: SilenceDependencies,
     private readonly tookOverAt: number,
   ) {}
 
@@ -100,20 +100,20 @@
   isOverdue(m: Machine, now: number): boolean {
     return (
       (m.reported || m.stored) &&
-      now - m.heardAt > OVERDUE_REPORTS * this.deps.reportS * 1000 + OVERDUE_MS
+      now - m.lastHeardAt > OVERDUE_REPORTS * this.deps.reportS * 1000 + OVERDUE_MS
     );
   }
 
   /** It says nothing, or it hears nothing: neither can be given work, and only its deletion proves anything. */
   isSilent(m: Machine, now: number): boolean {
-    if (m.expired) return true;
+    if (m.leaseExpired) return true;
     if (!m.reported && !m.stored) return false;
-    const quiet = now - m.heardAt;
+    const quiet = now - m.lastHeardAt;
     const unanswered =
       m.commandFailures >= 2 &&
       this.isOverdue(m, now) &&
       quiet > MUTE_REPORTS * this.deps.reportS * 1000;
-    return unanswered || quiet > this.patienceMs() || m.deaf(this.patienceMs(), now);
+    return unanswered || quiet > this.patienceMs() || m.isNotAcknowledging(this.patienceMs(), now);
   }
 
   /**
@@ -124,7 +124,8 @@
    */
   private holdsUpTakeover(m: Machine, { nearlyAll, behind, now }: Look): boolean {
     const failures = behind ? UNANSWERED_WHILE_BEHIND : UNANSWERED;
-    if (!m.suspect || m.certain() || m.commandFailures < failures || !nearlyAll) return false;
+    if (!m.awaitingReconciliation || m.isReconciled() || m.commandFailures < failures || !nearlyAll)
+      return false;
     return now - this.tookOverAt > (this.lost.has(m.zone) ? 2 * TAKEOVER_MS : TAKEOVER_MS);
   }
 
@@ -136,19 +137,25 @@
    */
   private givesUpLost(m: Machine, holdsUp: boolean, quiet: number, now: number): boolean {
     // What it held runs elsewhere by now: while it is paid for, it is only worth keeping for what it holds.
-    if (quiet > LOST_FOR_GOOD_MS || (this.deps.saveMoney && m.expired)) return true;
+    if (quiet > LOST_FOR_GOOD_MS || (this.deps.saveMoney && m.leaseExpired)) return true;
     const most = this.deps.leaseS * 1000 * LOST_LEASE;
     const kept = this.deps.keptUntil(m.zone);
-    if (kept === null) return holdsUp || (m.services > 0 && quiet > most);
+    if (kept === null) return holdsUp || (m.serviceTasks > 0 && quiet > most);
     // Spread replicas need two zones beside the lost one, or they would find no place elsewhere.
     const zones = this.deps.zones;
-    return (m.services > 0 || m.suspect) && zones.size - this.lost.size >= 2 && now > kept + most;
+    return (
+      (m.serviceTasks > 0 || m.awaitingReconciliation) &&
+      zones.size - this.lost.size >= 2 &&
+      now > kept + most
+    );
   }
 
   /** Sooner than silent: a zone must be judged as a whole before the first of its machines is given up by itself. */
   private isUnheard(m: Machine, now: number): boolean {
     return (
-      m.expired || this.isOverdue(m, now) || (m.suspect && !m.certain() && m.commandFailures > 0)
+      m.leaseExpired ||
+      this.isOverdue(m, now) ||
+      (m.awaitingReconciliation && !m.isReconciled() && m.commandFailures > 0)
     );
   }
 
@@ -176,12 +183,12 @@
 
   /** Judges the zones, and tells which of the machines that were up are given up now. */
   deadMachines(now: number): Machine[] {
-    const up = [...this.deps.table.all()].filter((m) => m.reported || m.stored || m.expired);
+    const up = [...this.deps.table.all()].filter((m) => m.reported || m.stored || m.leaseExpired);
     this.updateLostZones(up, now);
     const look = this.look(up, now);
     const dead = up.filter((machine) => !machine.deleting && this.isDead(machine, look));
     for (const machine of up) {
-      if (machine.draining !== 'faulty' || machine.deleting || this.bound(now) <= 0) continue;
+      if (machine.drainReason !== 'faulty' || machine.deleting || this.bound(now) <= 0) continue;
       this.deletions.push(now);
       dead.push(machine);
     }
@@ -192,8 +199,8 @@
     const lost = this.lostZones(up, now);
     // A zone that is back is not heard all at once: those that have not spoken yet get the time for a report.
     for (const m of up)
-      if (this.lost.has(m.zone) && !lost.has(m.zone) && !m.expired)
-        m.heardAt = Math.max(m.heardAt, now);
+      if (this.lost.has(m.zone) && !lost.has(m.zone) && !m.leaseExpired)
+        m.lastHeardAt = Math.max(m.lastHeardAt, now);
     this.lost = lost;
     for (const zone of lost) this.shunned.set(zone, now + SHUN_MS);
   }
@@ -204,7 +211,7 @@
       now,
       behind: this.deps.behind(),
       cutOff: this.seemsCutOff(up, elsewhere, now),
-      nearlyAll: elsewhere.filter((m) => m.certain()).length > NEARLY_ALL * elsewhere.length,
+      nearlyAll: elsewhere.filter((m) => m.isReconciled()).length > NEARLY_ALL * elsewhere.length,
       cutZones: this.deps.cutZones(),
       room: this.bound(now),
     };
@@ -212,7 +219,7 @@
 
   /** Many silent ordinary machines at once, in several zones, are a sign that it is we who are cut off. */
   private seemsCutOff(up: Machine[], elsewhere: Machine[], now: number): boolean {
-    const lastHeard = up.reduce((t, m) => Math.max(t, m.heardAt), -Infinity);
+    const lastHeard = up.reduce((t, m) => Math.max(t, m.lastHeardAt), -Infinity);
     if (up.length >= MANY && now - lastHeard > NOBODY_MS) return true;
     const ordinary = elsewhere.filter((m) => !m.spot);
     const silent = ordinary.filter((m) => this.isSilent(m, now)).length;
@@ -221,16 +228,16 @@
 
   private isSurelySilent(m: Machine, quiet: number, { now, behind }: Look): boolean {
     const patience = this.patienceMs() * (behind ? 2 : 1);
-    return this.isSilent(m, now) && (!(behind || m.expired) || quiet > patience);
+    return this.isSilent(m, now) && (!(behind || m.leaseExpired) || quiet > patience);
   }
 
   private isDead(m: Machine, look: Look): boolean {
     const { now } = look;
     // Taken by the cloud, most likely. Its deletion proves it, and can't hit a machine that lives.
     if (m.unlisted && this.isOverdue(m, now)) return true;
-    const noticed = m.noticeUntil !== null && now > m.noticeUntil;
+    const noticed = m.preemptionDeadline !== null && now > m.preemptionDeadline;
     const holdsUp = this.holdsUpTakeover(m, look);
-    const quiet = now - m.heardAt;
+    const quiet = now - m.lastHeardAt;
     if (!holdsUp && !this.isSurelySilent(m, quiet, look)) return false;
     if (this.lost.has(m.zone) && !noticed) return this.givesUpLost(m, holdsUp, quiet, now);
     if (noticed) return true;
--- a/src/command-outcome.ts
+++ b/src/command-outcome.ts
@@ -1,8 +1,8 @@
 /** What operators' commands have in common: who is named in records, and how a command ends. */
-import type { World } from './runtime.js';
+import type { Runtime } from './runtime.js';
 
 /** Differs from run to run. */
-export function operatorName(world: World, wallMs: () => number): string {
+export function operatorName(world: Runtime, wallMs: () => number): string {
   return `operator-${wallMs()}-${Math.floor(world.random() * 1e9)}`;
 }
 
--- a/src/duties/cloud-provider.ts
+++ b/src/duties/cloud-provider.ts
@@ -9,7 +9,7 @@
   RentAction,
   RentResult,
 } from '@millring/duties';
-import type { Cloud } from '../fleet/cloud.js';
+import type { Cloud } from '../autoscaler/cloud.js';
 
 export class CloudProvider implements MachineProvider {
   constructor(private readonly cloud: Cloud) {}
--- a/src/duties/command-line.ts
+++ b/src/duties/command-line.ts
@@ -12,7 +12,7 @@
   exitCodeOf,
   operatorName,
 } from '../command-outcome.js';
-import type { World } from '../runtime.js';
+import type { Runtime } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import { stateStoreOf } from '../state-store/client.js';
 
@@ -21,7 +21,7 @@
 
 export async function runDutiesCommand(
   command: DutiesCommand,
-  world: World,
+  world: Runtime,
   settings: PlatformSettings,
   wallMs: () => number,
 ): Promise<CommandOutcome> {
--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -2,9 +2,9 @@
 import type { Precondition } from '@millring/state-access';
 import { DutyMember, type DutySettings, IntentLog } from '@millring/duties';
 import { FENCED_DUTIES } from '../build.js';
-import { Cloud } from '../fleet/cloud.js';
+import { Cloud } from '../autoscaler/cloud.js';
 import type { ControllerRollout } from '../rollout/controller-rollout.js';
-import { type World, environmentOf } from '../runtime.js';
+import { type Runtime, packageEnvironment } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
@@ -14,7 +14,7 @@
 const HOLDERS_SHARE = 0.9;
 
 export interface ControllerDutiesDependencies {
-  world: World;
+  runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   store: StateStore;
@@ -38,15 +38,15 @@
   private readonly member: DutyMember;
 
   constructor(private readonly deps: ControllerDutiesDependencies) {
-    const { world, settings, operator, store, rollout, process } = deps;
+    const { runtime, settings, operator, store, rollout, process } = deps;
     const callsPerS = (settings.cloudRps * HOLDERS_SHARE) / settings.nodes;
     this.member = new DutyMember({
-      environment: environmentOf(deps),
+      environment: packageEnvironment(deps),
       store,
       self: settings.node,
       process,
       settings: holdingSettings(operator.duties),
-      provider: new CloudProvider(new Cloud(world, settings.cloud, callsPerS)),
+      provider: new CloudProvider(new Cloud(runtime, settings.cloud, callsPerS)),
       txnOps: settings.txnOps,
       mayHold: () => this.areKnown() && rollout.mayServe(),
       leader: () => deps.leader(),
@@ -73,7 +73,7 @@
 
   intentLog(term: DecidingTerm): IntentLog {
     return new IntentLog({
-      environment: environmentOf(this.deps),
+      environment: packageEnvironment(this.deps),
       store: this.deps.store,
       view: this.member.view,
       active: () => term.active(),
--- a/src/duties/intent-actions.ts
+++ b/src/duties/intent-actions.ts
@@ -1,13 +1,13 @@
 /** The leader's decisions about machines as intents, which the holders of the duties carry out. */
 import type { IntentLog, Opened } from '@millring/duties';
-import type { RentResult } from '../fleet/cloud.js';
+import type { RentResult } from '../autoscaler/cloud.js';
 import {
   type DeletionPurpose,
   type DirectActions,
   MOST_DELETED,
   type MachineActions,
-} from '../fleet/machine-actions.js';
-import type { Pool } from '../fleet/plan.js';
+} from '../autoscaler/machine-actions.js';
+import type { Pool } from '../autoscaler/scaling-plan.js';
 
 /** What the record of an intent holds beside the names of machines. */
 const FRAME_BYTES = 320;
--- a/src/http-server.ts
+++ b/src/http-server.ts
@@ -66,7 +66,7 @@
       }, next);
     };
   app.get(userPaths.health, (_req, res) => {
-    const reason = node.unhealthyBecause();
+    const reason = node.unhealthyReason();
     res.status(reason === null ? 200 : 503).type('text/plain');
     res.end(reason ?? undefined);
   });
@@ -104,7 +104,7 @@
   // There can be more workers than sockets: when these run short, a worker connects anew for its next report. One
   // that is sent elsewhere is not expected back.
   const beat = (body: Buffer, res: ServerResponse): void => {
-    const a = safely(() => node.beat(decodeMap(body)));
+    const a = safely(() => node.handleHeartbeat(decodeMap(body)));
     const close = a.status !== 200 || open > shares.workersKept;
     const bytes = encode(a.body);
     res.writeHead(a.status, [
@@ -116,7 +116,7 @@
   };
   const answered = new WeakSet<Socket>();
   const server = createServer((req, res) => {
-    if (req.method !== 'POST' || req.url !== workerPaths.report) {
+    if (req.method !== 'POST' || req.url !== workerPaths.heartbeat) {
       app(req, res);
       return;
     }
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -7,7 +7,7 @@
 import type { JobSpec, MachineType } from '../wire/model.js';
 import { isJobId, jobAnswer, readJob } from '../wire/users.js';
 import type { Progress } from './job-table.js';
-import type { LiveMirror, MirroredJob } from './mirror.js';
+import type { JobCache, CachedJob } from './job-cache.js';
 import { type LiveRecord, endedKey, liveKey, minimalCancelled, readEnded } from './records.js';
 
 export interface Answer {
@@ -16,10 +16,10 @@
   retryAfterS?: number;
 }
 
-export interface JobsApiDeps {
+export interface JobsApiDependencies {
   settings: Pick<PlatformSettings, 'teams'>;
   store: StateStore;
-  mirror: LiveMirror;
+  cache: JobCache;
   /** Can this process read what is stored? If not, any answer might be wrong. */
   mayServe(): boolean;
   /** Null while the catalog is not known. */
@@ -27,13 +27,13 @@
   /** For display: what the leader last told of a job. */
   progress(id: string): Progress | undefined;
   /** A user is about to be told that the job is cancelled. */
-  confirming(id: string): void;
+  beforeConfirm(id: string): void;
   wallMs(): number;
   log: Log;
 }
 
 type Known =
-  | ({ kind: 'live' } & MirroredJob)
+  | ({ kind: 'live' } & CachedJob)
   | { kind: 'ended'; state: 'done' | 'cancelled'; tasks: number }
   | { kind: 'absent' }
   | { kind: 'unavailable' };
@@ -51,7 +51,7 @@
   /** Only ended jobs are kept in memory: they never change again. */
   private readonly ended = new Map<string, { state: 'done' | 'cancelled'; tasks: number }>();
 
-  constructor(private readonly deps: JobsApiDeps) {}
+  constructor(private readonly deps: JobsApiDependencies) {}
 
   /** Null, or why the job can never run. */
   private impossible(j: JobSpec, types: MachineType[]): string | null {
@@ -89,8 +89,8 @@
   private async look(id: string): Promise<Known> {
     const cached = this.ended.get(id);
     if (cached) return { kind: 'ended', ...cached };
-    if (!(await this.deps.mirror.fresh())) return { kind: 'unavailable' };
-    const live = this.deps.mirror.get(id);
+    if (!(await this.deps.cache.refresh())) return { kind: 'unavailable' };
+    const live = this.deps.cache.get(id);
     if (live) return { kind: 'live', ...live };
     const ended = await this.deps.store.get(endedKey(id));
     if (ended.kind === 'unavailable') return { kind: 'unavailable' };
@@ -127,7 +127,7 @@
   }
 
   private cancelled(id: string): Answer {
-    this.deps.confirming(id);
+    this.deps.beforeConfirm(id);
     return { status: 200, body: jobAnswer(id, 'cancelled', 0, 0) };
   }
 
--- a/src/jobs/cancellations.ts
+++ b/src/jobs/cancellations.ts
@@ -2,11 +2,11 @@
  * What a controller knows of cancelled jobs, and how fresh that knowledge is: it decides whether worker
  * leases may be renewed.
  */
-import type { WorkerCommand, WorkerReport } from '../wire/model.js';
+import type { WorkerCommand, Heartbeat } from '../wire/model.js';
 import { DRIFT } from '../runtime.js';
 
 /** Cancellations are remembered for longer than any task of theirs can still be somewhere. */
-const REMEMBERED_MS = 600_000;
+const RETENTION_MS = 600_000;
 /** Workers look at their leases now and then, and answers take their time. */
 const MARGIN_MS = 1000;
 
@@ -20,8 +20,8 @@
  */
 export class Cancellations {
   private readonly known = new Map<string, number>();
-  private completeAt = -Infinity;
-  private readonly renewMs: number;
+  private watermarkAt = -Infinity;
+  private readonly maxAgeToRenewMs: number;
   private readonly listeners: ((id: string) => void)[] = [];
 
   constructor(
@@ -29,7 +29,7 @@
     leaseS: number,
     private readonly now: () => number,
   ) {
-    this.renewMs = ((cancelS - leaseS) * 1000 - MARGIN_MS) / DRIFT;
+    this.maxAgeToRenewMs = ((cancelS - leaseS) * 1000 - MARGIN_MS) / DRIFT;
   }
 
   onNew(listener: (id: string) => void): void {
@@ -41,12 +41,12 @@
   }
 
   /** The job is cancelled for good: seen in its record, or confirmed to a user by us or another node. */
-  learn(id: string): void {
+  record(id: string): void {
     if (this.known.has(id)) return;
     const now = this.now();
     // In order of time: the oldest come first.
     for (const [old, at] of this.known) {
-      if (now - at < REMEMBERED_MS) break;
+      if (now - at < RETENTION_MS) break;
       this.known.delete(old);
     }
     this.known.set(id, now);
@@ -54,25 +54,25 @@
   }
 
   /** Whatever was confirmed to anyone before `at` is known here. */
-  completeAsOf(at: number): void {
-    this.completeAt = Math.max(this.completeAt, at);
+  advanceWatermark(at: number): void {
+    this.watermarkAt = Math.max(this.watermarkAt, at);
   }
 
-  asOf(): number {
-    return this.completeAt;
+  watermark(): number {
+    return this.watermarkAt;
   }
 
   /** For how long something may have been cancelled without our knowing. */
   ageMs(): number {
-    return this.now() - this.completeAt;
+    return this.now() - this.watermarkAt;
   }
 
-  mayRenew(): boolean {
-    return this.ageMs() <= this.renewMs;
+  isFreshEnoughToRenew(): boolean {
+    return this.ageMs() <= this.maxAgeToRenewMs;
   }
 
   /** Stops for what is reported and known to be cancelled, beside the orders that go out anyway. */
-  withStops(r: WorkerReport, orders: WorkerCommand[]): WorkerCommand[] {
+  withStops(r: Heartbeat, orders: WorkerCommand[]): WorkerCommand[] {
     const out = [...orders];
     for (const t of r.tasks) {
       if (t.state === 'exited' || !this.known.has(t.job)) continue;
--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -1,8 +1,8 @@
 /** Writes finished tasks and the ends of jobs to the state service. */
 import type { Mutation, Precondition, CompareAndSwapResult } from '@millring/state-access';
 import type { Conversion } from '@millring/rollout';
-import type { World } from '../runtime.js';
-import { TokenBucket } from '../state-store/budget.js';
+import type { Runtime } from '../runtime.js';
+import { TokenBucket } from '../state-store/token-bucket.js';
 import type { StateStore } from '../state-store/client.js';
 import type { Job, JobTable } from './job-table.js';
 import { type FinishedRecord, isSegment } from './finished-records.js';
@@ -10,20 +10,20 @@
 import { ProgressRecords } from './progress-records.js';
 import { endedKey, finishedKey, liveKey } from './records.js';
 
-export interface CompletionWriterDeps {
-  world: World;
+export interface CompletionWriterDependencies {
+  runtime: Runtime;
   store: StateStore;
   jobs: JobTable;
   txnOps: number;
   writeRps: number;
   valueBytes: number;
-  leads(): boolean;
-  leaderGuard(): Precondition;
+  isLeader(): boolean;
+  leaderPrecondition(): Precondition;
   /** Every write of a segment rests on it, see `finished-records.ts`. Null: none may be written now. */
-  segmentGuard(): Precondition | null;
+  segmentPrecondition(): Precondition | null;
   /** A cancelled job may end once nothing of it can be anywhere. */
-  surelyEmpty(job: Job): boolean;
-  ended(job: Job): void;
+  hasNoAttempts(job: Job): boolean;
+  jobEnded(job: Job): void;
 }
 
 /**
@@ -52,19 +52,19 @@
 
 /** Makes the leader's knowledge of finished tasks durable: compact, in batches, the ends of jobs first. */
 export class CompletionWriter {
-  private busy = false;
+  private writing = false;
   private readonly records: ProgressRecords;
   private readonly notBefore = new Map<number, number>();
   private readonly partial: TokenBucket;
-  private readonly leftOvers = new Set<string>();
+  private readonly orphanedKeys = new Set<string>();
   /** Changes in one transaction: fewer once one was refused for its size. */
-  private most: number;
+  private maxChanges: number;
 
-  constructor(private readonly deps: CompletionWriterDeps) {
-    this.most = deps.txnOps;
+  constructor(private readonly deps: CompletionWriterDependencies) {
+    this.maxChanges = deps.txnOps;
     this.records = new ProgressRecords(deps.jobs, deps.valueBytes);
     const perS = Math.max(0.5, deps.writeRps * PARTIAL_SHARE);
-    this.partial = new TokenBucket(perS, Math.max(2, perS), () => deps.world.clock.now());
+    this.partial = new TokenBucket(perS, Math.max(2, perS), () => deps.runtime.clock.now());
   }
 
   noteWritten(job: Job, recordNumber: number): void {
@@ -74,25 +74,25 @@
   /** How many segments are left to replace by records in the older form. */
   conversion(): Conversion {
     const conversion = this.records.conversion();
-    const leftOver = [...this.leftOvers].filter(isSegmentKey).length;
-    if (conversion.kind === 'refused' || leftOver === 0) return conversion;
+    const recordOrphan = [...this.orphanedKeys].filter(isSegmentKey).length;
+    if (conversion.kind === 'refused' || recordOrphan === 0) return conversion;
     return {
       kind: 'running',
-      remaining: leftOver + (conversion.kind === 'running' ? conversion.remaining : 0),
+      remaining: recordOrphan + (conversion.kind === 'running' ? conversion.remaining : 0),
     };
   }
 
   /** A record of finished tasks whose job has ended. */
   leftOver(key: string): void {
-    this.leftOvers.add(key);
+    this.orphanedKeys.add(key);
   }
 
   tick(): void {
-    if (this.busy || !this.deps.leads()) return;
-    const now = this.deps.world.clock.now();
+    if (this.writing || !this.deps.isLeader()) return;
+    const now = this.deps.runtime.clock.now();
     const batch = new CompletionBatch(
-      this.deps.leaderGuard(),
-      this.most,
+      this.deps.leaderPrecondition(),
+      this.maxChanges,
       this.deps.txnOps * GUARDS_PER_CHANGE,
     );
     this.addEnds(batch, now);
@@ -103,7 +103,7 @@
 
   private addEnds(batch: CompletionBatch, now: number): void {
     for (const job of this.deps.jobs.all()) {
-      const over = job.cancelled ? this.deps.surelyEmpty(job) : job.complete();
+      const over = job.jobCancelled ? this.deps.hasNoAttempts(job) : job.isComplete();
       if (!over || job.ended !== 'no' || this.mustWait(job, now)) continue;
       const changes = this.endChanges(job);
       if (!batch.hasRoom(changes.length)) return;
@@ -117,9 +117,9 @@
   private endChanges(job: Job): Mutation[] {
     const numbers = [...this.records.numbersOf(job)].slice(
       0,
-      Math.max(0, this.most - LEAST_CHANGES),
+      Math.max(0, this.maxChanges - LEAST_CHANGES),
     );
-    const value = { state: job.cancelled ? 'cancelled' : 'done', tasks: job.spec.tasks };
+    const value = { state: job.jobCancelled ? 'cancelled' : 'done', tasks: job.spec.tasks };
     return [
       { remove: liveKey(job.spec.id) },
       { put: endedKey(job.spec.id), value },
@@ -128,9 +128,9 @@
   }
 
   private addProgress(batch: CompletionBatch, now: number): void {
-    const segmentGuard = this.deps.segmentGuard();
+    const segmentGuard = this.deps.segmentPrecondition();
     for (const job of this.deps.jobs.all()) {
-      if (job.cancelled || job.complete() || this.mustWait(job, now)) continue;
+      if (job.jobCancelled || job.isComplete() || this.mustWait(job, now)) continue;
       this.records.adapt(job, segmentGuard !== null, now);
       for (const [chunk, since] of job.dirty)
         if (now - since >= PARTIAL_MS && !batch.covers(job, chunk))
@@ -169,7 +169,7 @@
   }
 
   private addLeftOvers(batch: CompletionBatch): void {
-    for (const key of this.leftOvers) {
+    for (const key of this.orphanedKeys) {
       if (!batch.hasRoom(1)) return;
       batch.add([{ remove: key }]);
       batch.removed.push(key);
@@ -181,17 +181,17 @@
   }
 
   private async write(batch: CompletionBatch): Promise<void> {
-    this.busy = true;
+    this.writing = true;
     for (const job of batch.ends) job.ended = 'writing';
     const result = await this.deps.store.compareAndSwap(batch.guards, batch.changes);
-    this.busy = false;
+    this.writing = false;
     for (const job of batch.ends) job.ended = result.kind === 'committed' ? 'yes' : 'no';
     if (result.kind === 'committed') this.applied(batch);
     else this.failed(batch, result);
   }
 
   private applied(batch: CompletionBatch): void {
-    const now = this.deps.world.clock.now();
+    const now = this.deps.runtime.clock.now();
     // Until here the numbers stay dirty, so that nothing is forgotten by a machine before it is durable.
     for (const { job, chunks, layout, count } of batch.progress) {
       this.records.noteDurable(job, chunks, layout);
@@ -202,25 +202,25 @@
     }
     for (const { job, recordNumber } of batch.replaced)
       this.records.forgetNumber(job, recordNumber);
-    for (const key of batch.removed) this.leftOvers.delete(key);
+    for (const key of batch.removed) this.orphanedKeys.delete(key);
     for (const job of batch.ends) this.ended(job, batch);
   }
 
   private ended(job: Job, batch: CompletionBatch): void {
     for (const number of this.records.numbersOf(job)) {
       const key = finishedKey(job.spec.id, number);
-      if (!batch.removes(key)) this.leftOvers.add(key);
+      if (!batch.removes(key)) this.orphanedKeys.add(key);
     }
     this.records.forget(job);
     this.notBefore.delete(job.index);
-    this.deps.ended(job);
+    this.deps.jobEnded(job);
   }
 
   private failed(
     batch: CompletionBatch,
     result: Exclude<CompareAndSwapResult, { kind: 'committed' }>,
   ): void {
-    const now = this.deps.world.clock.now();
+    const now = this.deps.runtime.clock.now();
     if (result.kind === 'invalid') this.shrink(batch);
     // A conflict or a lost answer: the watch tells what became of these jobs; no hurry meanwhile.
     for (const job of batch.jobs)
@@ -233,7 +233,7 @@
     const { length } = batch.changes;
     const largest = batch.largestSegment();
     if (largest > 0) this.records.refusedAt(largest);
-    if (length > LEAST_CHANGES) this.most = Math.max(LEAST_CHANGES, length >> 1);
-    else for (const key of batch.removed) this.leftOvers.delete(key);
+    if (length > LEAST_CHANGES) this.maxChanges = Math.max(LEAST_CHANGES, length >> 1);
+    else for (const key of batch.removed) this.orphanedKeys.delete(key);
   }
 }
--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -1,9 +1,9 @@
 /** A copy of the live job records, brought up to date by one request for all questions that wait. */
 import type { StateStore } from '../state-store/client.js';
-import { type World, sleep } from '../runtime.js';
+import { type Runtime, sleep } from '../runtime.js';
 import { LIVE, type LiveRecord, readLive } from './records.js';
 
-export interface MirroredJob {
+export interface CachedJob {
   /** Null: it stands there, but can't be read. */
   record: LiveRecord | null;
   /** As it stands there, with what only another version knows. */
@@ -19,41 +19,41 @@
  * each question would cost more than the state service has to give: so one request for all changes since the
  * last one (a watch that doesn't wait) serves all questions that came before it was sent.
  */
-export class LiveMirror {
-  private readonly jobs = new Map<string, MirroredJob>();
+export class JobCache {
+  private readonly jobs = new Map<string, CachedJob>();
   private since = -1;
   private waiters: ((ok: boolean) => void)[] = [];
-  private pumping = false;
+  private serving = false;
   private lastSent = -Infinity;
 
   constructor(
-    private readonly world: World,
+    private readonly runtime: Runtime,
     private readonly store: StateStore,
     /** Requests are at least so far apart, since all nodes share the rate. */
-    private readonly gapMs: number,
+    private readonly minIntervalMs: number,
     /** The job is called off, by its record. */
     private readonly cancelled: (id: string) => void = () => undefined,
     /** All that was changed before then has been read. */
     private readonly readUpTo: (sent: number) => void = () => undefined,
   ) {}
 
-  get(id: string): MirroredJob | undefined {
+  get(id: string): CachedJob | undefined {
     return this.jobs.get(id);
   }
 
   /** True once all that was changed before the call is here; false if the state service can't tell. */
-  fresh(): Promise<boolean> {
+  refresh(): Promise<boolean> {
     return new Promise((done) => {
       this.waiters.push(done);
-      if (!this.pumping) void this.pump();
+      if (!this.serving) void this.serveWaiters();
     });
   }
 
-  private async pump(): Promise<void> {
-    const { clock } = this.world;
-    this.pumping = true;
+  private async serveWaiters(): Promise<void> {
+    const { clock } = this.runtime;
+    this.serving = true;
     while (this.waiters.length > 0) {
-      const early = this.lastSent + this.gapMs - clock.now();
+      const early = this.lastSent + this.minIntervalMs - clock.now();
       if (early > 0) await sleep(clock, early);
       const served = this.waiters;
       this.waiters = [];
@@ -62,7 +62,7 @@
       if (ok) this.readUpTo(this.lastSent);
       for (const done of served) done(ok);
     }
-    this.pumping = false;
+    this.serving = false;
   }
 
   private async load(): Promise<boolean> {
@@ -93,7 +93,7 @@
   private put(key: string, value: unknown, version: number): void {
     const id = key.slice(LIVE.length);
     const record = readLive(value);
-    if (!record) this.world.log.error({ id }, 'unreadable job record');
+    if (!record) this.runtime.log.error({ id }, 'unreadable job record');
     if (record?.cancelled) this.cancelled(id);
     this.jobs.set(id, { record: record?.spec.id === id ? record : null, value, version });
   }
--- a/src/jobs/job-table.ts
+++ b/src/jobs/job-table.ts
@@ -7,7 +7,7 @@
 
 /** One live job in the leader's tables. */
 export class Job {
-  cancelled = false;
+  jobCancelled = false;
   readonly finished: Uint8Array;
   finishedCount = 0;
   /** Chunks of `finished` with numbers not yet durable, and when the oldest of them came. */
@@ -16,9 +16,9 @@
   readonly attempts = new Map<number, TaskAttempt[]>();
   /** Tasks that run as far as is known: counted as they change, since there are many. */
   running = 0;
-  private readonly returned: number[] = [];
-  private readonly isReturned = new Set<number>();
-  private cursor = 0;
+  private readonly requeued: number[] = [];
+  private readonly isRequeued = new Set<number>();
+  private nextUnstarted = 0;
   private waiting: number;
   /** When a task of it was last started, or it became known. */
   startedAt: number;
@@ -30,8 +30,8 @@
   /** Tasks moved once already: a task moves at most once. */
   readonly moved = new Set<number>();
   /** Of a gang: its attempt was given up, and nothing starts before all its tasks are gone. */
-  abandoned = false;
-  readonly key: string;
+  gangAttemptAborted = false;
+  readonly shapeKey: string;
   ended: 'no' | 'writing' | 'yes' = 'no';
 
   constructor(
@@ -42,14 +42,14 @@
     /** Time of day of the acceptance, in milliseconds. */
     readonly acceptedAt: number,
     /** Surely created after the leader's claim: no former leader can have started any task of it. */
-    readonly fresh: boolean,
+    readonly createdInThisTerm: boolean,
     now: number,
   ) {
     this.startedAt = now;
     this.finished = new Uint8Array(Math.ceil(spec.tasks / 8));
     this.waiting = spec.tasks;
     const s = spec;
-    this.key = [
+    this.shapeKey = [
       s.cpus,
       s.gpus,
       s.memoryGb,
@@ -67,7 +67,7 @@
 
   /** Tasks that are neither finished nor possibly on a machine. */
   pending(): number {
-    return this.cancelled ? 0 : this.waiting;
+    return this.jobCancelled ? 0 : this.waiting;
   }
 
   /** Finished tasks as they were stored, one bit each. */
@@ -119,7 +119,7 @@
     );
   }
 
-  complete(): boolean {
+  isComplete(): boolean {
     return this.finishedCount === this.spec.tasks;
   }
 
@@ -140,26 +140,27 @@
     list.splice(i, 1);
     if (list.length > 0) return;
     this.attempts.delete(e.taskNumber);
-    if (this.attempts.size === 0) this.abandoned = false;
+    if (this.attempts.size === 0) this.gangAttemptAborted = false;
     if (this.isFinished(e.taskNumber)) return;
     this.waiting++;
-    if (e.taskNumber < this.cursor && !this.isReturned.has(e.taskNumber)) {
-      this.isReturned.add(e.taskNumber);
-      this.returned.push(e.taskNumber);
+    if (e.taskNumber < this.nextUnstarted && !this.isRequeued.has(e.taskNumber)) {
+      this.isRequeued.add(e.taskNumber);
+      this.requeued.push(e.taskNumber);
     }
   }
 
   /** A task to start next, or -1. The caller holds it or gives it back by not taking it. */
-  next(): number {
-    while (this.returned.length > 0) {
-      const taskNumber = this.returned[this.returned.length - 1];
+  peekNextTask(): number {
+    while (this.requeued.length > 0) {
+      const taskNumber = this.requeued[this.requeued.length - 1];
       if (!this.isFinished(taskNumber) && !this.attempts.has(taskNumber)) return taskNumber;
-      this.returned.pop();
-      this.isReturned.delete(taskNumber);
+      this.requeued.pop();
+      this.isRequeued.delete(taskNumber);
     }
-    while (this.cursor < this.spec.tasks) {
-      if (!this.isFinished(this.cursor) && !this.attempts.has(this.cursor)) return this.cursor;
-      this.cursor++;
+    while (this.nextUnstarted < this.spec.tasks) {
+      if (!this.isFinished(this.nextUnstarted) && !this.attempts.has(this.nextUnstarted))
+        return this.nextUnstarted;
+      this.nextUnstarted++;
     }
     return -1;
   }
--- a/src/leadership/event-loop-lag.ts
+++ b/src/leadership/event-loop-lag.ts
@@ -5,12 +5,12 @@
 import type { Log } from '../runtime.js';
 
 /** A timer that fires so late counts as being behind. */
-const BEHIND_AFTER_MS = 300;
+const LAG_THRESHOLD_MS = 300;
 /** For so long after that, answers may still wait unread. */
-const AFTERMATH_MS = 2500;
+const LAG_AFTERMATH_MS = 2500;
 
-export class Lateness {
-  private behindAt = -Infinity;
+export class EventLoopLag {
+  private laggedAt = -Infinity;
 
   constructor(
     private readonly intervalMs: number,
@@ -22,15 +22,15 @@
   timerFired(now: number): number {
     const lateMs = now - this.firedAt - this.intervalMs;
     this.firedAt = now;
-    if (lateMs > BEHIND_AFTER_MS) {
-      this.behindAt = now;
+    if (lateMs > LAG_THRESHOLD_MS) {
+      this.laggedAt = now;
       this.log.info({ lateMs: Math.round(lateMs) }, 'behind its timers');
     }
     return lateMs;
   }
 
   /** Now or a moment ago. */
-  isBehind(now: number): boolean {
-    return now - this.behindAt < AFTERMATH_MS;
+  isLagging(now: number): boolean {
+    return now - this.laggedAt < LAG_AFTERMATH_MS;
   }
 }
--- a/src/leadership/failover-recovery.ts
+++ b/src/leadership/failover-recovery.ts
@@ -9,12 +9,12 @@
 const LOG_EVERY_MS = 1000;
 const MACHINES_IN_LOG = 5;
 
-export class Takeover {
+export class FailoverRecovery {
   private complete = false;
   private loggedAt = -Infinity;
   private beganAt = 0;
   /** Stored before the claim. Those at the front that need no more waiting for are taken out. */
-  private readonly expected = new Set<Machine>();
+  private readonly awaitingReconciliation = new Set<Machine>();
 
   constructor(
     private readonly table: MachineTable,
@@ -24,9 +24,9 @@
   ) {}
 
   /** The machine was stored before the claim. */
-  expect(machine: Machine): void {
-    machine.suspect = true;
-    this.expected.add(machine);
+  expectReconciliation(machine: Machine): void {
+    machine.awaitingReconciliation = true;
+    this.awaitingReconciliation.add(machine);
   }
 
   begin(now: number): void {
@@ -52,12 +52,12 @@
    */
   check(now: number): boolean {
     if (this.complete) return false;
-    for (const machine of this.expected) {
+    for (const machine of this.awaitingReconciliation) {
       if (this.isAwaited(machine)) {
         this.logWaiting(now);
         return false;
       }
-      this.expected.delete(machine);
+      this.awaitingReconciliation.delete(machine);
     }
     this.complete = true;
     this.log.info({ machines: this.table.size(), jobs: this.jobs() }, 'every machine is known');
@@ -65,13 +65,13 @@
   }
 
   private isAwaited(machine: Machine): boolean {
-    return machine.suspect && this.table.get(machine.id) === machine;
+    return machine.awaitingReconciliation && this.table.get(machine.id) === machine;
   }
 
   private logWaiting(now: number): void {
     if (now - this.loggedAt < LOG_EVERY_MS) return;
     this.loggedAt = now;
-    const awaited = [...this.expected].filter((m) => this.isAwaited(m));
+    const awaited = [...this.awaitingReconciliation].filter((m) => this.isAwaited(m));
     const some = awaited.slice(0, MACHINES_IN_LOG).map((m) => `${m.id}:${m.commandFailures}`);
     this.log.info(
       { machines: awaited.length, of: this.table.size(), some },
--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -1,6 +1,6 @@
 /** Brings the stored jobs into the leader's tables, and follows their changes. */
 import type { KeyValue, WatchEvent } from '@millring/state-access';
-import { type World, sleep } from '../runtime.js';
+import { type Runtime, sleep } from '../runtime.js';
 import { readFinishedRecord } from '../jobs/finished-records.js';
 import { FINISHED, LIVE } from '../jobs/records.js';
 import type { Job, JobTable } from '../jobs/job-table.js';
@@ -9,25 +9,25 @@
 const WATCH_MS = 10_000;
 const RETRY_MS = 200;
 
-export interface JobFeedDeps {
-  world: World;
+export interface JobFeedDependencies {
+  runtime: Runtime;
   store: StateStore;
   jobs: JobTable;
   /** Does the leader's claim still stand? */
-  active(): boolean;
+  isActive(): boolean;
   /** A live record, new or changed. */
-  stored(id: string, value: unknown, version: number): void;
+  recordStored(id: string, value: unknown, version: number): void;
   /** The live record is gone. */
-  removed(job: Job): void;
+  recordRemoved(job: Job): void;
   /** Something has changed. */
-  changed(): void;
+  jobsChanged(): void;
 }
 
 export class JobFeed {
-  constructor(private readonly deps: JobFeedDeps) {}
+  constructor(private readonly deps: JobFeedDependencies) {}
 
   private take(pair: KeyValue): void {
-    this.deps.stored(pair.key.slice(LIVE.length), pair.value, pair.version);
+    this.deps.recordStored(pair.key.slice(LIVE.length), pair.value, pair.version);
   }
 
   /** The live jobs and their finished tasks, as read on taking over; records whose job has ended are told. */
@@ -56,20 +56,20 @@
       return;
     }
     const fields = { id: job.spec.id, recordNumber, reason: record.reason };
-    this.deps.world.log.error(fields, 'unreadable record of finished tasks');
+    this.deps.runtime.log.error(fields, 'unreadable record of finished tasks');
   }
 
   async follow(since: number): Promise<void> {
-    const { store, world } = this.deps;
-    while (this.deps.active()) {
+    const { store, runtime } = this.deps;
+    while (this.deps.isActive()) {
       const answer = await store.watch(LIVE, since, WATCH_MS);
-      if (!this.deps.active()) return;
+      if (!this.deps.isActive()) return;
       if (answer.kind === 'events') {
         since = Math.max(since, answer.revision);
         for (const event of answer.events) this.apply(event);
-        if (answer.events.length > 0) this.deps.changed();
+        if (answer.events.length > 0) this.deps.jobsChanged();
       } else if (answer.kind === 'unavailable') {
-        await sleep(world.clock, RETRY_MS);
+        await sleep(runtime.clock, RETRY_MS);
       } else {
         since = (await this.reload()) ?? since;
       }
@@ -79,11 +79,11 @@
   private apply(event: WatchEvent): void {
     const id = event.key.slice(LIVE.length);
     if (!event.deleted) {
-      this.deps.stored(id, event.value, event.version);
+      this.deps.recordStored(id, event.value, event.version);
       return;
     }
     const job = this.deps.jobs.get(id);
-    if (job && job.version < event.version) this.deps.removed(job);
+    if (job && job.version < event.version) this.deps.recordRemoved(job);
   }
 
   /** The changes since are not kept any more: everything is read again. */
@@ -92,9 +92,10 @@
     if (!all) return null;
     const live = new Set(all.pairs.map((pair) => pair.key));
     for (const job of [...this.deps.jobs.all()])
-      if (!live.has(LIVE + job.spec.id) && job.version <= all.revision) this.deps.removed(job);
+      if (!live.has(LIVE + job.spec.id) && job.version <= all.revision)
+        this.deps.recordRemoved(job);
     for (const pair of all.pairs) this.take(pair);
-    this.deps.changed();
+    this.deps.jobsChanged();
     return all.revision;
   }
 }
--- a/src/leadership/leader-term-dependencies.ts
+++ b/src/leadership/leader-term-dependencies.ts
@@ -1,27 +1,27 @@
 /** What a leader's term needs of the controller that it runs in. */
 import type { Precondition } from '@millring/state-access';
 import type { ControllerDuties } from '../duties/controller-duties.js';
-import type { World } from '../runtime.js';
+import type { Runtime } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
 import type { MachineType } from '../wire/model.js';
 
-export interface LeaderTermDeps {
-  world: World;
+export interface LeaderTermDependencies {
+  runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   store: StateStore;
   types: MachineType[];
   wallMs(): number;
-  leads(): boolean;
-  guard(): Precondition;
+  isLeader(): boolean;
+  termPrecondition(): Precondition;
   /** Is it known that the job is cancelled, whatever its record says as last read? */
   isCancelled(id: string): boolean;
   /** Are cancellations known well enough for starting anything? */
-  informed(): boolean;
+  cancellationsAreFresh(): boolean;
   /** For records in compressed segments, see `CompletionWriter`. */
-  segmentGuard(): Precondition | null;
+  segmentPrecondition(): Precondition | null;
   duties: Pick<ControllerDuties, 'areKnown' | 'usesIntents' | 'intentLog'>;
-  handOver(why: string): void;
+  resign(why: string): void;
 }
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -4,16 +4,16 @@
  */
 import type { Precondition, KeyValue } from '@millring/state-access';
 import type { PlatformSettings } from '../settings/platform.js';
-import { DRIFT, type World, sleep } from '../runtime.js';
+import { DRIFT, type Runtime, sleep } from '../runtime.js';
 import type { StateStore } from '../state-store/client.js';
 import { isMap } from '../wire/cbor.js';
 
-const KEY = 'leader';
+const LEADER_KEY = 'leader';
 /** Tokens leave this much room below the claim's revision, for raising the token of one machine. */
-export const TOKEN_SPAN = 2 ** 20;
+export const TOKENS_PER_EPOCH = 2 ** 20;
 const WATCH_MS = 10_000;
 /** How soon a process that may not lead looks again. */
-const INELIGIBLE_MS = 500;
+const INELIGIBLE_RETRY_MS = 500;
 /** Without a claim nothing may be written: no key ever has this revision. */
 const NO_REVISION = Number.MAX_SAFE_INTEGER;
 
@@ -22,24 +22,24 @@
  * lives. paused: our lease may have ended, nothing may be started or answered; if a renewal still finds the
  * lease alive nobody can have claimed in between, so `leading` goes on where it stood.
  */
-export type LeadershipState = 'following' | 'claiming' | 'leading' | 'paused';
+export type LeadershipState = 'follower' | 'candidate' | 'leader' | 'suspended';
 
-const NEXT: Record<LeadershipState, LeadershipState[]> = {
-  following: ['claiming'],
-  claiming: ['leading', 'following'],
-  leading: ['paused', 'following'],
-  paused: ['leading', 'following'],
+const TRANSITIONS: Record<LeadershipState, LeadershipState[]> = {
+  follower: ['candidate'],
+  candidate: ['leader', 'follower'],
+  leader: ['suspended', 'follower'],
+  suspended: ['leader', 'follower'],
 };
 
-export interface Claim {
+export interface LeadershipTerm {
   /** The revision of our claim: it grows from leader to leader. */
-  revision: number;
-  lease: number;
+  epoch: number;
+  leaseId: number;
 }
 
 export interface LeadershipEvents {
   /** A new claim succeeded: tables must be rebuilt. */
-  elected(claim: Claim): void;
+  elected(claim: LeadershipTerm): void;
   /** The claim is over for good. */
   deposed(): void;
   /** Leading again after a pause. */
@@ -47,16 +47,16 @@
 }
 
 export class Leadership {
-  private state: LeadershipState = 'following';
-  private claim: Claim | null = null;
-  private validUntil = 0;
-  private claimNotBefore = 0;
+  private state: LeadershipState = 'follower';
+  private term: LeadershipTerm | null = null;
+  private validUntilMs = 0;
+  private campaignNotBefore = 0;
   /** The leader as last read, also when it is this node. */
-  private known: string | null = null;
-  private seen = 0;
+  private observedLeader: string | null = null;
+  private highestEpoch = 0;
 
   constructor(
-    private readonly world: World,
+    private readonly runtime: Runtime,
     private readonly settings: Pick<PlatformSettings, 'node'>,
     private readonly ttlMs: number,
     private readonly store: StateStore,
@@ -65,55 +65,58 @@
     private readonly isEligible: () => boolean = () => true,
   ) {}
 
-  private become(next: LeadershipState, why: string): void {
+  private transitionTo(next: LeadershipState, why: string): void {
     if (next === this.state) return;
-    if (!NEXT[this.state].includes(next)) throw new Error(`leadership: ${this.state} -> ${next}`);
-    this.world.log.info({ from: this.state, to: next, why }, 'leadership');
+    if (!TRANSITIONS[this.state].includes(next))
+      throw new Error(`leadership: ${this.state} -> ${next}`);
+    this.runtime.log.info({ from: this.state, to: next, why }, 'leadership');
     const before = this.state;
     this.state = next;
-    if (next === 'leading') {
-      if (before === 'paused') this.events.resumed();
-      else if (this.claim) this.events.elected(this.claim);
-    } else if (next === 'following' && before !== 'claiming') {
-      this.claim = null;
+    if (next === 'leader') {
+      if (before === 'suspended') this.events.resumed();
+      else if (this.term) this.events.elected(this.term);
+    } else if (next === 'follower' && before !== 'candidate') {
+      this.term = null;
       this.events.deposed();
     }
   }
 
   /** The only question that entitles this node to act. The clock is asked each time, since timers may be late. */
-  leads(): boolean {
-    if (this.state === 'leading' && this.world.clock.now() >= this.validUntil)
-      this.become('paused', 'lease may end');
-    return this.state === 'leading';
+  isLeader(): boolean {
+    if (this.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
+      this.transitionTo('suspended', 'lease may end');
+    return this.state === 'leader';
   }
 
   /** Whom workers should report to; null when that is not known. */
-  leader(): string | null {
-    if (this.leads()) return this.settings.node;
-    return this.state === 'following' && this.known !== this.settings.node ? this.known : null;
+  leaderName(): string | null {
+    if (this.isLeader()) return this.settings.node;
+    return this.state === 'follower' && this.observedLeader !== this.settings.node
+      ? this.observedLeader
+      : null;
   }
 
   /** Our claim surely stands, or stood, until then. */
-  validTo(): number {
-    return this.validUntil;
+  leaseValidUntil(): number {
+    return this.validUntilMs;
   }
 
   /** The latest claim that this node has seen, whoever made it. */
-  latestClaim(): number {
-    return this.seen;
+  highestSeenEpoch(): number {
+    return this.highestEpoch;
   }
 
-  isClaiming(): boolean {
-    return this.state === 'claiming';
+  isCandidate(): boolean {
+    return this.state === 'candidate';
   }
 
-  current(): Claim | null {
-    return this.claim;
+  currentTerm(): LeadershipTerm | null {
+    return this.term;
   }
 
   /** Guards every write of the leader: one that arrives after the claim has gone changes nothing. */
-  guard(): Precondition {
-    return { key: KEY, version: this.claim?.revision ?? NO_REVISION };
+  termPrecondition(): Precondition {
+    return { key: LEADER_KEY, version: this.term?.epoch ?? NO_REVISION };
   }
 
   run(): void {
@@ -122,119 +125,123 @@
   }
 
   private tick(): void {
-    this.leads();
-    this.world.clock.after(100, () => {
+    this.isLeader();
+    this.runtime.clock.after(100, () => {
       this.tick();
     });
   }
 
   /** Gives the claim back, so that a node that hears the workers can take it. */
-  async handOver(why: string): Promise<void> {
-    const claim = this.claim;
-    if (!claim || this.state === 'claiming') return;
-    this.claimNotBefore = this.world.clock.now() + 8000 + this.world.random() * 2000;
-    this.become('following', why);
-    await this.store.revokeLease(claim.lease);
+  async resign(why: string): Promise<void> {
+    const claim = this.term;
+    if (!claim || this.state === 'candidate') return;
+    this.campaignNotBefore = this.runtime.clock.now() + 8000 + this.runtime.random() * 2000;
+    this.transitionTo('follower', why);
+    await this.store.revokeLease(claim.leaseId);
   }
 
   private async followLoop(): Promise<void> {
-    const { clock } = this.world;
+    const { clock } = this.runtime;
     for (;;) {
-      const r = await this.store.get(KEY);
+      const r = await this.store.get(LEADER_KEY);
       if (r.kind === 'unavailable') {
         await sleep(clock, 300);
         continue;
       }
       if (r.kind === 'absent') {
-        this.known = null;
-        if (this.state === 'leading' || this.state === 'paused')
-          this.become('following', 'key is gone');
-        const wait = this.claimNotBefore - clock.now();
-        if (!this.isEligible()) await sleep(clock, INELIGIBLE_MS);
+        this.observedLeader = null;
+        if (this.state === 'leader' || this.state === 'suspended')
+          this.transitionTo('follower', 'key is gone');
+        const wait = this.campaignNotBefore - clock.now();
+        if (!this.isEligible()) await sleep(clock, INELIGIBLE_RETRY_MS);
         else if (wait > 0) await this.waitForChange(r.revision, Math.min(wait, WATCH_MS));
-        else await this.tryClaim();
+        else await this.campaign();
         continue;
       }
-      await this.noticeLeader(r.entry);
+      await this.observeLeader(r.entry);
       await this.waitForChange(r.entry.version, WATCH_MS);
     }
   }
 
-  private async noticeLeader(pair: KeyValue): Promise<void> {
+  private async observeLeader(pair: KeyValue): Promise<void> {
     const v = isMap(pair.value) ? pair.value : {};
-    this.known = typeof v.node === 'string' ? v.node : null;
-    this.seen = Math.max(this.seen, pair.version);
-    const mine = this.claim !== null && pair.version === this.claim.revision;
+    this.observedLeader = typeof v.node === 'string' ? v.node : null;
+    this.highestEpoch = Math.max(this.highestEpoch, pair.version);
+    const mine = this.term !== null && pair.version === this.term.epoch;
     if (mine) return;
-    if (this.state === 'leading' || this.state === 'paused')
-      this.become('following', 'another claim stands');
+    if (this.state === 'leader' || this.state === 'suspended')
+      this.transitionTo('follower', 'another claim stands');
     // The key of an earlier life of this very node: that process has ended, so its lease can be ended at once.
-    if (this.known === this.settings.node && typeof v.lease === 'number')
+    if (this.observedLeader === this.settings.node && typeof v.lease === 'number')
       await this.store.revokeLease(v.lease);
   }
 
   private async waitForChange(after: number, waitMs: number): Promise<void> {
-    const w = await this.store.watch(KEY, after, Math.round(waitMs));
-    if (w.kind === 'unavailable') await sleep(this.world.clock, 250);
+    const w = await this.store.watch(LEADER_KEY, after, Math.round(waitMs));
+    if (w.kind === 'unavailable') await sleep(this.runtime.clock, 250);
   }
 
-  private async tryClaim(): Promise<void> {
-    const { clock } = this.world;
-    this.become('claiming', 'no leader');
+  private async campaign(): Promise<void> {
+    const { clock } = this.runtime;
+    this.transitionTo('candidate', 'no leader');
     const sent = clock.now();
     const lease = await this.store.grantLease(this.ttlMs);
     if (lease === null) {
-      this.become('following', 'no lease');
-      await sleep(clock, 200 + this.world.random() * 200);
+      this.transitionTo('follower', 'no lease');
+      await sleep(clock, 200 + this.runtime.random() * 200);
       return;
     }
     const value = { node: this.settings.node, lease };
     const t = await this.store.compareAndSwap(
-      [{ key: KEY, version: 0 }],
-      [{ put: KEY, value, lease }],
+      [{ key: LEADER_KEY, version: 0 }],
+      [{ put: LEADER_KEY, value, lease }],
       true,
     );
     let revision = t.kind === 'committed' ? t.revision : 0;
     if (t.kind === 'indeterminate') {
       // The claim may have been applied without an answer: the lease in the key tells.
-      const r = await this.store.get(KEY);
+      const r = await this.store.get(LEADER_KEY);
       if (r.kind === 'found' && isMap(r.entry.value) && r.entry.value.lease === lease)
         revision = r.entry.version;
     }
     if (revision === 0) {
-      this.become('following', `claim ${t.kind}`);
+      this.transitionTo('follower', `claim ${t.kind}`);
       void this.store.revokeLease(lease);
-      await sleep(clock, 50 + this.world.random() * 100);
+      await sleep(clock, 50 + this.runtime.random() * 100);
       return;
     }
-    this.claim = { revision, lease };
-    this.seen = Math.max(this.seen, revision);
-    this.known = this.settings.node;
-    this.setValid(sent);
-    this.become('leading', 'claimed');
-    void this.renewLoop(this.claim);
+    this.term = { epoch: revision, leaseId: lease };
+    this.highestEpoch = Math.max(this.highestEpoch, revision);
+    this.observedLeader = this.settings.node;
+    this.extendValidity(sent);
+    this.transitionTo('leader', 'claimed');
+    void this.renewLoop(this.term);
   }
 
   /** Counted from when the request was sent, by our own clock, drift taken off. */
-  private setValid(sent: number): void {
-    this.validUntil = Math.max(this.validUntil, sent + this.ttlMs / DRIFT - 20);
+  private extendValidity(sent: number): void {
+    this.validUntilMs = Math.max(this.validUntilMs, sent + this.ttlMs / DRIFT - 20);
   }
 
-  private async renewLoop(claim: Claim): Promise<void> {
-    const { clock } = this.world;
-    while (this.claim === claim) {
+  private async renewLoop(claim: LeadershipTerm): Promise<void> {
+    const { clock } = this.runtime;
+    while (this.term === claim) {
       await sleep(clock, this.ttlMs / 4);
-      if (this.claim !== claim) return;
+      if (this.term !== claim) return;
       const sent = clock.now();
-      const r = await this.store.renewLease(claim.lease, this.ttlMs, Math.max(300, this.ttlMs / 3));
-      if (this.claim !== claim) return;
+      const r = await this.store.renewLease(
+        claim.leaseId,
+        this.ttlMs,
+        Math.max(300, this.ttlMs / 3),
+      );
+      if (this.term !== claim) return;
       if (r === 'expired') {
-        this.become('following', 'lease ended');
+        this.transitionTo('follower', 'lease ended');
       } else if (r === 'renewed') {
-        this.leads();
-        this.setValid(sent);
-        if (this.state === 'paused' && clock.now() < this.validUntil)
-          this.become('leading', 'lease is alive');
+        this.isLeader();
+        this.extendValidity(sent);
+        if (this.state === 'suspended' && clock.now() < this.validUntilMs)
+          this.transitionTo('leader', 'lease is alive');
       }
     }
   }
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -8,11 +8,11 @@
  * for; the leader, and any later leader, adds that time before it calls a worker's lease over.
  */
 import { DRIFT } from '../runtime.js';
-import { TOKEN_SPAN } from './leadership.js';
+import { TOKENS_PER_EPOCH } from './leadership.js';
 
 /** No answer for so long: the leader is out of reach. */
-const CONTACT_MS = 1200;
-export const ASK_MS = 400;
+const CONTACT_TIMEOUT_MS = 1200;
+export const REQUEST_INTERVAL_MS = 400;
 
 /** Tasks must be gone `cancel_s` after a cancellation also when their machine is kept, and cut off, till the end. */
 export function leaseExtensionMs(cancelS: number, leaseS: number): number {
@@ -21,63 +21,63 @@
 
 /** The follower's side. */
 export class LeaseExtender {
-  private grant: { revision: number; until: number } | null = null;
+  private grant: { epoch: number; until: number } | null = null;
   private contactAt = -Infinity;
 
-  constructor(private readonly lengthMs: number) {}
+  constructor(private readonly extensionMs: number) {}
 
-  granted(askedAt: number, revision: number, keep: boolean, now: number): void {
+  recordGrant(askedAt: number, revision: number, keep: boolean, now: number): void {
     this.contactAt = Math.max(this.contactAt, now);
-    const until = askedAt + this.lengthMs / DRIFT;
-    if (keep && (this.grant === null || revision > this.grant.revision || until > this.grant.until))
-      this.grant = { revision, until };
+    const until = askedAt + this.extensionMs / DRIFT;
+    if (keep && (this.grant === null || revision > this.grant.epoch || until > this.grant.until))
+      this.grant = { epoch: revision, until };
   }
 
   /**
    * Also after a new claim, as long as its leader is out of reach and the worker has not heard of it: two zones may
    * be apart, and the new leader in the other. It counts what former leaders granted, see `LeaseExtensionGrants`.
    */
-  mayAnswer(workerToken: number, now: number): boolean {
+  mayRenew(workerToken: number, now: number): boolean {
     const g = this.grant;
-    if (!g || now >= g.until || now - this.contactAt < CONTACT_MS) return false;
-    return Math.floor(workerToken / TOKEN_SPAN) === g.revision;
+    if (!g || now >= g.until || now - this.contactAt < CONTACT_TIMEOUT_MS) return false;
+    return Math.floor(workerToken / TOKENS_PER_EPOCH) === g.epoch;
   }
 }
 
 /** The leader's side: until when anyone may have kept worker leases on its behalf. */
 export class LeaseExtensionGrants {
-  private latest: number;
-  private readonly contact = new Map<string, number>();
+  private latestGrantAt: number;
+  private readonly contactByPeer = new Map<string, number>();
 
   constructor(
-    private readonly lengthMs: number,
-    private readonly began: number,
+    private readonly extensionMs: number,
+    private readonly termBeganAt: number,
   ) {
     // LeaseExtensionGrants of former leaders, and a former leader's own, last at most so long after our claim.
-    this.latest = began;
+    this.latestGrantAt = termBeganAt;
   }
 
-  asked(from: string, keep: boolean, now: number): void {
-    this.contact.set(from, now);
-    if (keep) this.latest = now;
+  recordRequest(from: string, keep: boolean, now: number): void {
+    this.contactByPeer.set(from, now);
+    if (keep) this.latestGrantAt = now;
   }
 
   /** No lease was kept after this time. */
-  keptUntil(): number {
-    return this.latest + this.lengthMs * DRIFT;
+  extendableUntil(): number {
+    return this.latestGrantAt + this.extensionMs * DRIFT;
   }
 
   outOfContact(peer: string, now: number): boolean {
-    const at = this.contact.get(peer);
-    return at !== undefined && now - at > CONTACT_MS && now - at < this.lengthMs;
+    const at = this.contactByPeer.get(peer);
+    return at !== undefined && now - at > CONTACT_TIMEOUT_MS && now - at < this.extensionMs;
   }
 
   /** Never since our claim: it may hold a grant of a former leader, so as if it had asked then. */
   contactAt(peer: string): number {
-    return this.contact.get(peer) ?? this.began;
+    return this.contactByPeer.get(peer) ?? this.termBeganAt;
   }
 
   inContact(peer: string, now: number): boolean {
-    return now - (this.contact.get(peer) ?? -Infinity) <= CONTACT_MS;
+    return now - (this.contactByPeer.get(peer) ?? -Infinity) <= CONTACT_TIMEOUT_MS;
   }
 }
--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -5,7 +5,11 @@
 type Where = Pick<PlatformSettings, 'zone' | 'peers'>;
 
 /** Zones whose controllers went silent all at once: their machines may be well, and be kept by them. */
-export function cutZones(here: Where, grants: LeaseExtensionGrants, now: number): Set<string> {
+export function partitionedZones(
+  here: Where,
+  grants: LeaseExtensionGrants,
+  now: number,
+): Set<string> {
   const cut = new Set<string>();
   for (const peer of here.peers)
     if (peer.zone !== here.zone && grants.outOfContact(peer.name, now)) cut.add(peer.zone);
@@ -14,7 +18,7 @@
 }
 
 /** Until when controllers in the zone may extend worker leases there; null if it has none. */
-export function keptUntil(
+export function leasesExtendableUntil(
   zone: string,
   here: Where,
   grants: LeaseExtensionGrants,
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -2,18 +2,22 @@
 import type { Intent, IntentLog, Versioned } from '@millring/duties';
 import type { Conversion } from '@millring/rollout';
 import { rentResult } from '../duties/intent-actions.js';
-import type { Fleet } from '../fleet/fleet.js';
+import type { Autoscaler } from '../autoscaler/autoscaler.js';
 
 /** An intent as it was read. */
 export type StoredIntent = Versioned<Intent>;
 
 /** While any is open, a leader that can't follow intents must not lead. */
-export function openIntents(log: IntentLog): Conversion {
+export function intentConversion(log: IntentLog): Conversion {
   const remaining = log.pending();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
-export function adoptIntents(intents: readonly StoredIntent[], log: IntentLog, fleet: Fleet): void {
+export function restoreIntents(
+  intents: readonly StoredIntent[],
+  log: IntentLog,
+  fleet: Autoscaler,
+): void {
   for (const { value, version } of intents) {
     const { action, id } = value;
     if (action.kind === 'delete') {
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -2,9 +2,9 @@
 import type { KeyValue } from '@millring/state-access';
 import type { IntentLog } from '@millring/duties';
 import { FINISHED, LIVE } from '../jobs/records.js';
-import type { World } from '../runtime.js';
+import type { Runtime } from '../runtime.js';
 import type { StateStore } from '../state-store/client.js';
-import type { StoredIntent } from './adopted-intents.js';
+import type { StoredIntent } from './restored-intents.js';
 
 export interface StoredState {
   machines: KeyValue[];
@@ -40,7 +40,7 @@
   { machines, jobs, finished, revision }: StoredState,
   began: number,
   term: { claim: number; token: number },
-  { clock, log }: World,
+  { clock, log }: Runtime,
 ): void {
   const read = { machinePages: machines.length, jobs: jobs.length, finished: finished.length };
   const tookMs = Math.round(clock.now() - began);
--- a/src/main.ts
+++ b/src/main.ts
@@ -12,7 +12,7 @@
 import type { CommandOutcome } from './command-outcome.js';
 import { type DutiesCommand, runDutiesCommand } from './duties/command-line.js';
 import { ROLLOUT_ACTIONS, type RolloutAction, runRolloutCommand } from './rollout/command-line.js';
-import type { World } from './runtime.js';
+import type { Runtime } from './runtime.js';
 import { shareSockets } from './sockets.js';
 import { type OperatorSettings, readOperatorSettings } from './settings/operator.js';
 import { type PlatformSettings, SettingsError, readPlatformSettings } from './settings/platform.js';
@@ -73,7 +73,7 @@
   return { platform, operator: loadOperator(options.operator, platform.zone) };
 }
 
-function realWorld(platform: PlatformSettings, log: World['log']): World {
+function realWorld(platform: PlatformSettings, log: Runtime['log']): Runtime {
   return {
     clock: {
       now: () => performance.now(),
@@ -90,7 +90,7 @@
   };
 }
 
-function logger(level: string, node: string): World['log'] {
+function logger(level: string, node: string): Runtime['log'] {
   return pino({ level, base: { node } }, pino.destination({ dest: 2, sync: true }));
 }
 
@@ -112,7 +112,7 @@
     },
   );
   peers.messages.subscribe((m) => {
-    node.peerMessage(m);
+    node.handlePeerMessage(m);
   });
   const server = httpServer(node, platform.sockets, log);
   const [host, port] = platform.listen.split(':');
--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -78,7 +78,7 @@
   }
 
   /** A message of another node; it may be late. The cancellations in it are learnt by the caller. */
-  heardFrom(m: Attestation): void {
+  recordStatement(m: Attestation): void {
     if (!this.peers.includes(m.from)) return;
     this.heard[m.from] = { life: m.life, at: m.at };
     const echo = Object.hasOwn(m.heard, this.self) ? m.heard[this.self] : null;
--- a/src/peers/peers.ts
+++ b/src/peers/peers.ts
@@ -3,7 +3,7 @@
 import { Packr } from 'msgpackr';
 import { type Observable, Subject } from 'rxjs';
 import { isMap } from '../wire/cbor.js';
-import type { World } from '../runtime.js';
+import type { Runtime } from '../runtime.js';
 import type { Attestation } from './attestations.js';
 
 export type PeerMessage =
@@ -104,7 +104,7 @@
   private server: Server | null = null;
 
   constructor(
-    private readonly world: World,
+    private readonly world: Runtime,
     private readonly bind: string,
     private readonly addresses: string[],
   ) {}
@@ -134,7 +134,7 @@
 
   private dial(address: string): void {
     const [host, port] = address.split(':');
-    const socket = connect({ host: host, port: Number(port) });
+    const socket = connect({ host, port: Number(port) });
     socket.setNoDelay(true);
     socket.on('connect', () => this.out.set(address, socket));
     socket.on('error', () => socket.destroy());
--- a/src/placement/choose.ts
+++ b/src/placement/choose.ts
@@ -70,7 +70,7 @@
   const candidates = [...m.attempts.values()].filter(
     (e) =>
       e.onMachine() &&
-      !e.open &&
+      !e.startUnacknowledged &&
       !e.stop &&
       e.job !== null &&
       e.state !== 'saving' &&
@@ -150,7 +150,7 @@
     return (
       imageFetchSeconds(s, m) * 100 +
       victims.length * 120 +
-      (m.slow ? 400 : 0) +
+      (m.isStraggler ? 400 : 0) +
       this.company(m) +
       (ctx.saveMoney
         ? (s.spot && !m.spot ? 600 : 0) + freeShare * (s.kind === 'service' ? 10 : -10)
--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -63,7 +63,13 @@
 
   gone(attempt: TaskAttempt, at: number): void {
     const { state, cause, machine } = attempt;
-    this.note({ ...onAttempt(attempt, at), kind: 'gone', state, cause, session: machine.session });
+    this.note({
+      ...onAttempt(attempt, at),
+      kind: 'gone',
+      state,
+      cause,
+      session: machine.incarnation,
+    });
   }
 
   /** The latest decisions on the team's tasks, oldest first. */
--- a/src/placement/demand-history.ts
+++ b/src/placement/demand-history.ts
@@ -22,7 +22,7 @@
   note(job: Job): void {
     const cpus = job.spec.cpus * job.spec.tasks;
     const at = this.now();
-    if (job.spec.kind === 'service' && job.fresh)
+    if (job.spec.kind === 'service' && job.createdInThisTerm)
       this.services = { cpus: this.current(this.services) + cpus, at };
     if (job.spec.kind === 'gang')
       this.largestGang = { cpus: Math.max(cpus, this.current(this.largestGang)), at };
--- a/src/placement/failures.ts
+++ b/src/placement/failures.ts
@@ -24,8 +24,8 @@
   }
   const delay = FIRST_RETRY_MS * 2 ** Math.min(job.failures, MAX_DOUBLINGS);
   job.notBefore = now + Math.min(MAX_RETRY_MS, delay);
-  if (machine.failedJobs.size < JOBS_BEFORE_MACHINE_IS_FAULTY || machine.draining) return false;
-  machine.draining = 'faulty';
+  if (machine.failedJobs.size < JOBS_BEFORE_MACHINE_IS_FAULTY || machine.drainReason) return false;
+  machine.drainReason = 'faulty';
   return true;
 }
 
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -27,7 +27,7 @@
 /** An orderly stop is put off at most until this many reports fit before its latest moment. */
 const REPORTS_BEFORE_STOP = 2;
 
-export interface GangSchedulerDeps {
+export interface GangSchedulerDependencies {
   table: MachineTable;
   usage: TeamUsage;
   reservations: Reservations;
@@ -57,7 +57,7 @@
 }
 
 export class GangScheduler {
-  constructor(private readonly deps: GangSchedulerDeps) {}
+  constructor(private readonly deps: GangSchedulerDependencies) {}
 
   /** A waiting gang that has found no room for long. */
   isOverdue(job: Job): boolean {
@@ -129,11 +129,11 @@
     for (const task of tasks) {
       const choice = candidates.best();
       if (!choice || imageFetchSeconds(job.spec, choice.machine) * 1000 > waitLeft) {
-        for (const attempt of held) this.deps.table.drop(attempt, now);
+        for (const attempt of held) this.deps.table.removeAttempt(attempt, now);
         return null;
       }
       victims.push(...choice.victims);
-      held.push(this.deps.table.hold(choice.machine, job.spec.id, job, task, attempt, now));
+      held.push(this.deps.table.addAttempt(choice.machine, job.spec.id, job, task, attempt, now));
       candidates.placed(choice.machine);
     }
     return victims;
@@ -144,8 +144,8 @@
    * leave its machine is replaced under the same attempt. Otherwise the gang leaves, and starts again whole.
    */
   attemptGone(job: Job, attempt: TaskAttempt): void {
-    const { cause, stop, sent } = attempt;
-    if (!sent || job.complete()) return;
+    const { cause, stop, startSent } = attempt;
+    if (!startSent || job.isComplete()) return;
     const replaceable =
       cause === null || cause === 'no_room' || cause === 'busy' || stop?.replaced === true;
     if (replaceable && gangState(job) === 'gathering') return;
@@ -155,7 +155,7 @@
 
   /** The whole gang leaves at once; progress since its last checkpoint is lost. */
   giveUp(job: Job, reason: string): void {
-    job.abandoned = job.attempts.size > 0;
+    job.gangAttemptAborted = job.attempts.size > 0;
     for (const attempt of attemptsOf(job)) this.stopOne(attempt, reason);
   }
 
@@ -164,7 +164,7 @@
    * that is given up would begin anew with the next attempt, which would then come too late again.
    */
   private giveUpAfterFetches(job: Job): void {
-    job.abandoned = job.attempts.size > 0;
+    job.gangAttemptAborted = job.attempts.size > 0;
     for (const attempt of attemptsOf(job))
       if (attempt.state !== 'fetching')
         this.stopOne(attempt, 'the gang did not come together in time');
@@ -172,7 +172,7 @@
 
   /** Called for each reported attempt of a gang. */
   reported(job: Job, attempt: TaskAttempt): void {
-    if (job.abandoned && attempt.state === 'waiting')
+    if (job.gangAttemptAborted && attempt.state === 'waiting')
       this.stopOne(attempt, 'its gang was given up');
   }
 
@@ -204,14 +204,14 @@
   canMove(job: Job, from: Machine): boolean {
     if (!this.allReachable(job)) return false;
     const targets = [...this.deps.table.all()].filter(
-      (m) => m !== from && !m.slow && this.deps.usable(m) && allowedOn(job.spec, m),
+      (m) => m !== from && !m.isStraggler && this.deps.usable(m) && allowedOn(job.spec, m),
     );
     return fitsWhole(job, targets);
   }
 
   private allReachable(job: Job): boolean {
     return attemptsOf(job).every(
-      ({ machine }) => machine.certain() && machine.commandFailures === 0,
+      ({ machine }) => machine.isReconciled() && machine.commandFailures === 0,
     );
   }
 
--- a/src/placement/gangs.ts
+++ b/src/placement/gangs.ts
@@ -21,7 +21,7 @@
   const { attempt: number } = attempts[0];
   const mixed = attempts.length > job.attempts.size || attempts.some((a) => a.attempt !== number);
   const stopped = attempts.some((a) => a.stop !== null && !a.stop.replaced);
-  if (mixed || stopped || job.abandoned) return 'leaving';
+  if (mixed || stopped || job.gangAttemptAborted) return 'leaving';
   return attempts.some((a) => a.state === 'running' || a.state === 'saving')
     ? 'running'
     : 'gathering';
@@ -75,7 +75,7 @@
     const room = slots(job, machine);
     zone.machines.push(machine);
     zone.room += room;
-    if (!machine.slow && machine.images.has(job.spec.image)) zone.warm += room;
+    if (!machine.isStraggler && machine.images.has(job.spec.image)) zone.warm += room;
     zones.set(machine.zone, zone);
   }
   const warmTasks = (zone: ZoneRoom): number => Math.min(zone.warm, job.spec.tasks);
--- a/src/placement/order.ts
+++ b/src/placement/order.ts
@@ -8,7 +8,7 @@
   const used = new Map<string, number>();
   const out = new Set<Job>();
   const byAge = [...jobs]
-    .filter((j) => !j.cancelled)
+    .filter((j) => !j.jobCancelled)
     .sort((a, b) => a.acceptedAt - b.acceptedAt || a.index - b.index);
   for (const j of byAge) {
     const team = quota.team(j.spec.team);
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -2,7 +2,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import { moneyCounts } from '../settings/money.js';
-import type { World } from '../runtime.js';
+import type { Runtime } from '../runtime.js';
 import type { Job, JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -22,7 +22,7 @@
 } from './order.js';
 import { TeamUsage } from './quota.js';
 import { Rebalancer } from './rebalancer.js';
-import { type Pass, newWork } from './pass.js';
+import { type SchedulingCycle, emptyPlacementWork } from './scheduling-cycle.js';
 import type { Resources } from './resources.js';
 import { Reservations } from './reservations.js';
 import { RunTimes } from './run-times.js';
@@ -31,15 +31,15 @@
 import { UsableMachines } from './usable-machines.js';
 import { UsageAudit } from './usage-audit.js';
 
-export interface PlacementDeps {
-  world: World;
+export interface PlacementDependencies {
+  runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   jobs: JobTable;
   table: MachineTable;
   attemptBase: number;
   /** May jobs of former leaders be acted on yet? */
-  oldJobsOpen(): boolean;
+  recoveryComplete(): boolean;
   isSilent(m: Machine): boolean;
   /** Time of day: what users' due times are measured in. */
   wallMs(): number;
@@ -83,22 +83,22 @@
   /** Shapes that found no room in a pass that then ran out of looks: the next one goes on behind them. */
   private noRoomBefore = new Set<string>();
   /** What placing cost since the last round, and what it stopped, by reason: for the log. */
-  private work = newWork();
+  private work = emptyPlacementWork();
   private readonly saveMoney: boolean;
   private readonly goals: FinishGoals;
 
-  constructor(private readonly deps: PlacementDeps) {
-    const { settings, operator, table, world } = deps;
-    const now = (): number => world.clock.now();
+  constructor(private readonly deps: PlacementDependencies) {
+    const { settings, operator, table, runtime } = deps;
+    const now = (): number => runtime.clock.now();
     this.machines = new UsableMachines(table, (machine) => deps.isSilent(machine));
     const usable = (machine: Machine): boolean => this.machines.isUsable(machine);
     this.usage = new TeamUsage(settings.teams);
-    this.decisions = new DecisionLog(world.log);
+    this.decisions = new DecisionLog(runtime.log);
     this.usageAudit = new UsageAudit({
       table,
       usage: this.usage,
       decisions: this.decisions,
-      log: world.log,
+      log: runtime.log,
     });
     this.saveMoney = moneyCounts(settings, operator);
     this.goals = finishGoals(settings.objectives);
@@ -109,7 +109,7 @@
       table,
       usage: this.usage,
       reservations: this.reservations,
-      log: world.log,
+      log: runtime.log,
       gangWaitS: settings.gangWaitS,
       gangPeerS: settings.gangPeerS,
       reportS: settings.reportS,
@@ -120,7 +120,7 @@
     this.rebalancer = new Rebalancer({
       table,
       operator,
-      log: world.log,
+      log: runtime.log,
       timings: this.timings,
       runTimes: this.runTimes,
       gangs: this.gangs,
@@ -135,18 +135,18 @@
 
   attemptAdded(attempt: TaskAttempt): void {
     const { job } = attempt;
-    const now = this.deps.world.clock.now();
+    const now = this.deps.runtime.clock.now();
     // One that is added as sent was shown by a report.
-    if (attempt.sent) this.decisions.found(attempt, now);
+    if (attempt.startSent) this.decisions.found(attempt, now);
     else this.decisions.started(attempt, job ? this.usage.standing(job.spec.team) : undefined, now);
     if (!job) return;
     job.addAttempt(attempt);
     this.usage.hold(job.spec);
   }
 
-  attemptGone(attempt: TaskAttempt): void {
+  attemptEnded(attempt: TaskAttempt): void {
     const { job, machine, cause } = attempt;
-    const now = this.deps.world.clock.now();
+    const now = this.deps.runtime.clock.now();
     this.decisions.gone(attempt, now);
     if (!job) return;
     if (cause === 'done') this.taskDone(job, attempt, now);
@@ -155,7 +155,7 @@
     if (job.spec.kind === 'gang') this.gangs.attemptGone(job, attempt);
     if (cause === 'error' || cause === 'unknown')
       if (noteFailure(job, machine, this.deps.table, now))
-        this.deps.world.log.info({ id: machine.id }, 'machine fails tasks of several jobs');
+        this.deps.runtime.log.info({ id: machine.id }, 'machine fails tasks of several jobs');
     if (cause === 'no_room' || cause === 'busy')
       job.notBefore = Math.max(job.notBefore, now + REFUSED_MS);
   }
@@ -169,32 +169,34 @@
       if (spec.kind === 'array') this.timings.record(job.index, attempt.machine.index, ms);
     }
     noteSuccess(job, attempt.machine);
-    if (job.cancelled) return;
+    if (job.jobCancelled) return;
     if (spec.kind === 'gang') job.finishAll(now);
     else job.finish(attempt.taskNumber, now);
   }
 
-  reported(machine: Machine): void {
-    if (machine.noticeUntil !== null && !machine.draining) machine.draining = 'notice';
-    const now = this.deps.world.clock.now();
+  heartbeatApplied(machine: Machine): void {
+    if (machine.preemptionDeadline !== null && !machine.drainReason) machine.drainReason = 'notice';
+    const now = this.deps.runtime.clock.now();
     for (const attempt of [...machine.attempts.values()]) {
       if (!attempt.onMachine() || attempt.stop) continue;
       const reason = this.reasonToStop(attempt);
       if (reason !== null) this.stop(attempt, 0, reason);
       else if (attempt.job?.spec.kind === 'gang') this.gangs.reported(attempt.job, attempt);
     }
-    if (machine.draining === 'notice') this.rebalancer.drain(machine, now);
+    if (machine.drainReason === 'notice') this.rebalancer.drain(machine, now);
   }
 
   private reasonToStop(attempt: TaskAttempt): string | null {
     const { job, machine } = attempt;
     if (!job) return 'no such job';
-    if (job.cancelled) return 'cancelled';
+    if (job.jobCancelled) return 'cancelled';
     if (job.isFinished(attempt.taskNumber) && job.spec.kind !== 'gang') return 'finished elsewhere';
     // A late report of a machine that is gone shows a copy, too: only one that obeys us proves anything.
     const copies = job.attempts.get(attempt.taskNumber);
     const first = copies && copies.length > 1 ? copies[0] : attempt;
-    return first !== attempt && first.machine.certain() && machine.certain() ? 'second copy' : null;
+    return first !== attempt && first.machine.isReconciled() && machine.isReconciled()
+      ? 'second copy'
+      : null;
   }
 
   cancelled(job: Job): void {
@@ -202,7 +204,7 @@
       for (const attempt of [...list]) this.stop(attempt, 0, 'cancelled');
   }
 
-  ended(job: Job): void {
+  jobEnded(job: Job): void {
     this.endedJobs.push(job.index);
     trimTimings(
       this.timings,
@@ -212,7 +214,7 @@
   }
 
   private stop(attempt: TaskAttempt, graceS: number, reason: string): void {
-    const now = this.deps.world.clock.now();
+    const now = this.deps.runtime.clock.now();
     this.work.stops[reason] = (this.work.stops[reason] ?? 0) + 1;
     this.decisions.stopped(attempt, reason, now);
     this.deps.table.stop(attempt, { graceS, reason, replaced: false }, now);
@@ -254,7 +256,7 @@
   }
 
   /** A job is known now, or has come back from a former leader. */
-  accepted(job: Job): void {
+  jobAdded(job: Job): void {
     this.reservations.noteService(job);
     this.history.note(job);
     this.guaranteedAt = -Infinity;
@@ -264,26 +266,26 @@
    * Starts whatever can start, and tells whether it stopped early. Like jobs are decided as a class: where one
    * finds no room, its likes don't look. Machines are scored once a job, not once a task.
    */
-  pass(): boolean {
-    const now = this.deps.world.clock.now();
-    const oldJobsOpen = this.deps.oldJobsOpen();
+  runSchedulingCycle(): boolean {
+    const now = this.deps.runtime.clock.now();
+    const oldJobsOpen = this.deps.recoveryComplete();
     const waiting = [...this.deps.jobs.all()].filter(
-      (job) => job.pending() > 0 && job.notBefore <= now && (job.fresh || oldJobsOpen),
+      (job) => job.pending() > 0 && job.notBefore <= now && (job.createdInThisTerm || oldJobsOpen),
     );
     if (waiting.length === 0) return false;
-    this.work.passes++;
+    this.work.cycles++;
     this.updateGuaranteed(now);
     this.usage.setUnseen(oldJobsOpen ? NONE_UNSEEN : unseenResources(this.deps.jobs.all()));
     const pass = this.beginPass(waiting, now, oldJobsOpen);
     for (const job of servingOrder(waiting, this.guaranteed, (j) => this.urgencyOf(j, pass))) {
       // In a large fleet a few shapes without room use up all looks: those behind them must come to their turn.
-      if (pass.looks <= 0) this.noRoomBefore = pass.noRoom;
-      if (pass.starts <= 0 || pass.looks <= 0) return true;
+      if (pass.candidateBudget <= 0) this.noRoomBefore = pass.unschedulableShapes;
+      if (pass.startBudget <= 0 || pass.candidateBudget <= 0) return true;
       forgetFailedMachines(job, now);
       if (job.spec.kind === 'gang') this.placeGang(job, pass);
       else this.placeTasks(job, pass);
     }
-    return pass.starts <= 0;
+    return pass.startBudget <= 0;
   }
 
   private updateGuaranteed(now: number): void {
@@ -292,27 +294,27 @@
     this.guaranteed = withinGuarantee(this.deps.jobs.all(), this.usage);
   }
 
-  private beginPass(waiting: Job[], now: number, oldJobsOpen: boolean): Pass {
+  private beginPass(waiting: Job[], now: number, oldJobsOpen: boolean): SchedulingCycle {
     const { roomy, full } = this.machines.byRoom(waiting);
     const noRoom = this.noRoomBefore;
     this.noRoomBefore = new Set();
     return {
       now,
       wallMs: this.deps.wallMs(),
-      oldJobsOpen,
+      recoveryComplete: oldJobsOpen,
       context: {
         saveMoney: this.saveMoney,
         mayPreempt: (victim, job) => this.mayPreempt(victim, job),
       },
-      roomy,
+      withRoom: roomy,
       full,
       zones: new Set([...roomy, ...full].map((m) => m.zone)),
       leastUrgent: this.leastUrgent(),
       ordinarySpare: this.ordinarySpare(roomy),
-      noRoom,
-      askedTeams: new Set(),
-      starts: STARTS_PER_PASS,
-      looks: LOOKS_PER_PASS,
+      unschedulableShapes: noRoom,
+      teamsAskedForRoom: new Set(),
+      startBudget: STARTS_PER_PASS,
+      candidateBudget: LOOKS_PER_PASS,
     };
   }
 
@@ -329,32 +331,32 @@
     return roomy.reduce((sum, m) => sum + (m.spot ? 0 : m.freeCpus()), 0) - forGangs;
   }
 
-  private urgencyOf(job: Job, pass: Pass): Urgency {
+  private urgencyOf(job: Job, pass: SchedulingCycle): Urgency {
     const { cls, estimateS } = job.spec;
     const expected = this.timings.usual(job.index) ?? this.runTimes.expected(cls, estimateS * 1000);
     const first = this.starved(job, pass.wallMs) || this.gangs.isOverdue(job);
     return urgency(job, this.goals, expected, pass.wallMs, first);
   }
 
-  private mayStopOthers(job: Job, pass: Pass): boolean {
+  private mayStopOthers(job: Job, pass: SchedulingCycle): boolean {
     return job.spec.priority < pass.leastUrgent || this.guaranteed.has(job);
   }
 
-  private placeGang(job: Job, pass: Pass): void {
+  private placeGang(job: Job, pass: SchedulingCycle): void {
     const machines = this.reservations.withoutReserved(
       job,
-      [...pass.roomy, ...pass.full],
+      [...pass.withRoom, ...pass.full],
       pass.now,
     );
-    pass.looks -= machines.length;
-    this.work.looks += machines.length;
+    pass.candidateBudget -= machines.length;
+    this.work.candidatesExamined += machines.length;
     const placement = this.gangs.place(job, {
       context: pass.context,
       machines,
       mayPreempt: this.mayStopOthers(job, pass),
     });
     if (placement === 'placed') {
-      pass.starts -= job.spec.tasks;
+      pass.startBudget -= job.spec.tasks;
       this.work.starts += job.spec.tasks;
     }
     if (placement === 'no-room' && this.gangs.isOverdue(job)) this.gangs.reserve(job, machines);
@@ -368,15 +370,16 @@
     );
   }
 
-  private placeTasks(job: Job, pass: Pass): void {
+  private placeTasks(job: Job, pass: SchedulingCycle): void {
     const choosy = this.isChoosy(job, pass.now);
     const likes = this.likesOf(job, pass, choosy);
-    if (pass.noRoom.has(likes) || this.reservations.yieldsTeamLimit(job, pass.now)) return;
+    if (pass.unschedulableShapes.has(likes) || this.reservations.yieldsTeamLimit(job, pass.now))
+      return;
     const headroomCpus = this.reservations.serviceHeadroom(job, pass.now);
     const starved = this.starved(job, pass.wallMs);
     let most = starved ? Math.ceil(job.spec.tasks * STARVED_JOB_SHARE) : Infinity;
     let candidates: Candidates | null = null;
-    while (pass.starts > 0 && most-- > 0 && job.pending() > 0) {
+    while (pass.startBudget > 0 && most-- > 0 && job.pending() > 0) {
       if (!this.usage.mayStart({ spec: job.spec, tasks: 1, headroomCpus })) {
         this.askTeam(job, pass);
         return;
@@ -390,36 +393,41 @@
   }
 
   /** Jobs of one shape and with the same zones open: where one finds no room, the others don't either. */
-  private likesOf(job: Job, pass: Pass, choosy: boolean): string {
+  private likesOf(job: Job, pass: SchedulingCycle, choosy: boolean): string {
     // Replicas whose zones are closed must not cost all others their looks, pass after pass: see incident fleet-loss.
     const team = this.guaranteed.has(job) ? job.spec.team : '';
-    return `${job.key}|${closedZones(job, pass.zones)}|${team}|${choosy}`;
+    return `${job.shapeKey}|${closedZones(job, pass.zones)}|${team}|${choosy}`;
   }
 
-  private candidatesFor(job: Job, pass: Pass, choosy: boolean, likes: string): Candidates {
-    const all = this.mayStopOthers(job, pass) ? [...pass.roomy, ...pass.full] : pass.roomy;
+  private candidatesFor(
+    job: Job,
+    pass: SchedulingCycle,
+    choosy: boolean,
+    likes: string,
+  ): Candidates {
+    const all = this.mayStopOthers(job, pass) ? [...pass.withRoom, ...pass.full] : pass.withRoom;
     const open = this.reservations.withoutReserved(job, all, pass.now);
     const machines = choosy && pass.ordinarySpare <= 0 ? open.filter((m) => m.spot) : open;
     const candidates = new Candidates(job, machines, pass.context);
-    pass.looks -= candidates.looked;
-    this.work.looks += candidates.looked;
-    if (!candidates.any() && job.failedOn.size === 0) pass.noRoom.add(likes);
+    pass.candidateBudget -= candidates.looked;
+    this.work.candidatesExamined += candidates.looked;
+    if (!candidates.any() && job.failedOn.size === 0) pass.unschedulableShapes.add(likes);
     return candidates;
   }
 
   /** Places the job's next task; null if no machine takes it. */
-  private startNext(job: Job, candidates: Candidates, pass: Pass): Machine | null {
-    const taskNumber = job.next();
+  private startNext(job: Job, candidates: Candidates, pass: SchedulingCycle): Machine | null {
+    const taskNumber = job.peekNextTask();
     const choice = taskNumber < 0 ? null : candidates.best();
     if (!choice) return null;
     const { machine, victims } = choice;
     for (const victim of victims) this.stop(victim, 0, 'preempted');
     job.startedAt = pass.now;
-    this.deps.table.hold(machine, job.spec.id, job, taskNumber, this.nextAttempt(), pass.now);
+    this.deps.table.addAttempt(machine, job.spec.id, job, taskNumber, this.nextAttempt(), pass.now);
     candidates.placed(machine);
     if (!machine.spot) pass.ordinarySpare -= job.spec.cpus;
     this.work.starts++;
-    pass.starts--;
+    pass.startBudget--;
     return machine;
   }
 
@@ -430,10 +438,11 @@
   }
 
   /** The job's team is at its limit: less urgent work of its own makes room for a production job. */
-  private askTeam(job: Job, pass: Pass): void {
+  private askTeam(job: Job, pass: SchedulingCycle): void {
     const { team, priority } = job.spec;
-    if (priority === 0 && pass.oldJobsOpen && !pass.askedTeams.has(team)) this.makeTeamRoom(job);
-    pass.askedTeams.add(team);
+    if (priority === 0 && pass.recoveryComplete && !pass.teamsAskedForRoom.has(team))
+      this.makeTeamRoom(job);
+    pass.teamsAskedForRoom.add(team);
   }
 
   /** The start waits until the room is surely free. */
@@ -451,12 +460,12 @@
 
   /** DESIGN's placement round. */
   round(): void {
-    const { world, operator } = this.deps;
-    const now = world.clock.now();
+    const { runtime, operator } = this.deps;
+    const now = runtime.clock.now();
     if (now - this.lastRound < operator.round_s * 1000) return;
     this.lastRound = now;
-    world.log.info({ ...this.work, unusable: this.machines.countUnusable() }, 'round');
-    this.work = newWork();
+    runtime.log.info({ ...this.work, unusable: this.machines.countUnusable() }, 'round');
+    this.work = emptyPlacementWork();
     this.logTeams();
     this.rebalancer.round(now);
   }
@@ -469,6 +478,6 @@
       .sort((a, b) => b.peakShare - a.peakShare);
     this.usage.resetPeaks();
     if (active.length > 0)
-      this.deps.world.log.info({ teams: active.slice(0, TEAMS_IN_LOG) }, 'team usage');
+      this.deps.runtime.log.info({ teams: active.slice(0, TEAMS_IN_LOG) }, 'team usage');
   }
 }
--- a/src/placement/rebalancer.ts
+++ b/src/placement/rebalancer.ts
@@ -13,7 +13,7 @@
 /** A task stays on a machine that goes away if it is expected to end within this share of the time left. */
 const ENDS_IN_TIME = 0.8;
 
-export interface RebalancerDeps {
+export interface RebalancerDependencies {
   table: MachineTable;
   operator: OperatorSettings;
   log: Log;
@@ -28,13 +28,14 @@
   /** Where the next drained task is offered first: drains go round robin. */
   private drainCursor = 0;
 
-  constructor(private readonly deps: RebalancerDeps) {}
+  constructor(private readonly deps: RebalancerDependencies) {}
 
   round(now: number): void {
     this.flagSlowMachines();
     this.moveOffSlowMachines(now);
     for (const machine of this.deps.table.all())
-      if (machine.draining === 'notice' || machine.draining === 'faulty') this.drain(machine, now);
+      if (machine.drainReason === 'notice' || machine.drainReason === 'faulty')
+        this.drain(machine, now);
   }
 
   private flagSlowMachines(): void {
@@ -42,8 +43,8 @@
     const slowOnes = slowMachines(timings, operator.slowness_ratio, operator.slowness_jobs);
     for (const machine of table.all()) {
       const slow = slowOnes.has(machine.index);
-      if (slow !== machine.slow) log.info({ id: machine.id, slow }, 'machine speed');
-      machine.slow = slow;
+      if (slow !== machine.isStraggler) log.info({ id: machine.id, slow }, 'machine speed');
+      machine.isStraggler = slow;
     }
   }
 
@@ -51,7 +52,7 @@
     let budget = this.deps.operator.moves_per_round;
     for (const machine of this.deps.table.all()) {
       if (budget <= 0) return;
-      if (machine.slow && this.moveOne(machine, now)) budget--;
+      if (machine.isStraggler && this.moveOne(machine, now)) budget--;
     }
   }
 
@@ -80,7 +81,8 @@
     let best: Machine | null = null;
     const zoneOpen = openZones(job);
     for (const machine of this.deps.table.all()) {
-      if (!this.deps.usable(machine) || machine.slow || !allowedOn(job.spec, machine)) continue;
+      if (!this.deps.usable(machine) || machine.isStraggler || !allowedOn(job.spec, machine))
+        continue;
       if (!hasFreeRoom(job.spec, machine) || (zoneOpen && !zoneOpen(machine.zone))) continue;
       if (!best || machine.freeCpus() > best.freeCpus()) best = machine;
     }
@@ -106,15 +108,16 @@
    * would be done before the machine goes stays; a task is moved only when another machine has room for it.
    */
   drain(machine: Machine, now: number): void {
-    if (!machine.certain()) return;
-    const leftMs = machine.noticeUntil === null ? Infinity : machine.noticeUntil - now;
+    if (!machine.isReconciled()) return;
+    const leftMs =
+      machine.preemptionDeadline === null ? Infinity : machine.preemptionDeadline - now;
     const others = [...this.deps.table.all()];
     const taken = new Map<Machine, number>();
     let budget = this.deps.operator.drain_moves_per_round;
     for (const attempt of [...machine.attempts.values()]) {
       if (budget <= 0) return;
       const { job } = attempt;
-      if (!attempt.onMachine() || attempt.stop || attempt.open || !job) continue;
+      if (!attempt.onMachine() || attempt.stop || attempt.startUnacknowledged || !job) continue;
       const remaining = this.remainingMs(attempt, job, now);
       if (remaining !== null && remaining < leftMs * ENDS_IN_TIME) continue;
       const moved =
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -23,7 +23,7 @@
 
 function holds(reservation: Reservation | null, now: number): reservation is Reservation {
   if (!reservation || now >= reservation.until) return false;
-  return reservation.gang.attempts.size === 0 && !reservation.gang.cancelled;
+  return reservation.gang.attempts.size === 0 && !reservation.gang.jobCancelled;
 }
 
 export class Reservations {
--- a/src/placement/scheduling-cycle.ts
+++ b/src/placement/scheduling-cycle.ts
@@ -3,13 +3,13 @@
 import type { ChoiceContext } from './choose.js';
 
 /** What one pass shares among the jobs it looks at. */
-export interface Pass {
+export interface SchedulingCycle {
   now: number;
   wallMs: number;
-  oldJobsOpen: boolean;
+  recoveryComplete: boolean;
   context: ChoiceContext;
   /** Usable machines with room for some waiting task, and those without. */
-  roomy: Machine[];
+  withRoom: Machine[];
   full: Machine[];
   zones: Set<string>;
   /** The lowest priority that is on any machine, as a number. */
@@ -17,20 +17,20 @@
   /** CPUs free on ordinary machines beyond what arrays leave to gangs. */
   ordinarySpare: number;
   /** Shapes of jobs that found no room, in this pass or in those before it that ran out of looks. */
-  noRoom: Set<string>;
+  unschedulableShapes: Set<string>;
   /** Teams whose own work was asked to leave room: one job a team, since it looks at all tasks. */
-  askedTeams: Set<string>;
-  starts: number;
-  looks: number;
+  teamsAskedForRoom: Set<string>;
+  startBudget: number;
+  candidateBudget: number;
 }
 
-export interface Work {
-  passes: number;
-  looks: number;
+export interface PlacementWork {
+  cycles: number;
+  candidatesExamined: number;
   starts: number;
   stops: Record<string, number>;
 }
 
-export function newWork(): Work {
-  return { passes: 0, looks: 0, starts: 0, stops: {} };
+export function emptyPlacementWork(): PlacementWork {
+  return { cycles: 0, candidatesExamined: 0, starts: 0, stops: {} };
 }
--- a/src/placement/team-room.ts
+++ b/src/placement/team-room.ts
@@ -10,7 +10,7 @@
 export function unseenResources(jobs: Iterable<Job>): Map<string, Resources> {
   const unseen = new Map<string, Resources>();
   for (const job of jobs) {
-    if (job.fresh) continue;
+    if (job.createdInThisTerm) continue;
     const { team, tasks } = job.spec;
     const hidden = Math.max(0, tasks - job.finishedCount - job.attempts.size);
     unseen.set(team, plus(unseen.get(team) ?? NO_RESOURCES, times(job.spec, hidden)));
@@ -27,7 +27,7 @@
     if (other.spec.team !== team || other.spec.priority <= priority) continue;
     for (const attempt of [...other.attempts.values()].flat()) {
       if (attempt.stop) leaving += other.spec.cpus;
-      else if (!attempt.open) candidates.push(attempt);
+      else if (!attempt.startUnacknowledged) candidates.push(attempt);
     }
   }
   candidates.sort((a, b) => b.createdAt - a.createdAt);
--- a/src/placement/usable-machines.ts
+++ b/src/placement/usable-machines.ts
@@ -18,8 +18,8 @@
   /** Why a machine may not be given work; null if it may. */
   private whyUnusable(m: Machine): string | null {
     if (!m.stored) return 'not stored';
-    if (!m.certain()) return 'not certain';
-    if (m.draining) return m.draining;
+    if (!m.isReconciled()) return 'not certain';
+    if (m.drainReason) return m.drainReason;
     if (m.deleting) return 'deleting';
     if (m.commandFailures > 0) return 'unanswered';
     return this.isSilent(m) ? 'silent' : null;
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -54,7 +54,7 @@
   for (const machine of table.all()) {
     if (machine.attempts.size === 0) continue;
     // What an older token shows may be long gone, and be counted a second time where it runs now.
-    const isCertain = machine.certain();
+    const isCertain = machine.isReconciled();
     for (const attempt of machine.attempts.values()) {
       if (!attempt.job || !attempt.onMachine()) continue;
       const { spec } = attempt.job;
@@ -66,7 +66,7 @@
   return teams;
 }
 
-export interface UsageAuditDeps {
+export interface UsageAuditDependencies {
   table: MachineTable;
   usage: TeamUsage;
   decisions: DecisionLog;
@@ -76,7 +76,7 @@
 export class UsageAudit {
   private auditedAt = -Infinity;
 
-  constructor(private readonly deps: UsageAuditDeps) {}
+  constructor(private readonly deps: UsageAuditDependencies) {}
 
   /** Audits all teams if it is time to. */
   tick(now: number): void {
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -7,7 +7,7 @@
   exitCodeOf,
   operatorName,
 } from '../command-outcome.js';
-import type { World } from '../runtime.js';
+import type { Runtime } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import { stateStoreOf } from '../state-store/client.js';
@@ -22,7 +22,7 @@
 
 export async function runRolloutCommand(
   command: RolloutCommand,
-  world: World,
+  world: Runtime,
   settings: PlatformSettings,
   operator: OperatorSettings,
   wallMs: () => number,
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -9,7 +9,7 @@
 } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 import type { PeerMessage } from '../peers/peers.js';
-import { type World, environmentOf } from '../runtime.js';
+import { type Runtime, packageEnvironment } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
@@ -18,7 +18,7 @@
 const TELL_MS = 5000;
 
 export interface ControllerRolloutDependencies {
-  world: World;
+  runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   store: StateStore;
@@ -26,16 +26,16 @@
   /** Tells this process apart from all others of this controller. */
   process: string;
   wallMs(): number;
-  tellPeers(message: PeerMessage): void;
+  broadcast(message: PeerMessage): void;
   /** The process may not serve any more: whatever it leads must be given up. */
   excluded(): void;
 }
 
 /** What the coordinator needs of the leader's term. */
 export interface CoordinatedTerm {
-  leads(): boolean;
+  isLeader(): boolean;
   active(): boolean;
-  leaderGuard(): Precondition;
+  leaderPrecondition(): Precondition;
   conversion(target: number): Conversion;
 }
 
@@ -48,7 +48,7 @@
   constructor(private readonly deps: ControllerRolloutDependencies) {
     const { store, settings, build, process, operator } = deps;
     this.participant = new RolloutParticipant({
-      environment: environmentOf(deps),
+      environment: packageEnvironment(deps),
       store,
       self: settings.node,
       process,
@@ -94,7 +94,7 @@
     if (!this.takesPart()) return;
     const { settings, store, operator } = this.deps;
     const coordinator = new RolloutCoordinator({
-      environment: environmentOf(this.deps),
+      environment: packageEnvironment(this.deps),
       store,
       self: settings.node,
       controllers: [settings.node, ...settings.peers.map((peer) => peer.name)],
@@ -102,20 +102,20 @@
       settings: operator.rollout,
       knownLevel: () => this.participant.level(),
       processes: () => this.processes,
-      leads: () => term.leads(),
+      isLeader: () => term.isLeader(),
       active: () => term.active(),
-      leaderGuard: () => term.leaderGuard(),
+      leaderGuard: () => term.leaderPrecondition(),
       conversion: (target) => term.conversion(target),
     });
     void coordinator.run();
   }
 
   private tellBuild(): void {
-    const { world, settings, build, process } = this.deps;
+    const { runtime, settings, build, process } = this.deps;
     const { version, reads, writes } = build;
     const levels = { version, reads: [reads.from, reads.to] as [number, number], writes };
-    this.deps.tellPeers({ t: 'build', from: settings.node, process, ...levels });
-    world.clock.after(TELL_MS, () => {
+    this.deps.broadcast({ t: 'build', from: settings.node, process, ...levels });
+    runtime.clock.after(TELL_MS, () => {
       this.tellBuild();
     });
   }
@@ -131,6 +131,6 @@
     const build = `${version}, reads ${reads[0]} to ${reads[1]}, writes ${writes}`;
     if (this.builds.get(from) === build) return;
     this.builds.set(from, build);
-    this.deps.world.log.info({ controller: from, build }, 'build of another controller');
+    this.deps.runtime.log.info({ controller: from, build }, 'build of another controller');
   }
 }
--- a/src/runtime.ts
+++ b/src/runtime.ts
@@ -30,7 +30,7 @@
   error(fields: object, text: string): void;
 }
 
-export interface World {
+export interface Runtime {
   clock: Clock;
   http: Http;
   log: Log;
@@ -46,12 +46,12 @@
 }
 
 /** The world as the packages see it. */
-export function environmentOf(source: { world: World; wallMs(): number }): Environment {
-  const { world } = source;
+export function packageEnvironment(source: { runtime: Runtime; wallMs(): number }): Environment {
+  const { runtime } = source;
   return {
-    clock: world.clock,
-    log: world.log,
+    clock: runtime.clock,
+    log: runtime.log,
     wallMs: () => source.wallMs(),
-    random: () => world.random(),
+    random: () => runtime.random(),
   };
 }
--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -11,7 +11,7 @@
   CompareAndSwapResult,
   WatchResult,
 } from '@millring/state-access';
-import type { Reply, World } from '../runtime.js';
+import type { Reply, Runtime } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import {
   leaseBody,
@@ -24,7 +24,7 @@
   txnBody,
   statePaths,
 } from '../wire/state.js';
-import { TokenBucket } from './budget.js';
+import { TokenBucket } from './token-bucket.js';
 
 export interface StoreLimits {
   address: string;
@@ -36,7 +36,7 @@
 const TIMEOUT_MS = 2000;
 
 /** A client within the limits that the platform has set. */
-export function stateStoreOf(world: World, settings: PlatformSettings): StateStore {
+export function stateStoreOf(world: Runtime, settings: PlatformSettings): StateStore {
   return new StateStore(world, {
     address: settings.state,
     nodes: settings.nodes,
@@ -52,15 +52,15 @@
 export class StateStore implements StateAccess {
   private readonly reads: TokenBucket;
   private readonly writes: TokenBucket;
-  private servedAt: number;
-  private missedAt = -Infinity;
+  private lastSuccessAt: number;
+  private lastFailureAt = -Infinity;
 
   constructor(
-    private readonly world: World,
+    private readonly runtime: Runtime,
     private readonly limits: StoreLimits,
   ) {
-    const now = () => world.clock.now();
-    this.servedAt = now();
+    const now = () => runtime.clock.now();
+    this.lastSuccessAt = now();
     // Load is uneven (the leader writes, users gather on one node): a fair third each would leave most unused.
     const share = (n: number) => Math.max(n * 0.5, (n * 0.95) / limits.nodes);
     this.reads = new TokenBucket(share(limits.rps), limits.rps * 0.9, now);
@@ -73,7 +73,7 @@
     body: object | null,
     timeoutMs = TIMEOUT_MS,
   ): Promise<Reply> {
-    const { clock, http } = this.world;
+    const { clock, http } = this.runtime;
     const sent = clock.now();
     const r = await http.send(
       this.limits.address,
@@ -82,14 +82,16 @@
       body as Reply['body'] | null,
       timeoutMs,
     );
-    if (r.status === 0 || r.status === 503) this.missedAt = sent;
-    else this.servedAt = sent;
+    if (r.status === 0 || r.status === 503) this.lastFailureAt = sent;
+    else this.lastSuccessAt = sent;
     return r;
   }
 
   /** For how long requests have not been served; 0 while the last one was. */
-  unservedMs(): number {
-    return this.missedAt > this.servedAt ? this.world.clock.now() - this.servedAt : 0;
+  unavailableForMs(): number {
+    return this.lastFailureAt > this.lastSuccessAt
+      ? this.runtime.clock.now() - this.lastSuccessAt
+      : 0;
   }
 
   async get(key: string): Promise<ReadResult> {
@@ -132,7 +134,7 @@
     if (r.status === 200) return { kind: 'committed', revision: readRevision(r.body) };
     if (r.status === 409) return { kind: 'conflict', failed: readFailed(r.body) };
     if (r.status === 400) {
-      this.world.log.info({ body: r.body, guards, changes }, 'transaction refused as malformed');
+      this.runtime.log.info({ body: r.body, guards, changes }, 'transaction refused as malformed');
       return { kind: 'invalid' };
     }
     return r.status === 0 ? { kind: 'indeterminate' } : { kind: 'rejected' };
--- a/src/wire/model.ts
+++ b/src/wire/model.ts
@@ -48,7 +48,7 @@
 export type ExitCause =
   'done' | 'stopped' | 'peer_lost' | 'incomplete' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-export interface TaskReport {
+export interface TaskStatus {
   job: string;
   taskNumber: number;
   attempt: number;
@@ -56,17 +56,17 @@
   cause: ExitCause | null;
 }
 
-export interface WorkerReport {
+export interface Heartbeat {
   machine: string;
   endpoint: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
+  incarnation: number;
+  sequence: number;
   token: number;
-  noticeS: number | null;
-  tasks: TaskReport[];
+  preemptionNoticeS: number | null;
+  tasks: TaskStatus[];
 }
 
 export type WorkerCommand =
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -3,10 +3,10 @@
 import {
   type ExitCause,
   MAX_TASKS,
-  type TaskReport,
+  type TaskStatus,
   type TaskState,
   type WorkerCommand,
-  type WorkerReport,
+  type Heartbeat,
 } from './model.js';
 import { text } from './validators.js';
 
@@ -28,7 +28,7 @@
   no_such: 'unknown',
 };
 const COMMAND_WORDS = { start: 'run', stop: 'stop', forget: 'reap' } as const;
-function readTask(v: unknown): TaskReport | null {
+function readTask(v: unknown): TaskStatus | null {
   if (!isMap(v) || typeof v.sack !== 'string') return null;
   const slash = v.sack.lastIndexOf('/');
   const taskNumber = Number(v.sack.slice(slash + 1));
@@ -42,14 +42,14 @@
 }
 
 /** Null for a bad report: it then changes nothing. */
-export function readReport(b: Body): WorkerReport | null {
+export function readHeartbeat(b: Body): Heartbeat | null {
   const session = narrow(b.turning);
   const seq = narrow(b.tally);
   const token = narrow(b.warrant);
   if (!text(b.stone) || !text(b.endpoint) || !text(b.stone_kind) || !text(b.yard)) return null;
   if (session === undefined || seq === undefined || token === undefined || !Array.isArray(b.sacks))
     return null;
-  const tasks: TaskReport[] = [];
+  const tasks: TaskStatus[] = [];
   for (const v of b.sacks) {
     const t = readTask(v);
     if (!t) return null;
@@ -62,10 +62,10 @@
     type: b.stone_kind,
     zone: b.yard,
     spot: b.loaned_stones === true,
-    session,
-    seq,
+    incarnation: session,
+    sequence: seq,
     token,
-    noticeS: typeof notice === 'number' ? notice : null,
+    preemptionNoticeS: typeof notice === 'number' ? notice : null,
     tasks,
   };
 }
@@ -79,12 +79,12 @@
   return o.op === 'stop' ? { ...base, wind_down_s: o.graceS } : base;
 }
 
-export function reportAnswer(token: number, orders: WorkerCommand[]): Body {
+export function heartbeatResponse(token: number, orders: WorkerCommand[]): Body {
   return { warrant: wide(token), orders: orders.map(writeCommand) };
 }
 
 export function commandBody(token: number, session: number, orders: WorkerCommand[]): Body {
-  return { ...reportAnswer(token, orders), turning: session };
+  return { ...heartbeatResponse(token, orders), turning: session };
 }
 
 export function redirectBody(leader: string | null): Body {
@@ -92,6 +92,6 @@
 }
 
 export const workerPaths = {
-  report: '/agent/beat',
+  heartbeat: '/agent/beat',
   commands: '/commands',
 };
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -1,34 +1,34 @@
 /** Sends commands to workers: directly, or with the answers to their reports. */
-import type { Reply, World } from '../runtime.js';
-import type { WorkerCommand, WorkerReport } from '../wire/model.js';
-import { commandBody, readReport, workerPaths } from '../wire/workers.js';
+import type { Reply, Runtime } from '../runtime.js';
+import type { WorkerCommand, Heartbeat } from '../wire/model.js';
+import { commandBody, readHeartbeat, workerPaths } from '../wire/workers.js';
 import type { Machine } from './machine.js';
 import type { MachineTable } from './machine-table.js';
 import { ProbeWindow } from './probe-window.js';
 import type { StopRequest, TaskAttempt } from './task-attempt.js';
 
-export interface CommandSenderDeps {
-  world: World;
+export interface CommandSenderDependencies {
+  runtime: Runtime;
   table: MachineTable;
   /** Entitled to act at this very moment? */
-  leads(): boolean;
+  isLeader(): boolean;
   timeoutMs: number;
   /** Requests under way at once: beyond that, sockets and the processor are left to users and reports. */
-  mostInflight: number;
+  maxInFlight: number;
   /** Is enough known of cancellations for a start? */
   mayStart(): boolean;
   /** A report came back with an answer. */
-  report(m: Machine, r: WorkerReport): void;
+  applyHeartbeat(m: Machine, r: Heartbeat): void;
 }
 
-const REPEAT_MS = 2000;
+const COMMAND_REPEAT_MS = 2000;
 /** An empty request costs nothing if it is answered late, so that it need not be waited for as long. */
-const PROBE_MS = 900;
+const PROBE_TIMEOUT_MS = 900;
 /** Of the requests under way, at most: to machines that did not answer the last one. */
-const FAILING_SHARE = 0.5;
+const MAX_FAILING_SHARE = 0.5;
 /** A machine whose report was answered shows our token with its next one, which comes within half a second. */
-const SPEAKS_SOON_MS = 900;
-const REFUSED_RETRY_MS = 50;
+const NEXT_HEARTBEAT_EXPECTED_MS = 900;
+const REJECTED_RETRY_MS = 50;
 const FIRST_RETRY_MS = 250;
 const MAX_RETRY_MS = 4000;
 
@@ -40,10 +40,14 @@
  * Stops and forgets can be repeated, so they ride on the answers to reports, which costs no request; starts
  * never do. A forget raises the machine's token, and so does not go out while a start is in flight.
  */
-export function commandsForReport(m: Machine, table: MachineTable, now: number): WorkerCommand[] {
+export function commandsForHeartbeat(
+  m: Machine,
+  table: MachineTable,
+  now: number,
+): WorkerCommand[] {
   const out: WorkerCommand[] = [];
-  const forgets = m.inflight ? [] : dueForgets(m, now);
-  if (forgets.length > 0) table.raise(m);
+  const forgets = m.inFlight ? [] : dueForgets(m, now);
+  if (forgets.length > 0) table.advanceToken(m);
   out.push(...forgets);
   for (const e of m.attempts.values())
     if (e.stop && e.onMachine()) out.push({ op: 'stop', ...refOf(e), graceS: e.stop.graceS });
@@ -54,7 +58,8 @@
 function dueForgets(m: Machine, now: number): WorkerCommand[] {
   const out: WorkerCommand[] = [];
   for (const e of m.attempts.values()) {
-    if (e.state !== 'exited' || e.open || now - e.forgetSentAt < REPEAT_MS) continue;
+    if (e.state !== 'exited' || e.startUnacknowledged || now - e.forgetSentAt < COMMAND_REPEAT_MS)
+      continue;
     if (e.cause === 'done' && e.job && !e.job.isDurable(e.taskNumber)) continue;
     e.forgetSentAt = now;
     out.push({ op: 'forget', ...refOf(e) });
@@ -63,7 +68,7 @@
 }
 
 function isStopDue(attempt: TaskAttempt, now: number): boolean {
-  return !attempt.open && now - attempt.stopSentAt >= REPEAT_MS;
+  return !attempt.startUnacknowledged && now - attempt.stopSentAt >= COMMAND_REPEAT_MS;
 }
 
 function stopCommand(attempt: TaskAttempt, { graceS }: StopRequest, now: number): WorkerCommand {
@@ -75,23 +80,23 @@
   commands: WorkerCommand[];
   starts: Set<TaskAttempt>;
   /** Nothing is left to be sent, now or later. */
-  settled: boolean;
+  nothingOutstanding: boolean;
 }
 
-const NOTHING: Batch = { commands: [], starts: new Set(), settled: false };
+const NOTHING: Batch = { commands: [], starts: new Set(), nothingOutstanding: false };
 
 /**
  * Orders go straight to the worker, one request at a time per machine. Whatever is not answered raises the
  * machine's token, which ends it; until the machine shows the raised token its starts count as executed.
  */
 export class CommandSender {
-  private inflight = 0;
+  private inFlight = 0;
   /** Of these, to machines that did not answer the last one. */
   private failing = 0;
   private readonly probes: ProbeWindow;
 
-  constructor(private readonly deps: CommandSenderDeps) {
-    this.probes = new ProbeWindow(deps.mostInflight);
+  constructor(private readonly deps: CommandSenderDependencies) {
+    this.probes = new ProbeWindow(deps.maxInFlight);
   }
 
   /** Called at regular intervals: how late the timer fired tells whether this controller keeps up. */
@@ -106,7 +111,7 @@
 
   /** Whether its silence would tell anything yet. */
   isWorthProbing(m: Machine, now: number): boolean {
-    return m.asked === null || now - m.renewedAt > SPEAKS_SOON_MS;
+    return m.pendingTokenAck === null || now - m.leaseRenewedAt > NEXT_HEARTBEAT_EXPECTED_MS;
   }
 
   private collect(m: Machine, now: number): Batch {
@@ -116,53 +121,54 @@
     let settled = true;
     for (const attempt of m.attempts.values()) {
       if (attempt.state === 'exited') settled = false;
-      else if (attempt.stop && attempt.sent) {
+      else if (attempt.stop && attempt.startSent) {
         settled = false;
         if (isStopDue(attempt, now)) stops.push(stopCommand(attempt, attempt.stop, now));
-      } else if (!attempt.sent && !attempt.stop) {
+      } else if (!attempt.startSent && !attempt.stop) {
         settled = false;
-        if (!m.certain() || !this.deps.mayStart()) continue;
+        if (!m.isReconciled() || !this.deps.mayStart()) continue;
         started.add(attempt);
         starts.push({ op: 'start', ...refOf(attempt) });
       }
     }
-    return { commands: [...stops, ...starts], starts: started, settled };
+    return { commands: [...stops, ...starts], starts: started, nothingOutstanding: settled };
   }
 
   /** All that is to go out at once; `all`: also what is repeated, or waited for something else. */
-  flushDue(all: boolean): void {
+  flushPending(all: boolean): void {
     const { table } = this.deps;
-    for (const m of all ? table.due : table.hot) {
-      if (this.inflight >= this.deps.mostInflight) return;
+    for (const m of all ? table.withOutstandingCommands : table.withPendingCommands) {
+      if (this.inFlight >= this.deps.maxInFlight) return;
       this.flush(m);
     }
   }
 
   private maySend(m: Machine, probe: boolean, now: number): boolean {
-    if (m.inflight || !m.endpoint || now < m.nextSendAt || !this.deps.leads()) return false;
+    if (m.inFlight || !m.endpoint || now < m.nextSendAt || !this.deps.isLeader()) return false;
     if (!m.stored && !probe) return false;
     // A dead machine holds its request until it is given up. However many are dead at once, the others get theirs.
-    const most = this.deps.mostInflight;
-    if (m.commandFailures > 0 && this.failing >= most * FAILING_SHARE) return false;
-    return !probe || this.inflight < this.probes.size();
+    const most = this.deps.maxInFlight;
+    if (m.commandFailures > 0 && this.failing >= most * MAX_FAILING_SHARE) return false;
+    return !probe || this.inFlight < this.probes.size();
   }
 
   /** Sends what is due. With `probe`, also an empty request: its answer is a report under our token. */
   flush(m: Machine, probe = false): void {
-    const { world, table } = this.deps;
-    const now = world.clock.now();
+    const { runtime, table } = this.deps;
+    const now = runtime.clock.now();
     if (!this.maySend(m, probe, now)) return;
-    const { commands, starts, settled } = m.stored ? this.collect(m, now) : NOTHING;
-    table.hot.delete(m);
-    if (settled) table.settled(m);
+    const { commands, starts, nothingOutstanding } = m.stored ? this.collect(m, now) : NOTHING;
+    table.withPendingCommands.delete(m);
+    if (nothingOutstanding) table.clearPending(m);
     if (commands.length === 0 && !probe) return;
-    for (const attempt of starts) attempt.sent = true;
+    for (const attempt of starts) attempt.startSent = true;
     // Forgets alone wait for the next report; here they ride along. A copy of the start of what is forgotten
     // could otherwise start it anew: copies have lower tokens.
     const forgets = m.stored ? dueForgets(m, now) : [];
-    if (forgets.length > 0) table.raise(m);
+    if (forgets.length > 0) table.advanceToken(m);
     // While we are behind, answers wait unread: giving up on them would only cost another request.
-    const timeoutMs = commands.length === 0 && !this.probes.isCongested() ? PROBE_MS : Infinity;
+    const timeoutMs =
+      commands.length === 0 && !this.probes.isCongested() ? PROBE_TIMEOUT_MS : Infinity;
     void this.send(m, [...forgets, ...commands], starts, Math.min(timeoutMs, this.deps.timeoutMs));
   }
 
@@ -172,37 +178,43 @@
     starts: Set<TaskAttempt>,
     timeoutMs: number,
   ): Promise<void> {
-    const { world, table } = this.deps;
+    const { runtime, table } = this.deps;
     const failing = m.commandFailures > 0;
-    m.inflight = { attempts: starts };
-    this.inflight++;
+    m.inFlight = { attempts: starts };
+    this.inFlight++;
     if (failing) this.failing++;
-    const body = commandBody(table.token(m), m.session || 1, commands);
-    const reply = await world.http.send(m.endpoint, 'POST', workerPaths.commands, body, timeoutMs);
-    this.inflight--;
+    const body = commandBody(table.tokenFor(m), m.incarnation || 1, commands);
+    const reply = await runtime.http.send(
+      m.endpoint,
+      'POST',
+      workerPaths.commands,
+      body,
+      timeoutMs,
+    );
+    this.inFlight--;
     if (failing) this.failing--;
-    m.inflight = null;
-    this.answered(m, reply, starts);
+    m.inFlight = null;
+    this.handleReply(m, reply, starts);
   }
 
-  private answered(m: Machine, { status, body }: Reply, starts: Set<TaskAttempt>): void {
-    const { world, table } = this.deps;
-    const now = world.clock.now();
+  private handleReply(m: Machine, { status, body }: Reply, starts: Set<TaskAttempt>): void {
+    const { runtime, table } = this.deps;
+    const now = runtime.clock.now();
     const executed = status === 200;
     const refused = status === 409;
-    if (executed) table.answered(starts);
-    else if (refused) table.refused(starts, now);
-    else table.unanswered(m, starts);
+    if (executed) table.startsAcknowledged(starts);
+    else if (refused) table.startsRejected(starts, now);
+    else table.startsUnanswered(m, starts);
     if (executed || refused) {
       m.commandFailures = 0;
-      if (refused) m.nextSendAt = now + REFUSED_RETRY_MS;
-      const report = readReport(body);
-      if (report?.machine === m.id) this.deps.report(m, report);
+      if (refused) m.nextSendAt = now + REJECTED_RETRY_MS;
+      const report = readHeartbeat(body);
+      if (report?.machine === m.id) this.deps.applyHeartbeat(m, report);
     } else {
       m.commandFailures++;
       m.nextSendAt = now + Math.min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** m.commandFailures);
     }
     // What was held meanwhile goes out next.
-    if (m.attempts.size > 0) table.mark(m);
+    if (m.attempts.size > 0) table.markPending(m);
   }
 }
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -1,6 +1,6 @@
 /** Stores which machines may hold tasks, many machines a record, so that a new leader finds all of them. */
 import type { Mutation, Precondition, KeyValue } from '@millring/state-access';
-import { type World, sleep } from '../runtime.js';
+import { type Runtime, sleep } from '../runtime.js';
 import type { StateStore } from '../state-store/client.js';
 import { isMap } from '../wire/cbor.js';
 import type { Machine } from './machine.js';
@@ -40,16 +40,16 @@
   return Object.fromEntries(Object.entries(p.value).filter(([field]) => field !== 'machines'));
 }
 
-export interface MachineRecordStoreDeps {
-  world: World;
+export interface MachineRecordStoreDependencies {
+  runtime: Runtime;
   store: StateStore;
   table: MachineTable;
   txnOps: number;
   /** Most bytes of a value, counted as JSON. */
   valueBytes: number;
-  leads(): boolean;
-  leaderGuard(): Precondition;
-  stored(): void;
+  isLeader(): boolean;
+  leaderPrecondition(): Precondition;
+  machinesStored(): void;
 }
 
 /** What a page's value holds beside its records. */
@@ -108,16 +108,16 @@
  * first hundreds of machines cost a few of them.
  */
 export class MachineRecordStore {
-  private busy = false;
+  private writing = false;
   private readonly pages = new Map<string, Page>();
   private readonly pageOf = new Map<string, Page>();
   private nextPage = 0;
   private valueBytes: number;
-  private most: number;
+  private maxPagesPerWrite: number;
 
-  constructor(private readonly deps: MachineRecordStoreDeps) {
+  constructor(private readonly deps: MachineRecordStoreDependencies) {
     this.valueBytes = deps.valueBytes;
-    this.most = Math.min(PAGES_AT_ONCE, deps.txnOps);
+    this.maxPagesPerWrite = Math.min(PAGES_AT_ONCE, deps.txnOps);
   }
 
   /** A record found on taking over. A machine in two of them, which were written one after the other, goes from one. */
@@ -125,7 +125,7 @@
     const page = new Page(pair.key, pageExtra(pair), pair.version);
     for (const m of machines) {
       if (this.pageOf.has(m.id)) {
-        page.dirty = { since: this.deps.world.clock.now() };
+        page.dirty = { since: this.deps.runtime.clock.now() };
         continue;
       }
       page.add(m);
@@ -143,7 +143,7 @@
     if (!page) return;
     page.remove(m.id);
     this.pageOf.delete(m.id);
-    if (page.dirty === 'no') page.dirty = { since: this.deps.world.clock.now() };
+    if (page.dirty === 'no') page.dirty = { since: this.deps.runtime.clock.now() };
   }
 
   /** Measured once: a large fleet has many pages, and hundreds of its machines come up within a second. */
@@ -161,8 +161,8 @@
   }
 
   tick(): void {
-    if (this.busy || !this.deps.leads()) return;
-    const now = this.deps.world.clock.now();
+    if (this.writing || !this.deps.isLeader()) return;
+    const now = this.deps.runtime.clock.now();
     for (const m of this.deps.table.all()) {
       if (m.stored || !m.reported || this.pageOf.has(m.id)) continue;
       const record = {
@@ -205,15 +205,15 @@
 
   /** A page goes with its heirs, so that every reader finds each machine; if these are too many, after them. */
   private batch(due: Page[]): Page[] {
-    const { most } = this;
+    const { maxPagesPerWrite } = this;
     const out: Page[] = [];
     for (const page of due) {
       if (out.includes(page)) continue;
       const heirs = page.heirs.filter((h) => h.dirty !== 'no' && !out.includes(h));
-      const room = most - out.length;
+      const room = maxPagesPerWrite - out.length;
       if (heirs.length < room) out.push(...heirs, page);
-      else if (heirs.length >= most) out.push(...heirs.slice(0, room));
-      if (out.length >= most) return out;
+      else if (heirs.length >= maxPagesPerWrite) out.push(...heirs.slice(0, room));
+      if (out.length >= maxPagesPerWrite) return out;
     }
     return out;
   }
@@ -229,17 +229,20 @@
     const guards = pages.map((p) => ({ key: p.key, version: p.version }));
     const before = pages.map((p) => p.dirty);
     for (const p of pages) p.dirty = 'no';
-    this.busy = true;
-    const r = await this.deps.store.compareAndSwap([this.deps.leaderGuard(), ...guards], changes);
+    this.writing = true;
+    const r = await this.deps.store.compareAndSwap(
+      [this.deps.leaderPrecondition(), ...guards],
+      changes,
+    );
     if (r.kind === 'invalid') this.shrink(pages);
     if (r.kind !== 'committed') {
       pages.forEach((p, i) => (p.dirty = p.dirty === 'added' ? 'added' : before[i]));
       // Unless it was surely not executed, only a read tells what to guard the next write with.
       if (r.kind !== 'rejected') for (const p of pages) await this.learnVersion(p);
-      this.busy = false;
+      this.writing = false;
       return;
     }
-    this.busy = false;
+    this.writing = false;
     for (const p of pages) p.heirs = [];
     changes.forEach((c, i) => (pages[i].version = 'remove' in c ? 0 : r.revision));
     // One that was taken out meanwhile has made its page dirty again, and may be on its way to another page.
@@ -249,24 +252,24 @@
       if (m && page && pages.includes(page)) m.stored = true;
     }
     for (const p of pages) if (p.machines.size === 0 && p.dirty === 'no') this.pages.delete(p.key);
-    this.deps.stored();
+    this.deps.machinesStored();
     this.tick();
   }
 
   /** Too large, though within the limits that we know: fewer pages at a time, or smaller ones. */
   private shrink(pages: Page[]): void {
-    if (pages.length > 1) this.most = pages.length >> 1;
+    if (pages.length > 1) this.maxPagesPerWrite = pages.length >> 1;
     else this.valueBytes = Math.max(LEAST_BYTES, this.valueBytes / 2);
   }
 
   private async learnVersion(p: Page): Promise<void> {
-    while (this.deps.leads()) {
+    while (this.deps.isLeader()) {
       const r = await this.deps.store.get(p.key);
       if (r.kind !== 'unavailable') {
         p.version = r.kind === 'found' ? r.entry.version : 0;
         return;
       }
-      await sleep(this.deps.world.clock, 200);
+      await sleep(this.deps.runtime.clock, 200);
     }
   }
 }
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -1,6 +1,6 @@
 /** The leader's table of machines and of the task attempts that may be on them, rebuilt from worker reports. */
 import type { Job } from '../jobs/job-table.js';
-import type { MachineType, TaskReport, WorkerReport } from '../wire/model.js';
+import type { MachineType, TaskStatus, Heartbeat } from '../wire/model.js';
 import { DRIFT } from '../runtime.js';
 import { Machine } from './machine.js';
 import {
@@ -12,20 +12,25 @@
 
 /** A start that no report shows may still be executed, unless the machine has shown the token that ends it. */
 function mayStillStart(machine: Machine, attempt: TaskAttempt): boolean {
-  if (!attempt.open) return false;
-  const inFlight = machine.inflight?.attempts.has(attempt) === true;
-  return inFlight || !attempt.sent || attempt.fence === 0 || machine.token < attempt.fence;
+  if (!attempt.startUnacknowledged) return false;
+  const inFlight = machine.inFlight?.attempts.has(attempt) === true;
+  return (
+    inFlight ||
+    !attempt.startSent ||
+    attempt.fencedByToken === 0 ||
+    machine.shownToken < attempt.fencedByToken
+  );
 }
 
 export interface TableEvents {
   /** The task may now be on the machine. */
   attemptAdded(attempt: TaskAttempt): void;
   /** The task is surely not on the machine any more; `attempt.state` tells whether it exited or vanished. Told once. */
-  attemptGone(attempt: TaskAttempt): void;
+  attemptEnded(attempt: TaskAttempt): void;
 }
 
 function isFetching(attempt: TaskAttempt): boolean {
-  return attempt.state === 'ordered' || attempt.state === 'fetching';
+  return attempt.state === 'starting' || attempt.state === 'fetching';
 }
 
 function countFetch(attempt: TaskAttempt, sign: 1 | -1): void {
@@ -44,8 +49,8 @@
   private readonly byId = new Map<string, Machine>();
   private nextIndex = 0;
   /** Machines with commands to send at once; and all that have some outstanding, to be looked at now and then. */
-  readonly hot = new Set<Machine>();
-  readonly due = new Set<Machine>();
+  readonly withPendingCommands = new Set<Machine>();
+  readonly withOutstandingCommands = new Set<Machine>();
 
   constructor(
     private readonly baseToken: number,
@@ -75,7 +80,7 @@
    * Is this the machine that the table has under its name? An answer that was on its way when the machine was removed
    * must change nothing: what it showed would count for ever, and no other place would ever start it again.
    */
-  holds(machine: Machine): boolean {
+  contains(machine: Machine): boolean {
     return this.byId.get(machine.id) === machine;
   }
 
@@ -101,16 +106,16 @@
     return machine;
   }
 
-  token(machine: Machine): number {
-    return this.baseToken + machine.bump;
+  tokenFor(machine: Machine): number {
+    return this.baseToken + machine.tokenOffset;
   }
 
-  raise(machine: Machine): number {
-    machine.bump++;
-    return this.token(machine);
+  advanceToken(machine: Machine): number {
+    machine.tokenOffset++;
+    return this.tokenFor(machine);
   }
 
-  hold(
+  addAttempt(
     machine: Machine,
     jobId: string,
     job: Job | null,
@@ -118,27 +123,27 @@
     attempt: number,
     now: number,
   ): TaskAttempt {
-    return this.admit(new TaskAttempt(machine, jobId, job, taskNumber, attempt, now));
+    return this.insertAttempt(new TaskAttempt(machine, jobId, job, taskNumber, attempt, now));
   }
 
-  private admit(attempt: TaskAttempt): TaskAttempt {
+  private insertAttempt(attempt: TaskAttempt): TaskAttempt {
     const { machine } = attempt;
     machine.attempts.set(attemptKey(attempt.jobId, attempt.taskNumber, attempt.attempt), attempt);
-    this.occupy(attempt, 1);
+    this.accountResources(attempt, 1);
     this.events.attemptAdded(attempt);
-    this.mark(machine);
+    this.markPending(machine);
     return attempt;
   }
 
   /** Commands for the machine may be due. */
-  mark(machine: Machine): void {
-    this.hot.add(machine);
-    this.due.add(machine);
+  markPending(machine: Machine): void {
+    this.withPendingCommands.add(machine);
+    this.withOutstandingCommands.add(machine);
   }
 
-  settled(machine: Machine): void {
-    this.hot.delete(machine);
-    this.due.delete(machine);
+  clearPending(machine: Machine): void {
+    this.withPendingCommands.delete(machine);
+    this.withOutstandingCommands.delete(machine);
   }
 
   /**
@@ -146,23 +151,23 @@
    * once an answer to a report has brought that. A start that was never sent is dropped: it can't be anywhere.
    */
   stop(attempt: TaskAttempt, request: StopRequest, now: number): void {
-    if (!attempt.sent) {
-      this.drop(attempt, now);
+    if (!attempt.startSent) {
+      this.removeAttempt(attempt, now);
       return;
     }
     if (attempt.stop) return;
     attempt.stop = request;
-    if (attempt.open) this.raise(attempt.machine);
-    this.mark(attempt.machine);
+    if (attempt.startUnacknowledged) this.advanceToken(attempt.machine);
+    this.markPending(attempt.machine);
   }
 
-  private occupy(attempt: TaskAttempt, sign: 1 | -1): void {
+  private accountResources(attempt: TaskAttempt, sign: 1 | -1): void {
     if (!attempt.job) return;
     const { cpus, gpus, memoryGb } = attempt.job.spec;
     attempt.machine.usedCpus += sign * cpus;
     attempt.machine.usedGpus += sign * gpus;
     attempt.machine.usedMemory += sign * memoryGb;
-    if (attempt.job.spec.kind === 'service') attempt.machine.services += sign;
+    if (attempt.job.spec.kind === 'service') attempt.machine.serviceTasks += sign;
     if (isFetching(attempt)) countFetch(attempt, sign);
   }
 
@@ -171,19 +176,19 @@
    * states have no successor: whatever else tells later that the attempt is gone, such as the refusal of a start whose
    * machine has begun a new session meanwhile, releases nothing again.
    */
-  private become(attempt: TaskAttempt, next: AttemptState, now: number): void {
+  private transitionTo(attempt: TaskAttempt, next: AttemptState, now: number): void {
     if (next === attempt.state || !ATTEMPT_TRANSITIONS[attempt.state].includes(next)) return;
-    const isFinal = next === 'exited' || next === 'vanished';
-    if (isFinal) this.occupy(attempt, -1);
+    const isFinal = next === 'exited' || next === 'removed';
+    if (isFinal) this.accountResources(attempt, -1);
     else if (isFetching(attempt) && next !== 'fetching') countFetch(attempt, -1);
     if (attempt.state === 'running' && attempt.job) attempt.job.running--;
     attempt.state = next;
-    attempt.open = false;
+    attempt.startUnacknowledged = false;
     if (next === 'waiting' || next === 'running') this.hasImage(attempt, next, now);
     if (!isFinal) return;
     this.noteEmpty(attempt.machine, now);
-    if (next === 'exited') this.due.add(attempt.machine);
-    this.events.attemptGone(attempt);
+    if (next === 'exited') this.withOutstandingCommands.add(attempt.machine);
+    this.events.attemptEnded(attempt);
   }
 
   /** The attempt has its image: it waits for its gang, or runs. */
@@ -195,7 +200,7 @@
     }
     if (attempt.job) attempt.job.running++;
     // A former leader's tasks are seen in the middle: timed from here they would make all others look slow.
-    if (!attempt.found) attempt.runningSince = now;
+    if (!attempt.discovered) attempt.runningSince = now;
   }
 
   private noteEmpty(machine: Machine, now: number): void {
@@ -204,135 +209,139 @@
   }
 
   /** Surely not on the machine: never executed, killed with its session, or the machine is gone. */
-  drop(attempt: TaskAttempt, now: number): void {
+  removeAttempt(attempt: TaskAttempt, now: number): void {
     const key = attemptKey(attempt.jobId, attempt.taskNumber, attempt.attempt);
     // A gang's replacement has the same number: a late word of the task that it replaces must not remove it.
     if (attempt.machine.attempts.get(key) === attempt) attempt.machine.attempts.delete(key);
-    this.become(attempt, 'vanished', now);
+    this.transitionTo(attempt, 'removed', now);
   }
 
-  private dropAll(machine: Machine, now: number): void {
-    for (const attempt of [...machine.attempts.values()]) this.drop(attempt, now);
+  private removeAllAttempts(machine: Machine, now: number): void {
+    for (const attempt of [...machine.attempts.values()]) this.removeAttempt(attempt, now);
   }
 
   /**
    * Takes a report over. A bad or older one changes nothing. An attempt that the report lacks is dropped only
    * if its start cannot be executed any more: it was answered, or the machine has shown the raised token.
    */
-  apply(machine: Machine, report: WorkerReport, now: number): boolean {
-    if (!this.holds(machine)) return false;
+  applyHeartbeat(machine: Machine, report: Heartbeat, now: number): boolean {
+    if (!this.contains(machine)) return false;
     if (
-      report.session < machine.session ||
-      (report.session === machine.session && report.seq <= machine.seq)
+      report.incarnation < machine.incarnation ||
+      (report.incarnation === machine.incarnation && report.sequence <= machine.lastSequence)
     )
       return false;
-    if (report.session > machine.session) this.beginSession(machine, report.session, now);
-    this.applyState(machine, report, now);
+    if (report.incarnation > machine.incarnation)
+      this.beginIncarnation(machine, report.incarnation, now);
+    this.applyMachineStatus(machine, report, now);
     const seen = new Set<string>();
     for (const task of report.tasks) {
       const key = attemptKey(task.job, task.taskNumber, task.attempt);
       seen.add(key);
-      this.applyTask(machine, key, task, now);
+      this.applyTaskStatus(machine, key, task, now);
     }
     for (const [key, attempt] of machine.attempts)
-      if (!seen.has(key) && !mayStillStart(machine, attempt)) this.drop(attempt, now);
+      if (!seen.has(key) && !mayStillStart(machine, attempt)) this.removeAttempt(attempt, now);
     return true;
   }
 
   /** The worker has killed and forgotten everything, and refuses commands for the earlier session. */
-  private beginSession(machine: Machine, session: number, now: number): void {
-    this.dropAll(machine, now);
-    machine.session = session;
-    machine.reportSeq = -1;
+  private beginIncarnation(machine: Machine, session: number, now: number): void {
+    this.removeAllAttempts(machine, now);
+    machine.incarnation = session;
+    machine.lastHeartbeatSequence = -1;
     // The new session's own lease counts from its beginning, which was at the latest now.
-    machine.renewedAt = Math.max(machine.renewedAt, now);
+    machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
   }
 
-  private applyState(machine: Machine, report: WorkerReport, now: number): void {
-    machine.seq = report.seq;
-    machine.token = Math.max(machine.token, report.token);
-    if (machine.asked && machine.token >= machine.asked.token) {
-      machine.asked = null;
+  private applyMachineStatus(machine: Machine, report: Heartbeat, now: number): void {
+    machine.lastSequence = report.sequence;
+    machine.shownToken = Math.max(machine.shownToken, report.token);
+    if (machine.pendingTokenAck && machine.shownToken >= machine.pendingTokenAck.token) {
+      machine.pendingTokenAck = null;
       machine.tokenConfirmedAt = now;
     }
     machine.endpoint = report.endpoint;
     machine.reported = true;
-    machine.expired = false;
-    machine.noticeUntil = report.noticeS === null ? null : now + report.noticeS * 1000;
+    machine.leaseExpired = false;
+    machine.preemptionDeadline =
+      report.preemptionNoticeS === null ? null : now + report.preemptionNoticeS * 1000;
   }
 
-  private applyTask(machine: Machine, key: string, task: TaskReport, now: number): void {
+  private applyTaskStatus(machine: Machine, key: string, task: TaskStatus, now: number): void {
     let attempt = machine.attempts.get(key);
     if (!attempt) {
       const job = this.findJob(task.job) ?? null;
       attempt = new TaskAttempt(machine, task.job, job, task.taskNumber, task.attempt, now);
-      attempt.sent = true;
-      attempt.found = task.state !== 'fetching' && task.state !== 'waiting';
-      this.admit(attempt);
+      attempt.startSent = true;
+      attempt.discovered = task.state !== 'fetching' && task.state !== 'waiting';
+      this.insertAttempt(attempt);
     }
-    attempt.open = false;
+    attempt.startUnacknowledged = false;
     if (task.state === 'exited' && attempt.cause === null) attempt.cause = task.cause;
-    this.become(attempt, task.state, now);
+    this.transitionTo(attempt, task.state, now);
   }
 
   /**
    * The token for the answer to a report. Now and then it is raised, so that the next report tells whether
    * answers reach the machine at all: one that is heard, but deaf, would else look well until its lease ends.
    */
-  ask(machine: Machine, now: number, everyMs: number): number {
-    if (machine.asked) machine.asked.reports++;
+  requestTokenAck(machine: Machine, now: number, everyMs: number): number {
+    if (machine.pendingTokenAck) machine.pendingTokenAck.heartbeats++;
     else {
       if (
-        machine.token >= this.token(machine) &&
-        !machine.inflight &&
+        machine.shownToken >= this.tokenFor(machine) &&
+        !machine.inFlight &&
         now - machine.tokenConfirmedAt > everyMs
       )
-        this.raise(machine);
-      if (machine.token < this.token(machine))
-        machine.asked = { token: this.token(machine), since: now, reports: 0 };
+        this.advanceToken(machine);
+      if (machine.shownToken < this.tokenFor(machine))
+        machine.pendingTokenAck = { token: this.tokenFor(machine), since: now, heartbeats: 0 };
     }
-    return this.token(machine);
+    return this.tokenFor(machine);
   }
 
   /** The request was surely not executed. */
-  refused(entries: Iterable<TaskAttempt>, now: number): void {
+  startsRejected(entries: Iterable<TaskAttempt>, now: number): void {
     for (const attempt of entries)
-      if (attempt.state === 'ordered' && attempt.open) this.drop(attempt, now);
+      if (attempt.state === 'starting' && attempt.startUnacknowledged)
+        this.removeAttempt(attempt, now);
   }
 
   /** Answered with 200: what is still open was executed, so a later report without it means that it is gone. */
-  answered(entries: Iterable<TaskAttempt>): void {
-    for (const attempt of entries) attempt.open = false;
+  startsAcknowledged(entries: Iterable<TaskAttempt>): void {
+    for (const attempt of entries) attempt.startUnacknowledged = false;
   }
 
   /** No answer: the starts may be executed minutes later, until the machine shows a higher token. */
-  unanswered(machine: Machine, entries: Iterable<TaskAttempt>): void {
-    machine.fence = this.raise(machine);
-    for (const attempt of entries) if (attempt.open) attempt.fence = machine.fence;
+  startsUnanswered(machine: Machine, entries: Iterable<TaskAttempt>): void {
+    machine.requiredToken = this.advanceToken(machine);
+    for (const attempt of entries)
+      if (attempt.startUnacknowledged) attempt.fencedByToken = machine.requiredToken;
   }
 
   /** The worker's lease has surely run out, counted from the last answer that may have renewed it, a follower's included. */
-  leaseOver(machine: Machine, keptUntil: number, now: number): boolean {
-    return now - Math.max(machine.renewedAt, keptUntil) > this.leaseMs * DRIFT + 500;
+  isLeaseExpired(machine: Machine, keptUntil: number, now: number): boolean {
+    return now - Math.max(machine.leaseRenewedAt, keptUntil) > this.leaseMs * DRIFT + 500;
   }
 
-  expire(machine: Machine, now: number): void {
-    this.dropAll(machine, now);
+  expireLease(machine: Machine, now: number): void {
+    this.removeAllAttempts(machine, now);
     if (machine.reported) {
       // Only a newer session counts from here: a held report of the old one tells of tasks that are dead.
-      machine.session++;
-      machine.seq = -1;
-      machine.reportSeq = -1;
+      machine.incarnation++;
+      machine.lastSequence = -1;
+      machine.lastHeartbeatSequence = -1;
     }
-    machine.renewedAt = now;
+    machine.leaseRenewedAt = now;
     machine.reported = false;
-    machine.suspect = false;
-    machine.expired = true;
+    machine.awaitingReconciliation = false;
+    machine.leaseExpired = true;
   }
 
   remove(machine: Machine, now: number): void {
-    this.dropAll(machine, now);
-    this.settled(machine);
+    this.removeAllAttempts(machine, now);
+    this.clearPending(machine);
     this.byId.delete(machine.id);
   }
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -2,34 +2,34 @@
 import type { MachineType } from '../wire/model.js';
 import type { TaskAttempt } from './task-attempt.js';
 
-export interface Inflight {
+export interface InFlightRequest {
   attempts: Set<TaskAttempt>;
 }
 
 export class Machine {
-  session = 0;
-  seq = -1;
+  incarnation = 0;
+  lastSequence = -1;
   /** Highest token it has shown. */
-  token = 0;
+  shownToken = 0;
   /** Highest number of a report that came by itself, in this session: a lower one is a late copy. */
-  reportSeq = -1;
+  lastHeartbeatSequence = -1;
   /** A token that an answer carried and that no report has shown yet; since when, and reports since then. */
-  asked: { token: number; since: number; reports: number } | null = null;
+  pendingTokenAck: { token: number; since: number; heartbeats: number } | null = null;
   /** When it last showed a token that it was asked to show: answers reach it. */
   tokenConfirmedAt: number;
   /** What it must show before its reports are taken as complete. */
-  fence: number;
+  requiredToken: number;
   /** Raised for this machine alone, on top of the leader's token. */
-  bump = 0;
+  tokenOffset = 0;
   stored = false;
   /** Anything newer than this has been heard from the worker itself. */
-  heardAt: number;
+  lastHeardAt: number;
   /** When the last report was answered that may have renewed the worker's lease. */
-  renewedAt: number;
+  leaseRenewedAt: number;
   reported = false;
-  noticeUntil: number | null = null;
-  draining: string | null = null;
-  slow = false;
+  preemptionDeadline: number | null = null;
+  drainReason: string | null = null;
+  isStraggler = false;
   /** Jobs whose tasks failed here lately. */
   readonly failedJobs = new Set<number>();
   readonly attempts = new Map<string, TaskAttempt>();
@@ -37,8 +37,8 @@
   /** Starts ordered or fetching, by image. */
   readonly fetching = new Map<string, number>();
   /** Tasks of services that may be here. */
-  services = 0;
-  inflight: Inflight | null = null;
+  serviceTasks = 0;
+  inFlight: InFlightRequest | null = null;
   nextSendAt = 0;
   commandFailures = 0;
   emptySince: number;
@@ -52,9 +52,9 @@
   rentedAt: number | null = null;
   deleting = false;
   /** Stored when the leader took over: must speak up, or be gone, before old jobs are acted on. */
-  suspect = false;
+  awaitingReconciliation = false;
   /** Its lease has surely run out, and it has not been heard since: nothing is on it. */
-  expired = false;
+  leaseExpired = false;
 
   constructor(
     readonly index: number,
@@ -66,21 +66,25 @@
     baseToken: number,
     now: number,
   ) {
-    this.fence = baseToken;
-    this.heardAt = now;
-    this.renewedAt = now;
+    this.requiredToken = baseToken;
+    this.lastHeardAt = now;
+    this.leaseRenewedAt = now;
     this.emptySince = now;
     this.tokenConfirmedAt = now;
   }
 
   /** It has shown a token that ends whatever was sent with lower ones. */
-  certain(): boolean {
-    return this.reported && this.token >= this.fence;
+  isReconciled(): boolean {
+    return this.reported && this.shownToken >= this.requiredToken;
   }
 
   /** Heard, but answers do not reach it, or it does not do what they say: its reports prove nothing. */
-  deaf(patienceMs: number, now: number): boolean {
-    return this.asked !== null && this.asked.reports >= 3 && now - this.asked.since > patienceMs;
+  isNotAcknowledging(patienceMs: number, now: number): boolean {
+    return (
+      this.pendingTokenAck !== null &&
+      this.pendingTokenAck.heartbeats >= 3 &&
+      now - this.pendingTokenAck.since > patienceMs
+    );
   }
 
   freeCpus(): number {
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -10,16 +10,16 @@
  * the machine is gone.
  */
 export type AttemptState =
-  'ordered' | 'fetching' | 'waiting' | 'running' | 'saving' | 'exited' | 'vanished';
+  'starting' | 'fetching' | 'waiting' | 'running' | 'saving' | 'exited' | 'removed';
 
 export const ATTEMPT_TRANSITIONS: Record<AttemptState, AttemptState[]> = {
-  ordered: ['fetching', 'waiting', 'running', 'saving', 'exited', 'vanished'],
-  fetching: ['waiting', 'running', 'saving', 'exited', 'vanished'],
-  waiting: ['running', 'saving', 'exited', 'vanished'],
-  running: ['saving', 'exited', 'vanished'],
-  saving: ['exited', 'vanished'],
+  starting: ['fetching', 'waiting', 'running', 'saving', 'exited', 'removed'],
+  fetching: ['waiting', 'running', 'saving', 'exited', 'removed'],
+  waiting: ['running', 'saving', 'exited', 'removed'],
+  running: ['saving', 'exited', 'removed'],
+  saving: ['exited', 'removed'],
   exited: [],
-  vanished: [],
+  removed: [],
 };
 
 export interface StopRequest {
@@ -32,20 +32,20 @@
 
 /** A task that may be on a machine. */
 export class TaskAttempt {
-  state: AttemptState = 'ordered';
+  state: AttemptState = 'starting';
   cause: ExitCause | null = null;
   /** The start was sent; it is sent once, never again. */
-  sent = false;
+  startSent = false;
   /** No answer to the start is known, so it may still be executed; see `fence`. */
-  open = true;
+  startUnacknowledged = true;
   /** With this token shown by the machine, an unanswered start can no longer be executed. */
-  fence = 0;
+  fencedByToken = 0;
   /** Set when the task is to go. */
   stop: StopRequest | null = null;
   stopSentAt = -Infinity;
   forgetSentAt = -Infinity;
   /** Not started by this leader: the machine told of it. */
-  found = false;
+  discovered = false;
   /** 0: not running yet, or it ran before we knew of it, so that its time is not known. */
   runningSince = 0;
   /** Of a waiting gang task: when it was first seen to wait. */
@@ -62,6 +62,6 @@
   ) {}
 
   onMachine(): boolean {
-    return this.state !== 'exited' && this.state !== 'vanished';
+    return this.state !== 'exited' && this.state !== 'removed';
   }
 }
--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readJob } from '../src/wire/users.js';
-import { readReport } from '../src/wire/workers.js';
+import { readHeartbeat } from '../src/wire/workers.js';
 import { decodeMap, encode, narrow, wide } from '../src/wire/cbor.js';
 import { Cluster } from './sim/cluster.js';
 import { jobFacts } from './sim/rules.js';
@@ -171,6 +171,6 @@
 });
 
 test('a report that is not one changes nothing', () => {
-  assert.equal(readReport({ stone: 'i-1' }), null);
+  assert.equal(readHeartbeat({ stone: 'i-1' }), null);
   assert.deepEqual(readJob({}), { kind: 'invalid', field: 'id' });
 });
--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -35,11 +35,11 @@
     },
     round: ({ claim = 7, claiming = false } = {}) => {
       const ask = t.a.statement(7, false);
-      t.b.heardFrom(ask);
-      t.c.heardFrom(ask);
+      t.b.recordStatement(ask);
+      t.c.recordStatement(ask);
       t.pass(10);
-      t.a.heardFrom(t.b.statement(claim, claiming));
-      t.a.heardFrom(t.c.statement(7, false));
+      t.a.recordStatement(t.b.statement(claim, claiming));
+      t.a.recordStatement(t.c.statement(7, false));
     },
   };
   return t;
@@ -55,8 +55,8 @@
   assert.equal(t.a.completeFrom(known), asked);
   // One of the two is not heard any more.
   t.pass(1000);
-  t.c.heardFrom(t.a.statement(7, false));
-  t.a.heardFrom(t.c.statement(7, false));
+  t.c.recordStatement(t.a.statement(7, false));
+  t.a.recordStatement(t.c.statement(7, false));
   assert.equal(t.a.completeFrom(known), asked);
 });
 
@@ -64,16 +64,16 @@
   const t = bed();
   t.pass(2000);
   const known = t.at.a - 100;
-  t.a.heardFrom(t.b.statement(7, false));
-  t.a.heardFrom(t.c.statement(7, false));
+  t.a.recordStatement(t.b.statement(7, false));
+  t.a.recordStatement(t.c.statement(7, false));
   assert.equal(t.a.completeFrom(known), known);
   t.round();
   const before = t.b.statement(7, false);
   // a starts again, and its clock happens to read the same.
   const again = new Attestations('a', 'a-2', ['b', 'c'], () => t.at.a);
   t.pass(500);
-  again.heardFrom(before);
-  again.heardFrom(t.c.statement(7, false));
+  again.recordStatement(before);
+  again.recordStatement(t.c.statement(7, false));
   assert.equal(again.completeFrom(known), known);
 });
 
@@ -142,9 +142,9 @@
   const second = t.a.completeFrom(known);
   assert.ok(second > first);
   t.pass(4000);
-  t.c.heardFrom(t.a.statement(7, false));
-  t.a.heardFrom(t.c.statement(7, false));
-  t.a.heardFrom(late);
+  t.c.recordStatement(t.a.statement(7, false));
+  t.a.recordStatement(t.c.statement(7, false));
+  t.a.recordStatement(late);
   assert.equal(t.a.completeFrom(known), second);
 });
 
@@ -159,7 +159,7 @@
   t.b = new Attestations('b', 'b-2', ['a', 'c'], () => t.at.b);
   t.pass(200);
   t.round();
-  t.a.heardFrom(late);
+  t.a.recordStatement(late);
   t.round();
   assert.equal(t.a.completeFrom(known), known);
 });
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -1,8 +1,8 @@
 /** The cloud's interface at the size of a large fleet: lists of many pages within few calls a second. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Cloud } from '../src/fleet/cloud.js';
-import type { Reply, World } from '../src/runtime.js';
+import { Cloud } from '../src/autoscaler/cloud.js';
+import type { Reply, Runtime } from '../src/runtime.js';
 import type { ListedMachine } from '../src/wire/model.js';
 import { CloudService } from './sim/cloud.js';
 import { VirtualClock } from './sim/clock.js';
@@ -34,7 +34,7 @@
     RPS,
   );
   for (let i = 0; i < MACHINES; i++) service.add('t16', 'a', false, true);
-  const world: World = {
+  const world: Runtime = {
     clock: clock.host(1, () => true),
     http: {
       send: (_to, _method, path, body) =>
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -1,13 +1,13 @@
 /** The fleet's judgement of silence, against a cloud that only notes what it is asked for. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Cloud } from '../src/fleet/cloud.js';
-import { DirectActions } from '../src/fleet/machine-actions.js';
-import { Fleet } from '../src/fleet/fleet.js';
-import type { World } from '../src/runtime.js';
+import { Cloud } from '../src/autoscaler/cloud.js';
+import { DirectActions } from '../src/autoscaler/machine-actions.js';
+import { Autoscaler } from '../src/autoscaler/autoscaler.js';
+import type { Runtime } from '../src/runtime.js';
 import type { Body } from '../src/wire/cbor.js';
 import { defaultOperatorSettings } from '../src/settings/operator.js';
-import type { MachineType, WorkerReport } from '../src/wire/model.js';
+import type { MachineType, Heartbeat } from '../src/wire/model.js';
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { quietLog } from './sim/quiet-log.js';
@@ -37,10 +37,10 @@
   behind = false;
   demand = 400;
   readonly table: MachineTable;
-  readonly fleet: Fleet;
+  readonly fleet: Autoscaler;
 
   constructor(perZone: number) {
-    const world: World = {
+    const world: Runtime = {
       clock: { now: () => this.now, after: () => () => undefined },
       http: {
         send: (_to, _method, path, body) => {
@@ -60,11 +60,11 @@
     const none = (): undefined => undefined;
     this.table = new MachineTable(100, LEASE_S * 1000, none, {
       attemptAdded: none,
-      attemptGone: none,
+      attemptEnded: none,
     });
     const cloud = new Cloud(world, 'cloud:1', 50);
-    this.fleet = new Fleet({
-      world,
+    this.fleet = new Autoscaler({
+      runtime: world,
       cloud,
       actions: new DirectActions(cloud, () => 'r'),
       table: this.table,
@@ -73,7 +73,7 @@
       saveMoney: false,
       reportS: REPORT_S,
       listLagS: 2,
-      leads: () => true,
+      isLeader: () => true,
       demand: () => ({
         ordinary: this.demand,
         any: 0,
@@ -95,7 +95,7 @@
       for (let i = 0; i < perZone; i++) {
         const m = this.table.add(`${zone}${i}`, `${zone}${i}:1`, TYPE, zone, false, 0);
         m.stored = true;
-        m.suspect = true;
+        m.awaitingReconciliation = true;
       }
   }
 
@@ -116,21 +116,21 @@
   }
 
   private report(m: Machine): void {
-    const r: WorkerReport = {
+    const r: Heartbeat = {
       machine: m.id,
       endpoint: m.endpoint,
       type: 't',
       zone: m.zone,
       spot: false,
-      session: 1,
-      seq: m.seq + 1,
+      incarnation: 1,
+      sequence: m.lastSequence + 1,
       token: 100,
-      noticeS: null,
+      preemptionNoticeS: null,
       tasks: [],
     };
-    m.heardAt = this.now;
-    this.table.apply(m, r, this.now);
-    m.suspect = false;
+    m.lastHeardAt = this.now;
+    this.table.applyHeartbeat(m, r, this.now);
+    m.awaitingReconciliation = false;
     m.commandFailures = 0;
   }
 
@@ -152,7 +152,7 @@
 test('a zone that falls silent as a whole is shunned but kept: only replicas that nobody keeps alive are given up', async () => {
   const b = new Bed(10);
   await b.pass(5, () => true);
-  for (const m of b.table.all()) m.services = Number(m.id.slice(1)) < 3 ? 1 : 0;
+  for (const m of b.table.all()) m.serviceTasks = Number(m.id.slice(1)) < 3 ? 1 : 0;
   await b.pass(LEASE_S * 0.7, (m) => m.zone !== 'c');
   assert.equal(b.deleted.size, 0, 'it may come back, and its work runs on');
   b.rentedIn.clear();
@@ -167,7 +167,7 @@
 test('the machines of a lost zone that has controllers are kept, and given up in the end', async () => {
   const b = new Bed(10);
   await b.pass(5, () => true);
-  for (const m of b.table.all()) m.services = 1;
+  for (const m of b.table.all()) m.serviceTasks = 1;
   await b.pass(90, (m) => m.zone !== 'b');
   assert.equal(b.deleted.size, 0);
   await b.pass(60, (m) => m.zone !== 'b');
@@ -188,7 +188,8 @@
   for (const zonesLost of ['b', 'bc']) {
     const b = new Bed(20);
     await b.pass(5, () => true);
-    for (const m of b.table.all()) m.services = m.zone === 'b' && Number(m.id.slice(1)) < 3 ? 1 : 0;
+    for (const m of b.table.all())
+      m.serviceTasks = m.zone === 'b' && Number(m.id.slice(1)) < 3 ? 1 : 0;
     b.kept = b.now + 15_000;
     await b.pass(15 + LEASE_S * 0.75, (m) => !zonesLost.includes(m.zone));
     assert.equal(b.deleted.size, 0);
@@ -211,8 +212,8 @@
   for (let i = 0; i < 40; i++) {
     await b.pass(1, () => true);
     for (const m of b.table.all()) {
-      const token = b.table.ask(m, b.now, LEASE_S * 500);
-      if (m.id !== 'b4') m.token = token;
+      const token = b.table.requestTokenAck(m, b.now, LEASE_S * 500);
+      if (m.id !== 'b4') m.shownToken = token;
     }
   }
   assert.deepEqual([...b.deleted], ['b4']);
@@ -291,13 +292,21 @@
     type: 't',
     zone: 'a',
     spot: false,
-    session: 1,
+    incarnation: 1,
     token: 100,
-    noticeS: null,
+    preemptionNoticeS: null,
   };
-  b.table.apply(m, { ...r, seq: 1, tasks: [{ ...task, state: 'running' }] }, 1000);
+  b.table.applyHeartbeat(m, { ...r, sequence: 1, tasks: [{ ...task, state: 'running' }] }, 1000);
   assert.equal([...m.attempts.values()][0].runningSince, 0);
-  b.table.apply(m, { ...r, seq: 2, tasks: [{ ...task, taskNumber: 1, state: 'fetching' }] }, 2000);
-  b.table.apply(m, { ...r, seq: 3, tasks: [{ ...task, taskNumber: 1, state: 'running' }] }, 3000);
+  b.table.applyHeartbeat(
+    m,
+    { ...r, sequence: 2, tasks: [{ ...task, taskNumber: 1, state: 'fetching' }] },
+    2000,
+  );
+  b.table.applyHeartbeat(
+    m,
+    { ...r, sequence: 3, tasks: [{ ...task, taskNumber: 1, state: 'running' }] },
+    3000,
+  );
   assert.equal([...m.attempts.values()][0].runningSince, 3000);
 });
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -15,8 +15,8 @@
 /** A node that answers reports as the leader, or as a follower, does. */
 function answering(status: number): ControllerNode {
   return {
-    beat: () => ({ status, body: {} }),
-    unhealthyBecause: () => null,
+    handleHeartbeat: () => ({ status, body: {} }),
+    unhealthyReason: () => null,
   } as Partial<ControllerNode> as ControllerNode;
 }
 
@@ -99,11 +99,11 @@
   let reports = 0;
   const lines: string[] = [];
   const node = {
-    beat: () => {
+    handleHeartbeat: () => {
       reports++;
       return { status: 200, body: {} };
     },
-    unhealthyBecause: () => null,
+    unhealthyReason: () => null,
   } as Partial<ControllerNode> as ControllerNode;
   const log = { ...quietLog, info: (_fields: object, text: string) => void lines.push(text) };
   await served(
@@ -136,11 +136,11 @@
 
 test('a report that can not be handled gets 503 and harms nothing else; one that is too large, 400', async () => {
   const faulty = {
-    beat: (body: unknown) => {
+    handleHeartbeat: (body: unknown) => {
       if (body !== null) throw new Error('a fault of our own');
       return { status: 400, body: {} };
     },
-    unhealthyBecause: () => null,
+    unhealthyReason: () => null,
   } as Partial<ControllerNode> as ControllerNode;
   await served(faulty, async (port) => {
     const agent = new Agent({ keepAlive: true });
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -12,7 +12,7 @@
 
 /** A fleet that is up, and the placement work of all its leaders. */
 function largeFleet(seed: number): { c: Cluster; work: PlacementWork } {
-  const work: PlacementWork = { passes: 0, looks: 0, starts: 0 };
+  const work: PlacementWork = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const c = new Cluster({
     seed,
     nodes: 3,
@@ -52,7 +52,10 @@
   const { asked } = c.state;
   assert.ok(asked.requests < 90 * seconds, `${asked.requests} requests in ${seconds} s`);
   assert.ok(asked.tooMany < 60, `${asked.tooMany} requests over the limits`);
-  assert.ok(work.looks < 100 * work.starts, `${work.looks} looks for ${work.starts} starts`);
+  assert.ok(
+    work.candidatesExamined < 100 * work.starts,
+    `${work.candidatesExamined} candidates examined for ${work.starts} starts`,
+  );
 }
 
 test('4,000 machines, full: leader crashes, a zone cut off, no state service, all end, cancellations', async () => {
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -44,8 +44,8 @@
     const c = await serving({
       seed,
       log: (_node, text, fields) => {
-        if (text !== 'leadership' || (fields as { from: string }).from !== 'paused') return;
-        if ((fields as { to: string }).to === 'leading') resumed = true;
+        if (text !== 'leadership' || (fields as { from: string }).from !== 'suspended') return;
+        if ((fields as { to: string }).to === 'leader') resumed = true;
       },
     });
     apart(c);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -8,7 +8,7 @@
 import { forgetFailedMachines, noteFailure } from '../src/placement/failures.js';
 import type { Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
-import { planRentals, type Pool } from '../src/fleet/plan.js';
+import { planRentals, type Pool } from '../src/autoscaler/scaling-plan.js';
 import { Timings, slowMachines } from '../src/placement/stragglers.js';
 import { finishGoals, servingOrder, urgency } from '../src/placement/order.js';
 import type { MachineType } from '../src/wire/model.js';
@@ -32,18 +32,18 @@
 test('a gang moves whole or not at all: only if all of it fits elsewhere and all its machines answer', () => {
   const table = new MachineTable(100, 10_000, () => undefined, {
     attemptAdded: (attempt) => attempt.job?.addAttempt(attempt),
-    attemptGone: () => undefined,
+    attemptEnded: () => undefined,
   });
   const addMachine = (id: string): Machine => {
     const machine = table.add(id, `${id}:1`, machineType(16), 'a', false, 0);
-    return Object.assign(machine, { stored: true, reported: true, token: 100 });
+    return Object.assign(machine, { stored: true, reported: true, shownToken: 100 });
   };
   const gang = new Job(0, spec({ kind: 'gang', tasks: 4, cpus: 8, spot: false }), 1, 0, true, 0);
   const home = [addMachine('m1'), addMachine('m2')];
-  for (let task = 0; task < 4; task++) table.hold(home[task >> 1], 'run-1', gang, task, 7, 0);
+  for (let task = 0; task < 4; task++) table.addAttempt(home[task >> 1], 'run-1', gang, task, 7, 0);
   const gangs = new GangScheduler({
     table,
-    usable: (machine: Machine) => machine.certain(),
+    usable: (machine: Machine) => machine.isReconciled(),
   } as unknown as ConstructorParameters<typeof GangScheduler>[0]);
   const elsewhere = addMachine('m3');
   assert.equal(gangs.canMove(gang, home[0]), false, 'half of it fits');
@@ -52,13 +52,17 @@
   home[1].commandFailures = 1;
   assert.equal(gangs.canMove(gang, home[0]), false, 'one machine could not be told to stop');
   home[1].commandFailures = 0;
-  elsewhere.slow = true;
+  elsewhere.isStraggler = true;
   assert.equal(gangs.canMove(gang, home[0]), false, 'slow machines are no place to move to');
 });
 
 test('a job may use the machines again on which it failed, once it has waited for a while', () => {
   const job = new Job(0, spec(), 1, 0, true, 0);
-  const machine = { index: 4, failedJobs: new Set<number>(), draining: null } as unknown as Machine;
+  const machine = {
+    index: 4,
+    failedJobs: new Set<number>(),
+    drainReason: null,
+  } as unknown as Machine;
   const table = { all: () => [machine].values() } as unknown as MachineTable;
   assert.equal(noteFailure(job, machine, table, 1000), false);
   assert.ok(job.notBefore > 1000 && job.failedOn.has(4));
@@ -142,12 +146,12 @@
     attemptAdded: (e) => {
       placement.attemptAdded(e);
     },
-    attemptGone: (e) => {
-      placement.attemptGone(e);
+    attemptEnded: (e) => {
+      placement.attemptEnded(e);
     },
   });
   const placement: Placement = new Placement({
-    world: {
+    runtime: {
       clock: { now: () => 0, after: () => () => undefined },
       http: { send: () => Promise.reject(new Error('nothing is sent')) },
       log: quietLog,
@@ -158,7 +162,7 @@
     jobs,
     table,
     attemptBase: 0,
-    oldJobsOpen: () => true,
+    recoveryComplete: () => true,
     isSilent: () => false,
     wallMs: () => 0,
   });
@@ -168,7 +172,7 @@
 function addMachines(table: MachineTable, count: number, type: MachineType): void {
   for (let i = 0; i < count; i++) {
     const m = table.add(`m${i}`, `m${i}:1`, type, 'a', false, 0);
-    Object.assign(m, { stored: true, reported: true, token: 100 });
+    Object.assign(m, { stored: true, reported: true, shownToken: 100 });
   }
 }
 
@@ -199,12 +203,12 @@
   );
   let starts = 0;
   for (let i = 0; i < 20; i++) {
-    placement.pass();
+    placement.runSchedulingCycle();
     for (const machine of table.all())
       for (const attempt of [...machine.attempts.values()]) {
-        if (attempt.stop) table.drop(attempt, 0);
-        else if (!attempt.sent) starts++;
-        Object.assign(attempt, { sent: true, open: false, state: 'running' });
+        if (attempt.stop) table.removeAttempt(attempt, 0);
+        else if (!attempt.startSent) starts++;
+        Object.assign(attempt, { startSent: true, startUnacknowledged: false, state: 'running' });
       }
   }
   assert.equal(starts, 10, 'each machine got one task, which stayed');
@@ -230,13 +234,13 @@
     });
     return jobs.add(s, 1, 0, true, 0);
   });
-  for (let i = 0; i < 20; i++) placement.pass();
+  for (let i = 0; i < 20; i++) placement.runSchedulingCycle();
   assert.ok(
     services.every((j) => j.attempts.size === 1),
     'the first of each has its place in the only zone',
   );
   const array = jobs.add(spec({ id: 'run-999' }), 1, 0, true, 0);
-  placement.pass();
+  placement.runSchedulingCycle();
   assert.equal(array.attempts.size, 10);
 });
 
@@ -255,7 +259,7 @@
     0,
   );
   const idle = jobs.add(spec({ id: 'run-2', priority: 3, tasks: 1, cpus: 4 }), 1, 0, true, 0);
-  for (let i = 0; i < 11; i++) placement.pass();
+  for (let i = 0; i < 11; i++) placement.runSchedulingCycle();
   assert.deepEqual([running.attempts.size, idle.attempts.size], [3999, 1]);
   // They may stop the idle task, so they look at all machines, but none has the memory. One machine is free.
   for (let i = 0; i < 20; i++)
@@ -267,6 +271,6 @@
       0,
     );
   const last = jobs.add(spec({ id: 'run-99', priority: 2, tasks: 1, cpus: 4 }), 1, 0, true, 0);
-  for (let i = 0; i < 4; i++) placement.pass();
+  for (let i = 0; i < 4; i++) placement.runSchedulingCycle();
   assert.equal(last.attempts.size, 1);
 });
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -50,12 +50,12 @@
     roll.replace(name, OLD, 100);
     await roll.cluster.run(6);
     const node = roll.cluster.node(name);
-    assert.match(node.unhealthyBecause() ?? '', /level is 2, and this is build 0\.0\.9/);
+    assert.match(node.unhealthyReason() ?? '', /level is 2, and this is build 0\.0\.9/);
     const body = roll.cluster.jobBody({ ...BATCH });
     assert.equal((await node.api.submit(body)).status, 503);
     assert.equal((await node.api.poll('run-000001')).status, 503);
     assert.equal((await node.api.cancel('run-000001')).status, 503);
-    assert.equal(node.beat(body).status, 503);
+    assert.equal(node.handleHeartbeat(body).status, 503);
     // The others go, and still it does not lead.
     for (const other of NAMES) if (other !== name) roll.cluster.crash(other, 6000);
     for (let s = 0; s < 7; s++) {
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -39,7 +39,7 @@
   );
 
 test('hundreds of machines: rules kept, and work in proportion to events', async () => {
-  const work = { passes: 0, looks: 0, starts: 0 };
+  const work = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const c = new Cluster({
     seed: 5,
     nodes: 5,
@@ -71,14 +71,17 @@
   assert.ok(c.rules.starts > 5000, `${c.rules.starts} starts`);
   const { asked } = c.state;
   // A pass looks at each machine at most once a waiting job, and not once a task.
-  assert.ok(work.looks < 150 * work.starts, `${work.looks} looks for ${work.starts} starts`);
+  assert.ok(
+    work.candidatesExamined < 150 * work.starts,
+    `${work.candidatesExamined} candidates examined for ${work.starts} starts`,
+  );
   assert.ok(asked.changes < 6 * submitted + 400, `${asked.changes} changes for ${submitted} jobs`);
   assert.ok(asked.requests < 90 * 100, `${asked.requests} requests`);
   assert.ok(asked.tooMany < 20, `${asked.tooMany} requests over the limits`);
 });
 
 test('more than a thousand machines: waves of deaths and hangs, a zone cut off, a frozen leader, all crashing in an outage', async () => {
-  let most = { looks: 0, starts: 1 };
+  let most = { candidatesExamined: 0, starts: 1 };
   const c = new Cluster({
     seed: 8,
     nodes: 5,
@@ -91,7 +94,7 @@
     state: { rps: 250, writeRps: 30 },
     log: (_node, text, fields) => {
       const w = fields as typeof most;
-      if (text === 'round' && w.looks > most.looks) most = w;
+      if (text === 'round' && w.candidatesExamined > most.candidatesExamined) most = w;
     },
   });
   const some = (n: number): CloudMachine[] => {
@@ -129,5 +132,8 @@
   const { asked } = c.state;
   assert.ok(asked.requests < 90 * 125, `${asked.requests} requests`);
   assert.ok(asked.tooMany < 40, `${asked.tooMany} requests over the limits`);
-  assert.ok(most.looks < 1500 * most.starts, `${most.looks} looks for ${most.starts} starts`);
+  assert.ok(
+    most.candidatesExamined < 1500 * most.starts,
+    `${most.candidatesExamined} candidates examined for ${most.starts} starts`,
+  );
 });
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -13,7 +13,7 @@
 import { VirtualClock } from './clock.js';
 import { GANG_PEER_MS, GANG_WAIT_MS, GangCoordinator } from './gang-coordinator.js';
 import { Network } from './network.js';
-import { type ProcessLife, processWorld } from './process-world.js';
+import { type ProcessLife, simulatedRuntime } from './simulated-runtime.js';
 import { SeededRandom } from './random.js';
 import { type Room, Rules, jobFacts } from './rules.js';
 import { StateService } from './state-service.js';
@@ -193,7 +193,7 @@
 
   startNode(name: string): void {
     const life: Partial<Life> & ProcessLife = { alive: true, frozenUntil: 0 };
-    const world = processWorld(`${name}:80`, life, {
+    const world = simulatedRuntime(`${name}:80`, life, {
       clock: this.clock,
       net: this.net,
       random: this.random,
@@ -206,7 +206,7 @@
       for (const [other, l] of this.lives)
         if (other !== name)
           this.net.tell(`${name}:80`, `${other}:80`, () => {
-            if (l.alive && l.frozenUntil <= this.clock.time) l.node.peerMessage(m);
+            if (l.alive && l.frozenUntil <= this.clock.time) l.node.handlePeerMessage(m);
           });
     };
     const operator = defaultOperatorSettings();
@@ -243,7 +243,7 @@
     path: string,
     body: Body,
   ): Promise<Reply> {
-    if (path === '/agent/beat') return node.beat(body);
+    if (path === '/agent/beat') return node.handleHeartbeat(body);
     const id = path.split('/')[3];
     if (method === 'GET') return node.api.poll(id);
     return path.endsWith('/withdraw') ? node.api.cancel(id) : node.api.submit(body);
@@ -352,14 +352,14 @@
 
   leader(): string | undefined {
     return this.names.find(
-      (n) => this.lives.get(n)!.alive && this.lives.get(n)!.node.leadership.leads(),
+      (n) => this.lives.get(n)!.alive && this.lives.get(n)!.node.leadership.isLeader(),
     );
   }
 
   /** How many nodes think that they lead: never more than one. */
   leaders(): number {
     return this.names.filter(
-      (n) => this.lives.get(n)!.alive && this.lives.get(n)!.node.leadership.leads(),
+      (n) => this.lives.get(n)!.alive && this.lives.get(n)!.node.leadership.isLeader(),
     ).length;
   }
 
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -9,13 +9,13 @@
   IntentLog,
   type Opened,
 } from '@millring/duties';
-import type { World } from '../../src/runtime.js';
+import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
 import { VirtualClock } from './clock.js';
 import { DutyRules } from './duty-rules.js';
 import { FencedProvider, FencedProviderClient } from './fenced-provider.js';
 import { Network } from './network.js';
-import { type ProcessLife, processWorld } from './process-world.js';
+import { type ProcessLife, simulatedRuntime } from './simulated-runtime.js';
 import { quietLog } from './quiet-log.js';
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
@@ -86,11 +86,11 @@
     return { ...SETTINGS, ...this.config.settings };
   }
 
-  private world(name: string, life: ProcessLife, rate: number): World {
+  private world(name: string, life: ProcessLife, rate: number): Runtime {
     const note = (fields: object, text: string): void => {
       this.lines.push({ name, text, fields });
     };
-    return processWorld(`${name}:80`, life, {
+    return simulatedRuntime(`${name}:80`, life, {
       clock: this.clock,
       net: this.net,
       random: this.random,
@@ -128,7 +128,7 @@
     });
   }
 
-  private storeOf(world: World): StateStore {
+  private storeOf(world: Runtime): StateStore {
     return new StateStore(world, {
       address: STATE,
       nodes: this.names.length,
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -2,7 +2,7 @@
 import { performance } from 'node:perf_hooks';
 import { DutyMember } from '@millring/duties';
 import { outgoing } from '../../src/outgoing.js';
-import type { World } from '../../src/runtime.js';
+import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
 import { SETTINGS } from './duty-group.js';
 import { FencedProviderClient } from './fenced-provider.js';
@@ -37,7 +37,7 @@
 
 function run(options: DutyProcessOptions): void {
   const { name, stateAddress, providerAddress } = options;
-  const world: World = {
+  const world: Runtime = {
     clock: {
       now: () => performance.now(),
       after: (ms, callback) => {
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -2,7 +2,7 @@
 import { type Server, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { outgoing } from '../../src/outgoing.js';
-import { TOKEN_SPAN } from '../../src/leadership/leadership.js';
+import { TOKENS_PER_EPOCH } from '../../src/leadership/leadership.js';
 import { type Body, decodeMap, encode, isMap, narrow } from '../../src/wire/cbor.js';
 import { type CloudMachine, CloudService } from './cloud.js';
 import { VirtualClock } from './clock.js';
@@ -256,7 +256,7 @@
 
   /** The address of the controller that claimed under the token of a command. */
   private senderOf(body: Body): string {
-    const revision = Math.floor((narrow(body.warrant) ?? 0) / TOKEN_SPAN);
+    const revision = Math.floor((narrow(body.warrant) ?? 0) / TOKENS_PER_EPOCH);
     const name = this.claims.get(revision);
     return (
       this.config.controllers.find((controller) => controller.name === name)?.address ?? 'unknown:0'
--- a/test/sim/outsider.ts
+++ b/test/sim/outsider.ts
@@ -1,9 +1,9 @@
-import type { World } from '../../src/runtime.js';
+import type { Runtime } from '../../src/runtime.js';
 import type { Cluster } from './cluster.js';
 import { quietLog } from './quiet-log.js';
 
 /** The world of a client beside the controllers. */
-export function outsider(c: Cluster): World {
+export function outsider(c: Cluster): Runtime {
   return {
     clock: c.clock.host(1, () => true),
     http: {
--- a/test/sim/scenarios.ts
+++ b/test/sim/scenarios.ts
@@ -18,8 +18,8 @@
 
 /** What placing cost, as the leaders' rounds tell. */
 export interface PlacementWork {
-  passes: number;
-  looks: number;
+  cycles: number;
+  candidatesExamined: number;
   starts: number;
 }
 
@@ -27,7 +27,8 @@
 export function addingUp(work: PlacementWork): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
-    for (const k of ['passes', 'looks', 'starts'] as const) work[k] += (fields as PlacementWork)[k];
+    for (const k of ['cycles', 'candidatesExamined', 'starts'] as const)
+      work[k] += (fields as PlacementWork)[k];
   };
 }
 
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -1,5 +1,5 @@
 /** What the outside world is to a simulated process, which may end, or stand still while its clock runs on. */
-import type { Clock, Log, Reply, World } from '../../src/runtime.js';
+import type { Clock, Log, Reply, Runtime } from '../../src/runtime.js';
 import type { VirtualClock } from './clock.js';
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
@@ -31,7 +31,11 @@
   else if (life.alive) callback();
 }
 
-export function processWorld(host: string, life: ProcessLife, around: ProcessSurroundings): World {
+export function simulatedRuntime(
+  host: string,
+  life: ProcessLife,
+  around: ProcessSurroundings,
+): Runtime {
   const { clock, net, own, seen } = around;
   const thawed = (callback: () => void): void => {
     onceThawed(life, clock, callback);
--- a/test/takeover-work.test.ts
+++ b/test/takeover-work.test.ts
@@ -1,7 +1,7 @@
 /** What a takeover costs in a large fleet. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Takeover } from '../src/leadership/takeover.js';
+import { FailoverRecovery } from '../src/leadership/failover-recovery.js';
 import { Machine } from '../src/workers/machine.js';
 import type { MachineType } from '../src/wire/model.js';
 import type { MachineTable } from '../src/workers/machine-table.js';
@@ -22,7 +22,11 @@
 };
 
 /** Machines in the order in which they were stored, and how often one was looked at. */
-function expectedMachines(): { machines: Machine[]; takeover: Takeover; looks: () => number } {
+function expectedMachines(): {
+  machines: Machine[];
+  takeover: FailoverRecovery;
+  looks: () => number;
+} {
   const machines = Array.from(
     { length: MACHINES },
     (_, i) => new Machine(i, `i-${i}`, `i-${i}:1`, TYPE, 'a', false, 100, 0),
@@ -43,8 +47,8 @@
     get: (id: string) => byId.get(id),
     size: () => byId.size,
   } as unknown as MachineTable;
-  const takeover = new Takeover(table, LEASE_MS, quietLog, () => 0);
-  for (const machine of machines) takeover.expect(machine);
+  const takeover = new FailoverRecovery(table, LEASE_MS, quietLog, () => 0);
+  for (const machine of machines) takeover.expectReconciliation(machine);
   return { machines, takeover, looks: () => looks };
 }
 
@@ -55,7 +59,7 @@
     if (backwards) machines.reverse();
     machines.forEach((machine, i) => {
       assert.equal(takeover.isComplete(), false, `${i} have spoken`);
-      machine.suspect = false;
+      machine.awaitingReconciliation = false;
       assert.equal(takeover.check(0), i === MACHINES - 1);
     });
     assert.ok(takeover.isComplete());
@@ -76,7 +80,7 @@
     'nothing waits while the controller keeps up',
   );
   assert.equal(takeover.mayPlace(true, began + LEASE_MS / 2 + 1), true);
-  for (const machine of machines) machine.suspect = false;
+  for (const machine of machines) machine.awaitingReconciliation = false;
   assert.ok(takeover.check(began + 200));
   assert.equal(takeover.mayPlace(true, began + 200), true, 'every machine is known');
 });
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -93,13 +93,13 @@
       decisions.started(attempt, usage.standing('t'), 0);
       usage.hold(attempt.job!.spec);
     },
-    attemptGone: (attempt) => {
+    attemptEnded: (attempt) => {
       usage.release(attempt.job!.spec);
     },
   });
   const machine = table.add('m1', 'm1:1', TYPE, 'a', false, 0);
-  Object.assign(machine, { stored: true, reported: true, token: TOKEN });
-  for (let task = 0; task < tasks; task++) table.hold(machine, 'run-1', job, task, task, 0);
+  Object.assign(machine, { stored: true, reported: true, shownToken: TOKEN });
+  for (let task = 0; task < tasks; task++) table.addAttempt(machine, 'run-1', job, task, task, 0);
   return {
     table,
     machine,
@@ -141,7 +141,7 @@
   );
   assert.equal(usage.isSuspended('t'), true);
   job.running = 7;
-  for (const attempt of [...machine.attempts.values()].slice(0, 3)) table.drop(attempt, 0);
+  for (const attempt of [...machine.attempts.values()].slice(0, 3)) table.removeAttempt(attempt, 0);
   audit.tick(3 * AUDIT_INTERVAL_MS);
   assert.equal(usage.isSuspended('t'), false);
   assert.equal(usage.mayStart(one()), true);
@@ -150,7 +150,7 @@
 test('what a machine reports under an older token is no proof of a breach', () => {
   const { machine, audit, errors } = audited(10, 7);
   for (const attempt of machine.attempts.values()) attempt.state = 'running';
-  machine.token = TOKEN - 1;
+  machine.shownToken = TOKEN - 1;
   audit.tick(0);
   assert.equal(errors.length, 0);
 });
@@ -158,9 +158,9 @@
 test('an attempt that is dropped twice is released once', () => {
   const { table, machine, usage } = audited(20, 2);
   const [attempt] = machine.attempts.values();
-  table.drop(attempt, 0);
-  table.refused([attempt], 0);
-  table.drop(attempt, 0);
+  table.removeAttempt(attempt, 0);
+  table.startsRejected([attempt], 0);
+  table.removeAttempt(attempt, 0);
   table.stop(attempt, { graceS: 0, reason: 'test', replaced: false }, 0);
   assert.equal(usage.standing('t')!.used.cpus, 2);
   assert.equal(machine.usedCpus, 2);
@@ -169,9 +169,9 @@
 test('a late word of a dropped gang task does not remove its replacement of the same number', () => {
   const { table, machine, job } = audited(20, 1);
   const [old] = machine.attempts.values();
-  table.drop(old, 0);
-  const replacement = table.hold(machine, 'run-1', job, 0, 0, 0);
-  table.drop(old, 0);
+  table.removeAttempt(old, 0);
+  const replacement = table.addAttempt(machine, 'run-1', job, 0, 0, 0);
+  table.removeAttempt(old, 0);
   assert.deepEqual([...machine.attempts.values()], [replacement]);
 });
 
@@ -187,13 +187,13 @@
     type: 'm',
     zone: 'a',
     spot: false,
-    session: 1,
-    seq: 7,
+    incarnation: 1,
+    sequence: 7,
     token: TOKEN,
-    noticeS: null,
+    preemptionNoticeS: null,
     tasks: [{ job: 'run-1', taskNumber: 0, attempt: 0, state: 'running' as const, cause: null }],
   };
-  assert.equal(table.apply(machine, report, 1), false);
+  assert.equal(table.applyHeartbeat(machine, report, 1), false);
   assert.equal(machine.attempts.size, 0);
   assert.equal(job.running, 0);
   assert.equal(usage.standing('t')!.used.cpus, 0);
