--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -11,7 +11,7 @@
 import { MachineRecordStore } from '../src/workers/machine-records.js';
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
-import { LiveMirror } from '../src/jobs/mirror.js';
+import { JobCache } from '../src/jobs/job-cache.js';
 import type { Reply } from '../src/runtime.js';
 import type { Body } from '../src/wire/cbor.js';
 
@@ -276,7 +276,7 @@
   const store = new StateStore(world, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
   const table = new MachineTable(1, 8000, () => undefined, {
     attemptAdded: () => undefined,
-    attemptGone: () => undefined,
+    attemptEnded: () => undefined,
   });
   const type = {
     name: 't',
@@ -290,14 +290,14 @@
     zones: ['a'],
   };
   const registry = new MachineRecordStore({
-    world,
+    runtime: world,
     store,
     table,
     txnOps: 12,
     valueBytes: 4096,
-    leads: () => true,
-    leaderGuard: () => ({ key: 'boss', version: c.state.items.get('boss')!.version }),
-    stored: () => undefined,
+    isLeader: () => true,
+    leaderPrecondition: () => ({ key: 'boss', version: c.state.items.get('boss')!.version }),
+    machinesStored: () => undefined,
   });
   const add = (id: string): Machine => {
     const m = table.add(id, `${id}:1`, type, 'a', false, 0);
@@ -368,10 +368,10 @@
   const world = outsider(c);
   c.net.lossy = 0;
   const store = new StateStore(world, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
-  const mirror = new LiveMirror(world, store, 50);
+  const mirror = new JobCache(world, store, 50);
   const fresh = async (): Promise<boolean | null> => {
     let r: boolean | null = null;
-    void mirror.fresh().then((ok) => (r = ok));
+    void mirror.refresh().then((ok) => (r = ok));
     await c.run(1);
     return r;
   };
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -299,17 +299,17 @@
     0,
   );
   const completionWriter = new CompletionWriter({
-    world,
+    runtime: world,
     store,
     jobs,
     txnOps: 4,
     writeRps: 50,
     valueBytes: 2048,
-    leads: () => true,
-    leaderGuard: () => ({ key: 'boss', version: c.state.items.get('boss')!.version }),
-    segmentGuard: () => null,
-    surelyEmpty: () => true,
-    ended: (j) => {
+    isLeader: () => true,
+    leaderPrecondition: () => ({ key: 'boss', version: c.state.items.get('boss')!.version }),
+    segmentPrecondition: () => null,
+    hasNoAttempts: () => true,
+    jobEnded: (j) => {
       jobs.remove(j);
     },
   });
