--- /dev/null
+++ b/test/digest/trace-digest.ts
@@ -0,0 +1,65 @@
+/**
+ * `npm run trace-digest -- --seeds 1-20`: a hash per seed over all that the controllers of a simulated cluster send.
+ * A refactoring that keeps behaviour keeps the hashes.
+ */
+import { Command, CommanderError } from 'commander';
+import { type SeedRange, readSeeds } from '../sim/seed-range.js';
+import { type SeedDigest, compareDigests, readDigests, writeDigests } from './recorded-digests.js';
+import { clusterFor, playScenario } from './scenario.js';
+import { scenarioOf } from './scenarios.js';
+import { TrafficDigest } from './traffic-digest.js';
+
+const DIFFERENT = 1;
+const USAGE_ERROR = 2;
+
+interface DigestOptions {
+  seeds: SeedRange;
+  record?: string;
+  expect?: string;
+}
+
+function readOptions(args: string[]): DigestOptions | null {
+  const command = new Command('trace-digest')
+    .requiredOption('--seeds <A-B>', 'seeds to play, for example 1-20', readSeeds)
+    .option('--record <FILE>', 'write the digests there')
+    .option('--expect <FILE>', 'compare with the digests recorded there')
+    .exitOverride();
+  try {
+    return command.parse(args, { from: 'user' }).opts<DigestOptions>();
+  } catch (error) {
+    if (!(error instanceof CommanderError)) throw error;
+    process.exitCode = error.exitCode === 0 ? 0 : USAGE_ERROR;
+    return null;
+  }
+}
+
+async function digestOf(seed: number): Promise<SeedDigest> {
+  const scenario = scenarioOf(seed);
+  const cluster = clusterFor(scenario, seed);
+  const traffic = new TrafficDigest(cluster);
+  await playScenario(scenario, cluster);
+  const { messages } = traffic;
+  return { seed, digest: traffic.finish(), messages };
+}
+
+function reportDifferences(digests: SeedDigest[], path: string): void {
+  const { different, unrecorded } = compareDigests(digests, readDigests(path));
+  if (different.length > 0) console.log(`different from ${path}: seeds ${different.join(' ')}`);
+  if (unrecorded.length > 0) console.log(`not recorded in ${path}: seeds ${unrecorded.join(' ')}`);
+  if (different.length + unrecorded.length > 0) process.exitCode = DIFFERENT;
+  else console.log(`all ${digests.length} as in ${path}`);
+}
+
+async function run({ seeds, record, expect }: DigestOptions): Promise<void> {
+  const digests: SeedDigest[] = [];
+  for (let seed = seeds.from; seed <= seeds.to; seed++) {
+    const result = await digestOf(seed);
+    digests.push(result);
+    console.log(`seed ${seed}: ${result.digest}, ${result.messages} messages`);
+  }
+  if (record !== undefined) writeDigests(record, digests);
+  if (expect !== undefined) reportDifferences(digests, expect);
+}
+
+const options = readOptions(process.argv.slice(2));
+if (options) await run(options);
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -36,6 +36,32 @@
   to: () => string;
 }
 
+export interface ObservedRequest {
+  from: string;
+  to: string;
+  method: string;
+  path: string;
+  /** As encoded for the wire; empty for a request without a body. */
+  body: Uint8Array;
+}
+
+export interface ObservedReply {
+  /** Who replies. */
+  from: string;
+  /** Who had asked. */
+  to: string;
+  path: string;
+  status: number;
+  /** As encoded for the wire. */
+  body: Uint8Array;
+}
+
+/** Is shown the traffic as it is sent, whether or not it arrives. Must not change anything. */
+export interface NetworkObserver {
+  requested(request: ObservedRequest): void;
+  replied(reply: ObservedReply): void;
+}
+
 /** Requests are delayed, lost, held by cuts and delivered late, and now and then repeated. */
 export class Network {
   readonly hosts = new Map<string, Host>();
@@ -45,6 +71,7 @@
   copies: Copies | null = null;
   /** How much longer everything takes. */
   slow = 1;
+  observer: NetworkObserver | null = null;
 
   constructor(
     readonly clock: VirtualClock,
@@ -100,6 +127,19 @@
     return h.handler ? h.handler(method, path, body, from) : null;
   }
 
+  /** A request that comes once more: nobody waits for its reply. */
+  private async deliverCopy(
+    from: string,
+    to: string,
+    method: string,
+    path: string,
+    body: Body,
+  ): Promise<void> {
+    const reply = await this.deliver(from, to, method, path, body);
+    if (reply && this.observer)
+      this.observer.replied({ ...reply, from: to, to: from, path, body: encode(reply.body) });
+  }
+
   /** A message without an answer, as between controllers: delayed, held or lost like the rest. */
   tell(from: string, to: string, arrive: () => void): void {
     this.carry(from, to, arrive, () => undefined);
@@ -114,7 +154,9 @@
     timeoutMs: number,
   ): Promise<Reply> {
     // Through the codec, so that what is sent is what the wire can carry.
-    const sent = body === null ? {} : decodeMap(encode(body))!;
+    const bytes = body === null ? new Uint8Array() : encode(body);
+    const sent = body === null ? {} : decodeMap(bytes)!;
+    this.observer?.requested({ from, to, method, path, body: bytes });
     return new Promise((resolve) => {
       let open = true;
       const settle = (r: Reply): void => {
@@ -131,7 +173,9 @@
             this.clock.after(1, none);
             return;
           }
-          const back = decodeMap(encode(r.body))!;
+          const replyBytes = encode(r.body);
+          const back = decodeMap(replyBytes)!;
+          this.observer?.replied({ from: to, to: from, path, status: r.status, body: replyBytes });
           this.carry(
             to,
             from,
@@ -148,13 +192,13 @@
         const copyTo = this.copies.to();
         this.clock.after(
           this.random.between(500, this.copies.upToMs),
-          () => void this.deliver(from, copyTo, method, path, sent),
+          () => void this.deliverCopy(from, copyTo, method, path, sent),
         );
       }
       if (method === 'POST' && this.random.chance(this.repeats))
         this.clock.after(
           this.random.between(50, 15_000),
-          () => void this.deliver(from, to, method, path, sent),
+          () => void this.deliverCopy(from, to, method, path, sent),
         );
     });
   }
--- a/test/sim/roll.ts
+++ b/test/sim/roll.ts
@@ -34,6 +34,24 @@
 /** Longer than a change of level takes with nobody away. */
 export const ROLL_S = 15;
 
+/** What an operator's command works with, beside the controllers. */
+export function operatorOf(cluster: Cluster): RolloutOperator {
+  const store = new StateStore(outsider(cluster), {
+    address: 'state:1',
+    nodes: 1,
+    rps: 100,
+    writeRps: 50,
+  });
+  return new RolloutOperator({
+    store,
+    controllers: NAMES,
+    registry: FEATURES,
+    settings: SETTINGS,
+    by: `operator-${cluster.clock.time}`,
+    wallMs: () => 1e12 + cluster.clock.time,
+  });
+}
+
 export class Roll {
   readonly cluster: Cluster;
   readonly rules: RolloutRules;
@@ -87,20 +105,7 @@
 
   async ask(action: 'activate' | 'abort' | 'downgrade'): Promise<OperatorResult> {
     const { cluster } = this;
-    const store = new StateStore(outsider(cluster), {
-      address: 'state:1',
-      nodes: 1,
-      rps: 100,
-      writeRps: 50,
-    });
-    const operator = new RolloutOperator({
-      store,
-      controllers: NAMES,
-      registry: FEATURES,
-      settings: SETTINGS,
-      by: `operator-${cluster.clock.time}`,
-      wallMs: () => 1e12 + cluster.clock.time,
-    });
+    const operator = operatorOf(cluster);
     let result: OperatorResult | null = null;
     void operator[action]().then((r) => (result = r));
     await this.until('the command has ended', () => result !== null);
--- /dev/null
+++ b/test/sim/seed-range.ts
@@ -0,0 +1,17 @@
+/** Seeds as the test commands take them: one, or a range. */
+import { InvalidArgumentError } from 'commander';
+
+export interface SeedRange {
+  from: number;
+  to: number;
+}
+
+/** For commander: `7` or `1-50`. */
+export function readSeeds(text: string): SeedRange {
+  const match = /^(\d+)(?:-(\d+))?$/.exec(text);
+  const from = Number(match?.[1]);
+  const to = Number(match?.[2] ?? from);
+  if (!match || from < 1 || to < from)
+    throw new InvalidArgumentError('expected A or A-B, from 1 on.');
+  return { from, to };
+}
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -4,30 +4,17 @@
 import { join } from 'node:path';
 import { Command, CommanderError, InvalidArgumentError } from 'commander';
 import { bundleController } from '../sim/controller-program.js';
+import { type SeedRange, readSeeds } from '../sim/seed-range.js';
 import { type SoakResult, runSoak } from './soak-run.js';
 
 const USAGE_ERROR = 2;
 const LAST_LOG_LINES = 200;
 
-interface SeedRange {
-  from: number;
-  to: number;
-}
-
 interface SoakOptions {
   seeds: SeedRange;
   jobs: number;
 }
 
-function readSeeds(text: string): SeedRange {
-  const match = /^(\d+)(?:-(\d+))?$/.exec(text);
-  const from = Number(match?.[1]);
-  const to = Number(match?.[2] ?? from);
-  if (!match || from < 1 || to < from)
-    throw new InvalidArgumentError('expected A or A-B, from 1 on.');
-  return { from, to };
-}
-
 function readJobs(text: string): number {
   if (!/^[1-9]\d?$/.test(text)) throw new InvalidArgumentError('expected a number from 1 to 99.');
   return Number(text);
