--- a/test/takeover-work.test.ts
+++ b/test/takeover-work.test.ts
@@ -34,13 +34,13 @@
   const byId = new Map(machines.map((m) => [m.id, m]));
   let looks = 0;
   for (const machine of machines) {
-    let suspect = false;
-    Object.defineProperty(machine, 'suspect', {
+    let awaited = false;
+    Object.defineProperty(machine, 'awaitingReconciliation', {
       get: () => {
         looks++;
-        return suspect;
+        return awaited;
       },
-      set: (value: boolean) => (suspect = value),
+      set: (value: boolean) => (awaited = value),
     });
   }
   const table = {
