--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -32,7 +32,7 @@
 import { FailoverRecovery } from './failover-recovery.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
 import { WorkerContact } from './worker-contact.js';
-import { type LeadershipTerm, TOKENS_PER_EPOCH } from './leadership.js';
+import { type LeadershipTerm, TOKENS_PER_EPOCH } from './leader-record.js';
 
 const TICK_MS = 200;
 /** What is stored is not all read yet. */
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -1,53 +1,82 @@
-/**
- * Leader election: a key in the state service, attached to a lease, names the leader. Its revision gives the
- * fencing token.
- */
-import type { Precondition, KeyValue } from '@millring/state-access';
+/** Leader election by a leased record in the state service: see `leader-record.ts`. */
+import type { KeyValue, Precondition } from '@millring/state-access';
 import type { PlatformSettings } from '../settings/platform.js';
 import { DRIFT, type Runtime, sleep } from '../runtime.js';
+import { StateMachine, type Transitions } from '../state-machine.js';
 import type { StateStore } from '../state-store/client.js';
-import { isMap } from '../wire/cbor.js';
+import {
+  type CampaignResult,
+  LEADER_KEY,
+  type LeadershipTerm,
+  createLeaderRecord,
+  leaderRecordPrecondition,
+  readLeaderRecord,
+} from './leader-record.js';
 
-const LEADER_KEY = 'leader';
-/** Tokens leave this much room below the claim's revision, for raising the token of one machine. */
-export const TOKENS_PER_EPOCH = 2 ** 20;
 const WATCH_MS = 10_000;
-/** How soon a process that may not lead looks again. */
+const READ_RETRY_MS = 300;
+const WATCH_RETRY_MS = 250;
+/** How soon a process that is not eligible looks again. */
 const INELIGIBLE_RETRY_MS = 500;
-/** Without a claim nothing may be written: no key ever has this revision. */
-const NO_REVISION = Number.MAX_SAFE_INTEGER;
+/** How often the validity of the lease is checked while nobody asks. */
+const VALIDITY_CHECK_INTERVAL_MS = 100;
+/** After resigning, so that another node can be elected. */
+const RESIGNED_BACKOFF_MS = 8000;
+const RESIGNED_BACKOFF_JITTER_MS = 2000;
+const NO_LEASE_BACKOFF_MS = 200;
+const NO_LEASE_BACKOFF_JITTER_MS = 200;
+const LOST_BACKOFF_MS = 50;
+const LOST_BACKOFF_JITTER_MS = 100;
+/** Taken off the lease's validity beside the clocks' drift. */
+const VALIDITY_MARGIN_MS = 20;
+/** Renewals within the time to live of the lease. */
+const RENEWALS_PER_TTL = 4;
+const MIN_RENEWAL_TIMEOUT_MS = 300;
 
 /**
- * following: another node leads, or nobody. claiming: a claim is on its way. leading: our lease surely
- * lives. paused: our lease may have ended, nothing may be started or answered; if a renewal still finds the
- * lease alive nobody can have claimed in between, so `leading` goes on where it stood.
+ * - `follower`: another node leads, or nobody.
+ * - `candidate`: a campaign is under way.
+ * - `leader`: our lease surely lives.
+ * - `suspended`: our lease may have ended, so nothing may be started or answered. If a renewal finds the lease alive,
+ *   nobody can have been elected in between, and this node goes on leading where it stopped.
  */
 export type LeadershipState = 'follower' | 'candidate' | 'leader' | 'suspended';
 
-const TRANSITIONS: Record<LeadershipState, LeadershipState[]> = {
+const TRANSITIONS: Transitions<LeadershipState> = {
   follower: ['candidate'],
   candidate: ['leader', 'follower'],
   leader: ['suspended', 'follower'],
   suspended: ['leader', 'follower'],
 };
 
-export interface LeadershipTerm {
-  /** The revision of our claim: it grows from leader to leader. */
-  epoch: number;
-  leaseId: number;
-}
-
+/** What follows from changes of leadership. */
 export interface LeadershipEvents {
-  /** A new claim succeeded: tables must be rebuilt. */
-  elected(claim: LeadershipTerm): void;
-  /** The claim is over for good. */
+  /** A new term begins: tables must be rebuilt. */
+  elected(term: LeadershipTerm): void;
+  /** The term has ended for good. */
   deposed(): void;
-  /** Leading again after a pause. */
+  /** Leading again after a suspension, in the same term. */
   resumed(): void;
 }
 
+/**
+ * One node's part in the election. At no time do two nodes hold `isLeader()`: each measures its lease by its own clock
+ * from when it asked for it, with the clocks' drift taken off.
+ */
 export class Leadership {
-  private state: LeadershipState = 'follower';
+  private readonly machine = new StateMachine<LeadershipState>(
+    'leadership',
+    TRANSITIONS,
+    'follower',
+    {
+      beforeTransition: (from, to, reason) => {
+        this.runtime.log.info({ from, to, reason }, 'leadership');
+      },
+      afterTransition: (from, to) => {
+        this.announce(from, to);
+      },
+    },
+  );
   private term: LeadershipTerm | null = null;
   private validUntilMs = 0;
   private campaignNotBefore = 0;
@@ -65,184 +94,188 @@
     private readonly isEligible: () => boolean = () => true,
   ) {}
 
-  private transitionTo(next: LeadershipState, why: string): void {
-    if (next === this.state) return;
-    if (!TRANSITIONS[this.state].includes(next))
-      throw new Error(`leadership: ${this.state} -> ${next}`);
-    this.runtime.log.info({ from: this.state, to: next, why }, 'leadership');
-    const before = this.state;
-    this.state = next;
-    if (next === 'leader') {
-      if (before === 'suspended') this.events.resumed();
+  private announce(from: LeadershipState, to: LeadershipState): void {
+    if (to === 'leader') {
+      if (from === 'suspended') this.events.resumed();
       else if (this.term) this.events.elected(this.term);
-    } else if (next === 'follower' && before !== 'candidate') {
+    } else if (to === 'follower' && from !== 'candidate') {
       this.term = null;
       this.events.deposed();
     }
   }
 
-  /** The only question that entitles this node to act. The clock is asked each time, since timers may be late. */
+  /** May this node act as the leader at this moment? The clock is read each time, since timers may be late. */
   isLeader(): boolean {
-    if (this.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
-      this.transitionTo('suspended', 'lease may end');
-    return this.state === 'leader';
+    if (this.machine.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
+      this.machine.transitionTo('suspended', 'lease may have ended');
+    return this.machine.state === 'leader';
   }
 
   /** Whom workers should report to; null when that is not known. */
   leaderName(): string | null {
     if (this.isLeader()) return this.settings.node;
-    return this.state === 'follower' && this.observedLeader !== this.settings.node
+    return this.machine.state === 'follower' && this.observedLeader !== this.settings.node
       ? this.observedLeader
       : null;
   }
 
-  /** Our claim surely stands, or stood, until then. */
+  /** Until then nobody else can be, or can have been, elected after this node. */
   leaseValidUntil(): number {
     return this.validUntilMs;
   }
 
-  /** The latest claim that this node has seen, whoever made it. */
+  /** The latest epoch that this node has seen, whoever leads in it. */
   highestSeenEpoch(): number {
     return this.highestEpoch;
   }
 
   isCandidate(): boolean {
-    return this.state === 'candidate';
+    return this.machine.state === 'candidate';
   }
 
   currentTerm(): LeadershipTerm | null {
     return this.term;
   }
 
-  /** Guards every write of the leader: one that arrives after the claim has gone changes nothing. */
+  /** Guards every write of the leader: one that arrives after the term has ended changes nothing. */
   termPrecondition(): Precondition {
-    return { key: LEADER_KEY, version: this.term?.epoch ?? NO_REVISION };
+    return leaderRecordPrecondition(this.term);
   }
 
   run(): void {
     void this.followLoop();
-    this.tick();
+    this.checkValidity();
   }
 
-  private tick(): void {
+  private checkValidity(): void {
     this.isLeader();
-    this.runtime.clock.after(100, () => {
-      this.tick();
+    this.runtime.clock.after(VALIDITY_CHECK_INTERVAL_MS, () => {
+      this.checkValidity();
     });
   }
 
-  /** Gives the claim back, so that a node that hears the workers can take it. */
-  async resign(why: string): Promise<void> {
-    const claim = this.term;
-    if (!claim || this.state === 'candidate') return;
-    this.campaignNotBefore = this.runtime.clock.now() + 8000 + this.runtime.random() * 2000;
-    this.transitionTo('follower', why);
-    await this.store.revokeLease(claim.leaseId);
+  /** Ends the term and campaigns no more for a while, so that a node that hears the workers can be elected. */
+  async resign(reason: string): Promise<void> {
+    const { term } = this;
+    if (!term || this.isCandidate()) return;
+    this.campaignNotBefore =
+      this.runtime.clock.now() + this.withJitter(RESIGNED_BACKOFF_MS, RESIGNED_BACKOFF_JITTER_MS);
+    this.machine.transitionTo('follower', reason);
+    await this.store.revokeLease(term.leaseId);
   }
 
   private async followLoop(): Promise<void> {
-    const { clock } = this.runtime;
     for (;;) {
-      const r = await this.store.get(LEADER_KEY);
-      if (r.kind === 'unavailable') {
-        await sleep(clock, 300);
-        continue;
+      const read = await this.store.get(LEADER_KEY);
+      if (read.kind === 'unavailable') {
+        await sleep(this.runtime.clock, READ_RETRY_MS);
+      } else if (read.kind === 'absent') {
+        this.observeVacancy();
+        await this.campaignOrWait(read.revision);
+      } else {
+        await this.observeLeader(read.entry);
+        await this.waitForChange(read.entry.version, WATCH_MS);
       }
-      if (r.kind === 'absent') {
-        this.observedLeader = null;
-        if (this.state === 'leader' || this.state === 'suspended')
-          this.transitionTo('follower', 'key is gone');
-        const wait = this.campaignNotBefore - clock.now();
-        if (!this.isEligible()) await sleep(clock, INELIGIBLE_RETRY_MS);
-        else if (wait > 0) await this.waitForChange(r.revision, Math.min(wait, WATCH_MS));
-        else await this.campaign();
-        continue;
-      }
-      await this.observeLeader(r.entry);
-      await this.waitForChange(r.entry.version, WATCH_MS);
     }
   }
 
-  private async observeLeader(pair: KeyValue): Promise<void> {
-    const v = isMap(pair.value) ? pair.value : {};
-    this.observedLeader = typeof v.node === 'string' ? v.node : null;
-    this.highestEpoch = Math.max(this.highestEpoch, pair.version);
-    const mine = this.term !== null && pair.version === this.term.epoch;
-    if (mine) return;
-    if (this.state === 'leader' || this.state === 'suspended')
-      this.transitionTo('follower', 'another claim stands');
-    // The key of an earlier life of this very node: that process has ended, so its lease can be ended at once.
-    if (this.observedLeader === this.settings.node && typeof v.lease === 'number')
-      await this.store.revokeLease(v.lease);
+  private observeVacancy(): void {
+    this.observedLeader = null;
+    this.endTerm('leader record is gone');
+  }
+
+  private async campaignOrWait(revision: number): Promise<void> {
+    const { clock } = this.runtime;
+    const waitMs = this.campaignNotBefore - clock.now();
+    if (!this.isEligible()) await sleep(clock, INELIGIBLE_RETRY_MS);
+    else if (waitMs > 0) await this.waitForChange(revision, Math.min(waitMs, WATCH_MS));
+    else await this.campaign();
+  }
+
+  private async observeLeader(entry: KeyValue): Promise<void> {
+    const record = readLeaderRecord(entry.value);
+    this.observedLeader = record.node;
+    this.highestEpoch = Math.max(this.highestEpoch, entry.version);
+    const isOurs = this.term !== null && entry.version === this.term.epoch;
+    if (isOurs) return;
+    this.endTerm('another node was elected');
+    // Of an earlier process of this very node, which has ended: its lease can be revoked at once.
+    if (record.node === this.settings.node && record.leaseId !== null)
+      await this.store.revokeLease(record.leaseId);
   }
 
-  private async waitForChange(after: number, waitMs: number): Promise<void> {
-    const w = await this.store.watch(LEADER_KEY, after, Math.round(waitMs));
-    if (w.kind === 'unavailable') await sleep(this.runtime.clock, 250);
+  private endTerm(reason: string): void {
+    const { state } = this.machine;
+    if (state === 'leader' || state === 'suspended') this.machine.transitionTo('follower', reason);
+  }
+
+  private async waitForChange(revision: number, waitMs: number): Promise<void> {
+    const result = await this.store.watch(LEADER_KEY, revision, Math.round(waitMs));
+    if (result.kind === 'unavailable') await sleep(this.runtime.clock, WATCH_RETRY_MS);
   }
 
   private async campaign(): Promise<void> {
     const { clock } = this.runtime;
-    this.transitionTo('candidate', 'no leader');
-    const sent = clock.now();
-    const lease = await this.store.grantLease(this.ttlMs);
-    if (lease === null) {
-      this.transitionTo('follower', 'no lease');
-      await sleep(clock, 200 + this.runtime.random() * 200);
-      return;
-    }
-    const value = { node: this.settings.node, lease };
-    const t = await this.store.compareAndSwap(
-      [{ key: LEADER_KEY, version: 0 }],
-      [{ put: LEADER_KEY, value, lease }],
-      true,
-    );
-    let revision = t.kind === 'committed' ? t.revision : 0;
-    if (t.kind === 'indeterminate') {
-      // The claim may have been applied without an answer: the lease in the key tells.
-      const r = await this.store.get(LEADER_KEY);
-      if (r.kind === 'found' && isMap(r.entry.value) && r.entry.value.lease === lease)
-        revision = r.entry.version;
+    this.machine.transitionTo('candidate', 'no leader');
+    const sentAt = clock.now();
+    const leaseId = await this.store.grantLease(this.ttlMs);
+    const result: CampaignResult =
+      leaseId === null
+        ? { kind: 'no-lease' }
+        : await createLeaderRecord(this.store, this.settings.node, leaseId);
+    switch (result.kind) {
+      case 'won':
+        this.beginTerm(result.term, sentAt);
+        return;
+      case 'no-lease':
+        this.machine.transitionTo('follower', 'no lease');
+        await sleep(clock, this.withJitter(NO_LEASE_BACKOFF_MS, NO_LEASE_BACKOFF_JITTER_MS));
+        return;
+      case 'lost':
+        this.machine.transitionTo('follower', `campaign lost: ${result.outcome}`);
+        void this.store.revokeLease(result.leaseId);
+        await sleep(clock, this.withJitter(LOST_BACKOFF_MS, LOST_BACKOFF_JITTER_MS));
     }
-    if (revision === 0) {
-      this.transitionTo('follower', `claim ${t.kind}`);
-      void this.store.revokeLease(lease);
-      await sleep(clock, 50 + this.runtime.random() * 100);
-      return;
-    }
-    this.term = { epoch: revision, leaseId: lease };
-    this.highestEpoch = Math.max(this.highestEpoch, revision);
+  }
+
+  private withJitter(baseMs: number, jitterMs: number): number {
+    return baseMs + this.runtime.random() * jitterMs;
+  }
+
+  private beginTerm(term: LeadershipTerm, leaseRequestedAt: number): void {
+    this.term = term;
+    this.highestEpoch = Math.max(this.highestEpoch, term.epoch);
     this.observedLeader = this.settings.node;
-    this.extendValidity(sent);
-    this.transitionTo('leader', 'claimed');
-    void this.renewLoop(this.term);
+    this.extendValidity(leaseRequestedAt);
+    this.machine.transitionTo('leader', 'elected');
+    void this.renewLoop(term);
   }
 
-  /** Counted from when the request was sent, by our own clock, drift taken off. */
-  private extendValidity(sent: number): void {
-    this.validUntilMs = Math.max(this.validUntilMs, sent + this.ttlMs / DRIFT - 20);
+  /** Counted by our own clock from when the request was sent, drift taken off. */
+  private extendValidity(sentAt: number): void {
+    const until = sentAt + this.ttlMs / DRIFT - VALIDITY_MARGIN_MS;
+    this.validUntilMs = Math.max(this.validUntilMs, until);
   }
 
-  private async renewLoop(claim: LeadershipTerm): Promise<void> {
+  private async renewLoop(term: LeadershipTerm): Promise<void> {
     const { clock } = this.runtime;
-    while (this.term === claim) {
-      await sleep(clock, this.ttlMs / 4);
-      if (this.term !== claim) return;
-      const sent = clock.now();
-      const r = await this.store.renewLease(
-        claim.leaseId,
-        this.ttlMs,
-        Math.max(300, this.ttlMs / 3),
-      );
-      if (this.term !== claim) return;
-      if (r === 'expired') {
-        this.transitionTo('follower', 'lease ended');
-      } else if (r === 'renewed') {
-        this.isLeader();
-        this.extendValidity(sent);
-        if (this.state === 'suspended' && clock.now() < this.validUntilMs)
-          this.transitionTo('leader', 'lease is alive');
-      }
+    const timeoutMs = Math.max(MIN_RENEWAL_TIMEOUT_MS, this.ttlMs / 3);
+    while (this.term === term) {
+      await sleep(clock, this.ttlMs / RENEWALS_PER_TTL);
+      if (this.term !== term) return;
+      const sentAt = clock.now();
+      const result = await this.store.renewLease(term.leaseId, this.ttlMs, timeoutMs);
+      if (this.term !== term) return;
+      if (result === 'expired') this.machine.transitionTo('follower', 'lease has ended');
+      else if (result === 'renewed') this.leaseRenewed(sentAt);
     }
   }
+
+  private leaseRenewed(sentAt: number): void {
+    // Suspends first where the validity has ended: the renewal then resumes the term.
+    this.isLeader();
+    this.extendValidity(sentAt);
+    if (this.machine.state === 'suspended' && this.runtime.clock.now() < this.validUntilMs)
+      this.machine.transitionTo('leader', 'lease is alive');
+  }
 }
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -8,7 +8,7 @@
  * for; the leader, and any later leader, adds that time before it calls a worker's lease over.
  */
 import { DRIFT } from '../runtime.js';
-import { TOKENS_PER_EPOCH } from './leadership.js';
+import { TOKENS_PER_EPOCH } from './leader-record.js';
 
 /** No answer for so long: the leader is out of reach. */
 const CONTACT_TIMEOUT_MS = 1200;
--- a/src/node.ts
+++ b/src/node.ts
@@ -13,7 +13,8 @@
   LeaseExtender,
   leaseExtensionMs,
 } from './leadership/lease-extension.js';
-import { type LeadershipTerm, Leadership } from './leadership/leadership.js';
+import type { LeadershipTerm } from './leadership/leader-record.js';
+import { Leadership } from './leadership/leadership.js';
 import { Cancellations } from './jobs/cancellations.js';
 import { Attestations } from './peers/attestations.js';
 import { BUILD, COMPACT_FINISHED_TASKS } from './build.js';
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -2,7 +2,7 @@
 import { type Server, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { outgoing } from '../../src/outgoing.js';
-import { TOKENS_PER_EPOCH } from '../../src/leadership/leadership.js';
+import { TOKENS_PER_EPOCH } from '../../src/leadership/leader-record.js';
 import { type Body, decodeMap, encode, isMap, narrow } from '../../src/wire/cbor.js';
 import { type CloudMachine, CloudService } from './cloud.js';
 import { VirtualClock } from './clock.js';
--- /dev/null
+++ b/test/state-machine.test.ts
@@ -0,0 +1,40 @@
+/** State machines: which transitions occur, and who hears of them. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { IllegalTransitionError, StateMachine, type Transitions } from '../src/state-machine.js';
+
+type Light = 'red' | 'green' | 'off';
+
+const TRANSITIONS: Transitions<Light> = { red: ['green'], green: ['red', 'off'], off: [] };
+
+function recorded(): { machine: StateMachine<Light>; events: string[] } {
+  const events: string[] = [];
+  const machine: StateMachine<Light> = new StateMachine(`light`, TRANSITIONS, 'red', {
+    beforeTransition: (from, to, reason) =>
+      events.push(`before ${from} ${to} (${reason}): ${machine.state}`),
+    afterTransition: (from, to) => events.push(`after ${from} ${to}: ${machine.state}`),
+  });
+  return { machine, events };
+}
+
+test('a listed transition changes the state, and the listener hears of it before and after', () => {
+  const { machine, events } = recorded();
+  machine.transitionTo('green', 'time');
+  assert.equal(machine.state, 'green');
+  assert.deepEqual(events, ['before red green (time): red', 'after red green: green']);
+});
+
+test('a transition that is not listed throws and changes nothing', () => {
+  const { machine, events } = recorded();
+  assert.throws(() => {
+    machine.transitionTo('off', 'time');
+  }, IllegalTransitionError);
+  assert.equal(machine.state, 'red');
+  assert.deepEqual(events, []);
+});
+
+test('the present state is no transition', () => {
+  const { machine, events } = recorded();
+  machine.transitionTo('red', 'time');
+  assert.deepEqual(events, []);
+});
