--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -9,47 +9,53 @@
 const WATCH_MS = 10_000;
 const RETRY_MS = 200;
 
+/** Where the feed reads jobs, and whom it tells. */
 export interface JobFeedDependencies {
   runtime: Runtime;
   store: StateStore;
   jobs: JobTable;
-  /** Does the leader's claim still stand? */
-  isActive(): boolean;
+  /** False ends the feed. */
+  isServing(): boolean;
   /** A live record, new or changed. */
   recordStored(id: string, value: unknown, version: number): void;
   /** The live record is gone. */
   recordRemoved(job: Job): void;
-  /** Something has changed. */
+  /** All changes of a batch have been told. */
   jobsChanged(): void;
 }
 
+/** Is told which records of finished tasks are stored. */
+export interface FinishedRecordListener {
+  recordFound(job: Job, recordNumber: number): void;
+  /** The record's job has ended. */
+  orphanFound(key: string): void;
+}
+
+/** The leader's view of the live job records. */
 export class JobFeed {
   constructor(private readonly deps: JobFeedDependencies) {}
 
-  private take(pair: KeyValue): void {
-    this.deps.recordStored(pair.key.slice(LIVE.length), pair.value, pair.version);
-  }
-
-  /** The live jobs and their finished tasks, as read on taking over; records whose job has ended are told. */
+  /** Takes in the live jobs and their finished tasks, as read by a new leader. */
   load(
-    live: KeyValue[],
-    finished: KeyValue[],
-    written: (job: Job, recordNumber: number) => void,
-    leftOver: (key: string) => void,
+    live: readonly KeyValue[],
+    finished: readonly KeyValue[],
+    listener: FinishedRecordListener,
   ): void {
-    for (const pair of live) this.take(pair);
-    const liveKeys = new Set(live.map((pair) => pair.key));
-    for (const pair of finished) {
-      const [id, number] = pair.key.slice(FINISHED.length).split('/');
+    for (const entry of live) this.applyStored(entry);
+    const liveKeys = new Set(live.map((entry) => entry.key));
+    for (const entry of finished) {
+      const [id, recordNumber] = entry.key.slice(FINISHED.length).split('/');
       const job = this.deps.jobs.get(id);
-      if (!job && !liveKeys.has(LIVE + id)) leftOver(pair.key);
-      if (!job) continue;
-      written(job, Number(number));
-      this.takeFinished(job, Number(number), pair.value);
+      if (job) {
+        listener.recordFound(job, Number(recordNumber));
+        this.loadFinished(job, Number(recordNumber), entry.value);
+      } else if (!liveKeys.has(LIVE + id)) {
+        listener.orphanFound(entry.key);
+      }
     }
   }
 
-  private takeFinished(job: Job, recordNumber: number, value: unknown): void {
+  private loadFinished(job: Job, recordNumber: number, value: unknown): void {
     const record = readFinishedRecord(recordNumber, value);
     if (record.kind === 'readable') {
       job.loadFinished(record.firstTask, record.bits);
@@ -59,42 +65,47 @@
     this.deps.runtime.log.error(fields, 'unreadable record of finished tasks');
   }
 
-  async follow(since: number): Promise<void> {
+  /** Applies all changes after the revision, until the term ends. */
+  async follow(sinceRevision: number): Promise<void> {
     const { store, runtime } = this.deps;
-    while (this.deps.isActive()) {
-      const answer = await store.watch(LIVE, since, WATCH_MS);
-      if (!this.deps.isActive()) return;
-      if (answer.kind === 'events') {
-        since = Math.max(since, answer.revision);
-        for (const event of answer.events) this.apply(event);
-        if (answer.events.length > 0) this.deps.jobsChanged();
-      } else if (answer.kind === 'unavailable') {
+    let revision = sinceRevision;
+    while (this.deps.isServing()) {
+      const result = await store.watch(LIVE, revision, WATCH_MS);
+      if (!this.deps.isServing()) return;
+      if (result.kind === 'events') {
+        revision = Math.max(revision, result.revision);
+        for (const event of result.events) this.applyEvent(event);
+        if (result.events.length > 0) this.deps.jobsChanged();
+      } else if (result.kind === 'unavailable') {
         await sleep(runtime.clock, RETRY_MS);
       } else {
-        since = (await this.reload()) ?? since;
+        revision = (await this.reload()) ?? revision;
       }
     }
   }
 
-  private apply(event: WatchEvent): void {
-    const id = event.key.slice(LIVE.length);
+  private applyStored({ key, value, version }: KeyValue): void {
+    this.deps.recordStored(key.slice(LIVE.length), value, version);
+  }
+
+  private applyEvent(event: WatchEvent): void {
     if (!event.deleted) {
-      this.deps.recordStored(id, event.value, event.version);
+      this.applyStored(event);
       return;
     }
-    const job = this.deps.jobs.get(id);
+    const job = this.deps.jobs.get(event.key.slice(LIVE.length));
     if (job && job.version < event.version) this.deps.recordRemoved(job);
   }
 
-  /** The changes since are not kept any more: everything is read again. */
+  /** The changes since are compacted: reads all jobs again. Returns their revision, or null if they can't be read. */
   private async reload(): Promise<number | null> {
     const all = await this.deps.store.scan(LIVE);
     if (!all) return null;
-    const live = new Set(all.pairs.map((pair) => pair.key));
+    const liveKeys = new Set(all.pairs.map((pair) => pair.key));
     for (const job of [...this.deps.jobs.all()])
-      if (!live.has(LIVE + job.spec.id) && job.version <= all.revision)
+      if (!liveKeys.has(LIVE + job.spec.id) && job.version <= all.revision)
         this.deps.recordRemoved(job);
-    for (const pair of all.pairs) this.take(pair);
+    for (const entry of all.pairs) this.applyStored(entry);
     this.deps.jobsChanged();
     return all.revision;
   }
--- /dev/null
+++ b/src/leadership/job-intake.ts
@@ -0,0 +1,66 @@
+/** Takes live jobs into the leader's tables, and out of them once they have ended. */
+import { type Job, type JobTable } from '../jobs/job-table.js';
+import { readLive } from '../jobs/records.js';
+import type { Placement } from '../placement/placement.js';
+import type { Clock } from '../runtime.js';
+import type { CycleScheduler } from './cycle-scheduler.js';
+import type { TermLifecycle } from './term-lifecycle.js';
+
+/** The tables that jobs are taken into. */
+export interface JobIntakeDependencies {
+  clock: Clock;
+  lifecycle: TermLifecycle;
+  jobs: JobTable;
+  placement: Pick<Placement, 'jobAdded' | 'jobEnded' | 'cancelled'>;
+  cycles: CycleScheduler;
+  /** Is it known that the job is cancelled, whatever its record says as last read? */
+  isCancelled(id: string): boolean;
+}
+
+/** Keeps the job table and the placement in step with the live job records. */
+export class JobIntake {
+  constructor(private readonly deps: JobIntakeDependencies) {}
+
+  /** The live record of a job, new or changed. Older versions and unreadable records change nothing. */
+  upsertJob(id: string, value: unknown, version: number): void {
+    const { jobs, placement } = this.deps;
+    const record = readLive(value);
+    if (!record || record.spec.id !== id) return;
+    const known = jobs.get(id);
+    if (known && known.version >= version) return;
+    const createdInThisTerm = version > this.deps.lifecycle.epoch && !record.cancelled;
+    const job =
+      known ?? jobs.add(record.spec, version, record.at, createdInThisTerm, this.deps.clock.now());
+    job.version = version;
+    if (!known) placement.jobAdded(job);
+    if (record.cancelled || this.deps.isCancelled(id)) this.markCancelled(job);
+  }
+
+  /** Only a leader removes live records, once all is done: here our own write, whose response was lost. */
+  recordRemoved(job: Job): void {
+    job.ended = 'yes';
+    this.forgetJob(job);
+  }
+
+  /** The job has ended. Told by our own write or by the watch, whichever comes first. */
+  forgetJob(job: Job): void {
+    const { jobs, placement, cycles } = this.deps;
+    if (jobs.get(job.spec.id) !== job) return;
+    jobs.remove(job);
+    placement.jobEnded(job);
+    cycles.request();
+  }
+
+  /** The job is cancelled, as this node knows otherwise than by the watch, which may be late. */
+  recordCancellation(id: string): void {
+    const job = this.deps.jobs.get(id);
+    if (job && this.deps.lifecycle.isServing()) this.markCancelled(job);
+  }
+
+  private markCancelled(job: Job): void {
+    if (job.jobCancelled) return;
+    job.jobCancelled = true;
+    this.deps.placement.cancelled(job);
+    this.deps.cycles.request();
+  }
+}
--- /dev/null
+++ b/src/leadership/leader-autoscaler.ts
@@ -0,0 +1,72 @@
+/** Composition of the autoscaler of a leader's term. */
+import type { IntentLog } from '@millring/duties';
+import { Autoscaler } from '../autoscaler/autoscaler.js';
+import { Cloud } from '../autoscaler/cloud.js';
+import { DirectActions } from '../autoscaler/machine-actions.js';
+import type { Demand } from '../autoscaler/scaling-plan.js';
+import { IntentActions } from '../duties/intent-actions.js';
+import { moneyCounts } from '../settings/money.js';
+import type { Machine } from '../workers/machine.js';
+import type { MachineTable } from '../workers/machine-table.js';
+import type { LeaderTermDependencies } from './leader-term-dependencies.js';
+import type { LeaseExtensionGrants } from './lease-extension.js';
+import { leasesExtendableUntil, partitionedZones } from './partitioned-zones.js';
+import type { TermLifecycle } from './term-lifecycle.js';
+
+/** The parts of the term that the autoscaler works with. */
+export interface AutoscalerContext {
+  lifecycle: TermLifecycle;
+  table: MachineTable;
+  intents: IntentLog;
+  grants: LeaseExtensionGrants;
+  leaseExtensionMs: number;
+  demand(): Demand;
+  /** Does this controller lag, so that what seems silent may just wait unread? */
+  isBehind(): boolean;
+  /** The machine and everything on it are gone. */
+  machineGone(machine: Machine): void;
+}
+
+/** An autoscaler that acts through intents where the cluster's level allows them, and directly elsewhere. */
+export function createAutoscaler(
+  deps: LeaderTermDependencies,
+  context: AutoscalerContext,
+): Autoscaler {
+  const { runtime, settings, operator, types } = deps;
+  const { lifecycle, table, grants, leaseExtensionMs } = context;
+  const cloud = new Cloud(runtime, settings.cloud, settings.cloudRps);
+  return new Autoscaler({
+    runtime,
+    cloud,
+    actions: createMachineActions(cloud, deps, context),
+    table,
+    operator,
+    types,
+    saveMoney: moneyCounts(settings, operator),
+    reportS: settings.reportS,
+    listLagS: settings.listLagS,
+    isLeader: () => lifecycle.isLeader(),
+    demand: () => context.demand(),
+    cutZones: () => partitionedZones(settings, grants, runtime.clock.now()),
+    keptUntil: (zone) => leasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
+    homeZones: new Set([settings.zone, ...settings.peers.map((peer) => peer.zone)]),
+    leaseS: settings.leaseS,
+    behind: () => context.isBehind(),
+    gone: (machine) => {
+      context.machineGone(machine);
+    },
+  });
+}
+
+function createMachineActions(
+  cloud: Cloud,
+  { settings, duties }: LeaderTermDependencies,
+  { lifecycle, intents }: AutoscalerContext,
+): IntentActions {
+  return new IntentActions({
+    log: intents,
+    direct: new DirectActions(cloud, () => lifecycle.nextRequestName(settings.node)),
+    usesIntents: () => duties.usesIntents(),
+    valueBytes: settings.valueKb * 1024,
+  });
+}
--- /dev/null
+++ b/src/leadership/leader-components.ts
@@ -0,0 +1,294 @@
+/** Composition of the parts of a leader's term. */
+import type { IntentLog } from '@millring/duties';
+import type { Autoscaler } from '../autoscaler/autoscaler.js';
+import { demandOf } from '../autoscaler/demand.js';
+import type { Demand } from '../autoscaler/scaling-plan.js';
+import { CompletionWriter } from '../jobs/completion-writer.js';
+import { type Job, JobTable } from '../jobs/job-table.js';
+import { Placement } from '../placement/placement.js';
+import { shareSockets } from '../sockets.js';
+import { CommandSender } from '../workers/command-sender.js';
+import type { Machine } from '../workers/machine.js';
+import { MachineRecordStore } from '../workers/machine-records.js';
+import { MachineTable } from '../workers/machine-table.js';
+import { ControlLoop, TICK_MS } from './control-loop.js';
+import { CycleScheduler } from './cycle-scheduler.js';
+import { EventLoopLag } from './event-loop-lag.js';
+import { FailoverRecovery } from './failover-recovery.js';
+import { HeartbeatHandler } from './heartbeat-handler.js';
+import { JobFeed } from './job-feed.js';
+import { JobIntake } from './job-intake.js';
+import { createAutoscaler } from './leader-autoscaler.js';
+import type { LeaderTermDependencies } from './leader-term-dependencies.js';
+import { LeaseExtensionGrants, leaseExtensionMs } from './lease-extension.js';
+import { LeaseExtensionHandler } from './lease-extension-handler.js';
+import { LeaseMonitor } from './lease-monitor.js';
+import type { TermLifecycle } from './term-lifecycle.js';
+import { WorkerContact } from './worker-contact.js';
+
+/**
+ * The tables of one term, empty at first, and the parts that act on them. They refer to each other, so that callbacks
+ * look up parts that are created later: none of them is called before the term runs.
+ */
+export class LeaderComponents {
+  readonly jobs = new JobTable();
+  readonly contact: WorkerContact;
+  readonly table: MachineTable;
+  readonly recovery: FailoverRecovery;
+  readonly cycles: CycleScheduler;
+  readonly feed: JobFeed;
+  readonly sender: CommandSender;
+  readonly machineRecords: MachineRecordStore;
+  readonly completionWriter: CompletionWriter;
+  readonly intents: IntentLog;
+  readonly autoscaler: Autoscaler;
+  readonly intake: JobIntake;
+  readonly heartbeats: HeartbeatHandler;
+  readonly leaseExtensions: LeaseExtensionHandler;
+  readonly controlLoop: ControlLoop;
+  private readonly placement: Placement;
+  private readonly leaseMonitor: LeaseMonitor;
+  private readonly eventLoopLag: EventLoopLag;
+  private readonly grants: LeaseExtensionGrants;
+  private readonly leaseMs: number;
+  private readonly leaseExtensionMs: number;
+
+  constructor(
+    private readonly deps: LeaderTermDependencies,
+    private readonly lifecycle: TermLifecycle,
+  ) {
+    const { runtime, settings } = deps;
+    const now = runtime.clock.now();
+    this.leaseMs = settings.leaseS * 1000;
+    this.leaseExtensionMs = leaseExtensionMs(settings.cancelS, settings.leaseS);
+    this.contact = new WorkerContact(settings.reportS, now);
+    this.eventLoopLag = new EventLoopLag(TICK_MS, now, runtime.log);
+    this.grants = new LeaseExtensionGrants(this.leaseExtensionMs, now);
+    this.table = this.createMachineTable();
+    this.recovery = this.createRecovery();
+    this.cycles = new CycleScheduler(runtime.clock, lifecycle, (beganAt) =>
+      this.controlLoop.runSchedulingCycle(beganAt),
+    );
+    this.feed = this.createJobFeed();
+    this.sender = this.createCommandSender();
+    this.machineRecords = this.createMachineRecordStore();
+    this.completionWriter = this.createCompletionWriter();
+    this.intents = this.openIntentLog();
+    this.autoscaler = this.createAutoscaler();
+    this.placement = this.createPlacement();
+    this.intake = this.createJobIntake();
+    this.heartbeats = this.createHeartbeatHandler();
+    this.leaseMonitor = this.createLeaseMonitor();
+    this.leaseExtensions = this.createLeaseExtensionHandler();
+    this.controlLoop = this.createControlLoop();
+  }
+
+  private createMachineTable(): MachineTable {
+    return new MachineTable(this.lifecycle.baseToken, this.leaseMs, (id) => this.jobs.get(id), {
+      attemptAdded: (attempt) => {
+        this.placement.attemptAdded(attempt);
+      },
+      attemptEnded: (attempt) => {
+        this.placement.attemptEnded(attempt);
+        this.cycles.request();
+      },
+    });
+  }
+
+  private createRecovery(): FailoverRecovery {
+    const { log } = this.deps.runtime;
+    return new FailoverRecovery(this.table, this.leaseMs, log, () => this.jobs.size());
+  }
+
+  private createJobFeed(): JobFeed {
+    const { runtime, store } = this.deps;
+    return new JobFeed({
+      runtime,
+      store,
+      jobs: this.jobs,
+      isServing: () => this.lifecycle.isServing(),
+      recordStored: (id, value, version) => {
+        this.intake.upsertJob(id, value, version);
+      },
+      recordRemoved: (job) => {
+        this.intake.recordRemoved(job);
+      },
+      jobsChanged: () => {
+        this.cycles.request();
+      },
+    });
+  }
+
+  private createCommandSender(): CommandSender {
+    const { runtime, settings, operator } = this.deps;
+    return new CommandSender({
+      runtime,
+      table: this.table,
+      isLeader: () => this.lifecycle.isLeader(),
+      timeoutMs: operator.command_timeout_ms,
+      maxInFlight: shareSockets(settings.sockets).requests,
+      applyHeartbeat: (machine, heartbeat) => {
+        this.heartbeats.apply(machine, heartbeat);
+      },
+      mayStart: () => this.deps.cancellationsAreFresh(),
+    });
+  }
+
+  private createMachineRecordStore(): MachineRecordStore {
+    const { runtime, settings, store } = this.deps;
+    return new MachineRecordStore({
+      runtime,
+      store,
+      table: this.table,
+      txnOps: settings.txnOps,
+      valueBytes: settings.valueKb * 1024,
+      isLeader: () => this.lifecycle.isLeader(),
+      leaderPrecondition: () => this.deps.termPrecondition(),
+      machinesStored: () => {
+        this.cycles.request();
+      },
+    });
+  }
+
+  private createCompletionWriter(): CompletionWriter {
+    const { runtime, settings, store } = this.deps;
+    return new CompletionWriter({
+      runtime,
+      store,
+      jobs: this.jobs,
+      txnOps: settings.txnOps,
+      writeRps: settings.stateWriteRps,
+      valueBytes: settings.valueKb * 1024,
+      isLeader: () => this.lifecycle.isLeader(),
+      leaderPrecondition: () => this.deps.termPrecondition(),
+      segmentPrecondition: () => this.deps.segmentPrecondition(),
+      hasNoAttempts: (job) =>
+        (job.createdInThisTerm || this.recovery.isComplete()) && job.attempts.size === 0,
+      jobEnded: (job) => {
+        this.intake.forgetJob(job);
+      },
+    });
+  }
+
+  private openIntentLog(): IntentLog {
+    return this.deps.duties.intentLog({
+      active: () => !this.lifecycle.hasEnded(),
+      leaderGuard: () => this.deps.termPrecondition(),
+      requestName: () => this.lifecycle.nextRequestName(this.deps.settings.node),
+    });
+  }
+
+  private createAutoscaler(): Autoscaler {
+    const { clock } = this.deps.runtime;
+    return createAutoscaler(this.deps, {
+      lifecycle: this.lifecycle,
+      table: this.table,
+      intents: this.intents,
+      grants: this.grants,
+      leaseExtensionMs: this.leaseExtensionMs,
+      demand: () => this.demand(),
+      isBehind: () => this.eventLoopLag.isLagging(clock.now()) || this.sender.isCongested(),
+      machineGone: (machine) => {
+        this.forgetMachine(machine);
+      },
+    });
+  }
+
+  private demand(): Demand {
+    const wantedCpus = (job: Job): number => this.placement.wantedCpus(job);
+    return demandOf(this.jobs.all(), wantedCpus, this.placement.arriving(), this.deps.types);
+  }
+
+  private forgetMachine(machine: Machine): void {
+    this.table.remove(machine, this.deps.runtime.clock.now());
+    this.machineRecords.removed(machine);
+    this.cycles.request();
+  }
+
+  private createPlacement(): Placement {
+    const { runtime, settings, operator } = this.deps;
+    return new Placement({
+      runtime,
+      settings,
+      operator,
+      jobs: this.jobs,
+      table: this.table,
+      attemptBase: this.lifecycle.baseToken,
+      recoveryComplete: () => this.recovery.isComplete(),
+      wallMs: () => this.deps.wallMs(),
+      isSilent: (machine) => this.autoscaler.isSilent(machine, runtime.clock.now()),
+    });
+  }
+
+  private createJobIntake(): JobIntake {
+    return new JobIntake({
+      clock: this.deps.runtime.clock,
+      lifecycle: this.lifecycle,
+      jobs: this.jobs,
+      placement: this.placement,
+      cycles: this.cycles,
+      isCancelled: (id) => this.deps.isCancelled(id),
+    });
+  }
+
+  private createHeartbeatHandler(): HeartbeatHandler {
+    return new HeartbeatHandler({
+      clock: this.deps.runtime.clock,
+      lifecycle: this.lifecycle,
+      table: this.table,
+      types: this.deps.types,
+      leaseMs: this.leaseMs,
+      autoscaler: this.autoscaler,
+      placement: this.placement,
+      recovery: this.recovery,
+      contact: this.contact,
+      cycles: this.cycles,
+      holdsLease: () => this.deps.isLeader(),
+    });
+  }
+
+  private createLeaseMonitor(): LeaseMonitor {
+    return new LeaseMonitor({
+      table: this.table,
+      sender: this.sender,
+      machineRecords: this.machineRecords,
+      log: this.deps.runtime.log,
+      autoscaler: this.autoscaler,
+      leaseExtensionMs: this.leaseExtensionMs,
+      leasesExtendableUntil: () => this.grants.extendableUntil(),
+    });
+  }
+
+  private createLeaseExtensionHandler(): LeaseExtensionHandler {
+    return new LeaseExtensionHandler({
+      clock: this.deps.runtime.clock,
+      lifecycle: this.lifecycle,
+      table: this.table,
+      leaseMonitor: this.leaseMonitor,
+      grants: this.grants,
+      extensionMs: this.leaseExtensionMs,
+    });
+  }
+
+  private createControlLoop(): ControlLoop {
+    return new ControlLoop({
+      clock: this.deps.runtime.clock,
+      lifecycle: this.lifecycle,
+      table: this.table,
+      sender: this.sender,
+      machineRecords: this.machineRecords,
+      completionWriter: this.completionWriter,
+      autoscaler: this.autoscaler,
+      placement: this.placement,
+      recovery: this.recovery,
+      leaseMonitor: this.leaseMonitor,
+      cycles: this.cycles,
+      contact: this.contact,
+      eventLoopLag: this.eventLoopLag,
+      cancellationsAreFresh: () => this.deps.cancellationsAreFresh(),
+      resign: (reason) => {
+        this.deps.resign(reason);
+      },
+    });
+  }
+}
--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -1,31 +1,33 @@
-/** Which zones are out of contact, told by their controllers: pure. */
+/** Which zones seem to be partitioned from the leader's, judged by the controllers in them: pure functions. */
 import type { PlatformSettings } from '../settings/platform.js';
 import type { LeaseExtensionGrants } from './lease-extension.js';
 
-type Where = Pick<PlatformSettings, 'zone' | 'peers'>;
+type ControllerZones = Pick<PlatformSettings, 'zone' | 'peers'>;
 
-/** Zones whose controllers went silent all at once: their machines may be well, and be kept by them. */
+/** Zones whose controllers fell silent all at once: their machines may be well, and have their leases extended there. */
 export function partitionedZones(
-  here: Where,
+  controllers: ControllerZones,
   grants: LeaseExtensionGrants,
   now: number,
 ): Set<string> {
-  const cut = new Set<string>();
-  for (const peer of here.peers)
-    if (peer.zone !== here.zone && grants.outOfContact(peer.name, now)) cut.add(peer.zone);
-  for (const peer of here.peers) if (grants.inContact(peer.name, now)) cut.delete(peer.zone);
-  return cut;
+  const partitioned = new Set<string>();
+  for (const peer of controllers.peers)
+    if (peer.zone !== controllers.zone && grants.isOutOfContact(peer.name, now))
+      partitioned.add(peer.zone);
+  for (const peer of controllers.peers)
+    if (grants.isInContact(peer.name, now)) partitioned.delete(peer.zone);
+  return partitioned;
 }
 
-/** Until when controllers in the zone may extend worker leases there; null if it has none. */
+/** Until when controllers in the zone may extend worker leases there; null if the zone has none. */
 export function leasesExtendableUntil(
   zone: string,
-  here: Where,
+  controllers: ControllerZones,
   grants: LeaseExtensionGrants,
   extensionMs: number,
 ): number | null {
-  if (zone === here.zone) return Infinity;
-  const there = here.peers.filter((peer) => peer.zone === zone);
+  if (zone === controllers.zone) return Infinity;
+  const there = controllers.peers.filter((peer) => peer.zone === zone);
   if (there.length === 0) return null;
-  return Math.max(...there.map((peer) => grants.contactAt(peer.name))) + extensionMs;
+  return Math.max(...there.map((peer) => grants.lastContactAt(peer.name))) + extensionMs;
 }
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -7,26 +7,27 @@
 /** An intent as it was read. */
 export type StoredIntent = Versioned<Intent>;
 
-/** While any is open, a leader that can't follow intents must not lead. */
+/** How far the conversion is that leaves no intent open: while one is, a leader that can't follow intents must not lead. */
 export function intentConversion(log: IntentLog): Conversion {
   const remaining = log.pending();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
+/** Follows the open intents to their outcome, and lets the autoscaler count what they rent or delete. */
 export function restoreIntents(
   intents: readonly StoredIntent[],
   log: IntentLog,
-  fleet: Autoscaler,
+  autoscaler: Autoscaler,
 ): void {
   for (const { value, version } of intents) {
     const { action, id } = value;
     if (action.kind === 'delete') {
       const done =
         value.outcome !== null || log.follow(id, version).then(({ kind }) => kind === 'resolved');
-      fleet.takeOverDeletion(action.machines, Promise.resolve(done));
+      autoscaler.takeOverDeletion(action.machines, Promise.resolve(done));
     } else if (value.outcome === null) {
       const { type, zone, spot, count } = action;
-      fleet.takeOverRental(type, zone, spot, count, log.follow(id, version).then(rentResult));
+      autoscaler.takeOverRental(type, zone, spot, count, log.follow(id, version).then(rentResult));
     }
   }
 }
--- a/src/leadership/restored-machines.ts
+++ b/src/leadership/restored-machines.ts
@@ -5,6 +5,7 @@
 import type { MachineType } from '../wire/model.js';
 import type { FailoverRecovery } from './failover-recovery.js';
 
+/** Where the machines go. */
 export interface RestoredMachinesDependencies {
   table: MachineTable;
   machineRecords: MachineRecordStore;
@@ -13,7 +14,10 @@
   now: number;
 }
 
-/** Each of them has to be reconciled before old jobs are acted on, since it may hold tasks of a former leader. */
+/**
+ * Each machine has to be reconciled before old jobs are acted on, since it may hold tasks of a former leader. Machines
+ * of a type that the cloud does not offer any more are skipped.
+ */
 export function restoreMachines(
   pages: readonly KeyValue[],
   deps: RestoredMachinesDependencies,
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -1,4 +1,4 @@
-/** What a new leader reads before it acts. */
+/** What a new leader reads of the state service before it acts. */
 import type { KeyValue } from '@millring/state-access';
 import type { IntentLog } from '@millring/duties';
 import { FINISHED, LIVE } from '../jobs/records.js';
@@ -6,6 +6,10 @@
 import type { StateStore } from '../state-store/client.js';
 import type { StoredIntent } from './restored-intents.js';
 
+/** Prefix of the machine records. */
+const MACHINES = 'm/';
+
+/** All records, as they were read. */
 export interface StoredState {
   machines: KeyValue[];
   jobs: KeyValue[];
@@ -20,29 +24,29 @@
   store: StateStore,
   intents: IntentLog | null,
 ): Promise<StoredState | null> {
-  const machines = await store.scan('m/');
+  const machines = await store.scan(MACHINES);
   const jobs = machines && (await store.scan(LIVE));
   const finished = jobs && (await store.scan(FINISHED));
-  const opened = finished && (intents ? await intents.read() : []);
-  if (!machines || !jobs || !finished || !opened) return null;
+  const openIntents = finished && (intents ? await intents.read() : []);
+  if (!machines || !jobs || !finished || !openIntents) return null;
   const { revision } = jobs;
   return {
     machines: machines.pairs,
     jobs: jobs.pairs,
     finished: finished.pairs,
-    intents: opened,
+    intents: openIntents,
     revision,
   };
 }
 
-/** What was read, for whom, and how long it took. */
+/** Logs what was read, in which term, and how long it took. */
 export function logStoredState(
   { machines, jobs, finished, revision }: StoredState,
-  began: number,
-  term: { claim: number; token: number },
+  beganAt: number,
+  term: { epoch: number; token: number },
   { clock, log }: Runtime,
 ): void {
   const read = { machinePages: machines.length, jobs: jobs.length, finished: finished.length };
-  const tookMs = Math.round(clock.now() - began);
+  const tookMs = Math.round(clock.now() - beganAt);
   log.info({ ...term, revision, ...read, tookMs }, 'stored state read');
 }
--- a/src/node.ts
+++ b/src/node.ts
@@ -277,7 +277,14 @@
       case 'ask': {
         const grant = this.term?.handleLeaseExtensionRequest(m.from);
         if (grant)
-          this.broadcast({ t: 'grant', from: this.settings.node, to: m.from, at: m.at, ...grant });
+          this.broadcast({
+            t: 'grant',
+            from: this.settings.node,
+            to: m.from,
+            at: m.at,
+            revision: grant.epoch,
+            keep: grant.mayExtend,
+          });
         return;
       }
       case 'served':
@@ -285,7 +292,11 @@
         return;
       case 'grant':
         if (m.to === this.settings.node)
-          this.leaseExtender.recordGrant(m.at, m.revision, m.keep, this.runtime.clock.now());
+          this.leaseExtender.recordGrant(
+            { epoch: m.revision, mayExtend: m.keep },
+            m.at,
+            this.runtime.clock.now(),
+          );
         return;
       case 'cancelled':
         this.cancellations.record(m.id);
@@ -307,7 +318,7 @@
   private mayExtendLease(r: Heartbeat): boolean {
     const claim = this.leadership.currentTerm();
     if (this.term && claim)
-      return this.term.mayExtendWhilePaused(
+      return this.term.mayExtendWhileSuspended(
         r,
         this.attestations.unclaimedUntil(claim.epoch, this.leadership.leaseValidUntil()),
       );
@@ -324,7 +335,7 @@
     const mayRenew = this.cancellations.isFreshEnoughToRenew();
     if (this.term && this.leadership.isLeader()) {
       const answer = mayRenew ? this.term.handleHeartbeat(report) : null;
-      return answer ? this.renewalResponse(report, answer.token, answer.orders) : UNAVAILABLE;
+      return answer ? this.renewalResponse(report, answer.token, answer.commands) : UNAVAILABLE;
     }
     if (mayRenew && this.mayExtendLease(report))
       return this.renewalResponse(report, report.token, []);
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -435,7 +435,7 @@
     nodes: 5,
     ordinaryUp: 10,
     log: (_node, text, fields) => {
-      if (text === 'every machine is known') known.push(c.clock.time);
+      if (text === 'recovery complete') known.push(c.clock.time);
       if (text === 'leader term' && (fields as { to: string }).to === 'serving')
         serving = c.clock.time;
     },
