--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -121,8 +121,8 @@
   }
 
   /** See `LeaseExtensionHandler`. */
-  mayExtendWhileSuspended(heartbeat: Heartbeat, unclaimedUntil: number): boolean {
-    return this.components.leaseExtensions.mayExtendWhileSuspended(heartbeat, unclaimedUntil);
+  mayExtendWhileSuspended(heartbeat: Heartbeat, uncontestedUntil: number): boolean {
+    return this.components.leaseExtensions.mayExtendWhileSuspended(heartbeat, uncontestedUntil);
   }
 
   /** The job is cancelled, as this node knows otherwise than by the job's record. */
--- a/src/leadership/lease-extension-handler.ts
+++ b/src/leadership/lease-extension-handler.ts
@@ -34,13 +34,13 @@
 
   /**
    * May the worker's lease be renewed while the leadership is suspended? As by a follower, counted from
-   * `unclaimedUntil`, when nobody can have been elected after this node: a new leader counts on it that former ones
+   * `uncontestedUntil`, when nobody can have been elected after this node: a new leader counts on it that former ones
    * extend leases for no longer than that after its own term began.
    */
-  mayExtendWhileSuspended(heartbeat: Heartbeat, unclaimedUntil: number): boolean {
+  mayExtendWhileSuspended(heartbeat: Heartbeat, uncontestedUntil: number): boolean {
     const { clock, lifecycle, table, extensionMs } = this.deps;
     const now = clock.now();
-    if (!lifecycle.isServing() || now - unclaimedUntil >= extensionMs / DRIFT) return false;
+    if (!lifecycle.isServing() || now - uncontestedUntil >= extensionMs / DRIFT) return false;
     if (epochOfToken(heartbeat.token) !== lifecycle.epoch) return false;
     const machine = table.get(heartbeat.machine);
     if (machine) machine.leaseRenewedAt = now;
--- a/src/main.ts
+++ b/src/main.ts
@@ -8,7 +8,7 @@
 import { httpServer } from './http-server.js';
 import { ControllerNode } from './node.js';
 import { outgoing } from './outgoing.js';
-import { Peers } from './peers/peers.js';
+import { PeerNetwork } from './peers/peer-network.js';
 import type { CommandOutcome } from './command-outcome.js';
 import { type DutiesCommand, runDutiesCommand } from './duties/command-line.js';
 import { ROLLOUT_ACTIONS, type RolloutAction, runRolloutCommand } from './rollout/command-line.js';
@@ -97,7 +97,7 @@
 function runController({ platform, operator }: Settings): void {
   const log = logger(process.env.LOG_LEVEL ?? 'info', platform.node);
   const world = realWorld(platform, log);
-  const peers = new Peers(
+  const peers = new PeerNetwork(
     world,
     platform.peerBind,
     platform.peers.map((p) => p.address),
--- a/src/node.ts
+++ b/src/node.ts
@@ -18,7 +18,7 @@
 import { Cancellations } from './jobs/cancellations.js';
 import { Attestations } from './peers/attestations.js';
 import { BUILD, COMPACT_FINISHED_TASKS } from './build.js';
-import type { PeerMessage } from './peers/peers.js';
+import type { PeerMessage } from './peers/peer-messages.js';
 import { ControllerDuties } from './duties/controller-duties.js';
 import { ControllerRollout } from './rollout/controller-rollout.js';
 import { type StateStore, stateStoreOf } from './state-store/client.js';
@@ -164,7 +164,7 @@
 
   /** A user is told: from here on nothing of the job may start, so whoever may lead hears of it first. */
   private beforeConfirm(id: string): void {
-    this.attestations.confirm(id);
+    this.attestations.recordConfirmation(id);
     if (this.cancellations.has(id)) return;
     this.cancellations.record(id);
     this.broadcast({ t: 'cancelled', from: this.settings.node, id });
@@ -261,7 +261,7 @@
     this.broadcast({ t: 'served', from: this.settings.node, served });
     const { leadership } = this;
     this.broadcast(
-      this.attestations.statement(leadership.highestSeenEpoch(), leadership.isCandidate()),
+      this.attestations.attest(leadership.highestSeenEpoch(), leadership.isCandidate()),
     );
     if (!this.term) this.broadcast({ t: 'ask', from: this.settings.node, at: clock.now() });
     clock.after(REQUEST_INTERVAL_MS, () => {
@@ -306,10 +306,10 @@
         return;
       case 'attest':
         for (const id of m.cancelled) this.cancellations.record(id);
-        this.attestations.recordStatement(m);
+        this.attestations.recordAttestation(m);
         this.rollout.heardProcess(m.from, m.life);
         this.cancellations.advanceWatermark(
-          this.attestations.completeFrom(this.cancellations.watermark()),
+          this.attestations.completeUntil(this.cancellations.watermark()),
         );
     }
   }
@@ -320,7 +320,7 @@
     if (this.term && claim)
       return this.term.mayExtendWhileSuspended(
         r,
-        this.attestations.unclaimedUntil(claim.epoch, this.leadership.leaseValidUntil()),
+        this.attestations.uncontestedUntil(claim.epoch, this.leadership.leaseValidUntil()),
       );
     return this.leaseExtender.mayRenew(r.token, this.runtime.clock.now());
   }
--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -1,126 +1,151 @@
 /**
- * What the nodes vouch for to each other, so that short of the state service they still know two things: which
- * cancellations were confirmed, and that nobody else has claimed the leadership. Each node tells all others, every
- * now and then, what it confirmed of late and which claim it knows of; and for each of them the time, by that
- * one's own clock, of the last message it had from it. Whoever reads its own time there knows that the statement
- * was made after it. Together the statements of all nodes cover everything up to the earliest of these times.
+ * What the nodes vouch for to each other, so that without the state service they still know two things: which
+ * cancellations were confirmed, and that no other node has been elected. Each node tells all others, every now and
+ * then, what it confirmed of late and the highest epoch it knows of; and for each of them the time, by that one's own
+ * clock, of the last message it had from it. Whoever reads its own time there knows that the attestation was made after
+ * it. Together the attestations of all nodes cover everything up to the earliest of these times.
  */
 import { DRIFT } from '../runtime.js';
+import type { AttestationMessage } from './peer-messages.js';
 
-/** Confirmations are repeated for so long: a statement covers no more than that. */
-const TOLD_MS = 60_000;
+/** Confirmations are repeated for so long: an attestation covers no more than that. */
+const CONFIRMATION_RETENTION_MS = 60_000;
 
-export interface Attestation {
-  t: 'attest';
-  from: string;
-  /** Another process has another one: it remembers nothing of what an earlier one confirmed. */
-  life: string;
-  upMs: number;
-  /** The sender's clock. */
-  at: number;
-  /** By node: its process and clock in the last message that the sender had from it. */
-  heard: Record<string, { life: string; at: number }>;
-  /** The latest claim that the sender knows of, its own included. */
-  claim: number;
-  /** A claim of its own may be on its way. */
-  claiming: boolean;
-  cancelled: string[];
+/** The process and send time, by the sender's clock, of a message. */
+interface MessageOrigin {
+  processId: string;
+  sentAt: number;
 }
 
+/** What a peer's attestations cover, in times of our own clock. */
 interface Coverage {
-  life: string;
-  /** By our clock: everything that this peer confirmed in between is known here. */
+  processId: string;
+  /** Everything that the peer confirmed between `from` and `to` is known here. */
   from: number;
   to: number;
-  claim: number;
-  /** Until then it had claimed nothing newer than `claim`. */
-  claimTo: number;
+  highestEpoch: number;
+  /** Until then it was not elected in an epoch newer than `highestEpoch`. */
+  notElectedUntil: number;
 }
 
+/** What this node vouches for, and what the others vouch for to it. */
 export class Attestations {
-  private readonly coverage = new Map<string, Coverage>();
-  private readonly heard: Attestation['heard'] = {};
-  private readonly confirmed = new Map<string, number>();
-  private readonly beganAt: number;
+  private readonly coverageByPeer = new Map<string, Coverage>();
+  private readonly lastReceived = new Map<string, MessageOrigin>();
+  /** When which cancellation was confirmed here, in order of time. */
+  private readonly confirmedAt = new Map<string, number>();
+  private readonly startedAt: number;
 
+  /** `processId` tells this process apart from earlier ones of the same node. */
   constructor(
     private readonly self: string,
-    private readonly life: string,
+    private readonly processId: string,
     private readonly peers: string[],
     private readonly now: () => number,
   ) {
-    this.beganAt = now();
+    this.startedAt = now();
   }
 
-  /** We tell a user that the job is cancelled. Called before the answer goes out. */
-  confirm(id: string): void {
-    this.confirmed.delete(id);
-    this.confirmed.set(id, this.now());
+  /** A user is about to be told that the job is cancelled: called before the response goes out. */
+  recordConfirmation(id: string): void {
+    this.confirmedAt.delete(id);
+    this.confirmedAt.set(id, this.now());
   }
 
-  statement(claim: number, claiming: boolean): Attestation {
+  /** The message in which this node vouches for what it did until now. */
+  attest(highestSeenEpoch: number, isCandidate: boolean): AttestationMessage {
     const now = this.now();
-    for (const [id, at] of this.confirmed) {
-      if (now - at < TOLD_MS * DRIFT) break;
-      this.confirmed.delete(id);
-    }
+    this.dropOldConfirmations(now);
     return {
       t: 'attest',
       from: this.self,
-      life: this.life,
-      upMs: now - this.beganAt,
+      life: this.processId,
+      upMs: now - this.startedAt,
       at: now,
-      heard: { ...this.heard },
-      claim,
-      claiming,
-      cancelled: [...this.confirmed.keys()],
+      heard: this.lastReceivedFields(),
+      claim: highestSeenEpoch,
+      claiming: isCandidate,
+      cancelled: [...this.confirmedAt.keys()],
     };
   }
 
-  /** A message of another node; it may be late. The cancellations in it are learnt by the caller. */
-  recordStatement(m: Attestation): void {
-    if (!this.peers.includes(m.from)) return;
-    this.heard[m.from] = { life: m.life, at: m.at };
-    const echo = Object.hasOwn(m.heard, this.self) ? m.heard[this.self] : null;
-    // Clocks of processes have nothing in common: what an earlier one of ours said is no time of ours.
-    if (!echo || echo.life !== this.life) return;
-    const to = echo.at;
-    const now = this.now();
-    const from = now - Math.min(m.upMs, TOLD_MS) / DRIFT;
-    const old = this.coverage.get(m.from);
-    if (old && old.life === m.life && to < old.to) return;
-    const goesOn = old !== undefined && old.life === m.life && from <= old.to;
-    const c: Coverage = goesOn
-      ? old
-      : { life: m.life, from, to, claim: m.claim, claimTo: m.claiming ? -Infinity : to };
-    if (goesOn) {
-      c.from = Math.min(c.from, from);
-      c.to = Math.max(c.to, to);
-      if (m.claim > c.claim) c.claim = m.claim;
-      if (!m.claiming) c.claimTo = Math.max(c.claimTo, to);
+  private dropOldConfirmations(now: number): void {
+    for (const [id, at] of this.confirmedAt) {
+      if (now - at < CONFIRMATION_RETENTION_MS * DRIFT) break;
+      this.confirmedAt.delete(id);
     }
-    this.coverage.set(m.from, c);
   }
 
-  /** Known to be complete up to `asOf`: until when it is by what all the others vouch for. */
-  completeFrom(asOf: number): number {
+  private lastReceivedFields(): AttestationMessage['heard'] {
+    const fields: AttestationMessage['heard'] = {};
+    for (const [peer, { processId, sentAt }] of this.lastReceived)
+      fields[peer] = { life: processId, at: sentAt };
+    return fields;
+  }
+
+  /** An attestation of a peer; it may be late. Learning the cancellations in it is left to the caller. */
+  recordAttestation(message: AttestationMessage): void {
+    const { from: peer, life: processId } = message;
+    if (!this.peers.includes(peer)) return;
+    this.lastReceived.set(peer, { processId, sentAt: message.at });
+    const madeAfter = this.echoedTime(message);
+    if (madeAfter === null) return;
+    const previous = this.coverageByPeer.get(peer);
+    if (previous?.processId === processId && madeAfter < previous.to) return;
+    const current = coverageOf(message, madeAfter, this.now());
+    this.coverageByPeer.set(peer, previous ? extendCoverage(previous, current) : current);
+  }
+
+  /** The time of our own last message that the peer had received, or null if it had none of this process. */
+  private echoedTime({ heard }: AttestationMessage): number | null {
+    const echo = Object.hasOwn(heard, this.self) ? heard[this.self] : null;
+    // Clocks of processes have nothing in common: the time of an earlier one of ours says nothing.
+    return echo && echo.life === this.processId ? echo.at : null;
+  }
+
+  /** Until when all confirmed cancellations are known here, given that they are until `knownUntil`. */
+  completeUntil(knownUntil: number): number {
     let until = Infinity;
-    for (const p of this.peers) {
-      const c = this.coverage.get(p);
-      if (!c || c.from > asOf) return asOf;
-      until = Math.min(until, c.to);
+    for (const peer of this.peers) {
+      const coverage = this.coverageByPeer.get(peer);
+      if (!coverage || coverage.from > knownUntil) return knownUntil;
+      until = Math.min(until, coverage.to);
     }
-    return until < Infinity ? Math.max(asOf, until) : asOf;
+    return until < Infinity ? Math.max(knownUntil, until) : knownUntil;
   }
 
-  /** We surely led until `validUntil`: until when no other node had made a newer claim. */
-  unclaimedUntil(claim: number, validUntil: number): number {
+  /** Until when no other node was elected after `epoch`, given that we led in it until `leaseValidUntil`. */
+  uncontestedUntil(epoch: number, leaseValidUntil: number): number {
     let until = Infinity;
-    for (const p of this.peers) {
-      const c = this.coverage.get(p);
-      if (!c || c.from > validUntil || c.claim > claim) return validUntil;
-      until = Math.min(until, c.claimTo);
+    for (const peer of this.peers) {
+      const coverage = this.coverageByPeer.get(peer);
+      if (!coverage || coverage.from > leaseValidUntil || coverage.highestEpoch > epoch)
+        return leaseValidUntil;
+      until = Math.min(until, coverage.notElectedUntil);
     }
-    return until < Infinity ? Math.max(validUntil, until) : validUntil;
+    return until < Infinity ? Math.max(leaseValidUntil, until) : leaseValidUntil;
   }
 }
+
+/** What a single attestation covers that was made after the time `madeAfter`. */
+function coverageOf(message: AttestationMessage, madeAfter: number, now: number): Coverage {
+  return {
+    processId: message.life,
+    from: now - Math.min(message.upMs, CONFIRMATION_RETENTION_MS) / DRIFT,
+    to: madeAfter,
+    highestEpoch: message.claim,
+    notElectedUntil: message.claiming ? -Infinity : madeAfter,
+  };
+}
+
+/** Both together, or only the current one if there is a gap between them or they are of different processes. */
+function extendCoverage(previous: Coverage, current: Coverage): Coverage {
+  if (previous.processId !== current.processId || current.from > previous.to) return current;
+  return {
+    processId: current.processId,
+    from: Math.min(previous.from, current.from),
+    to: Math.max(previous.to, current.to),
+    highestEpoch: Math.max(previous.highestEpoch, current.highestEpoch),
+    notElectedUntil: Math.max(previous.notElectedUntil, current.notElectedUntil),
+  };
+}
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -8,7 +8,7 @@
   RolloutParticipant,
 } from '@millring/rollout';
 import { FEATURES } from '../build.js';
-import type { PeerMessage } from '../peers/peers.js';
+import type { PeerMessage } from '../peers/peer-messages.js';
 import { type Runtime, packageEnvironment } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -1,7 +1,8 @@
 /** What controllers vouch for to each other, looked at message by message. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Attestation, Attestations } from '../src/peers/attestations.js';
+import { Attestations } from '../src/peers/attestations.js';
+import type { AttestationMessage } from '../src/peers/peer-messages.js';
 
 interface Bed {
   at: { a: number; b: number; c: number };
@@ -34,12 +35,12 @@
       at.c += ms;
     },
     round: ({ claim = 7, claiming = false } = {}) => {
-      const ask = t.a.statement(7, false);
-      t.b.recordStatement(ask);
-      t.c.recordStatement(ask);
+      const ask = t.a.attest(7, false);
+      t.b.recordAttestation(ask);
+      t.c.recordAttestation(ask);
       t.pass(10);
-      t.a.recordStatement(t.b.statement(claim, claiming));
-      t.a.recordStatement(t.c.statement(7, false));
+      t.a.recordAttestation(t.b.attest(claim, claiming));
+      t.a.recordAttestation(t.c.attest(7, false));
     },
   };
   return t;
@@ -52,29 +53,29 @@
   t.pass(1000);
   const asked = t.at.a;
   t.round();
-  assert.equal(t.a.completeFrom(known), asked);
+  assert.equal(t.a.completeUntil(known), asked);
   // One of the two is not heard any more.
   t.pass(1000);
-  t.c.recordStatement(t.a.statement(7, false));
-  t.a.recordStatement(t.c.statement(7, false));
-  assert.equal(t.a.completeFrom(known), asked);
+  t.c.recordAttestation(t.a.attest(7, false));
+  t.a.recordAttestation(t.c.attest(7, false));
+  assert.equal(t.a.completeUntil(known), asked);
 });
 
 test('a statement without an echo, or with one meant for an earlier process, proves nothing', () => {
   const t = bed();
   t.pass(2000);
   const known = t.at.a - 100;
-  t.a.recordStatement(t.b.statement(7, false));
-  t.a.recordStatement(t.c.statement(7, false));
-  assert.equal(t.a.completeFrom(known), known);
+  t.a.recordAttestation(t.b.attest(7, false));
+  t.a.recordAttestation(t.c.attest(7, false));
+  assert.equal(t.a.completeUntil(known), known);
   t.round();
-  const before = t.b.statement(7, false);
+  const before = t.b.attest(7, false);
   // a starts again, and its clock happens to read the same.
   const again = new Attestations('a', 'a-2', ['b', 'c'], () => t.at.a);
   t.pass(500);
-  again.recordStatement(before);
-  again.recordStatement(t.c.statement(7, false));
-  assert.equal(again.completeFrom(known), known);
+  again.recordAttestation(before);
+  again.recordAttestation(t.c.attest(7, false));
+  assert.equal(again.completeUntil(known), known);
 });
 
 test('a node that started again proves nothing of the time before, however it goes on', () => {
@@ -83,7 +84,7 @@
   t.round();
   const known = t.at.a - 10;
   t.pass(300);
-  t.b.confirm('run-1');
+  t.b.recordConfirmation('run-1');
   const [b, startedAt] = [new Attestations('b', 'b-2', ['a', 'c'], () => t.at.b), t.at.a];
   t.pass(200);
   t.b = b;
@@ -91,7 +92,7 @@
   t.pass(400);
   t.round();
   assert.equal(
-    t.a.completeFrom(known),
+    t.a.completeUntil(known),
     known,
     'its former life may have confirmed what nobody knows',
   );
@@ -99,19 +100,19 @@
   const read = startedAt + 150;
   const asked = t.at.a;
   t.round();
-  assert.equal(t.a.completeFrom(read), asked);
+  assert.equal(t.a.completeUntil(read), asked);
 });
 
 test('what was confirmed is told for as long as statements cover it', () => {
   const t = bed();
-  t.b.confirm('run-1');
+  t.b.recordConfirmation('run-1');
   t.pass(59_000);
-  assert.deepEqual(t.b.statement(7, false).cancelled, ['run-1']);
+  assert.deepEqual(t.b.attest(7, false).cancelled, ['run-1']);
   t.pass(2000);
-  assert.deepEqual(t.b.statement(7, false).cancelled, []);
+  assert.deepEqual(t.b.attest(7, false).cancelled, []);
   const from = t.at.a - 61_000;
   t.round();
-  assert.equal(t.a.completeFrom(from), from, 'older than that it vouches for nothing');
+  assert.equal(t.a.completeUntil(from), from, 'older than that it vouches for nothing');
 });
 
 test('a newer claim, or one on its way, ends the proof that nobody else leads', () => {
@@ -121,13 +122,13 @@
   t.pass(500);
   const asked = t.at.a;
   t.round();
-  assert.equal(t.a.unclaimedUntil(7, valid), asked);
+  assert.equal(t.a.uncontestedUntil(7, valid), asked);
   t.pass(500);
   t.round({ claiming: true });
-  assert.equal(t.a.unclaimedUntil(7, valid), asked, 'its claim may have been made');
+  assert.equal(t.a.uncontestedUntil(7, valid), asked, 'its claim may have been made');
   t.pass(500);
   t.round({ claim: 9 });
-  assert.equal(t.a.unclaimedUntil(7, valid), valid);
+  assert.equal(t.a.uncontestedUntil(7, valid), valid);
 });
 
 test('a late statement proves only what it says', () => {
@@ -135,17 +136,17 @@
   t.pass(2000);
   const known = t.at.a - 50;
   t.round();
-  const first = t.a.completeFrom(known);
-  const late: Attestation = t.b.statement(7, false);
+  const first = t.a.completeUntil(known);
+  const late: AttestationMessage = t.b.attest(7, false);
   t.pass(500);
   t.round();
-  const second = t.a.completeFrom(known);
+  const second = t.a.completeUntil(known);
   assert.ok(second > first);
   t.pass(4000);
-  t.c.recordStatement(t.a.statement(7, false));
-  t.a.recordStatement(t.c.statement(7, false));
-  t.a.recordStatement(late);
-  assert.equal(t.a.completeFrom(known), second);
+  t.c.recordAttestation(t.a.attest(7, false));
+  t.a.recordAttestation(t.c.attest(7, false));
+  t.a.recordAttestation(late);
+  assert.equal(t.a.completeUntil(known), second);
 });
 
 test('a late statement of a former life closes no gap', () => {
@@ -153,13 +154,13 @@
   t.pass(20_000);
   t.round();
   const known = t.at.a - 10;
-  const late = t.b.statement(7, false);
+  const late = t.b.attest(7, false);
   t.pass(300);
-  t.b.confirm('run-1');
+  t.b.recordConfirmation('run-1');
   t.b = new Attestations('b', 'b-2', ['a', 'c'], () => t.at.b);
   t.pass(200);
   t.round();
-  t.a.recordStatement(late);
+  t.a.recordAttestation(late);
   t.round();
-  assert.equal(t.a.completeFrom(known), known);
+  assert.equal(t.a.completeUntil(known), known);
 });
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -6,7 +6,7 @@
 import type { Log, Reply } from '../../src/runtime.js';
 import { defaultOperatorSettings } from '../../src/settings/operator.js';
 import type { Objective, PlatformSettings } from '../../src/settings/platform.js';
-import type { PeerMessage } from '../../src/peers/peers.js';
+import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import type { Body } from '../../src/wire/cbor.js';
 import { CloudService, type CloudMachine, TYPES } from './cloud.js';
 import type { ClusterConfig } from './cluster-config.js';
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -5,7 +5,8 @@
 import { CompletionWriter } from '../src/jobs/completion-writer.js';
 import { JobTable } from '../src/jobs/job-table.js';
 import { endedKey, finishedKey, liveKey, readEnded, readLive } from '../src/jobs/records.js';
-import { Deframer, frame, readPeerMessage } from '../src/peers/peers.js';
+import { FrameDecoder, encodeFrame } from '../src/peers/framing.js';
+import { readPeerMessage } from '../src/peers/peer-messages.js';
 import type { PlatformSettings } from '../src/settings/platform.js';
 import { StateStore } from '../src/state-store/client.js';
 import { readMachinePage } from '../src/workers/machine-records.js';
@@ -46,7 +47,7 @@
     }
     assert.deepEqual([...kinds].sort(), ['ca', 'd/', 'e/', 'j/', 'm/']);
     for (const [kind, bytes] of Object.entries(older.frames)) {
-      const read = new Deframer().push(Buffer.from(bytes, 'base64'));
+      const read = new FrameDecoder().push(Buffer.from(bytes, 'base64'));
       assert.equal(read?.[0]?.t, kind);
     }
     assert.deepEqual(Object.keys(older.frames).sort(), [
@@ -101,7 +102,7 @@
         assert.ok(written.get(kind)?.has(shape), `${older.version}: ${kind} ${shape}`);
   for (const older of OLDER)
     for (const [kind, bytes] of Object.entries(older.frames)) {
-      const message = new Deframer().push(Buffer.from(bytes, 'base64'))![0];
+      const message = new FrameDecoder().push(Buffer.from(bytes, 'base64'))![0];
       assert.deepEqual(
         Object.keys(sent.get(kind) as object).sort(),
         Object.keys(message).sort(),
@@ -115,9 +116,9 @@
   assert.equal(readPeerMessage({ t: 'constructor', from: 'n1' }), null);
   assert.equal(readPeerMessage({ t: 'attest', from: 'n1', life: 'x' }), null);
   assert.equal(readPeerMessage({ t: 'served', from: 'n1', served: true, more: 1 })?.t, 'served');
-  const odd = frame({ t: 'served', from: 'n1', served: true });
-  const deframer = new Deframer();
-  const future = frame({ t: 'future', from: 'n1' } as never);
+  const odd = encodeFrame({ t: 'served', from: 'n1', served: true });
+  const deframer = new FrameDecoder();
+  const future = encodeFrame({ t: 'future', from: 'n1' } as never);
   assert.deepEqual(
     deframer.push(Buffer.concat([future, odd]))?.map((m) => m.t),
     ['served'],
