--- a/src/http-server.ts
+++ b/src/http-server.ts
@@ -66,9 +66,9 @@
       }, next);
     };
   app.get(userPaths.health, (_req, res) => {
-    const reason = node.unhealthyReason();
-    res.status(reason === null ? 200 : 503).type('text/plain');
-    res.end(reason ?? undefined);
+    const health = node.health();
+    res.status(health.kind === 'healthy' ? 200 : 503).type('text/plain');
+    res.end(health.kind === 'healthy' ? undefined : health.reason);
   });
   app.post(
     userPaths.jobs,
--- /dev/null
+++ b/src/leadership/term-supervisor.ts
@@ -0,0 +1,88 @@
+/** Starts and ends a node's terms as leader, as the election tells. */
+import { COMPACT_FINISHED_TASKS } from '../build.js';
+import type { ControllerDuties } from '../duties/controller-duties.js';
+import type { Cancellations } from '../jobs/cancellations.js';
+import type { MachineTypeCatalogue } from '../machine-type-catalogue.js';
+import type { ControllerRollout } from '../rollout/controller-rollout.js';
+import type { Runtime } from '../runtime.js';
+import type { OperatorSettings } from '../settings/operator.js';
+import type { PlatformSettings } from '../settings/platform.js';
+import type { StateStore } from '../state-store/client.js';
+import type { LeadershipTerm } from './leader-record.js';
+import { LeaderTerm } from './leader-term.js';
+import type { LeaderTermDependencies } from './leader-term-dependencies.js';
+import type { Leadership, LeadershipEvents } from './leadership.js';
+
+/** A term can be older than what is known of cancellations: after a suspension they are read before anything starts. */
+const CANCELLATIONS_MAX_AGE_MS = 4000;
+
+/** The parts of the node that a term works with. */
+export interface TermSupervisorDependencies {
+  runtime: Runtime;
+  settings: PlatformSettings;
+  operator: OperatorSettings;
+  store: StateStore;
+  leadership: Leadership;
+  machineTypes: MachineTypeCatalogue;
+  cancellations: Cancellations;
+  rollout: ControllerRollout;
+  duties: ControllerDuties;
+  /** Time of day in milliseconds. */
+  wallMs(): number;
+}
+
+/** Holds the present term, if there is one. */
+export class TermSupervisor implements LeadershipEvents {
+  private term: LeaderTerm | null = null;
+
+  constructor(private readonly deps: TermSupervisorDependencies) {}
+
+  /** The term in which this node leads, though the leadership may be suspended. */
+  currentTerm(): LeaderTerm | null {
+    return this.term;
+  }
+
+  elected(elected: LeadershipTerm): void {
+    const { leadership, rollout } = this.deps;
+    const isCurrent = (): boolean => leadership.currentTerm() === elected;
+    const isLeader = (): boolean => leadership.isLeader() && isCurrent();
+    const term = new LeaderTerm(this.termDependencies(isLeader), elected);
+    this.term = term;
+    void term.run();
+    rollout.coordinate({
+      isLeader,
+      active: isCurrent,
+      leaderPrecondition: () => leadership.termPrecondition(),
+      conversion: (targetLevel) => term.conversion(targetLevel),
+    });
+  }
+
+  deposed(): void {
+    this.term?.end();
+    this.term = null;
+  }
+
+  resumed(): void {
+    this.term?.resumed();
+  }
+
+  private termDependencies(isLeader: () => boolean): LeaderTermDependencies {
+    const { runtime, settings, operator, store, leadership } = this.deps;
+    const { machineTypes, cancellations, rollout, duties } = this.deps;
+    return {
+      runtime,
+      settings,
+      operator,
+      store,
+      types: machineTypes.types() ?? [],
+      wallMs: () => this.deps.wallMs(),
+      isLeader,
+      termPrecondition: () => leadership.termPrecondition(),
+      isCancelled: (id) => cancellations.has(id),
+      cancellationsAreFresh: () => cancellations.ageMs() < CANCELLATIONS_MAX_AGE_MS,
+      segmentPrecondition: () => rollout.writeGuard(COMPACT_FINISHED_TASKS),
+      duties,
+      resign: (reason) => void leadership.resign(reason),
+    };
+  }
+}
--- a/src/main.ts
+++ b/src/main.ts
@@ -102,15 +102,15 @@
     platform.peerBind,
     platform.peers.map((p) => p.address),
   );
-  const node = new ControllerNode(
-    world,
-    platform,
+  const node = new ControllerNode({
+    runtime: world,
+    settings: platform,
     operator,
-    () => Date.now(),
-    (m) => {
-      peers.broadcast(m);
+    wallMs: () => Date.now(),
+    broadcast: (message) => {
+      peers.broadcast(message);
     },
-  );
+  });
   peers.messages.subscribe((m) => {
     node.handlePeerMessage(m);
   });
--- /dev/null
+++ b/src/peers/peer-message-handler.ts
@@ -0,0 +1,86 @@
+/** What a controller node makes of the other controllers' messages. */
+import type { HealthCheck } from '../health.js';
+import type { Cancellations } from '../jobs/cancellations.js';
+import type { Progress } from '../jobs/job-table.js';
+import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { LeaseExtender } from '../leadership/lease-extension.js';
+import type { ControllerRollout } from '../rollout/controller-rollout.js';
+import type { Clock } from '../runtime.js';
+import type { Attestations } from './attestations.js';
+import type {
+  AttestationMessage,
+  LeaseExtensionGrantMessage,
+  LeaseExtensionRequestMessage,
+  PeerMessage,
+} from './peer-messages.js';
+
+/** Whom the messages concern. */
+export interface PeerMessageHandlerDependencies {
+  clock: Clock;
+  /** Name of this node. */
+  self: string;
+  health: HealthCheck;
+  cancellations: Cancellations;
+  attestations: Attestations;
+  leaseExtender: LeaseExtender;
+  rollout: Pick<ControllerRollout, 'heardBuild' | 'heardProcess'>;
+  /** The term in which this node leads, though the leadership may be suspended. */
+  term(): LeaderTerm | null;
+  /** The leader tells how far jobs are. */
+  recordProgress(jobs: [string, Progress][]): void;
+  broadcast(message: PeerMessage): void;
+}
+
+/** Handles messages in whatever order they come; they may be late. */
+export class PeerMessageHandler {
+  constructor(private readonly deps: PeerMessageHandlerDependencies) {}
+
+  handle(message: PeerMessage): void {
+    const { health, cancellations, rollout } = this.deps;
+    switch (message.t) {
+      case 'progress':
+        this.deps.recordProgress(message.jobs);
+        return;
+      case 'ask':
+        this.handleLeaseExtensionRequest(message);
+        return;
+      case 'served':
+        health.recordPeerStatus(message.from, message.served);
+        return;
+      case 'grant':
+        this.handleLeaseExtensionGrant(message);
+        return;
+      case 'cancelled':
+        cancellations.record(message.id);
+        return;
+      case 'build':
+        rollout.heardBuild(message);
+        return;
+      case 'attest':
+        this.handleAttestation(message);
+    }
+  }
+
+  private handleLeaseExtensionRequest({ from, at }: LeaseExtensionRequestMessage): void {
+    const { self } = this.deps;
+    const grant = this.deps.term()?.handleLeaseExtensionRequest(from);
+    if (!grant) return;
+    const { epoch: revision, mayExtend: keep } = grant;
+    this.deps.broadcast({ t: 'grant', from: self, to: from, at, revision, keep });
+  }
+
+  private handleLeaseExtensionGrant(message: LeaseExtensionGrantMessage): void {
+    const { clock, self, leaseExtender } = this.deps;
+    if (message.to !== self) return;
+    const grant = { epoch: message.revision, mayExtend: message.keep };
+    leaseExtender.recordGrant(grant, message.at, clock.now());
+  }
+
+  private handleAttestation(message: AttestationMessage): void {
+    const { cancellations, attestations, rollout } = this.deps;
+    for (const id of message.cancelled) cancellations.record(id);
+    attestations.recordAttestation(message);
+    rollout.heardProcess(message.from, message.life);
+    cancellations.advanceWatermark(attestations.completeUntil(cancellations.watermark()));
+  }
+}
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -5,7 +5,7 @@
 import { isMap } from '../wire/cbor.js';
 
 /** From the leader: how far jobs are, for display. */
-export interface ProgressMessage {
+interface ProgressMessage {
   t: 'progress';
   from: string;
   /** By job. */
@@ -21,7 +21,7 @@
 }
 
 /** Does the state service serve the sender? */
-export interface AvailabilityMessage {
+interface AvailabilityMessage {
   t: 'served';
   from: string;
   served: boolean;
@@ -42,14 +42,14 @@
 }
 
 /** A user is about to be told that the job is cancelled. */
-export interface CancellationMessage {
+interface CancellationMessage {
   t: 'cancelled';
   from: string;
   id: string;
 }
 
 /** The build that the sender runs. */
-export interface BuildMessage {
+interface BuildMessage {
   t: 'build';
   from: string;
   process: string;
--- /dev/null
+++ b/src/peers/status-broadcasts.ts
@@ -0,0 +1,67 @@
+/** What a controller node tells the others regularly. */
+import type { LeaderTerm } from '../leadership/leader-term.js';
+import type { Leadership } from '../leadership/leadership.js';
+import { REQUEST_INTERVAL_MS } from '../leadership/lease-extension.js';
+import { MACHINE_TYPES_KEY } from '../machine-type-catalogue.js';
+import type { Clock } from '../runtime.js';
+import type { StateStore } from '../state-store/client.js';
+import type { Attestations } from './attestations.js';
+import type { PeerMessage } from './peer-messages.js';
+
+const PROGRESS_INTERVAL_MS = 700;
+
+/** What the messages tell of. */
+export interface StatusBroadcastsDependencies {
+  clock: Clock;
+  /** Name of this node. */
+  self: string;
+  store: Pick<StateStore, 'get' | 'unavailableForMs'>;
+  leadership: Leadership;
+  attestations: Attestations;
+  /** The term in which this node leads, though the leadership may be suspended. */
+  term(): LeaderTerm | null;
+  broadcast(message: PeerMessage): void;
+}
+
+/** Sends them for as long as the process runs. */
+export class StatusBroadcasts {
+  private isProbing = false;
+
+  constructor(private readonly deps: StatusBroadcastsDependencies) {}
+
+  run(): void {
+    this.broadcastProgress();
+    this.broadcastStatus();
+  }
+
+  private broadcastProgress(): void {
+    const { clock, self, leadership } = this.deps;
+    const term = this.deps.term();
+    if (term && leadership.isLeader())
+      this.deps.broadcast({ t: 'progress', from: self, jobs: term.progress() });
+    clock.after(PROGRESS_INTERVAL_MS, () => {
+      this.broadcastProgress();
+    });
+  }
+
+  private broadcastStatus(): void {
+    const { clock, self, store, leadership, attestations } = this.deps;
+    const served = store.unavailableForMs() === 0;
+    if (!served) this.probeStateService();
+    this.deps.broadcast({ t: 'served', from: self, served });
+    this.deps.broadcast(
+      attestations.attest(leadership.highestSeenEpoch(), leadership.isCandidate()),
+    );
+    if (!this.deps.term()) this.deps.broadcast({ t: 'ask', from: self, at: clock.now() });
+    clock.after(REQUEST_INTERVAL_MS, () => {
+      this.broadcastStatus();
+    });
+  }
+
+  /** Nothing else may ask the state service while users are elsewhere and the watches hang. */
+  private probeStateService(): void {
+    if (this.isProbing) return;
+    this.isProbing = true;
+    void this.deps.store.get(MACHINE_TYPES_KEY).then(() => (this.isProbing = false));
+  }
+}
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -16,7 +16,7 @@
 function answering(status: number): ControllerNode {
   return {
     handleHeartbeat: () => ({ status, body: {} }),
-    unhealthyReason: () => null,
+    health: () => ({ kind: 'healthy' }),
   } as Partial<ControllerNode> as ControllerNode;
 }
 
@@ -103,7 +103,7 @@
       reports++;
       return { status: 200, body: {} };
     },
-    unhealthyReason: () => null,
+    health: () => ({ kind: 'healthy' }),
   } as Partial<ControllerNode> as ControllerNode;
   const log = { ...quietLog, info: (_fields: object, text: string) => void lines.push(text) };
   await served(
@@ -140,7 +140,7 @@
       if (body !== null) throw new Error('a fault of our own');
       return { status: 400, body: {} };
     },
-    unhealthyReason: () => null,
+    health: () => ({ kind: 'healthy' }),
   } as Partial<ControllerNode> as ControllerNode;
   await served(faulty, async (port) => {
     const agent = new Agent({ keepAlive: true });
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -50,7 +50,11 @@
     roll.replace(name, OLD, 100);
     await roll.cluster.run(6);
     const node = roll.cluster.node(name);
-    assert.match(node.unhealthyReason() ?? '', /level is 2, and this is build 0\.0\.9/);
+    const health = node.health();
+    assert.match(
+      health.kind === 'unhealthy' ? health.reason : '',
+      /level is 2, and this is build 0\.0\.9/,
+    );
     const body = roll.cluster.jobBody({ ...BATCH });
     assert.equal((await node.api.submit(body)).status, 503);
     assert.equal((await node.api.poll('run-000001')).status, 503);
@@ -65,7 +69,7 @@
     await roll.until('another leads', () => roll.cluster.leader() !== undefined);
     assert.equal((await roll.ask('downgrade')).kind, 'done');
     await roll.reaches('stable', 1);
-    await roll.until('it serves again', () => node.healthy());
+    await roll.until('it serves again', () => node.health().kind === 'healthy');
     await roll.finish();
   });
 
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -214,20 +214,20 @@
     this.startedWith.set(name, build);
     if (this.ungated.has(name)) this.ungatedNow.add(name);
     else this.ungatedNow.delete(name);
-    const node = new ControllerNode(
-      world,
-      this.settings(name),
-      {
+    const node = new ControllerNode({
+      runtime: world,
+      settings: this.settings(name),
+      operator: {
         ...operator,
         duties: { ...operator.duties, ...this.config.duties },
         rollout: this.ungated.has(name)
           ? operator.rollout
           : { ...operator.rollout, ...this.config.rollout },
       },
-      () => 1e12 + this.clock.time + (this.wallSkewMs.get(name) ?? 0),
-      tell,
+      wallMs: () => 1e12 + this.clock.time + (this.wallSkewMs.get(name) ?? 0),
+      broadcast: tell,
       build,
-    );
+    });
     life.node = node;
     this.lives.set(name, life as Life);
     this.net.hosts.set(`${name}:80`, {
@@ -347,7 +347,7 @@
   }
 
   healthy(name: string): boolean {
-    return this.lives.get(name)!.node.healthy();
+    return this.lives.get(name)!.node.health().kind === 'healthy';
   }
 
   leader(): string | undefined {
