--- a/src/build.ts
+++ b/src/build.ts
@@ -8,6 +8,7 @@
 /** Machines are rented and deleted by the holders of duties, as stored intents say: see docs/duties.md. */
 export const FENCED_DUTIES = 'fenced-duties';
 
+/** All features that depend on the cluster's level. */
 export const FEATURES = new FeatureRegistry([
   {
     name: COMPACT_FINISHED_TASKS,
@@ -31,4 +32,5 @@
   },
 ]);
 
+/** This build's version, and the levels that it reads and writes. */
 export const BUILD: Build = { version: manifest.version, reads: { from: 1, to: 3 }, writes: 3 };
--- /dev/null
+++ b/src/controller-process.ts
@@ -0,0 +1,57 @@
+/** Runs a controller node on real sockets, until the process is ended. */
+import { createHttpServer } from './http-server.js';
+import { ControllerNode } from './node.js';
+import { PeerNetwork } from './peers/peer-network.js';
+import { createLog, createProcessRuntime } from './process-runtime.js';
+import type { Log, Runtime } from './runtime.js';
+import type { Settings } from './settings-files.js';
+import { allocateSockets } from './socket-allocation.js';
+
+const DEFAULT_LOG_LEVEL = 'info';
+
+/** `onListenError`: called if the address for users and workers can't be listened on. */
+export function runController(settings: Settings, onListenError: (error: Error) => void): void {
+  const { platform } = settings;
+  const log = createLog(process.env.LOG_LEVEL ?? DEFAULT_LOG_LEVEL, platform.node);
+  const runtime = createProcessRuntime(platform, log);
+  const peerAddresses = platform.peers.map((peer) => peer.address);
+  const peers = new PeerNetwork(runtime, platform.peerBind, peerAddresses);
+  const node = createNode(settings, runtime, peers);
+  listen(node, settings, log, onListenError);
+  peers.run();
+  node.run();
+}
+
+function createNode(
+  { platform, operator }: Settings,
+  runtime: Runtime,
+  peers: PeerNetwork,
+): ControllerNode {
+  const node = new ControllerNode({
+    runtime,
+    settings: platform,
+    operator,
+    wallMs: () => Date.now(),
+    broadcast: (message) => {
+      peers.broadcast(message);
+    },
+  });
+  peers.messages.subscribe((message) => {
+    node.handlePeerMessage(message);
+  });
+  return node;
+}
+
+function listen(
+  node: ControllerNode,
+  { platform }: Settings,
+  log: Log,
+  onError: (error: Error) => void,
+): void {
+  const server = createHttpServer(node, platform.sockets, log);
+  const [host, port] = platform.listen.split(':');
+  server.on('error', onError);
+  server.listen(Number(port), host, allocateSockets(platform.sockets).backlog, () => {
+    log.info({ listen: platform.listen }, 'listening');
+  });
+}
--- /dev/null
+++ b/src/http-client.ts
@@ -0,0 +1,128 @@
+/**
+ * The HTTP client of a controller: requests to workers, the state service and the cloud, within the sockets that it
+ * may hold.
+ */
+import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
+import type { Socket } from 'node:net';
+import type { Http, HttpMethod, Reply } from './runtime.js';
+import { type Body, decodeMap, encode } from './wire/cbor.js';
+
+const NO_REPLY: Reply = { status: 0, body: {} };
+const STATUS_OK = 200;
+/** How long a connection to a worker stays open without use. */
+const WORKER_IDLE_TIMEOUT_MS = 2500;
+const MAX_CONNECTIONS_PER_SERVICE = 24;
+const AGENT_OPTIONS = { keepAlive: true, scheduling: 'lifo' as const };
+
+/** Which connections stay open, and how many there may be. */
+export interface HttpClientOptions {
+  /** Addresses, as `host:port`, to which connections stay open: a few services. All others are workers. */
+  services: readonly string[];
+  maxConnectionsToWorkers: number;
+}
+
+/**
+ * Persistent connections with one request at a time on each (no pipelining). Workers are many, and each holds a
+ * connection of its own to us: what we open to them is closed soon after use, or at once when half of the sockets meant
+ * for that are taken.
+ */
+export class HttpClient implements Http {
+  private readonly serviceAgent = new Agent({
+    ...AGENT_OPTIONS,
+    maxSockets: MAX_CONNECTIONS_PER_SERVICE,
+  });
+  private readonly workerAgent = new Agent({
+    ...AGENT_OPTIONS,
+    maxSockets: 1,
+    timeout: WORKER_IDLE_TIMEOUT_MS,
+  });
+  private readonly workerSockets = new Set<Socket>();
+
+  constructor(private readonly options: HttpClientOptions) {}
+
+  /** Never rejects: a status of 0 stands for no reply. */
+  send(
+    to: string,
+    method: HttpMethod,
+    path: string,
+    body: Body | null,
+    timeoutMs: number,
+  ): Promise<Reply> {
+    return new Promise((resolve) => {
+      const sent = this.createRequest(to, method, path, body);
+      // Given up also while the connection is still being made, which takes seconds to a host that says nothing;
+      // with the request goes its socket.
+      const timer = setTimeout(() => {
+        sent.destroy();
+        resolve(NO_REPLY);
+      }, timeoutMs);
+      const settle = (reply: Reply): void => {
+        clearTimeout(timer);
+        resolve(reply);
+      };
+      sent.once('response', (response) => {
+        readReply(response, settle);
+      });
+      sent.on('error', () => {
+        settle(NO_REPLY);
+      });
+    });
+  }
+
+  private createRequest(
+    to: string,
+    method: HttpMethod,
+    path: string,
+    body: Body | null,
+  ): ClientRequest {
+    const bytes = body === null ? null : encode(body);
+    const isService = this.options.services.includes(to);
+    const colon = to.lastIndexOf(':');
+    const sent = request({
+      host: to.slice(0, colon),
+      port: Number(to.slice(colon + 1)),
+      method,
+      path,
+      agent: isService ? this.serviceAgent : this.workerAgent,
+      headers: {
+        ...(bytes && { 'content-type': 'application/cbor', 'content-length': bytes.length }),
+        ...(!isService && this.isShortOfSockets() && { connection: 'close' }),
+      },
+    });
+    if (!isService)
+      sent.on('socket', (socket) => {
+        this.countWorkerSocket(socket);
+      });
+    sent.end(bytes ?? undefined);
+    return sent;
+  }
+
+  private isShortOfSockets(): boolean {
+    return this.workerSockets.size > this.options.maxConnectionsToWorkers / 2;
+  }
+
+  private countWorkerSocket(socket: Socket): void {
+    if (this.workerSockets.has(socket)) return;
+    this.workerSockets.add(socket);
+    socket.once('close', () => this.workerSockets.delete(socket));
+  }
+}
+
+function readReply(response: IncomingMessage, settle: (reply: Reply) => void): void {
+  const parts: Buffer[] = [];
+  response.on('data', (part: Buffer) => parts.push(part));
+  response.on('error', () => {
+    settle(NO_REPLY);
+  });
+  response.on('end', () => {
+    settle(decodeReply(response.statusCode ?? 0, parts));
+  });
+}
+
+function decodeReply(status: number, parts: Buffer[]): Reply {
+  const bytes = parts.length === 1 ? parts[0] : Buffer.concat(parts);
+  const body = bytes.length === 0 ? {} : decodeMap(bytes);
+  if (body !== null) return { status, body };
+  // A 200 that can't be read tells nothing: the request may have been executed.
+  return status === STATUS_OK ? NO_REPLY : { status, body: {} };
+}
--- a/src/http-server.ts
+++ b/src/http-server.ts
@@ -1,146 +1,118 @@
 /** The HTTP server for users, workers and health checks. */
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import type { Socket } from 'node:net';
-import express, { type NextFunction, type Request, type Response } from 'express';
-import type { ControllerNode } from './node.js';
+import { AcceptQueue } from './accept-queue.js';
 import type { Answer } from './jobs/api.js';
+import type { ControllerNode } from './node.js';
+import type { Log } from './runtime.js';
+import { allocateSockets } from './socket-allocation.js';
+import { INTERNAL_FAILURE, MAX_BODY_BYTES, createUserApp } from './user-app.js';
 import { type Body, decodeMap, encode } from './wire/cbor.js';
-import { userPaths } from './wire/users.js';
 import { workerPaths } from './wire/workers.js';
-import { AcceptQueue } from './accept-queue.js';
-import type { Log } from './runtime.js';
-import { shareSockets } from './sockets.js';
 
-const MAX_BODY = 64 * 1024;
-/** Whoever says nothing for so long has most likely gone without a word: workers and users speak every few seconds. */
-const IDLE_MS = 25_000;
+/** Whoever is silent for so long has most likely gone without a word: workers and users speak every few seconds. */
+const IDLE_TIMEOUT_MS = 25_000;
 
-function reply(res: Response, a: Answer): void {
-  if (a.retryAfterS !== undefined) res.set('Retry-After', String(a.retryAfterS));
-  res.status(a.status).type('application/cbor').send(encode(a.body));
+/** Serves the node's users, workers and health checks, on at most its share of `sockets`. */
+export function createHttpServer(node: ControllerNode, sockets: number, log: Log): Server {
+  const allocation = allocateSockets(sockets);
+  const userApp = createUserApp(node);
+  const server = createServer((request, response) => {
+    if (isHeartbeat(request)) heartbeats.serve(request, response);
+    else userApp(request, response);
+  });
+  const queue = new AcceptQueue(server, allocation.maxInbound, log, (ms, callback) => {
+    setTimeout(callback, ms);
+  });
+  const heartbeats = new HeartbeatServer(
+    server,
+    queue,
+    allocation.maxKeptWorkerConnections,
+    (body) => node.handleHeartbeat(body),
+  );
+  server.keepAliveTimeout = IDLE_TIMEOUT_MS;
+  server.headersTimeout = IDLE_TIMEOUT_MS;
+  server.requestTimeout = IDLE_TIMEOUT_MS;
+  return server;
 }
 
-function bodyOf(req: Request): Body | null {
-  return Buffer.isBuffer(req.body) ? decodeMap(req.body) : null;
+function isHeartbeat(request: IncomingMessage): boolean {
+  return request.method === 'POST' && request.url === workerPaths.heartbeat;
 }
 
 /**
- * Reports come by the hundred a second and are most of what the leader does, so they pass express by: there each
- * costs three times as much. A body over the limit is cut off, and then can't be read.
+ * Heartbeats come by the hundred a second and are most of what the leader does, so they bypass express: there each
+ * costs three times as much.
  */
-function readBody(req: IncomingMessage, done: (body: Buffer) => void): void {
-  const parts: Buffer[] = [];
-  let length = 0;
-  req.on('data', (part: Buffer) => {
-    length += part.length;
-    if (length <= MAX_BODY) parts.push(part);
-  });
-  req.on('end', () => {
-    done(parts.length === 1 ? parts[0] : Buffer.concat(parts));
-  });
-}
+class HeartbeatServer {
+  private openConnections = 0;
+  /** Connections on which a heartbeat was read. */
+  private readonly knownSockets = new WeakSet<Socket>();
 
-/** Whatever goes wrong with a report, it harms that report alone. */
-function safely(f: () => Answer): Answer {
-  try {
-    return f();
-  } catch {
-    return NOT_NOW;
+  constructor(
+    server: Server,
+    private readonly queue: AcceptQueue,
+    private readonly maxKeptConnections: number,
+    private readonly handleHeartbeat: (body: Body | null) => Answer,
+  ) {
+    server.on('connection', (socket) => {
+      this.openConnections++;
+      socket.on('close', () => this.openConnections--);
+    });
   }
-}
 
-const NOT_NOW: Answer = { status: 503, body: {}, retryAfterS: 1 };
-const MALFORMED: Answer = { status: 400, body: { error: 'not a CBOR map' } };
-
-/** Users' requests and health checks. */
-function userApp(node: ControllerNode): express.Express {
-  const app = express();
-  app.disable('x-powered-by');
-  app.disable('etag');
-  app.use(express.raw({ type: () => true, limit: MAX_BODY }));
-  const answer =
-    (f: (req: Request) => Promise<Answer> | Answer) =>
-    (req: Request, res: Response, next: NextFunction): void => {
-      Promise.resolve(f(req)).then((a) => {
-        reply(res, a);
-      }, next);
-    };
-  app.get(userPaths.health, (_req, res) => {
-    const health = node.health();
-    res.status(health.kind === 'healthy' ? 200 : 503).type('text/plain');
-    res.end(health.kind === 'healthy' ? undefined : health.reason);
-  });
-  app.post(
-    userPaths.jobs,
-    answer((req) => {
-      const body = bodyOf(req);
-      return body ? node.api.submit(body) : MALFORMED;
-    }),
-  );
-  app.get(
-    `${userPaths.jobs}/:id`,
-    answer((req) => node.api.poll(String(req.params.id))),
-  );
-  app.post(
-    userPaths.cancel(':id'),
-    answer((req) => node.api.cancel(String(req.params.id))),
-  );
-  app.use((_req: Request, res: Response) => {
-    reply(res, { status: 404, body: { error: 'no such path' } });
-  });
-  // Whatever is wrong with a request (too large, cut short, badly encoded), it harms that request alone.
-  app.use((err: { status?: number }, _req: Request, res: Response, _next: NextFunction) => {
-    const client = err.status !== undefined && err.status >= 400 && err.status < 500;
-    reply(res, client ? { status: 400, body: { error: 'malformed request' } } : NOT_NOW);
-  });
-  return app;
-}
-
-/** Users, workers and health checks. */
-export function httpServer(node: ControllerNode, sockets: number, log: Log): Server {
-  const app = userApp(node);
-  const shares = shareSockets(sockets);
-  let open = 0;
-  // There can be more workers than sockets: when these run short, a worker connects anew for its next report. One
-  // that is sent elsewhere is not expected back.
-  const beat = (body: Buffer, res: ServerResponse): void => {
-    const a = safely(() => node.handleHeartbeat(decodeMap(body)));
-    const close = a.status !== 200 || open > shares.workersKept;
-    const bytes = encode(a.body);
-    res.writeHead(a.status, [
-      ...['content-type', 'application/cbor', 'content-length', String(bytes.length)],
-      ...(close ? ['connection', 'close'] : []),
-      ...(a.retryAfterS === undefined ? [] : ['retry-after', String(a.retryAfterS)]),
-    ]);
-    res.end(bytes);
-  };
-  const answered = new WeakSet<Socket>();
-  const server = createServer((req, res) => {
-    if (req.method !== 'POST' || req.url !== workerPaths.heartbeat) {
-      app(req, res);
-      return;
-    }
-    readBody(req, (body) => {
-      const { socket } = req;
-      if (answered.has(socket)) {
-        beat(body, res);
+  serve(request: IncomingMessage, response: ServerResponse): void {
+    readBody(request, (body) => {
+      const { socket } = request;
+      if (this.knownSockets.has(socket)) {
+        this.respond(body, response);
         return;
       }
-      answered.add(socket);
-      queue.whenStillThere(socket, () => {
-        beat(body, res);
+      this.knownSockets.add(socket);
+      this.queue.ifStillConnected(socket, () => {
+        this.respond(body, response);
       });
     });
+  }
+
+  private respond(body: Buffer, response: ServerResponse): void {
+    const { status, body: replyBody, retryAfterS } = this.answer(body);
+    const bytes = encode(replyBody);
+    response.writeHead(status, [
+      ...['content-type', 'application/cbor', 'content-length', String(bytes.length)],
+      ...(this.mustClose(status) ? ['connection', 'close'] : []),
+      ...(retryAfterS === undefined ? [] : ['retry-after', String(retryAfterS)]),
+    ]);
+    response.end(bytes);
+  }
+
+  /** Whatever goes wrong with a heartbeat, it harms that heartbeat alone. */
+  private answer(body: Buffer): Answer {
+    try {
+      return this.handleHeartbeat(decodeMap(body));
+    } catch {
+      return INTERNAL_FAILURE;
+    }
+  }
+
+  /**
+   * There can be more workers than sockets: when these run short, a worker connects anew for its next heartbeat. One
+   * that is sent elsewhere is not expected back.
+   */
+  private mustClose(status: number): boolean {
+    return status !== 200 || this.openConnections > this.maxKeptConnections;
+  }
+}
+
+/** A body over the limit is cut off, and then can't be decoded. */
+function readBody(request: IncomingMessage, onBody: (body: Buffer) => void): void {
+  const parts: Buffer[] = [];
+  let length = 0;
+  request.on('data', (part: Buffer) => {
+    length += part.length;
+    if (length <= MAX_BODY_BYTES) parts.push(part);
   });
-  const queue = new AcceptQueue(server, shares.inbound, log, (ms, fn) => {
-    setTimeout(fn, ms);
-  });
-  server.on('connection', (socket) => {
-    open++;
-    socket.on('close', () => open--);
+  request.on('end', () => {
+    onBody(parts.length === 1 ? parts[0] : Buffer.concat(parts));
   });
-  server.keepAliveTimeout = IDLE_MS;
-  server.headersTimeout = IDLE_MS;
-  server.requestTimeout = IDLE_MS;
-  return server;
 }
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -6,7 +6,7 @@
 import { CompletionWriter } from '../jobs/completion-writer.js';
 import { type Job, JobTable } from '../jobs/job-table.js';
 import { Placement } from '../placement/placement.js';
-import { shareSockets } from '../sockets.js';
+import { allocateSockets } from '../socket-allocation.js';
 import { CommandSender } from '../workers/command-sender.js';
 import type { Machine } from '../workers/machine.js';
 import { MachineRecordStore } from '../workers/machine-records.js';
@@ -126,7 +126,7 @@
       table: this.table,
       isLeader: () => this.lifecycle.isLeader(),
       timeoutMs: operator.command_timeout_ms,
-      maxInFlight: shareSockets(settings.sockets).requests,
+      maxInFlight: allocateSockets(settings.sockets).maxRequestsToWorkers,
       applyHeartbeat: (machine, heartbeat) => {
         this.heartbeats.apply(machine, heartbeat);
       },
--- /dev/null
+++ b/src/process-runtime.ts
@@ -0,0 +1,37 @@
+/** The runtime of a real process: its clock, random numbers, HTTP client and log. */
+import { performance } from 'node:perf_hooks';
+import pino from 'pino';
+import { HttpClient } from './http-client.js';
+import type { Clock, Log, Runtime } from './runtime.js';
+import type { PlatformSettings } from './settings/platform.js';
+import { allocateSockets } from './socket-allocation.js';
+
+const STDERR_FD = 2;
+
+const STEADY_CLOCK: Clock = {
+  now: () => performance.now(),
+  after: (ms, callback) => {
+    const timer = setTimeout(callback, ms);
+    return () => {
+      clearTimeout(timer);
+    };
+  },
+};
+
+/** A runtime whose client keeps connections to the state service and the cloud open. */
+export function createProcessRuntime(settings: PlatformSettings, log: Log): Runtime {
+  return {
+    clock: STEADY_CLOCK,
+    http: new HttpClient({
+      services: [settings.state, settings.cloud],
+      maxConnectionsToWorkers: allocateSockets(settings.sockets).maxToWorkers,
+    }),
+    log,
+    random: () => Math.random(),
+  };
+}
+
+/** Logs JSON lines to standard error, in the name of the node. `level`: of pino, or `silent`. */
+export function createLog(level: string, node: string): Log {
+  return pino({ level, base: { node } }, pino.destination({ dest: STDERR_FD, sync: true }));
+}
--- a/src/runtime.ts
+++ b/src/runtime.ts
@@ -1,35 +1,44 @@
-/** What the outside world is to decision code: injected, so that tests can simulate whole clusters. */
+/** The outside world of the decision code: injected, so that tests can simulate whole clusters. */
 import type { Environment } from '@millring/state-access';
 import type { Body } from './wire/cbor.js';
 
+/** Time that never goes back, and has nothing in common with that of other processes. */
 export interface Clock {
-  /** Steady milliseconds. */
+  /** Milliseconds. */
   now(): number;
-  after(ms: number, fn: () => void): () => void;
+  /** Calls `callback` after so many milliseconds. Returns a function that cancels the call. */
+  after(ms: number, callback: () => void): () => void;
 }
 
-/** `status` 0: no answer came, so the request may have been executed, or may still be. */
+/** The answer to a request. `status` 0: none came, so the request may have been executed, or may still be. */
 export interface Reply {
   status: number;
   body: Body;
 }
 
+/** Of the requests that controllers make. */
+export type HttpMethod = 'GET' | 'POST' | 'DELETE';
+
+/** Sends requests with CBOR bodies. */
 export interface Http {
+  /** `to`: `host:port`. Never rejects; without a reply in time it resolves to status 0. */
   send(
     to: string,
-    method: 'GET' | 'POST' | 'DELETE',
+    method: HttpMethod,
     path: string,
     body: Body | null,
     timeoutMs: number,
   ): Promise<Reply>;
 }
 
+/** A structured log. */
 export interface Log {
   info(fields: object, text: string): void;
   debug(fields: object, text: string): void;
   error(fields: object, text: string): void;
 }
 
+/** Everything that a process needs of its surroundings. */
 export interface Runtime {
   clock: Clock;
   http: Http;
@@ -38,14 +47,15 @@
   random(): number;
 }
 
-/** Steady clocks of different machines drift apart by at most this factor. */
+/** Clocks of different machines drift apart by at most this factor. */
 export const DRIFT = 1.001;
 
+/** Resolves after so many milliseconds of the clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
-  return new Promise((done) => clock.after(ms, done));
+  return new Promise((resolve) => clock.after(ms, resolve));
 }
 
-/** The world as the packages see it. */
+/** The runtime as the packages see it. */
 export function packageEnvironment(source: { runtime: Runtime; wallMs(): number }): Environment {
   const { runtime } = source;
   return {
--- /dev/null
+++ b/src/user-app.ts
@@ -0,0 +1,92 @@
+/** The HTTP routes for users and health checks. */
+import express, { type NextFunction, type Request, type Response } from 'express';
+import type { Health } from './health.js';
+import type { Answer, JobsApi } from './jobs/api.js';
+import { type Body, decodeMap, encode } from './wire/cbor.js';
+import { userPaths } from './wire/users.js';
+
+/** Larger bodies are refused. */
+export const MAX_BODY_BYTES = 64 * 1024;
+/** For requests that fail within this process: the client may try again, here or elsewhere. */
+export const INTERNAL_FAILURE: Answer = { status: 503, body: {}, retryAfterS: 1 };
+const NOT_CBOR: Answer = { status: 400, body: { error: 'not a CBOR map' } };
+const MALFORMED: Answer = { status: 400, body: { error: 'malformed request' } };
+const NOT_FOUND: Answer = { status: 404, body: { error: 'no such path' } };
+
+/** What serves the requests. */
+export interface UserBackend {
+  api: Pick<JobsApi, 'submit' | 'poll' | 'cancel'>;
+  health(): Health;
+}
+
+type Responder = (request: Request) => Promise<Answer> | Answer;
+
+/** An express application: whatever is wrong with a request, it harms that request alone. */
+export function createUserApp(backend: UserBackend): express.Express {
+  const app = express();
+  app.disable('x-powered-by');
+  app.disable('etag');
+  app.use(express.raw({ type: () => true, limit: MAX_BODY_BYTES }));
+  app.get(userPaths.health, (_request, response) => {
+    sendHealth(response, backend.health());
+  });
+  addJobRoutes(app, backend);
+  app.use((_request: Request, response: Response) => {
+    send(response, NOT_FOUND);
+  });
+  app.use(handleError);
+  return app;
+}
+
+function addJobRoutes(app: express.Express, backend: UserBackend): void {
+  app.post(
+    userPaths.jobs,
+    respondWith((request) => {
+      const body = bodyOf(request);
+      return body ? backend.api.submit(body) : NOT_CBOR;
+    }),
+  );
+  app.get(
+    `${userPaths.jobs}/:id`,
+    respondWith((request) => backend.api.poll(String(request.params.id))),
+  );
+  app.post(
+    userPaths.cancel(':id'),
+    respondWith((request) => backend.api.cancel(String(request.params.id))),
+  );
+}
+
+function respondWith(responder: Responder) {
+  return (request: Request, response: Response, next: NextFunction): void => {
+    Promise.resolve(responder(request)).then((answer) => {
+      send(response, answer);
+    }, next);
+  };
+}
+
+function bodyOf(request: Request): Body | null {
+  return Buffer.isBuffer(request.body) ? decodeMap(request.body) : null;
+}
+
+function send(response: Response, { status, body, retryAfterS }: Answer): void {
+  if (retryAfterS !== undefined) response.set('Retry-After', String(retryAfterS));
+  response.status(status).type('application/cbor').send(encode(body));
+}
+
+function sendHealth(response: Response, health: Health): void {
+  const isHealthy = health.kind === 'healthy';
+  response.status(isHealthy ? 200 : 503).type('text/plain');
+  response.end(isHealthy ? undefined : health.reason);
+}
+
+/** Too large, cut short or badly encoded requests are the client's errors; all else is ours. */
+function handleError(
+  error: { status?: number },
+  _request: Request,
+  response: Response,
+  // Express tells error handlers by their four parameters.
+  _next: NextFunction,
+): void {
+  const isClientError = error.status !== undefined && error.status >= 400 && error.status < 500;
+  send(response, isClientError ? MALFORMED : INTERNAL_FAILURE);
+}
--- a/test/outgoing.test.ts
+++ b/test/http-client.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { type Socket, createServer } from 'node:net';
 import { test } from 'node:test';
-import { outgoing } from '../src/outgoing.js';
+import { HttpClient } from '../src/http-client.js';
 
 // Giving up must not wait until the request can have a connection: a leader learnt of dead machines, whose
 // connections are never made, seconds late. Here the one connection is taken by a request without an answer.
@@ -14,7 +14,7 @@
     await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
     const { port } = server.address() as { port: number };
     const order: string[] = [];
-    const http = outgoing([], 20);
+    const http = new HttpClient({ services: [], maxConnectionsToWorkers: 20 });
     const get = (timeoutMs: number, name: string): Promise<void> =>
       http
         .send(`127.0.0.1:${port}`, 'GET', '/', null, timeoutMs)
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -3,10 +3,10 @@
 import { Agent, request } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
 import { test } from 'node:test';
-import { httpServer } from '../src/http-server.js';
+import { createHttpServer } from '../src/http-server.js';
 import type { ControllerNode } from '../src/node.js';
 import type { Log } from '../src/runtime.js';
-import { shareSockets } from '../src/sockets.js';
+import { allocateSockets } from '../src/socket-allocation.js';
 import { encode } from '../src/wire/cbor.js';
 import { quietLog } from './sim/quiet-log.js';
 
@@ -44,7 +44,7 @@
   fn: (port: number) => Promise<void>,
   log: Log = quietLog,
 ): Promise<void> {
-  const server = httpServer(node, LIMIT, log);
+  const server = createHttpServer(node, LIMIT, log);
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   try {
     await fn((server.address() as AddressInfo).port);
@@ -55,15 +55,15 @@
 }
 
 test('with more workers than sockets each is answered, and health checks still get through', async () => {
-  const shares = shareSockets(LIMIT);
+  const shares = allocateSockets(LIMIT);
   await served(answering(200), async (port) => {
     const agents: Agent[] = [];
-    for (let i = 0; i < 2 * shares.inbound; i++) {
+    for (let i = 0; i < 2 * shares.maxInbound; i++) {
       const agent = new Agent({ keepAlive: true, maxSockets: 1 });
       agents.push(agent);
       const [status, connection] = await ask(port, 'POST', '/agent/beat', agent);
       assert.equal(status, 200);
-      assert.equal(connection, i < shares.workersKept ? 'keep-alive' : 'close', `worker ${i}`);
+      assert.equal(connection, i < shares.maxKeptWorkerConnections ? 'keep-alive' : 'close', `worker ${i}`);
     }
     const health = await ask(port, 'GET', '/healthz', new Agent());
     assert.equal(health[0], 200);
@@ -156,8 +156,8 @@
 
 test('what is shared out stays within the limit, at every size of a process', () => {
   for (const limit of [60, 400, 1000, 1308, 1923, 20_000]) {
-    const s = shareSockets(limit);
-    assert.ok(s.inbound + s.backlog + s.toWorkers < limit, String(limit));
-    assert.ok(s.workersKept < s.inbound && s.requests < s.toWorkers, String(limit));
+    const s = allocateSockets(limit);
+    assert.ok(s.maxInbound + s.backlog + s.maxToWorkers < limit, String(limit));
+    assert.ok(s.maxKeptWorkerConnections < s.maxInbound && s.maxRequestsToWorkers < s.maxToWorkers, String(limit));
   }
 });
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -1,7 +1,7 @@
 /** The main module of a process that shares the duties with others; tests suspend and continue it by signals. */
 import { performance } from 'node:perf_hooks';
 import { DutyMember } from '@millring/duties';
-import { outgoing } from '../../src/outgoing.js';
+import { HttpClient } from '../../src/http-client.js';
 import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
 import { SETTINGS } from './duty-group.js';
@@ -47,7 +47,10 @@
         };
       },
     },
-    http: outgoing([stateAddress, providerAddress], SOCKETS),
+    http: new HttpClient({
+      services: [stateAddress, providerAddress],
+      maxConnectionsToWorkers: SOCKETS,
+    }),
     log: { ...quietLog, info: noteState },
     random: () => Math.random(),
   };
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -1,7 +1,7 @@
 /** The stand-ins of the simulated cluster, served on loopback in real time to controllers that are real processes. */
 import { type Server, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { outgoing } from '../../src/outgoing.js';
+import { HttpClient } from '../../src/http-client.js';
 import { TOKENS_PER_EPOCH } from '../../src/leadership/leader-record.js';
 import { type Body, decodeMap, encode, isMap, narrow } from '../../src/wire/cbor.js';
 import { type CloudMachine, CloudService } from './cloud.js';
@@ -135,7 +135,7 @@
   private startedAt = 0;
   /** Until then, commands with starts reach the machines so much later. */
   lateStarts: { byMs: number; until: number } | null = null;
-  private readonly http: ReturnType<typeof outgoing>;
+  private readonly http: HttpClient;
   private readonly servers: Server[] = [];
   /** Addresses of machines, in the order of their names. */
   private readonly endpoints: string[] = [];
@@ -150,7 +150,7 @@
     this.rules = new Rules(() => this.clock.time, config.cancelMs, config.limits);
     this.state = new StateService(this.clock, this.random);
     const addresses = config.controllers.map(({ address }) => address);
-    this.http = outgoing(addresses, CPUS);
+    this.http = new HttpClient({ services: addresses, maxConnectionsToWorkers: CPUS });
     for (const address of addresses)
       this.network.hosts.set(address, { handler: this.controller(address), hangsUntil: 0 });
     const pools = ['a', 'b'].map((zone) => ({ type: 't16', zone, count: config.machinesPerPool }));
