--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,36 +1,41 @@
 /** The verdict over known failures: it must never hide another failure, nor a test that has come to pass. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type KnownRedEntry, MOST_ENTRIES, judge, readKnownRed } from './runner/known-red.js';
+import { type KnownRedEntry, MAX_ENTRIES, judge, readKnownRed } from './runner/known-red.js';
 
 const LISTED: KnownRedEntry = {
   test: 'test/a.test.ts > breaks',
-  cause: 'a cause',
+  command: 'npm test, seed 7',
+  observed: 'a task ran twice',
   issue: 'issue 1',
 };
-const line = (name: string): string => `test/${name}.test.ts > title | cause | issue 1`;
+const line = (name: string): string => `test/${name}.test.ts > title | npm test | seen | issue 1`;
 
 test('a list is read, empty lines apart', () => {
   assert.deepEqual(readKnownRed(''), { kind: 'read', entries: [] });
-  assert.deepEqual(readKnownRed('\ntest/a.test.ts > breaks | a cause | issue 1\n'), {
-    kind: 'read',
-    entries: [LISTED],
-  });
+  assert.deepEqual(
+    readKnownRed('\ntest/a.test.ts > breaks | npm test, seed 7 | a task ran twice | issue 1\n'),
+    {
+      kind: 'read',
+      entries: [LISTED],
+    },
+  );
 });
 
 test('a malformed line, a repeated one, and one too many are refused with their number', () => {
   for (const text of [
-    'test/a.test.ts > t | cause',
-    'test/a.test.ts > t | | issue 1',
-    'a title | cause | issue 1',
+    'test/a.test.ts > t | npm test | seen',
+    'test/a.test.ts > t | npm test | | issue 1',
+    'test/a.test.ts > t | | seen | issue 1',
+    'a title | npm test | seen | issue 1',
   ])
     assert.equal(readKnownRed(text).kind, 'malformed', text);
   const repeated = readKnownRed([line('a'), line('a')].join('\n'));
   assert.deepEqual(repeated, { kind: 'malformed', line: 2, reason: 'listed twice' });
-  const names = Array.from({ length: MOST_ENTRIES + 1 }, (_, i) => line(`n${i}`));
+  const names = Array.from({ length: MAX_ENTRIES + 1 }, (_, i) => line(`n${i}`));
   const tooMany = readKnownRed(names.join('\n'));
-  assert.ok(tooMany.kind === 'malformed' && tooMany.line === MOST_ENTRIES + 1);
-  assert.equal(readKnownRed(names.slice(0, MOST_ENTRIES).join('\n')).kind, 'read');
+  assert.ok(tooMany.kind === 'malformed' && tooMany.line === MAX_ENTRIES + 1);
+  assert.equal(readKnownRed(names.slice(0, MAX_ENTRIES).join('\n')).kind, 'read');
 });
 
 test('a listed test that fails is passed over, any other failure is not', () => {
--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -3,10 +3,12 @@
  * them alone, and only while they really fail.
  */
 
-/** One line of KNOWN-RED.txt: `FILE > TITLE | CAUSE | ISSUE`. */
+/** One line of KNOWN-RED.txt: `FILE > TITLE | COMMAND AND SEED | WHAT WAS SEEN | ISSUE`. */
 export interface KnownRedEntry {
   test: string;
-  cause: string;
+  /** Repeats the failure, with the seed where there is one. */
+  command: string;
+  observed: string;
   issue: string;
 }
 
@@ -27,9 +29,9 @@
 }
 
 /** More known failures than this are not carried along. */
-export const MOST_ENTRIES = 3;
+export const MAX_ENTRIES = 3;
 
-const FIELDS = 3;
+const FIELDS = 4;
 const TEST_PATTERN = /^\S+\.test\.ts > \S/;
 
 /** Reads KNOWN-RED.txt. Empty lines are ignored. */
@@ -44,12 +46,12 @@
     });
     const fields = line.split('|').map((field) => field.trim());
     if (fields.length !== FIELDS || fields.includes(''))
-      return malformed('expected TEST | CAUSE | ISSUE');
-    const [test, cause, issue] = fields;
+      return malformed('expected TEST | COMMAND | OBSERVED | ISSUE');
+    const [test, command, observed, issue] = fields;
     if (!TEST_PATTERN.test(test)) return malformed('expected FILE.test.ts > TITLE as the test');
     if (entries.some((entry) => entry.test === test)) return malformed('listed twice');
-    if (entries.length >= MOST_ENTRIES) return malformed(`more than ${MOST_ENTRIES} entries`);
-    entries.push({ test, cause, issue });
+    if (entries.length >= MAX_ENTRIES) return malformed(`more than ${MAX_ENTRIES} entries`);
+    entries.push({ test, command, observed, issue });
   }
   return { kind: 'read', entries };
 }
--- a/test/runner/run-tests.ts
+++ b/test/runner/run-tests.ts
@@ -63,8 +63,8 @@
     return 1;
   }
   const verdict = judge(await runAll(root), list.entries);
-  for (const { test, cause, issue } of verdict.knownRed)
-    process.stdout.write(`known red: ${test} (${cause}; ${issue})\n`);
+  for (const { test, command, observed, issue } of verdict.knownRed)
+    process.stdout.write(`known red: ${test} (${observed}; ${command}; ${issue})\n`);
   for (const problem of verdict.problems) process.stdout.write(`${problem}\n`);
   return verdict.problems.length === 0 ? 0 : 1;
 }
