--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,6 +1,4 @@
 import js from '@eslint/js';
-import { createTypeScriptImportResolver } from 'eslint-import-resolver-typescript';
-import importX from 'eslint-plugin-import-x';
 import jsdoc from 'eslint-plugin-jsdoc';
 import { defineConfig } from 'eslint/config';
 import ts from 'typescript-eslint';
@@ -19,14 +17,6 @@
         tsconfigRootDir: import.meta.dirname,
       },
     },
-    plugins: { 'import-x': importX },
-    settings: {
-      'import-x/resolver-next': [
-        createTypeScriptImportResolver({
-          conditionNames: ['source', 'types', 'import', 'default'],
-        }),
-      ],
-    },
     rules: {
       '@typescript-eslint/no-unused-vars': ['error', { argsIgnorePattern: '^_' }],
       '@typescript-eslint/restrict-template-expressions': [
@@ -57,7 +47,6 @@
           'VariableDeclarator > Identifier.id[name=/^[^i]$/]',
         ].map((selector) => ({ selector, message: ONE_LETTER_NAME })),
       ],
-      'import-x/no-cycle': 'warn',
       'object-shorthand': 'error',
       eqeqeq: 'error',
       'max-lines': ['warn', 300],
