--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -4,7 +4,12 @@
 import type { FeatureRegistry } from './levels.js';
 import { type ClusterLevel, LEVEL_KEY, PREFIX } from './records.js';
 import type { RolloutSettings } from './settings.js';
-import { type Environment, type Guard, type StateAccess, sleep } from '@millring/state-access';
+import {
+  type Environment,
+  type Precondition,
+  type StateAccess,
+  sleep,
+} from '@millring/state-access';
 import { type ClusterView, announcementGuards, obstacleToRaise, readView } from './view.js';
 
 export interface CoordinatorDependencies {
@@ -19,11 +24,11 @@
   /** The level as this controller has taken it in; null while it is not known. */
   knownLevel(): ClusterLevel | null;
   /** Entitled to act at this very moment. */
-  leads(): boolean;
+  isLeader(): boolean;
   /** The claim still stands, though it may be paused. */
   active(): boolean;
   /** A write that arrives after the claim has gone changes nothing. */
-  leaderGuard(): Guard;
+  leaderGuard(): Precondition;
   /** The process of each other controller, as last heard from itself. */
   processes(): ReadonlyMap<string, string>;
   /** How far records above `target` have been converted back; asked while the level is lowered. */
@@ -48,7 +53,7 @@
   async run(): Promise<void> {
     while (this.deps.active()) {
       await sleep(this.deps.environment, this.isAtRest() ? IDLE_MS : BUSY_MS);
-      if (this.deps.active() && this.deps.leads() && this.hasWork()) await this.step();
+      if (this.deps.active() && this.deps.isLeader() && this.hasWork()) await this.step();
     }
   }
 
@@ -72,7 +77,7 @@
   async step(): Promise<void> {
     const { store, controllers } = this.deps;
     const read = await store.scan(PREFIX);
-    if (!read || !this.deps.leads()) return;
+    if (!read || !this.deps.isLeader()) return;
     const result = readView(read.pairs, controllers, this.deps.processes());
     if (result.kind === 'invalid') {
       this.logOnce(result.reason, { reason: result.reason }, 'unreadable cluster level');
@@ -130,8 +135,8 @@
     }
     const guards = [this.deps.leaderGuard(), { key: LEVEL_KEY, version: view.levelVersion }];
     if (decision.restsOnAll) guards.push(...announcementGuards(view));
-    const result = await store.txn(guards, [{ put: LEVEL_KEY, value: next.level }]);
-    if (result.kind !== 'applied') return;
+    const result = await store.compareAndSwap(guards, [{ put: LEVEL_KEY, value: next.level }]);
+    if (result.kind !== 'committed') return;
     this.written = next.level;
     logChange(environment, view.level, next.level);
   }
--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -1,20 +1,20 @@
 /** The duties as one controller process takes part in them: as a member always, and as the decider while it leads. */
+import type { Precondition } from '@millring/state-access';
 import { DutyMember, type DutySettings, IntentLog } from '@millring/duties';
 import { FENCED_DUTIES } from '../build.js';
-import { Cloud } from '../fleet/cloud.js';
+import { Cloud } from '../autoscaler/cloud.js';
 import type { ControllerRollout } from '../rollout/controller-rollout.js';
-import { type World, environmentOf } from '../runtime.js';
+import { type Runtime, packageEnvironment } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
-import type { Guard } from '../wire/state.js';
 import { CloudProvider } from './cloud-provider.js';
 
 /** Of the cloud's calls, shared by the holders at all controllers: the leader's lists need the rest. */
 const HOLDERS_SHARE = 0.9;
 
 export interface ControllerDutiesDependencies {
-  world: World;
+  runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   store: StateStore;
@@ -29,7 +29,7 @@
 export interface DecidingTerm {
   /** The claim still stands, though it may be paused. */
   active(): boolean;
-  leaderGuard(): Guard;
+  leaderGuard(): Precondition;
   /** Unique for ever: no name is used twice, by any node. */
   requestName(): string;
 }
@@ -38,15 +38,15 @@
   private readonly member: DutyMember;
 
   constructor(private readonly deps: ControllerDutiesDependencies) {
-    const { world, settings, operator, store, rollout, process } = deps;
+    const { runtime, settings, operator, store, rollout, process } = deps;
     const callsPerS = (settings.cloudRps * HOLDERS_SHARE) / settings.nodes;
     this.member = new DutyMember({
-      environment: environmentOf(deps),
+      environment: packageEnvironment(deps),
       store,
       self: settings.node,
       process,
       settings: holdingSettings(operator.duties),
-      provider: new CloudProvider(new Cloud(world, settings.cloud, callsPerS)),
+      provider: new CloudProvider(new Cloud(runtime, settings.cloud, callsPerS)),
       txnOps: settings.txnOps,
       mayHold: () => this.areKnown() && rollout.mayServe(),
       leader: () => deps.leader(),
@@ -73,7 +73,7 @@
 
   intentLog(term: DecidingTerm): IntentLog {
     return new IntentLog({
-      environment: environmentOf(this.deps),
+      environment: packageEnvironment(this.deps),
       store: this.deps.store,
       view: this.member.view,
       active: () => term.active(),
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,13 +1,13 @@
 /** Answers users: submissions, questions about jobs, and cancellations. Any controller serves them. */
+import type { Mutation } from '@millring/state-access';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
 import type { Log } from '../runtime.js';
 import type { Body } from '../wire/cbor.js';
 import type { JobSpec, MachineType } from '../wire/model.js';
-import { type Change } from '../wire/state.js';
 import { isJobId, jobAnswer, readJob } from '../wire/users.js';
 import type { Progress } from './job-table.js';
-import type { LiveMirror, MirroredJob } from './mirror.js';
+import type { JobCache, CachedJob } from './job-cache.js';
 import { type LiveRecord, endedKey, liveKey, minimalCancelled, readEnded } from './records.js';
 
 export interface Answer {
@@ -16,10 +16,10 @@
   retryAfterS?: number;
 }
 
-export interface JobsApiDeps {
+export interface JobsApiDependencies {
   settings: Pick<PlatformSettings, 'teams'>;
   store: StateStore;
-  mirror: LiveMirror;
+  cache: JobCache;
   /** Can this process read what is stored? If not, any answer might be wrong. */
   mayServe(): boolean;
   /** Null while the catalog is not known. */
@@ -27,16 +27,16 @@
   /** For display: what the leader last told of a job. */
   progress(id: string): Progress | undefined;
   /** A user is about to be told that the job is cancelled. */
-  confirming(id: string): void;
+  beforeConfirm(id: string): void;
   wallMs(): number;
   log: Log;
 }
 
 type Known =
-  | ({ kind: 'live' } & MirroredJob)
+  | ({ kind: 'live' } & CachedJob)
   | { kind: 'ended'; state: 'done' | 'cancelled'; tasks: number }
   | { kind: 'absent' }
-  | { kind: 'refused' };
+  | { kind: 'unavailable' };
 
 const ENDED_CACHE = 5000;
 const EXCLUDED: Answer = {
@@ -51,7 +51,7 @@
   /** Only ended jobs are kept in memory: they never change again. */
   private readonly ended = new Map<string, { state: 'done' | 'cancelled'; tasks: number }>();
 
-  constructor(private readonly deps: JobsApiDeps) {}
+  constructor(private readonly deps: JobsApiDependencies) {}
 
   /** Null, or why the job can never run. */
   private impossible(j: JobSpec, types: MachineType[]): string | null {
@@ -89,14 +89,14 @@
   private async look(id: string): Promise<Known> {
     const cached = this.ended.get(id);
     if (cached) return { kind: 'ended', ...cached };
-    if (!(await this.deps.mirror.fresh())) return { kind: 'refused' };
-    const live = this.deps.mirror.get(id);
+    if (!(await this.deps.cache.refresh())) return { kind: 'unavailable' };
+    const live = this.deps.cache.get(id);
     if (live) return { kind: 'live', ...live };
     const ended = await this.deps.store.get(endedKey(id));
-    if (ended.kind === 'refused') return { kind: 'refused' };
+    if (ended.kind === 'unavailable') return { kind: 'unavailable' };
     if (ended.kind === 'absent') return { kind: 'absent' };
-    const record = readEnded(ended.pair.value);
-    if (!record) return { kind: 'refused' };
+    const record = readEnded(ended.entry.value);
+    if (!record) return { kind: 'unavailable' };
     this.rememberEnded(id, record);
     return { kind: 'ended', ...record };
   }
@@ -111,7 +111,7 @@
 
   private answerFor(id: string, k: Known): Answer {
     switch (k.kind) {
-      case 'refused':
+      case 'unavailable':
         return LATER;
       case 'absent':
         return { status: 404, body: { error: 'no such job' } };
@@ -127,7 +127,7 @@
   }
 
   private cancelled(id: string): Answer {
-    this.deps.confirming(id);
+    this.deps.beforeConfirm(id);
     return { status: 200, body: jobAnswer(id, 'cancelled', 0, 0) };
   }
 
@@ -155,14 +155,14 @@
       at: this.deps.wallMs(),
       cancelled: false,
     };
-    const t = await this.deps.store.txn(
+    const t = await this.deps.store.compareAndSwap(
       [
         { key: liveKey(job.id), version: 0 },
         { key: endedKey(job.id), version: 0 },
       ],
       [{ put: liveKey(job.id), value: record }],
     );
-    if (t.kind === 'applied') {
+    if (t.kind === 'committed') {
       this.deps.log.debug({ id: job.id, status: 201, written: t.revision }, 'answer');
       return { status: 201, body: jobAnswer(job.id, 'pending') };
     }
@@ -184,17 +184,17 @@
       if (k.kind !== 'live') return this.describe(id, k);
       if (k.record?.cancelled) return this.cancelled(id);
       // A record that can't be read was never acted on, so that there is nothing to wait for.
-      const changes: Change[] = k.record
+      const changes: Mutation[] = k.record
         ? [{ put: liveKey(id), value: { ...(k.value as object), cancelled: true } }]
         : [{ remove: liveKey(id) }, { put: endedKey(id), value: { state: 'cancelled', tasks: 0 } }];
       const guards = [{ key: liveKey(id), version: k.version }];
-      let t = await this.deps.store.txn(guards, changes);
+      let t = await this.deps.store.compareAndSwap(guards, changes);
       // Stored when larger values were allowed: a confirmed cancellation must not depend on that.
       if (t.kind === 'invalid' && k.record)
-        t = await this.deps.store.txn(guards, [
+        t = await this.deps.store.compareAndSwap(guards, [
           { put: liveKey(id), value: minimalCancelled(k.record) },
         ]);
-      if (t.kind === 'applied') {
+      if (t.kind === 'committed') {
         this.deps.log.debug({ id, status: 200, written: t.revision }, 'answer');
         return this.cancelled(id);
       }
