--- /dev/null
+++ b/test/sim/wire/users.ts
@@ -0,0 +1,168 @@
+/** The users' side of the protocol as tests speak it: submissions, polls, cancellations and their answers. */
+import type { Reply } from '../../../src/runtime.js';
+import type { Body } from '../../../src/wire/cbor.js';
+import { integerField, textField, wordField } from './fields.js';
+
+export type SubmittedKind = 'array' | 'service' | 'gang';
+export type SubmittedPriority = 'production' | 'high' | 'normal' | 'idle';
+export type JobState = 'pending' | 'running' | 'done' | 'cancelled';
+
+/** A job as its user asks for it. */
+export interface JobSubmission {
+  id: string;
+  jobClass: string;
+  team: string;
+  kind: SubmittedKind;
+  priority: SubmittedPriority;
+  tasks: number;
+  /** What each task takes of its machine. */
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+  image: string;
+  imageGb: number;
+  /** Null: any. */
+  machineTypes: string[] | null;
+  zone: string | null;
+  /** All tasks in the same zone. */
+  oneZone: boolean;
+  /** At most half of the tasks in one zone. */
+  spread: boolean;
+  spot: boolean;
+  /** The owner's estimate of a task's run time. */
+  durationS: number;
+  /** 0: the tasks never save. */
+  checkpointEveryS: number;
+  /** How long a task saves when it is stopped. */
+  checkpointS: number;
+  deadlineS: number | null;
+}
+
+export interface UserRequest {
+  method: 'GET' | 'POST';
+  path: string;
+  body: Body | null;
+}
+
+/** What a controller is asked for on the users' paths. */
+export type UserOperation =
+  { kind: 'submit' } | { kind: 'poll'; id: string } | { kind: 'cancel'; id: string };
+
+export interface JobStatus {
+  id: string;
+  state: JobState;
+  /** Task counts, which answers to polls carry. */
+  done?: number;
+  running?: number;
+}
+
+/** `job` is null unless the request was accepted. */
+export interface JobReply {
+  status: number;
+  job: JobStatus | null;
+}
+
+const JOBS_PATH = '/v1/jobs';
+const CANCEL = 'withdraw';
+
+const WIRE_FIELDS: Readonly<Record<keyof JobSubmission, string>> = {
+  id: 'id',
+  jobClass: 'grist',
+  team: 'miller',
+  kind: 'grind',
+  priority: 'precedence',
+  tasks: 'sacks',
+  cpus: 'vcpus',
+  gpus: 'gpus',
+  memoryGb: 'ram_gb',
+  image: 'seed',
+  imageGb: 'image_gb',
+  machineTypes: 'stone_kinds',
+  zone: 'yard',
+  oneZone: 'one_zone',
+  spread: 'scatter',
+  spot: 'loaned_stones',
+  durationS: 'grind_s',
+  checkpointEveryS: 'bin_every_s',
+  checkpointS: 'bin_s',
+  deadlineS: 'due_s',
+};
+const WIRE_KINDS: Readonly<Record<SubmittedKind, string>> = {
+  array: 'array',
+  service: 'daemon',
+  gang: 'group',
+};
+const WIRE_STATES: Readonly<Record<JobState, string>> = {
+  pending: 'pending',
+  running: 'running',
+  done: 'done',
+  cancelled: 'cancelled',
+};
+
+/** Fields keep the order of the submission. */
+export function encodeSubmission(job: JobSubmission): Body {
+  return encodeFields({ ...job, kind: WIRE_KINDS[job.kind] });
+}
+
+/** A body whose named fields hold these values as they are, whether or not a submission may hold them. */
+export function submissionWithRawFields(
+  job: JobSubmission,
+  rawFields: Partial<Record<keyof JobSubmission, unknown>>,
+): Body {
+  return encodeFields({ ...job, kind: WIRE_KINDS[job.kind], ...rawFields });
+}
+
+/** A body that lacks a field. */
+export function submissionWithout(job: JobSubmission, missing: keyof JobSubmission): Body {
+  const fields = Object.entries(encodeSubmission(job));
+  return Object.fromEntries(fields.filter(([field]) => field !== WIRE_FIELDS[missing]));
+}
+
+function encodeFields(fields: Record<keyof JobSubmission, unknown>): Body {
+  return Object.fromEntries(
+    Object.entries(fields).map(([field, value]) => {
+      if (!Object.hasOwn(WIRE_FIELDS, field)) throw new Error(`no field ${field} on the wire`);
+      return [WIRE_FIELDS[field as keyof JobSubmission], value];
+    }),
+  );
+}
+
+export function submitRequest(job: JobSubmission): UserRequest {
+  return rawSubmitRequest(encodeSubmission(job));
+}
+
+/** A submission with any body. */
+export function rawSubmitRequest(body: Body): UserRequest {
+  return { method: 'POST', path: JOBS_PATH, body };
+}
+
+export function pollRequest(id: string): UserRequest {
+  return { method: 'GET', path: `${JOBS_PATH}/${id}`, body: null };
+}
+
+export function cancelRequest(id: string): UserRequest {
+  return { method: 'POST', path: `${JOBS_PATH}/${id}/${CANCEL}`, body: null };
+}
+
+/** What a request to a controller asks for, null if it is no user's. */
+export function userOperation(method: string, path: string): UserOperation | null {
+  if (path !== JOBS_PATH && !path.startsWith(`${JOBS_PATH}/`)) return null;
+  const [id, verb] = path.slice(JOBS_PATH.length + 1).split('/');
+  if (method === 'GET') return { kind: 'poll', id };
+  return verb === CANCEL ? { kind: 'cancel', id } : { kind: 'submit' };
+}
+
+/** An accepted request has to name the job and a state that users know. */
+export function decodeJobReply({ status, body }: Reply): JobReply {
+  const isAccepted = status === 200 || status === 201;
+  return { status, job: isAccepted ? decodeJobStatus(body) : null };
+}
+
+function decodeJobStatus(body: Body): JobStatus {
+  const job: JobStatus = {
+    id: textField(body, 'id'),
+    state: wordField(body, 'condition', WIRE_STATES),
+  };
+  if (body.done === undefined) return job;
+  return { ...job, done: integerField(body, 'done'), running: integerField(body, 'running') };
+}
