--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -59,7 +59,7 @@
         c.net.hosts.get(`w-${m.id}:9000`)!.hangsUntil =
           c.clock.time + c.random.between(2000, 12_000);
       if (s % 10 === 5 && m.spot) {
-        m.worker.noticeUntil = c.clock.time + 6000;
+        m.worker.preemptionDeadline = c.clock.time + 6000;
         c.clock.after(6000, () => {
           c.cloud.take(m);
         });
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -63,7 +63,7 @@
   for (let round = 0; round < 2; round++) {
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
     await cluster.run(6);
-    for (let i = 0; i < 6; i++) void cluster.user(cluster.jobBody(), null);
+    for (let i = 0; i < 6; i++) void cluster.user(cluster.newJob(), null);
     for (let second = 0; second < 20; second++) {
       await cluster.run(1);
       assert.deepEqual(
@@ -73,12 +73,7 @@
     }
   }
   assert.ok(withTasks(cluster).size > 0, 'others are rented and take the work');
-  await cluster.state.handle(
-    'POST',
-    '/txn',
-    { then: [{ remove: 'duties/holds/return' }] },
-    'operator',
-  );
+  await cluster.state.deleteAsOperator('duties/holds/return');
   await cluster.run(15);
   assert.ok(
     machines.every((id) => !cluster.cloud.machines.has(id)),
@@ -100,7 +95,7 @@
   const watch = new CloudWatch(cluster);
   cluster.state.plant('duties/holds/rent', { by: 'operator', sinceMs: 0 });
   await cluster.run(3);
-  for (let i = 0; i < 4; i++) void cluster.user(cluster.jobBody({ ...BATCH, sacks: 8 }), null);
+  for (let i = 0; i < 4; i++) void cluster.user(cluster.newJob({ ...BATCH, tasks: 8 }), null);
   await cluster.run(5);
   for (let round = 0; round < 3; round++) {
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
@@ -109,12 +104,7 @@
   const open = [...watch.intents.values()].filter(({ outcome }) => outcome === null);
   assert.ok(open.length > 0);
   assert.deepEqual(cluster.rules.broken, []);
-  await cluster.state.handle(
-    'POST',
-    '/txn',
-    { then: [{ remove: 'duties/holds/rent' }] },
-    'operator',
-  );
+  await cluster.state.deleteAsOperator('duties/holds/rent');
   await cluster.run(60);
   assert.deepEqual(cluster.rules.broken, []);
   assert.ok([...cluster.rules.jobs.values()].every(({ toldDoneAt }) => toldDoneAt !== null));
@@ -150,9 +140,9 @@
   49,
   (cluster, second) => {
     for (let i = 0; i < 3; i++)
-      void cluster.user(cluster.jobBody({ ...BATCH, sacks: 40, grind_s: 10 }), null);
+      void cluster.user(cluster.newJob({ ...BATCH, tasks: 40, durationS: 10 }), null);
     const machines = [...cluster.cloud.machines.values()].filter(
-      ({ condition }) => condition === 'running',
+      ({ state }) => state === 'running',
     );
     if (machines.length > 0) cluster.random.pick(machines).worker?.kill();
     if (second % 15 === 5) cluster.crash(cluster.random.pick(cluster.names), 2000);
@@ -176,7 +166,7 @@
       const { random } = cluster;
       if (second % 5 === 0) {
         const machines = [...cluster.cloud.machines.values()].filter(
-          ({ condition }) => condition === 'running',
+          ({ state }) => state === 'running',
         );
         if (machines.length > 0) random.pick(machines).worker?.kill();
       }
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -15,7 +15,7 @@
   const { state } = roll.cluster;
   await roll.reaches('stable', 3);
   await roll.until('the duty is held', () => state.items.has('duties/holders/rent'));
-  await state.handle('POST', '/txn', { then: [{ remove: 'duties/holders/rent' }] }, 'operator');
+  await state.deleteAsOperator('duties/holders/rent');
   state.plant('duties/holds/rent', { by: 'operator', sinceMs: 0 });
   withJobs(roll);
   const open = (): number =>
@@ -26,14 +26,14 @@
   assert.equal(roll.level.state, 'lowering');
   const before = open();
   assert.equal(roll.cluster.cloud.machines.size, 0);
-  await state.handle('POST', '/txn', { then: [{ remove: 'duties/holds/rent' }] }, 'operator');
+  await state.deleteAsOperator('duties/holds/rent');
   await roll.reaches('stable', 2);
   assert.deepEqual([before > 0, open()], [true, 0]);
   const intents = state.changesUnder('duties/intents/');
   await roll.finish();
   const rented = roll.cluster.cloud.machines.size;
   for (let i = 0; i < 10; i++)
-    void roll.cluster.user(roll.cluster.jobBody({ ...BATCH, sacks: 12, grind_s: 8 }), null);
+    void roll.cluster.user(roll.cluster.newJob({ ...BATCH, tasks: 12, durationS: 8 }), null);
   await roll.until('the leader rents', () => roll.cluster.cloud.machines.size > rented);
   assert.equal(
     state.changesUnder('duties/intents/'),
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -11,6 +11,7 @@
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { quietLog } from './sim/quiet-log.js';
+import { type MachineListEntry, decodeCloudRequest, encodeMachineList } from './sim/wire/cloud.js';
 
 const TYPE: MachineType = {
   name: 't',
@@ -44,13 +45,12 @@
       clock: { now: () => this.now, after: () => () => undefined },
       http: {
         send: (_to, _method, path, body) => {
-          if (path === '/machines/delete')
-            for (const id of body!.stones as string[]) this.deleted.add(id);
-          if (path === '/machines') this.rentedIn.add(body!.yard as string);
-          const status = path === '/machines' ? 503 : 200;
+          const request = decodeCloudRequest(path, body ?? {});
+          if (request.kind === 'delete') for (const id of request.machines) this.deleted.add(id);
+          if (request.kind === 'rent') this.rentedIn.add(request.zone);
           return Promise.resolve({
-            status,
-            body: path.startsWith('/machines?') ? this.list() : {},
+            status: request.kind === 'rent' ? 503 : 200,
+            body: request.kind === 'list' ? this.list() : {},
           });
         },
       },
@@ -101,18 +101,16 @@
 
   private list(): Body {
     const there = [...this.table.all()].filter((m) => !this.taken.has(m.id));
-    return {
-      stones: there.map((m) => ({
-        id: m.id,
-        endpoint: m.endpoint,
-        stone_kind: 't',
-        yard: m.zone,
-        loaned_stones: m.spot,
-        condition: 'running',
-        age_s: 100,
-      })),
-      truncated: false,
-    };
+    const entries = there.map(({ id, endpoint, zone, spot }): MachineListEntry => ({
+      id,
+      endpoint,
+      type: TYPE.name,
+      zone,
+      spot,
+      state: 'running',
+      ageS: 100,
+    }));
+    return encodeMachineList(entries, false);
   }
 
   private report(m: Machine): void {
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -7,7 +7,7 @@
 import { type Outcome, testDays } from './sim/play.js';
 import { copiesTo, leaderOr, someMachines } from './sim/scenarios.js';
 import type { JobFacts } from './sim/rules.js';
-import type { Body } from '../src/wire/cbor.js';
+import type { JobSubmission } from './sim/wire/users.js';
 
 async function quiet(config: ClusterConfig): Promise<Cluster> {
   const c = new Cluster({ ordinaryUp: 6, ...config });
@@ -17,16 +17,14 @@
   return c;
 }
 
-function submit(c: Cluster, over: Body): JobFacts {
-  const body = c.jobBody(over);
-  void c.user(body, null);
-  return c.rules.jobs.get(body.id as string)!;
+function submit(c: Cluster, over: Partial<JobSubmission>): JobFacts {
+  const job = c.newJob(over);
+  void c.user(job, null);
+  return c.rules.jobs.get(job.id)!;
 }
 
 const machinesOf = (c: Cluster, job: JobFacts): string[] =>
-  [...c.rules.on]
-    .filter(([t]) => t.startsWith(`${job.spec.id as string}/`))
-    .map(([, p]) => p[0].machine);
+  [...c.rules.on].filter(([t]) => t.startsWith(`${job.spec.id}/`)).map(([, p]) => p[0].machine);
 
 async function until(c: Cluster, what: () => boolean, s: number): Promise<void> {
   for (let t = 0; t < s * 20 && !what(); t++) await c.run(0.05);
@@ -35,9 +33,9 @@
 
 test('gangs of all sizes run whole, and are done once one task is', async () => {
   const c = await quiet({ seed: 1 });
-  const jobs = [1, 2, 3, 8, 16].map((sacks) => submit(c, { ...GANG, sacks, image_gb: 1 }));
+  const jobs = [1, 2, 3, 8, 16].map((tasks) => submit(c, { ...GANG, tasks, imageGb: 1 }));
   await c.run(40);
-  for (const j of jobs) assert.notEqual(j.toldDoneAt, null, `${j.spec.sacks as number} tasks`);
+  for (const j of jobs) assert.notEqual(j.toldDoneAt, null, `${j.spec.tasks} tasks`);
   assert.equal(c.gangs.begun, jobs.length);
   assert.deepEqual(c.rules.broken, []);
 });
@@ -45,7 +43,7 @@
 test('a task lost while the gang gathers is replaced under the same attempt', async () => {
   const c = await quiet({ seed: 2 });
   // Nobody knows the image yet, so that they gather for a while; in two zones, on machines of their own.
-  const job = submit(c, { ...GANG, one_zone: false, sacks: 10, vcpus: 8, seed: 'img-9' });
+  const job = submit(c, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
   await until(c, () => machinesOf(c, job).length > 1 && c.gangs.begun === 0, 10);
   c.cloud.take(c.cloud.machines.get(machinesOf(c, job)[0])!);
   await c.run(40);
@@ -58,7 +56,7 @@
 
 test('a task lost while the gang runs: it starts again whole, from the saved progress', async () => {
   const c = await quiet({ seed: 3 });
-  const job = submit(c, { ...GANG, sacks: 6, vcpus: 8 });
+  const job = submit(c, { ...GANG, tasks: 6, cpus: 8 });
   await until(c, () => c.gangs.begun === 1, 15);
   await c.run(4.5);
   c.cloud.take(c.cloud.machines.get(machinesOf(c, job)[0])!);
@@ -76,7 +74,7 @@
 
 test('one task is done, so all are: a machine that goes before it could say so changes nothing', async () => {
   const c = await quiet({ seed: 7 });
-  const job = submit(c, { ...GANG, sacks: 6, vcpus: 8 });
+  const job = submit(c, { ...GANG, tasks: 6, cpus: 8 });
   await until(c, () => c.gangs.begun === 1, 15);
   const [mute] = machinesOf(c, job);
   await c.run(5);
@@ -96,10 +94,10 @@
 
 test('a notice stops the gang in order: all are told, and nothing is lost', async () => {
   const c = await quiet({ seed: 4 });
-  const job = submit(c, { ...GANG, sacks: 6, vcpus: 8, grind_s: 20, bin_every_s: 19 });
+  const job = submit(c, { ...GANG, tasks: 6, cpus: 8, durationS: 20, checkpointEveryS: 19 });
   await until(c, () => c.gangs.begun === 1, 15);
   await c.run(5);
-  c.cloud.machines.get(machinesOf(c, job)[0])!.worker!.noticeUntil = c.clock.time + 8000;
+  c.cloud.machines.get(machinesOf(c, job)[0])!.worker!.preemptionDeadline = c.clock.time + 8000;
   await c.run(4);
   assert.ok(job.progressMs > 4000, `${job.progressMs} ms are safe, between two checkpoints`);
   await c.run(40);
@@ -110,10 +108,10 @@
 
 test('a notice while the gang gathers: only the task there is replaced, and the others go on waiting', async () => {
   const c = await quiet({ seed: 14 });
-  const job = submit(c, { ...GANG, one_zone: false, sacks: 10, vcpus: 8, seed: 'img-9' });
+  const job = submit(c, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
   await until(c, () => machinesOf(c, job).length > 1 && c.gangs.begun === 0, 10);
   const leaving = c.cloud.machines.get(machinesOf(c, job)[0])!;
-  leaving.worker!.noticeUntil = c.clock.time + 6000;
+  leaving.worker!.preemptionDeadline = c.clock.time + 6000;
   c.clock.after(6000, () => {
     c.cloud.take(leaving);
   });
@@ -129,11 +127,11 @@
   // Each machine fetches the image for 6 to 48 s, and a task waits for 6 s: a fetch that is given up is lost.
   const job = submit(c, {
     ...GANG,
-    one_zone: false,
-    sacks: 10,
-    vcpus: 8,
-    seed: 'img-9',
-    image_gb: 12,
+    oneZone: false,
+    tasks: 10,
+    cpus: 8,
+    image: 'img-9',
+    imageGb: 12,
   });
   await c.run(90);
   assert.ok(c.gangs.incomplete > 0, 'the first attempt did not come together');
@@ -147,41 +145,41 @@
   // Fetches of up to two minutes: by themselves the tasks that are left would stay for long.
   const job = submit(c, {
     ...GANG,
-    one_zone: false,
-    sacks: 4,
-    vcpus: 8,
-    seed: 'img-9',
-    image_gb: 30,
+    oneZone: false,
+    tasks: 4,
+    cpus: 8,
+    image: 'img-9',
+    imageGb: 30,
   });
   await until(c, () => machinesOf(c, job).length > 0, 120);
   c.cloud.take(c.cloud.machines.get(machinesOf(c, job)[0])!);
-  const other = submit(c, { ...BATCH, sacks: 2, vcpus: 8, grind_s: 2 });
+  const other = submit(c, { ...BATCH, tasks: 2, cpus: 8, durationS: 2 });
   await until(c, () => other.firstStartAt !== null, 12);
   assert.equal(c.gangs.begun, 0);
   assert.deepEqual(c.rules.broken, []);
 });
 
 test('under a notice a gang that fits nowhere else runs on while there is time, and then still saves', async () => {
-  for (const [graceMs, grindS] of [
+  for (const [graceMs, durationS] of [
     [20_000, 10],
     [9000, 14],
   ] as const) {
     const c = await quiet({ seed: 17, capacity: 0, ordinaryUp: 2, teamLimit: 1000 });
     const job = submit(c, {
       ...GANG,
-      one_zone: false,
-      sacks: 4,
-      vcpus: 8,
-      grind_s: grindS,
-      bin_every_s: 100,
+      oneZone: false,
+      tasks: 4,
+      cpus: 8,
+      durationS,
+      checkpointEveryS: 100,
     });
     await until(c, () => c.gangs.begun === 1, 20);
     await c.run(1);
     const leaving = c.cloud.machines.get(machinesOf(c, job)[0])!;
-    leaving.worker!.noticeUntil = c.clock.time + graceMs;
+    leaving.worker!.preemptionDeadline = c.clock.time + graceMs;
     await c.run(graceMs / 1000 - 0.5);
     assert.equal(c.gangs.begun, 1);
-    if (grindS < 12) assert.equal(job.finished.size, 4, 'done before the machine goes');
+    if (durationS < 12) assert.equal(job.finished.size, 4, 'done before the machine goes');
     else assert.ok(job.progressMs > 4000, `${job.progressMs} ms are safe`);
     assert.deepEqual(c.rules.broken, []);
   }
@@ -189,11 +187,11 @@
 
 test('a large gang begins although smaller work keeps coming', async () => {
   const c = await quiet({ seed: 5, capacity: 1, ordinaryUp: 2, teamLimit: 1000 });
-  for (let i = 0; i < 20; i++) submit(c, { ...BATCH, sacks: 8, grind_s: 4 });
+  for (let i = 0; i < 20; i++) submit(c, { ...BATCH, tasks: 8, durationS: 4 });
   await c.run(8);
-  const job = submit(c, { ...GANG, sacks: 8, precedence: 'normal' });
+  const job = submit(c, { ...GANG, tasks: 8, priority: 'normal' });
   for (let s = 0; s < 50 && c.gangs.begun === 0; s++) {
-    submit(c, { ...BATCH, sacks: 8, grind_s: 4 });
+    submit(c, { ...BATCH, tasks: 8, durationS: 4 });
     await c.run(1);
   }
   assert.equal(c.gangs.begun, 1);
@@ -203,10 +201,10 @@
 
 test('a gang begins although arrays of its team would fill the limit for ever', async () => {
   const c = await quiet({ seed: 10, ordinaryUp: 6, teamLimit: 24 });
-  const stream = (): void => void submit(c, { ...BATCH, miller: 't0', sacks: 6, grind_s: 4 });
+  const stream = (): void => void submit(c, { ...BATCH, team: 't0', tasks: 6, durationS: 4 });
   for (let i = 0; i < 6; i++) stream();
   await c.run(8);
-  const job = submit(c, { ...GANG, miller: 't0', sacks: 10 });
+  const job = submit(c, { ...GANG, team: 't0', tasks: 10 });
   for (let s = 0; s < 45 && c.gangs.begun === 0; s++) {
     stream();
     await c.run(1);
@@ -218,11 +216,11 @@
 
 test("a gang that its team's services leave no room for keeps nothing from the arrays", async () => {
   const c = await quiet({ seed: 12, ordinaryUp: 6, teamLimit: 24 });
-  for (let i = 0; i < 2; i++) submit(c, { ...DESK, miller: 't0' });
+  for (let i = 0; i < 2; i++) submit(c, { ...DESK, team: 't0' });
   await c.run(10);
-  submit(c, { ...GANG, miller: 't0', sacks: 10 });
+  submit(c, { ...GANG, team: 't0', tasks: 10 });
   await c.run(15);
-  const array = submit(c, { ...BATCH, miller: 't0', sacks: 4, grind_s: 2 });
+  const array = submit(c, { ...BATCH, team: 't0', tasks: 4, durationS: 2 });
   await c.run(60);
   assert.equal(c.gangs.begun, 0);
   assert.notEqual(array.toldDoneAt, null);
@@ -232,11 +230,11 @@
 test('an array of the same team begins beside a gang that long tasks keep from its share of the limit', async () => {
   const c = await quiet({ seed: 13, ordinaryUp: 6, teamLimit: 24 });
   // These run on for minutes, and the gang fits under the limit only without them.
-  submit(c, { ...BATCH, miller: 't0', sacks: 6, grind_s: 200 });
+  submit(c, { ...BATCH, team: 't0', tasks: 6, durationS: 200 });
   await c.run(8);
-  submit(c, { ...GANG, miller: 't0', sacks: 8 });
+  submit(c, { ...GANG, team: 't0', tasks: 8 });
   await c.run(15);
-  const array = submit(c, { ...BATCH, miller: 't0', sacks: 2, grind_s: 2 });
+  const array = submit(c, { ...BATCH, team: 't0', tasks: 2, durationS: 2 });
   await c.run(85);
   assert.equal(c.gangs.begun, 0, 'the gang still waits');
   assert.notEqual(array.firstStartAt, null);
@@ -246,10 +244,10 @@
 test('gangs that want more room than there is never hold it half, and all are done in turn', async () => {
   const c = await quiet({ seed: 6, capacity: 1, ordinaryUp: 2, teamLimit: 1000 });
   const jobs = Array.from({ length: 8 }, () =>
-    submit(c, { ...GANG, sacks: 4, vcpus: 3, grind_s: 3 }),
+    submit(c, { ...GANG, tasks: 4, cpus: 3, durationS: 3 }),
   );
   await c.run(110);
-  for (const j of jobs) assert.notEqual(j.toldDoneAt, null, j.spec.id as string);
+  for (const j of jobs) assert.notEqual(j.toldDoneAt, null, j.spec.id);
   assert.equal(c.gangs.begun, jobs.length);
   assert.deepEqual([c.gangs.attempts(), c.gangs.incomplete, c.gangs.replaced], [jobs.length, 0, 0]);
   assert.deepEqual(c.rules.broken, []);
@@ -258,9 +256,9 @@
 test('a gang of one zone goes where all of it fits, and not where the image is', async () => {
   const c = await quiet({ seed: 8, capacity: 1, ordinaryUp: 3, teamLimit: 1000 });
   assert.equal([...c.cloud.machines.values()].filter((m) => m.zone === 'b' && !m.spot).length, 2);
-  submit(c, { ...BATCH, sacks: 8, grind_s: 1, yard: 'a', seed: 'img-1' });
+  submit(c, { ...BATCH, tasks: 8, durationS: 1, zone: 'a', image: 'img-1' });
   await c.run(12);
-  const job = submit(c, { ...GANG, sacks: 12, seed: 'img-1' });
+  const job = submit(c, { ...GANG, tasks: 12, image: 'img-1' });
   await c.run(30);
   assert.notEqual(job.toldDoneAt, null);
   assert.equal(c.gangs.attempts(), 1);
@@ -269,13 +267,13 @@
 
 test('arrays leave ordinary room to the next gang, but not for ever', async () => {
   const c = await quiet({ seed: 9, capacity: 2, ordinaryUp: 4, teamLimit: 1000, saveMoney: true });
-  submit(c, { ...GANG, sacks: 6 });
+  submit(c, { ...GANG, tasks: 6 });
   await c.run(12);
   const arrays = Array.from({ length: 12 }, () =>
-    submit(c, { ...BATCH, sacks: 14, grind_s: 12, loaned_stones: true }),
+    submit(c, { ...BATCH, tasks: 14, durationS: 12, spot: true }),
   );
   await c.run(4);
-  const job = submit(c, { ...GANG, sacks: 6 });
+  const job = submit(c, { ...GANG, tasks: 6 });
   await until(c, () => job.firstStartAt !== null, 8);
   await c.run(100);
   for (const j of arrays) assert.notEqual(j.toldDoneAt, null);
@@ -290,13 +288,13 @@
 ): void {
   const eachSecond = (c: Cluster, s: number): void => {
     const over = {
-      sacks: c.random.int(2, 6),
-      one_zone: c.random.chance(0.7),
-      loaned_stones: c.random.chance(0.4),
+      tasks: c.random.int(2, 6),
+      oneZone: c.random.chance(0.7),
+      spot: c.random.chance(0.4),
     };
     const cancelAfterMs = (): number | null =>
       c.random.chance(0.2) ? c.random.between(0, 12_000) : null;
-    if (s % 3 === 0) void c.user(c.jobBody({ ...GANG, ...over }), cancelAfterMs());
+    if (s % 3 === 0) void c.user(c.newJob({ ...GANG, ...over }), cancelAfterMs());
     troubles(c, s);
   };
   testDays(`gangs: ${name}`, seeds, eachSecond, {}, allGangsServed);
@@ -305,7 +303,7 @@
 function allGangsServed({ cluster: c }: Outcome): void {
   assert.ok(c.gangs.begun > 10, `${c.gangs.begun} began`);
   for (const [id, job] of c.rules.jobs)
-    if (job.spec.grind === 'group' && job.toldAccepted && !job.cancelAsked)
+    if (job.spec.kind === 'gang' && job.toldAccepted && !job.cancelAsked)
       assert.notEqual(job.toldDoneAt, null, id);
 }
 
@@ -320,7 +318,7 @@
   if (s % 6 === 2) c.hang(m.id, c.random.between(1000, 11_000));
   if (s % 8 === 5) c.cloud.take(m);
   if (s % 10 === 7 && m.spot) {
-    m.worker.noticeUntil = c.clock.time + 6000;
+    m.worker.preemptionDeadline = c.clock.time + 6000;
     c.clock.after(6000, () => {
       c.cloud.take(m);
     });
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -9,6 +9,7 @@
 import { shareSockets } from '../src/sockets.js';
 import { encode } from '../src/wire/cbor.js';
 import { quietLog } from './sim/quiet-log.js';
+import { HEARTBEAT_PATH } from './sim/wire/workers.js';
 
 const LIMIT = 60;
 
@@ -61,7 +62,7 @@
     for (let i = 0; i < 2 * shares.inbound; i++) {
       const agent = new Agent({ keepAlive: true, maxSockets: 1 });
       agents.push(agent);
-      const [status, connection] = await ask(port, 'POST', '/agent/beat', agent);
+      const [status, connection] = await ask(port, 'POST', HEARTBEAT_PATH, agent);
       assert.equal(status, 200);
       assert.equal(connection, i < shares.workersKept ? 'keep-alive' : 'close', `worker ${i}`);
     }
@@ -74,7 +75,7 @@
 test('a worker that is sent elsewhere leaves no connection behind', async () => {
   await served(answering(421), async (port) => {
     const agent = new Agent({ keepAlive: true });
-    assert.deepEqual(await ask(port, 'POST', '/agent/beat', agent), [421, 'close']);
+    assert.deepEqual(await ask(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
     agent.destroy();
   });
 });
@@ -83,7 +84,7 @@
 function giveUp(port: number): Promise<void> {
   return new Promise((done) => {
     const socket = connect({ port, host: '127.0.0.1' }, () => {
-      socket.write('POST /agent/beat HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n');
+      socket.write(`POST ${HEARTBEAT_PATH} HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n`);
       socket.end();
     });
     socket.on('error', () => undefined);
@@ -110,12 +111,12 @@
     node,
     async (port) => {
       const kept = new Agent({ keepAlive: true, maxSockets: 1 });
-      assert.equal((await ask(port, 'POST', '/agent/beat', kept))[0], 200);
+      assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, kept))[0], 200);
       for (let wave = 0; wave < 3; wave++)
         await Promise.all(Array.from({ length: 20 }, () => giveUp(port)));
       assert.equal(reports, 1);
       assert.equal(
-        (await ask(port, 'POST', '/agent/beat', kept))[0],
+        (await ask(port, 'POST', HEARTBEAT_PATH, kept))[0],
         200,
         'open connections are served on',
       );
@@ -123,7 +124,7 @@
       assert.ok(lines.some((line) => line.startsWith('dropped connections')));
       const fresh = new Agent({ keepAlive: true });
       assert.equal(
-        (await ask(port, 'POST', '/agent/beat', fresh))[0],
+        (await ask(port, 'POST', HEARTBEAT_PATH, fresh))[0],
         200,
         'the queue is open again',
       );
@@ -144,9 +145,9 @@
   } as Partial<ControllerNode> as ControllerNode;
   await served(faulty, async (port) => {
     const agent = new Agent({ keepAlive: true });
-    assert.equal((await ask(port, 'POST', '/agent/beat', agent))[0], 503);
+    assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent))[0], 503);
     assert.equal(
-      (await ask(port, 'POST', '/agent/beat', agent, { x: 'y'.repeat(70_000) }))[0],
+      (await ask(port, 'POST', HEARTBEAT_PATH, agent, { x: 'y'.repeat(70_000) }))[0],
       400,
     );
     assert.equal((await ask(port, 'GET', '/healthz', agent))[0], 200);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,10 +1,10 @@
 /** Four thousand machines: the rules, and that work grows with events and not with the square of the fleet. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Body } from '../src/wire/cbor.js';
 import { Cluster } from './sim/cluster.js';
 import { BATCH, DESK } from './sim/jobs.js';
 import { type PlacementWork, addingUp } from './sim/scenarios.js';
+import type { JobSubmission } from './sim/wire/users.js';
 
 const MACHINES = 4000;
 const CPUS = 16;
@@ -31,14 +31,14 @@
   return { c, work };
 }
 
-function submit(c: Cluster, count: number, body: Body): void {
-  for (let i = 0; i < count; i++) void c.user(c.jobBody(body), null);
+function submit(c: Cluster, count: number, job: Partial<JobSubmission>): void {
+  for (let i = 0; i < count; i++) void c.user(c.newJob(job), null);
 }
 
 /** Arrays that fill nearly all of the fleet, one task a machine, and services beside them. */
 function fill(c: Cluster): void {
-  submit(c, 30, { ...BATCH, sacks: 125, vcpus: CPUS, grind_s: 40, loaned_stones: true });
-  submit(c, 20, { ...DESK, sacks: 4 });
+  submit(c, 30, { ...BATCH, tasks: 125, cpus: CPUS, durationS: 40, spot: true });
+  submit(c, 20, { ...DESK, tasks: 4 });
 }
 
 function upMachines(c: Cluster): number {
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -30,7 +30,7 @@
   const watch = mode === 'on' ? new CloudWatch(cluster) : null;
   await cluster.run(14);
   for (let i = 0; i < 16; i++)
-    void cluster.user(cluster.jobBody({ ...BATCH, sacks: 125, vcpus: CPUS, grind_s: 30 }), null);
+    void cluster.user(cluster.newJob({ ...BATCH, tasks: 125, cpus: CPUS, durationS: 30 }), null);
   for (let round = 0; round < 6; round++) {
     await cluster.run(10);
     const duty = DUTIES[round % DUTIES.length];
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -67,18 +67,18 @@
   const c = await serving({ seed: 15, teamLimit: 30 });
   const old = c.leader()!;
   // One array fills its team's limit, the other waits behind it.
-  const array = { ...BATCH, miller: 't0', sacks: 15, image_gb: 0 };
-  void c.user(c.jobBody({ ...array, grind_s: 15 }), null);
+  const array = { ...BATCH, team: 't0', tasks: 15, imageGb: 0 };
+  void c.user(c.newJob({ ...array, durationS: 15 }), null);
   await c.run(6);
-  const waiting = c.jobBody({ ...array, grind_s: 5 });
+  const waiting = c.newJob({ ...array, durationS: 5 });
   void c.user(waiting, null);
   await c.run(1);
   apart(c);
   c.state.refuse(`${old}:80`, 6500);
   await c.run(0.2);
-  void c.cancel(waiting.id as string, other(c, old));
+  void c.cancel(waiting.id, other(c, old));
   await c.run(1.8);
-  const job = c.rules.jobs.get(waiting.id as string)!;
+  const job = c.rules.jobs.get(waiting.id)!;
   assert.notEqual(job.toldCancelledAt, null, 'confirmed before the outage');
   assert.equal(job.firstStartAt, null);
   c.state.outage(6000);
@@ -152,7 +152,7 @@
   config: Partial<ClusterConfig> = {},
 ): void {
   const eachSecond = (c: Cluster, s: number): void => {
-    if (s % 6 === 3) void c.user(c.jobBody({ ...GANG, sacks: c.random.int(2, 5) }), null);
+    if (s % 6 === 3) void c.user(c.newJob({ ...GANG, tasks: c.random.int(2, 5) }), null);
     troubles(c, s);
   };
   testDays(name, seeds, eachSecond, config);
@@ -205,8 +205,8 @@
   [151, 152],
   (c, s) => {
     c.net.slow = s < 50 ? 20 : 1;
-    if (s % 3 === 0 && s < 30) void c.user(c.jobBody({ ...BATCH, sacks: 20, grind_s: 4 }), null);
-    if (s % 10 === 5) void c.user(c.jobBody(DESK), c.random.between(5000, 15_000));
+    if (s % 3 === 0 && s < 30) void c.user(c.newJob({ ...BATCH, tasks: 20, durationS: 4 }), null);
+    if (s % 10 === 5) void c.user(c.newJob(DESK), c.random.between(5000, 15_000));
     if (s === 25) c.crash(leaderOr(c), 150);
   },
   { capacity: 3, ordinaryUp: 4, teamLimit: 40 },
@@ -282,9 +282,8 @@
 });
 
 meeting('jobs of one zone lose machines', [221, 222], (c, s) => {
-  const array = { ...BATCH, one_zone: true, sacks: 6, grind_s: 6 };
-  if (s % 6 === 1)
-    void c.user(c.jobBody({ ...array, yard: c.random.pick(['a', 'b', null]) }), null);
+  const array = { ...BATCH, oneZone: true, tasks: 6, durationS: 6 };
+  if (s % 6 === 1) void c.user(c.newJob({ ...array, zone: c.random.pick(['a', 'b', null]) }), null);
   if (s % 9 === 4) {
     const m = [...c.cloud.machines.values()].find((x) =>
       [...c.rules.on.values()].some((p) => p[0].machine === x.id),
@@ -310,14 +309,14 @@
 test('a start is on its way when its job is called off: it meets a raised token', async () => {
   const c = await serving({ seed: 241, teamLimit: 1000 });
   // So that all machines have the image, and a start is one at once.
-  void c.user(c.jobBody({ ...BATCH, sacks: 80, grind_s: 1, seed: 'img-0' }), null);
+  void c.user(c.newJob({ ...BATCH, tasks: 80, durationS: 1, image: 'img-0' }), null);
   await c.run(20);
   for (const lateMs of [1600, 1900, 2200, 3500]) {
     c.holdCommands(() => true, lateMs);
-    const body = c.jobBody({ ...BATCH, sacks: 4, grind_s: 30, seed: 'img-0', image_gb: 0 });
-    void c.user(body, 150);
+    const submission = c.newJob({ ...BATCH, tasks: 4, durationS: 30, image: 'img-0', imageGb: 0 });
+    void c.user(submission, 150);
     await c.run(8);
-    const job = c.rules.jobs.get(body.id as string)!;
+    const job = c.rules.jobs.get(submission.id)!;
     assert.notEqual(job.toldCancelledAt, null);
     assert.equal(job.firstStartAt, null, `${lateMs} ms late`);
   }
@@ -330,7 +329,7 @@
     c.slowNext = 8;
     c.cloud.add('t16', 'a', false, true);
     for (let i = 0; i < 12; i++)
-      void c.user(c.jobBody({ ...BATCH, sacks: c.random.int(2, 3), grind_s: 3 }), null);
+      void c.user(c.newJob({ ...BATCH, tasks: c.random.int(2, 3), durationS: 3 }), null);
     for (let s = 0; s < 40; s++) {
       if (s % 6 === 4) c.crash(leaderOr(c), c.random.pick([150, 3000]));
       if (s === 9 || s === 21) copiesTo(c, 0.3);
@@ -339,7 +338,7 @@
     c.net.copies = null;
     await c.run(60);
     for (const [id, j] of c.rules.jobs)
-      if (j.spec.grind === 'array') assert.notEqual(j.toldDoneAt, null, id);
+      if (j.spec.kind === 'array') assert.notEqual(j.toldDoneAt, null, id);
     assert.deepEqual(c.rules.broken, []);
   });
 
@@ -347,12 +346,12 @@
   const c = await serving({ seed: 261 }, 1);
   const outcomes = new Map<string, number>();
   for (let i = 0; i < 60; i++) {
-    const body = c.jobBody({ ...BATCH, sacks: c.random.int(1, 3), grind_s: 1, image_gb: 0 });
-    const id = body.id as string;
-    void c.user(body, null);
+    const submission = c.newJob({ ...BATCH, tasks: c.random.int(1, 3), durationS: 1, imageGb: 0 });
+    const { id } = submission;
+    void c.user(submission, null);
     await c.run(0.2);
     const job = c.rules.jobs.get(id)!;
-    for (let t = 0; t < 400 && job.finished.size < (body.sacks as number); t++) await c.run(0.02);
+    for (let t = 0; t < 400 && job.finished.size < job.spec.tasks; t++) await c.run(0.02);
     c.clock.after(c.random.between(0, 250), () => void c.cancel(id));
     for (let k = 0; k < 4; k++) {
       c.clock.after(c.random.between(0, 400), () => void c.question(id));
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -7,9 +7,9 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Body } from '../src/wire/cbor.js';
 import { Cluster, LEASE_MS } from './sim/cluster.js';
 import { BATCH } from './sim/jobs.js';
+import { startsTasks } from './sim/wire/workers.js';
 
 const TEAM_LIMIT = 20;
 
@@ -23,8 +23,7 @@
     const handler = host?.handler;
     if (!host || !handler) continue;
     host.handler = async (method, path, body, from) => {
-      const starts = ((body.orders ?? []) as Body[]).some((order) => order.order === 'run');
-      if (starts)
+      if (startsTasks(body))
         await new Promise<void>((done) => c.clock.after(Math.max(0, until - c.clock.time), done));
       return handler(method, path, body, from);
     };
@@ -41,7 +40,7 @@
     c.mute(() => true, LEASE_MS + 50);
     await c.run(7);
     delayStarts(c, c.clock.time + START_DELAY_MS);
-    void c.user(c.jobBody({ ...BATCH, miller: 't0', sacks: 30, grind_s: 60 }), null);
+    void c.user(c.newJob({ ...BATCH, team: 't0', tasks: 30, durationS: 60 }), null);
     await c.run(15);
     assert.ok(c.rules.on.size > 0, 'tasks run');
     assert.deepEqual(c.rules.broken, []);
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -62,7 +62,7 @@
     );
 
     const large = deployment.user(
-      deployment.body({ sacks: 2100, vcpus: 0.25, ram_gb: 0.1, grind_s: 8 }),
+      deployment.newJob({ tasks: 2100, cpus: 0.25, memoryGb: 0.1, durationS: 8 }),
     );
     await deployment.until(
       'segments are stored',
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BATCH } from './sim/jobs.js';
+import { encodeSubmission } from './sim/wire/users.js';
 import { expectKept, play } from './sim/play.js';
 import { RolloutRules } from './sim/rollout-rules.js';
 import { LARGE, NAMES, NEW, OLD, ROLL_S, Roll, SETTINGS, withJobs } from './sim/roll.js';
@@ -51,7 +52,7 @@
     await roll.cluster.run(6);
     const node = roll.cluster.node(name);
     assert.match(node.unhealthyBecause() ?? '', /level is 2, and this is build 0\.0\.9/);
-    const body = roll.cluster.jobBody({ ...BATCH });
+    const body = encodeSubmission(roll.cluster.newJob(BATCH));
     assert.equal((await node.api.submit(body)).status, 503);
     assert.equal((await node.api.poll('run-000001')).status, 503);
     assert.equal((await node.api.cancel('run-000001')).status, 503);
@@ -265,16 +266,13 @@
   for (const name of NAMES) roll.cluster.crash(name, 50);
   roll.cluster.state.bounds = { valueBytes: 512, txnOps: 12 };
   await roll.reaches('stable', 2);
-  const body = roll.cluster.jobBody({ ...BATCH, sacks: 9000, grind_s: 0.5, miller: 't0' });
-  void roll.cluster.user(body, null);
+  const job = roll.cluster.newJob({ ...BATCH, tasks: 9000, durationS: 0.5, team: 't0' });
+  void roll.cluster.user(job, null);
   await roll.until('segments are stored', () => roll.rules.segments().length > 0);
   assert.equal((await roll.ask('downgrade')).kind, 'done');
   await roll.until('kept', () => roll.level.state === 'stable');
   assert.equal(roll.level.active, 2);
-  assert.match(
-    roll.level.reason ?? '',
-    new RegExp(`finished tasks of ${String(body.id)} don't fit`),
-  );
+  assert.match(roll.level.reason ?? '', new RegExp(`finished tasks of ${job.id} don't fit`));
   assert.equal(roll.cluster.state.tooLarge, 0);
   assert.deepEqual(roll.cluster.rules.broken, []);
 });
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,10 +1,10 @@
 /** The checker of the quota rule, with planted breaches: what it does not see no run of the cluster can find. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { Body } from '../src/wire/cbor.js';
 import { Cluster } from './sim/cluster.js';
 import { BATCH } from './sim/jobs.js';
 import { Rules, jobFacts } from './sim/rules.js';
+import type { JobSubmission } from './sim/wire/users.js';
 
 const LIMIT = 4;
 const CANCEL_MS = 20_000;
@@ -15,19 +15,34 @@
   clock: { now: number };
 }
 
-function withJob(over: Body = {}): Planted {
+const JOB: JobSubmission = {
+  id: 'run-1',
+  jobClass: 'batch',
+  team: 't0',
+  kind: 'array',
+  priority: 'normal',
+  tasks: 5,
+  cpus: 2,
+  gpus: 0,
+  memoryGb: 1,
+  image: 'img-1',
+  imageGb: 0,
+  machineTypes: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: true,
+  durationS: 1,
+  checkpointEveryS: 0,
+  checkpointS: 0,
+  deadlineS: null,
+};
+
+function withJob(over: Partial<JobSubmission> = {}): Planted {
   const clock = { now: 0 };
   const rules = new Rules(() => clock.now, CANCEL_MS, new Map([['t0', LIMIT]]));
-  const spec = {
-    id: 'run-1',
-    miller: 't0',
-    grind: 'array',
-    sacks: 5,
-    vcpus: 2,
-    stone_kinds: null,
-    ...over,
-  };
-  rules.jobs.set('run-1', { ...jobFacts({ loaned_stones: true, ...spec }, 0), toldAccepted: true });
+  const facts = jobFacts({ ...JOB, ...over }, 0);
+  rules.jobs.set(JOB.id, { ...facts, toldAccepted: true });
   return { rules, clock };
 }
 
@@ -71,12 +86,19 @@
 test('a task that saves counts until it exits', async () => {
   const c = new Cluster({ seed: 1, ordinaryUp: 4 });
   await c.run(4);
-  const saving = { ...BATCH, miller: 't0', sacks: 1, grind_s: 60, bin_every_s: 1, bin_s: 3 };
-  void c.user(c.jobBody(saving), null);
+  const saving: Partial<JobSubmission> = {
+    ...BATCH,
+    team: 't0',
+    tasks: 1,
+    durationS: 60,
+    checkpointEveryS: 1,
+    checkpointS: 3,
+  };
+  void c.user(c.newJob(saving), null);
   await c.run(12);
   const [[task, [{ machine }]]] = [...c.rules.on];
   const worker = c.cloud.machines.get(machine)!.worker!;
-  worker.noticeUntil = c.clock.time + 15_000;
+  worker.preemptionDeadline = c.clock.time + 15_000;
   let saved = 0;
   for (let i = 0; i < 100; i++) {
     await c.run(0.1);
@@ -90,20 +112,14 @@
 
 test('a gang that does not fit under the limit as a whole does not wait in vain, one that fits does', () => {
   const rooms = [{ ...place('m1'), freeCpus: 64 }];
-  for (const [sacks, waits] of [
+  for (const [tasks, waits] of [
     [3, false],
     [2, true],
   ] as const) {
-    const { rules, clock } = withJob({
-      grind: 'group',
-      sacks,
-      one_zone: false,
-      scatter: false,
-      yard: null,
-    });
+    const { rules, clock } = withJob({ kind: 'gang', tasks });
     rules.checkWaiting(rooms, []);
     clock.now = WAITING_LIMIT_MS + 1;
     rules.checkWaiting(rooms, []);
-    assert.equal(rules.broken.length > 0, waits, `${sacks} tasks`);
+    assert.equal(rules.broken.length > 0, waits, `${tasks} tasks`);
   }
 });
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -7,33 +7,33 @@
 
 const desk = (c: Cluster): void =>
   void c.user(
-    c.jobBody({
-      grind: 'daemon',
-      grist: 'desk',
-      precedence: 'production',
-      sacks: c.random.pick([2, 4, 16]),
-      vcpus: 4,
-      scatter: true,
-      one_zone: false,
-      loaned_stones: false,
-      grind_s: 0,
-      due_s: null,
+    c.newJob({
+      kind: 'service',
+      jobClass: 'desk',
+      priority: 'production',
+      tasks: c.random.pick([2, 4, 16]),
+      cpus: 4,
+      spread: true,
+      oneZone: false,
+      spot: false,
+      durationS: 0,
+      deadlineS: null,
     }),
     null,
   );
 
 const batch = (c: Cluster): void =>
   void c.user(
-    c.jobBody({
-      grind: 'array',
-      grist: 'batch',
-      precedence: 'normal',
-      sacks: c.random.int(20, 160),
-      scatter: false,
-      one_zone: false,
-      loaned_stones: true,
-      grind_s: c.random.between(8, 30),
-      due_s: null,
+    c.newJob({
+      kind: 'array',
+      jobClass: 'batch',
+      priority: 'normal',
+      tasks: c.random.int(20, 160),
+      spread: false,
+      oneZone: false,
+      spot: true,
+      durationS: c.random.between(8, 30),
+      deadlineS: null,
     }),
     null,
   );
--- a/test/sim/cloud-watch.ts
+++ b/test/sim/cloud-watch.ts
@@ -2,6 +2,7 @@
 import { INTENTS, type Intent } from '@millring/duties';
 import type { Body } from '../../src/wire/cbor.js';
 import type { Cluster } from './cluster.js';
+import { decodeCloudRequest } from './wire/cloud.js';
 
 const LEVEL = 3;
 /** As in the operators' file. */
@@ -78,8 +79,9 @@
 
   private asked(path: string, body: Body): void {
     this.readIntents();
-    if (path === '/machines/delete') this.deleted(body.stones as string[]);
-    if (path === '/machines') this.rented(body.hire as string);
+    const request = decodeCloudRequest(path, body);
+    if (request.kind === 'delete') this.deleted(request.machines);
+    if (request.kind === 'rent') this.rented(request.request);
   }
 
   private rented(request: string): void {
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,7 +1,17 @@
 import type { Reply } from '../../src/runtime.js';
-import { type Body, narrow } from '../../src/wire/cbor.js';
+import type { Body } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
+import {
+  type CloudType,
+  type MachineListEntry,
+  type MachineState,
+  type RentalRequest,
+  decodeCloudRequest,
+  encodeCatalog,
+  encodeMachineList,
+  encodeRental,
+} from './wire/cloud.js';
 import type { Worker } from './worker.js';
 
 export interface CloudMachine {
@@ -12,19 +22,7 @@
   rentedAt: number;
   bootMs: number;
   worker: Worker | null;
-  condition: 'starting' | 'running' | 'failed';
-}
-
-/** A machine type as the catalog tells of it, apart from its zones. */
-export interface CloudType {
-  name: string;
-  vcpus: number;
-  gpus: number;
-  ram_gb: number;
-  fetch_gb_per_s: number;
-  price: number;
-  spot_price: number;
-  boot_s: number;
+  state: MachineState;
 }
 
 /** How many machines of a type there are in a zone, of each kind: ordinary and spot. */
@@ -37,13 +35,13 @@
 export const TYPES: CloudType[] = [
   {
     name: 't16',
-    vcpus: 16,
+    cpus: 16,
     gpus: 0,
-    ram_gb: 64,
-    fetch_gb_per_s: 0.5,
+    memoryGb: 64,
+    fetchGbPerS: 0.5,
     price: 1,
-    spot_price: 0.3,
-    boot_s: 5,
+    spotPrice: 0.3,
+    bootS: 5,
   },
 ];
 
@@ -54,7 +52,7 @@
 export class CloudService {
   readonly machines = new Map<string, CloudMachine>();
   private readonly answers = new Map<string, string[]>();
-  private readonly snapshots: { at: number; list: Body[] }[] = [];
+  private readonly snapshots: { at: number; list: MachineListEntry[] }[] = [];
   private next = 1;
   downUntil = 0;
   /** Calls that came, and those beyond the rate, which get 429. */
@@ -66,7 +64,7 @@
     private readonly clock: VirtualClock,
     private readonly random: SeededRandom,
     private readonly pools: CloudPool[],
-    private readonly boot: (m: CloudMachine) => Worker,
+    private readonly boot: (machine: CloudMachine) => Worker,
     private readonly endpointOf: (id: string) => string = (id) => `w-${id}:9000`,
     private readonly rps = Infinity,
     private readonly types = TYPES,
@@ -97,25 +95,26 @@
     this.next = number;
   }
 
-  private page(path: string): Reply {
-    const query = new URLSearchParams(path.slice(path.indexOf('?')));
-    const limit = Math.min(PAGE, Number(query.get('limit') ?? PAGE));
-    const since = query.get('since') ?? '';
+  private page(after: string, wanted: number | null): Reply {
+    const limit = Math.min(PAGE, wanted ?? PAGE);
     const at = this.clock.time - this.random.between(1000, 4000);
-    const list = [...this.snapshots].reverse().find((x) => x.at <= at)?.list ?? [];
-    const rest = list.filter((m) => (m.id as string) > since);
-    return { status: 200, body: { stones: rest.slice(0, limit), truncated: rest.length > limit } };
+    const list = [...this.snapshots].reverse().find((snapshot) => snapshot.at <= at)?.list ?? [];
+    const rest = list.filter((machine) => machine.id > after);
+    return {
+      status: 200,
+      body: encodeMachineList(rest.slice(0, limit), rest.length > limit),
+    };
   }
 
   private snapshotLoop(): void {
-    const list = [...this.machines.values()].map((m) => ({
-      id: m.id,
-      endpoint: this.endpointOf(m.id),
-      stone_kind: m.type,
-      yard: m.zone,
-      loaned_stones: m.spot,
-      condition: m.condition,
-      age_s: (this.clock.time - m.rentedAt) / 1000,
+    const list = [...this.machines.values()].map((machine) => ({
+      id: machine.id,
+      endpoint: this.endpointOf(machine.id),
+      type: machine.type,
+      zone: machine.zone,
+      spot: machine.spot,
+      state: machine.state,
+      ageS: (this.clock.time - machine.rentedAt) / 1000,
     }));
     this.snapshots.push({ at: this.clock.time, list });
     if (this.snapshots.length > 20) this.snapshots.shift();
@@ -127,7 +126,7 @@
   add(type: string, zone: string, spot: boolean, up: boolean): CloudMachine {
     const id = `i-${String(this.next++).padStart(6, '0')}`;
     const bootMs = up ? 0 : this.random.chance(0.03) ? Infinity : this.random.between(2500, 9000);
-    const m: CloudMachine = {
+    const machine: CloudMachine = {
       id,
       type,
       zone,
@@ -135,57 +134,60 @@
       rentedAt: this.clock.time,
       bootMs,
       worker: null,
-      condition: 'starting',
+      state: 'starting',
     };
-    this.machines.set(id, m);
+    this.machines.set(id, machine);
     if (bootMs < Infinity)
       this.clock.after(bootMs, () => {
-        if (this.machines.get(id) !== m) return;
-        m.condition = 'running';
-        m.worker = this.boot(m);
+        if (this.machines.get(id) !== machine) return;
+        machine.state = 'running';
+        machine.worker = this.boot(machine);
       });
-    return m;
+    return machine;
   }
 
-  take(m: CloudMachine): void {
-    m.worker?.kill();
-    this.machines.delete(m.id);
+  take(machine: CloudMachine): void {
+    machine.worker?.kill();
+    this.machines.delete(machine.id);
   }
 
   handle(path: string, body: Body): Reply {
     if (this.tooMany()) return { status: 429, body: {} };
     if (this.clock.time < this.downUntil) return { status: 503, body: { error: 'trouble' } };
-    if (path === '/catalog') {
-      const yardsOf = (type: CloudType): string[] =>
-        this.pools.filter((pool) => pool.type === type.name).map((pool) => pool.zone);
-      return {
-        status: 200,
-        body: { stone_kinds: this.types.map((t) => ({ ...t, yards: yardsOf(t) })) },
-      };
+    const request = decodeCloudRequest(path, body);
+    switch (request.kind) {
+      case 'catalog':
+        return { status: 200, body: this.catalog() };
+      case 'delete':
+        for (const id of request.machines) {
+          const machine = this.machines.get(id);
+          if (machine) this.take(machine);
+        }
+        return { status: 200, body: {} };
+      case 'list':
+        return this.page(request.after, request.limit);
+      case 'rent':
+        return this.rent(request);
     }
-    if (path === '/machines/delete') {
-      for (const id of body.stones as string[]) {
-        const m = this.machines.get(id);
-        if (m) this.take(m);
-      }
-      return { status: 200, body: {} };
-    }
-    if (path.startsWith('/machines?')) return this.page(path);
-    const hire = body.hire as string;
-    const old = this.answers.get(hire);
-    if (old) return { status: 200, body: { stones: old } };
-    const spot = body.loaned_stones === true;
-    const pool = this.pools.find((p) => p.type === body.stone_kind && p.zone === body.yard);
+  }
+
+  private catalog(): Body {
+    const zonesOf = (type: CloudType): string[] =>
+      this.pools.filter((pool) => pool.type === type.name).map((pool) => pool.zone);
+    return encodeCatalog(this.types.map((type) => ({ ...type, zones: zonesOf(type) })));
+  }
+
+  private rent({ request, type, zone, spot, count }: RentalRequest): Reply {
+    const before = this.answers.get(request);
+    if (before) return { status: 200, body: encodeRental(before) };
+    const pool = this.pools.find((p) => p.type === type && p.zone === zone);
     const used = [...this.machines.values()].filter(
-      (m) => m.type === body.stone_kind && m.zone === body.yard && m.spot === spot,
+      (m) => m.type === type && m.zone === zone && m.spot === spot,
     ).length;
-    const n = Math.min(narrow(body.number)!, (pool?.count ?? 0) - used);
-    if (n <= 0) return { status: 503, body: { error: 'no capacity' } };
-    const ids = Array.from(
-      { length: n },
-      () => this.add(body.stone_kind as string, body.yard as string, spot, false).id,
-    );
-    this.answers.set(hire, ids);
-    return { status: 200, body: { stones: ids } };
+    const granted = Math.min(count, (pool?.count ?? 0) - used);
+    if (granted <= 0) return { status: 503, body: { error: 'no capacity' } };
+    const ids = Array.from({ length: granted }, () => this.add(type, zone, spot, false).id);
+    this.answers.set(request, ids);
+    return { status: 200, body: encodeRental(ids) };
   }
 }
--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -1,7 +1,8 @@
 /** How large a simulated deployment is, and what it runs. */
 import type { DutySettings } from '@millring/duties';
 import type { Build, RolloutSettings } from '@millring/rollout';
-import type { CloudPool, CloudType } from './cloud.js';
+import type { CloudPool } from './cloud.js';
+import type { CloudType } from './wire/cloud.js';
 
 export interface ClusterConfig {
   seed: number;
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -12,11 +12,23 @@
 import type { ClusterConfig } from './cluster-config.js';
 import { VirtualClock } from './clock.js';
 import { GANG_PEER_MS, GANG_WAIT_MS, GangCoordinator } from './gang-coordinator.js';
+import { randomJob } from './jobs.js';
 import { Network } from './network.js';
 import { type ProcessLife, processWorld } from './process-world.js';
 import { SeededRandom } from './random.js';
 import { type Room, Rules, jobFacts } from './rules.js';
 import { StateService } from './state-service.js';
+import {
+  type JobReply,
+  type JobSubmission,
+  type UserRequest,
+  cancelRequest,
+  decodeJobReply,
+  pollRequest,
+  submitRequest,
+  userOperation,
+} from './wire/users.js';
+import { HEARTBEAT_PATH } from './wire/workers.js';
 import { POLL_MS, Worker } from './worker.js';
 import { quietLog } from './quiet-log.js';
 import { withoutGate } from './without-gate.js';
@@ -26,6 +38,7 @@
 export const LEASE_MS = 8000;
 export const CANCEL_MS = 22_000;
 const CLOUD_RPS = 5;
+const USER_TIMEOUT_MS = 5000;
 
 interface Life extends ProcessLife {
   node: ControllerNode;
@@ -93,7 +106,7 @@
   }
 
   private cpusOf(machine: CloudMachine): number {
-    return (this.config.types ?? TYPES).find((type) => type.name === machine.type)!.vcpus;
+    return (this.config.types ?? TYPES).find((type) => type.name === machine.type)!.cpus;
   }
 
   private bootWorker(m: CloudMachine): Worker {
@@ -243,10 +256,18 @@
     path: string,
     body: Body,
   ): Promise<Reply> {
-    if (path === '/agent/beat') return node.beat(body);
-    const id = path.split('/')[3];
-    if (method === 'GET') return node.api.poll(id);
-    return path.endsWith('/withdraw') ? node.api.cancel(id) : node.api.submit(body);
+    if (path === HEARTBEAT_PATH) return node.beat(body);
+    const operation = userOperation(method, path);
+    switch (operation?.kind) {
+      case 'submit':
+        return node.api.submit(body);
+      case 'poll':
+        return node.api.poll(operation.id);
+      case 'cancel':
+        return node.api.cancel(operation.id);
+      default:
+        throw new Error(`unknown request to a controller: ${method} ${path}`);
+    }
   }
 
   crash(name: string, downMs: number): void {
@@ -365,61 +386,27 @@
 
   // Users.
 
-  jobBody(over: Body = {}): Body {
-    const service = this.random.chance(0.4);
-    const id = `run-${String(this.nextJob++).padStart(6, '0')}`;
-    return {
-      id,
-      grist: service ? 'desk' : 'batch',
-      miller: this.random.pick(['t0', 't1']),
-      grind: service ? 'daemon' : 'array',
-      precedence: service ? 'production' : 'normal',
-      sacks: service ? this.random.pick([1, 3]) : this.random.int(1, 14),
-      vcpus: 2,
-      gpus: 0,
-      ram_gb: 4,
-      seed: `img-${this.random.int(0, 2)}`,
-      image_gb: 1,
-      stone_kinds: null,
-      yard: null,
-      one_zone: !service && this.random.chance(0.2),
-      scatter: service,
-      loaned_stones: !service,
-      grind_s: service ? 0 : this.random.between(2, 9),
-      bin_every_s: 0,
-      bin_s: 0,
-      due_s: service ? null : 60,
-      ...over,
-    };
+  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
+    return { ...randomJob(this.nextJob++, this.random), ...over };
   }
 
-  private ask(method: string, path: string, body: Body | null, via?: string): Promise<Reply> {
-    return this.net.send(
-      'user',
-      `${via ?? this.random.pick(this.names)}:80`,
-      method,
-      path,
-      body,
-      5000,
+  private async ask({ method, path, body }: UserRequest, via?: string): Promise<JobReply> {
+    const node = via ?? this.random.pick(this.names);
+    return decodeJobReply(
+      await this.net.send('user', `${node}:80`, method, path, body, USER_TIMEOUT_MS),
     );
   }
 
   /** Asks, through `via` or any node, until there is an answer that stands. */
-  private async insist(
-    id: string,
-    method: string,
-    path: string,
-    b: Body | null,
-    via?: string,
-  ): Promise<Reply> {
+  private async insist(id: string, request: UserRequest, via?: string): Promise<JobReply> {
     for (let i = 0; ; i++) {
       const asked = this.clock.time;
-      const r = await this.ask(method, path, b, via);
-      if (r.status === 200 || r.status === 201) {
-        this.rules.told(id, r.status, r.body.condition, asked);
-        return r;
+      const reply = await this.ask(request, via);
+      if (reply.job) {
+        this.rules.told(id, reply, asked);
+        return reply;
       }
-      if (r.status === 400 || r.status === 422 || i > 60) return r;
+      if (reply.status === 400 || reply.status === 422 || i > 60) return reply;
       await this.later(1000);
     }
   }
@@ -427,42 +414,42 @@
   /** The user calls the job off. */
   async cancel(id: string, via?: string): Promise<void> {
     this.rules.jobs.get(id)!.cancelAsked = true;
-    await this.insist(id, 'POST', `/v1/jobs/${id}/withdraw`, null, via);
+    await this.insist(id, cancelRequest(id), via);
   }
 
   private later(ms: number): Promise<void> {
     return new Promise((done) => this.clock.after(ms, done));
   }
 
-  async question(id: string): Promise<Reply> {
+  async question(id: string): Promise<JobReply> {
     const asked = this.clock.time;
-    const r = await this.ask('GET', `/v1/jobs/${id}`, null);
-    this.rules.told(id, r.status, r.body.condition, asked);
-    return r;
+    const reply = await this.ask(pollRequest(id));
+    this.rules.told(id, reply, asked);
+    return reply;
   }
 
   /** The same submission once more. */
-  async repeat(id: string): Promise<Reply> {
+  async repeat(id: string): Promise<JobReply> {
     const asked = this.clock.time;
-    const r = await this.ask('POST', '/v1/jobs', this.rules.jobs.get(id)!.spec);
-    this.rules.told(id, r.status, r.body.condition, asked);
-    if (r.status === 400 || r.status === 422) this.rules.break('forgotten', id);
-    return r;
+    const reply = await this.ask(submitRequest(this.rules.jobs.get(id)!.spec));
+    this.rules.told(id, reply, asked);
+    if (reply.status === 400 || reply.status === 422) this.rules.break('forgotten', id);
+    return reply;
   }
 
   /** Submits with retries, polls until the end; cancels after a while if asked to. */
-  async user(body: Body, cancelAfterMs: number | null): Promise<void> {
-    const id = body.id as string;
-    const facts = jobFacts(body, this.clock.time);
+  async user(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
+    const { id } = job;
+    const facts = jobFacts(job, this.clock.time);
     this.rules.jobs.set(id, facts);
-    const first = await this.insist(id, 'POST', '/v1/jobs', body);
+    const first = await this.insist(id, submitRequest(job));
     if (first.status === 422 && facts.toldAccepted) this.rules.break('forgotten', id);
     if (!facts.toldAccepted) return;
     if (cancelAfterMs !== null) this.clock.after(cancelAfterMs, () => void this.cancel(id));
     for (;;) {
       await this.later(this.random.between(2000, 5000));
       await this.question(id);
-      if (this.random.chance(0.03)) void this.insist(id, 'POST', '/v1/jobs', body);
+      if (this.random.chance(0.03)) void this.insist(id, submitRequest(job));
     }
   }
 
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -7,12 +7,18 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import type { DutySettings } from '@millring/duties';
 import type { RolloutSettings } from '@millring/rollout';
-import { type Body } from '../../src/wire/cbor.js';
 import { bundleController } from './controller-program.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
 import { LoopbackStandIns, freePort } from './loopback.js';
 import { type ControllerAddresses, settingsFile } from './platform-settings.js';
 import { jobFacts } from './rules.js';
+import {
+  type JobSubmission,
+  type UserRequest,
+  decodeJobReply,
+  pollRequest,
+  submitRequest,
+} from './wire/users.js';
 
 const NAMES = ['n0', 'n1', 'n2'];
 /** No test asks how fast anything is: whoever waits for longer than this has a fault, not a slow machine. */
@@ -228,43 +234,43 @@
     return stored ?? { state: 'stable', active: 1 };
   }
 
-  body(over: Body = {}): Body {
+  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
     return {
       id: `run-${String(this.nextJob++).padStart(6, '0')}`,
-      grist: 'batch',
-      miller: TEAM,
-      grind: 'array',
-      precedence: 'normal',
-      sacks: 4,
-      vcpus: 2,
+      jobClass: 'batch',
+      team: TEAM,
+      kind: 'array',
+      priority: 'normal',
+      tasks: 4,
+      cpus: 2,
       gpus: 0,
-      ram_gb: 2,
-      seed: 'img-1',
-      image_gb: 0.2,
-      stone_kinds: null,
-      yard: null,
-      one_zone: false,
-      scatter: false,
-      loaned_stones: true,
-      grind_s: 1,
-      bin_every_s: 0,
-      bin_s: 0,
-      due_s: null,
+      memoryGb: 2,
+      image: 'img-1',
+      imageGb: 0.2,
+      machineTypes: null,
+      zone: null,
+      oneZone: false,
+      spread: false,
+      spot: true,
+      durationS: 1,
+      checkpointEveryS: 0,
+      checkpointS: 0,
+      deadlineS: null,
       ...over,
     };
   }
 
   /** As PROTOCOL has it: a submission is repeated until it is accepted, then its user asks until the job is over. */
-  async user(body: Body): Promise<void> {
+  async user(job: JobSubmission): Promise<void> {
     this.openUsers++;
-    const id = String(body.id);
+    const { id } = job;
     const { rules, clock } = this.standIns;
-    rules.jobs.set(id, jobFacts(body, clock.time));
+    rules.jobs.set(id, jobFacts(job, clock.time));
     const began = performance.now();
-    while (!(await this.told(id, 'POST', '/v1/jobs', body))) this.refused++;
+    while (!(await this.told(id, submitRequest(job)))) this.refused++;
     this.latenciesMs.push(performance.now() - began);
     await this.until(`${id} is done`, async () => {
-      await this.told(id, 'GET', `/v1/jobs/${id}`, null);
+      await this.told(id, pollRequest(id));
       await delay(300);
       return rules.jobs.get(id)!.toldDoneAt !== null;
     });
@@ -272,12 +278,7 @@
   }
 
   /** Asks any controller that accepts connections; false if the request has to be repeated. */
-  private async told(
-    id: string,
-    method: 'GET' | 'POST',
-    path: string,
-    body: Body | null,
-  ): Promise<boolean> {
+  private async told(id: string, { method, path, body }: UserRequest): Promise<boolean> {
     const { rules, clock } = this.standIns;
     const asked = clock.time;
     const start = Math.floor(Math.random() * NAMES.length);
@@ -285,8 +286,9 @@
       const { address } = this.controllers[(start + i) % NAMES.length];
       const reply = await this.standIns.ask(address, method, path, body);
       if (reply.status === 0) continue;
-      rules.told(id, reply.status, reply.body.condition, asked);
-      if (reply.status === 200 || reply.status === 201) return true;
+      const decoded = decodeJobReply(reply);
+      rules.told(id, decoded, asked);
+      if (decoded.job) return true;
       break;
     }
     await delay(200);
@@ -297,7 +299,7 @@
   async stream(everyMs: number): Promise<void> {
     this.streaming = true;
     while (this.streaming) {
-      void this.user(this.body({ sacks: 1 + (this.nextJob % 6) }));
+      void this.user(this.newJob({ tasks: 1 + (this.nextJob % 6) }));
       await delay(everyMs);
     }
   }
@@ -314,6 +316,6 @@
     assert.deepEqual(rules.broken, []);
     assert.deepEqual(rules.startsAfterDone, []);
     for (const [id, job] of rules.jobs)
-      if (job.toldDoneAt !== null) assert.equal(job.finished.size, job.spec.sacks, id);
+      if (job.toldDoneAt !== null) assert.equal(job.finished.size, job.spec.tasks, id);
   }
 }
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -1,6 +1,7 @@
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
 import type { JobFacts } from './rules.js';
+import type { ReportedExitCause } from './wire/workers.js';
 
 export const GANG_WAIT_MS = 6000;
 export const GANG_PEER_MS = 2000;
@@ -9,7 +10,7 @@
 /** A task of a gang that has its image, as its worker stands for it. */
 export interface Member {
   run(): void;
-  exit(cause: string): void;
+  exit(cause: ReportedExitCause): void;
   /** Its machine stands still. */
   hangs(): boolean;
   /** How much longer everything takes there. */
@@ -28,7 +29,7 @@
   frozen: { at: number; progress: number } | null;
 }
 
-/** How the tasks of one attempt find each other: PROTOCOL's new page, acted out for all workers at once. */
+/** How the tasks of one attempt find each other: acted out for all workers at once. */
 export class GangCoordinator {
   private readonly gangs = new Map<string, Gang>();
   /** How many gangs began, for tests. */
@@ -47,7 +48,7 @@
   }
 
   arrive(job: JobFacts, attempt: number, taskNumber: number, member: Member): void {
-    const key = `${job.spec.id as string}#${attempt}`;
+    const key = `${job.spec.id}#${attempt}`;
     let g = this.gangs.get(key);
     if (!g) {
       g = {
@@ -68,7 +69,7 @@
       if (waits && gang.members.get(taskNumber) === member)
         this.leave(job, attempt, taskNumber, 'incomplete');
     });
-    if (gang.state === 'gathering' && gang.members.size === job.spec.sacks) this.begin(job, gang);
+    if (gang.state === 'gathering' && gang.members.size === job.spec.tasks) this.begin(job, gang);
   }
 
   private begin(job: JobFacts, g: Gang): void {
@@ -78,8 +79,7 @@
     g.base = job.progressMs;
     g.pace = Math.max(...[...g.members.values()].map((m) => m.slow));
     for (const m of g.members.values()) m.run();
-    const left =
-      job.finished.size > 0 ? 1 : ((job.spec.grind_s as number) * 1000 - g.base) * g.pace;
+    const left = job.finished.size > 0 ? 1 : (job.spec.durationS * 1000 - g.base) * g.pace;
     this.clock.after(Math.max(1, left), () => {
       if (g.state !== 'running') return;
       if ([...g.members.values()].some((m) => m.hangs())) {
@@ -104,12 +104,12 @@
   /** Back to the last checkpoint; whoever is left goes within a while. */
   private fail(job: JobFacts, g: Gang): void {
     if (g.state === 'over') return;
-    const every = (job.spec.bin_every_s as number) * 1000;
+    const every = job.spec.checkpointEveryS * 1000;
     const progress = g.frozen?.progress ?? this.progress(g);
     if (every > 0) job.progressMs = Math.max(job.progressMs, Math.floor(progress / every) * every);
     for (const m of this.disband(g))
       this.clock.after(this.random.between(0, GANG_PEER_MS), () => {
-        m.exit('peers');
+        m.exit('peer_lost');
       });
   }
 
@@ -125,8 +125,8 @@
   }
 
   /** Gone from its machine, for whatever reason: the others of a gang that runs fall apart. */
-  leave(job: JobFacts, attempt: number, taskNumber: number, cause: string | null): void {
-    const g = this.gangs.get(`${job.spec.id as string}#${attempt}`);
+  leave(job: JobFacts, attempt: number, taskNumber: number, cause: ReportedExitCause | null): void {
+    const g = this.gangs.get(`${job.spec.id}#${attempt}`);
     const member = g?.members.get(taskNumber);
     if (!g || !member) return;
     g.members.delete(taskNumber);
@@ -137,9 +137,9 @@
   }
 
   stop(job: JobFacts, attempt: number, taskNumber: number, graceS: number): void {
-    const g = this.gangs.get(`${job.spec.id as string}#${attempt}`);
-    const saveS = job.spec.bin_s as number;
-    const saves = (job.spec.bin_every_s as number) > 0 && graceS >= saveS;
+    const g = this.gangs.get(`${job.spec.id}#${attempt}`);
+    const saveS = job.spec.checkpointS;
+    const saves = job.spec.checkpointEveryS > 0 && graceS >= saveS;
     if (!g || !saves || (g.state !== 'running' && g.state !== 'stopping')) {
       this.leave(job, attempt, taskNumber, 'stopped');
       return;
@@ -150,10 +150,10 @@
       g.state = 'stopping';
       g.frozen = { at: this.clock.time, progress: this.progress(g) };
       this.clock.after(GANG_PEER_MS, () => {
-        if (g.state === 'stopping' && g.told.size < (job.spec.sacks as number)) this.fail(job, g);
+        if (g.state === 'stopping' && g.told.size < job.spec.tasks) this.fail(job, g);
       });
     }
-    if (g.told.size < (job.spec.sacks as number)) return;
+    if (g.told.size < job.spec.tasks) return;
     this.clock.after(saveS * 1000, () => {
       if (g.state !== 'stopping') return;
       job.progressMs = Math.max(job.progressMs, g.frozen!.progress);
--- a/test/sim/jobs.ts
+++ b/test/sim/jobs.ts
@@ -1,35 +1,65 @@
-/** What the tests' users ask for, as changes of `Cluster.jobBody`. */
+import type { SeededRandom } from './random.js';
+import type { JobSubmission } from './wire/users.js';
+
+/** What the tests' users ask for, as changes of `Cluster.newJob`. */
 export const DESK = {
-  grind: 'daemon',
-  grist: 'desk',
-  precedence: 'production',
-  sacks: 3,
-  scatter: true,
-  one_zone: false,
-  loaned_stones: false,
-  grind_s: 0,
-  due_s: null,
-};
+  kind: 'service',
+  jobClass: 'desk',
+  priority: 'production',
+  tasks: 3,
+  spread: true,
+  oneZone: false,
+  spot: false,
+  durationS: 0,
+  deadlineS: null,
+} satisfies Partial<JobSubmission>;
 export const BATCH = {
-  grind: 'array',
-  grist: 'batch',
-  precedence: 'normal',
-  scatter: false,
-  one_zone: false,
-  loaned_stones: false,
-  due_s: null,
-};
+  kind: 'array',
+  jobClass: 'batch',
+  priority: 'normal',
+  spread: false,
+  oneZone: false,
+  spot: false,
+  deadlineS: null,
+} satisfies Partial<JobSubmission>;
 /** All tasks at once, in one zone, saving every 2 s. */
 export const GANG = {
-  grind: 'group',
-  grist: 'panel',
-  precedence: 'normal',
-  sacks: 4,
-  scatter: false,
-  one_zone: true,
-  loaned_stones: false,
-  grind_s: 6,
-  bin_every_s: 2,
-  bin_s: 0.5,
-  due_s: null,
-};
+  kind: 'gang',
+  jobClass: 'panel',
+  priority: 'normal',
+  tasks: 4,
+  spread: false,
+  oneZone: true,
+  spot: false,
+  durationS: 6,
+  checkpointEveryS: 2,
+  checkpointS: 0.5,
+  deadlineS: null,
+} satisfies Partial<JobSubmission>;
+
+/** A service or an array, as it comes. */
+export function randomJob(number: number, random: SeededRandom): JobSubmission {
+  const isService = random.chance(0.4);
+  return {
+    id: `run-${String(number).padStart(6, '0')}`,
+    jobClass: isService ? 'desk' : 'batch',
+    team: random.pick(['t0', 't1']),
+    kind: isService ? 'service' : 'array',
+    priority: isService ? 'production' : 'normal',
+    tasks: isService ? random.pick([1, 3]) : random.int(1, 14),
+    cpus: 2,
+    gpus: 0,
+    memoryGb: 4,
+    image: `img-${random.int(0, 2)}`,
+    imageGb: 1,
+    machineTypes: null,
+    zone: null,
+    oneZone: !isService && random.chance(0.2),
+    spread: isService,
+    spot: !isService,
+    durationS: isService ? 0 : random.between(2, 9),
+    checkpointEveryS: 0,
+    checkpointS: 0,
+    deadlineS: isService ? null : 60,
+  };
+}
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -3,7 +3,7 @@
 import type { AddressInfo } from 'node:net';
 import { outgoing } from '../../src/outgoing.js';
 import { TOKEN_SPAN } from '../../src/leadership/leadership.js';
-import { type Body, decodeMap, encode, isMap, narrow } from '../../src/wire/cbor.js';
+import { type Body, decodeMap, encode, isMap } from '../../src/wire/cbor.js';
 import { type CloudMachine, CloudService } from './cloud.js';
 import { VirtualClock } from './clock.js';
 import { GangCoordinator } from './gang-coordinator.js';
@@ -11,6 +11,7 @@
 import { SeededRandom } from './random.js';
 import { Rules } from './rules.js';
 import { StateService } from './state-service.js';
+import { decodeCommandRequest, startsTasks } from './wire/workers.js';
 import { POLL_MS, Worker } from './worker.js';
 
 const HOST = '127.0.0.1';
@@ -256,7 +257,7 @@
 
   /** The address of the controller that claimed under the token of a command. */
   private senderOf(body: Body): string {
-    const revision = Math.floor((narrow(body.warrant) ?? 0) / TOKEN_SPAN);
+    const revision = Math.floor((decodeCommandRequest(body).token ?? 0) / TOKEN_SPAN);
     const name = this.claims.get(revision);
     return (
       this.config.controllers.find((controller) => controller.name === name)?.address ?? 'unknown:0'
@@ -323,8 +324,7 @@
     if (!host || !handler) return;
     host.handler = async (method, path, body, from) => {
       const late = this.lateStarts;
-      const starts = ((body.orders ?? []) as Body[]).some((order) => order.order === 'run');
-      if (late && starts && this.clock.time < late.until)
+      if (late && startsTasks(body) && this.clock.time < late.until)
         await new Promise<void>((done) => this.clock.after(late.byMs, done));
       return handler(method, path, body, from);
     };
--- a/test/sim/play.ts
+++ b/test/sim/play.ts
@@ -12,7 +12,7 @@
 
 function report(c: Cluster): Outcome {
   const ending = [...c.rules.jobs.values()].filter(
-    (j) => j.spec.grind !== 'daemon' && !j.cancelAsked,
+    (j) => j.spec.kind !== 'service' && !j.cancelAsked,
   );
   return {
     cluster: c,
@@ -32,7 +32,7 @@
   await c.run(4);
   for (let s = 0; s < 60; s++) {
     if (c.random.chance(0.25))
-      void c.user(c.jobBody(), c.random.chance(0.15) ? c.random.between(0, 20_000) : null);
+      void c.user(c.newJob(), c.random.chance(0.15) ? c.random.between(0, 20_000) : null);
     troubles(c, s);
     await c.run(1);
   }
--- a/test/sim/roll.ts
+++ b/test/sim/roll.ts
@@ -108,10 +108,10 @@
   }
 
   /** An array so large that its finished tasks are stored in segments under the new level. */
-  submitLarge(grindS = 0.5): string {
-    const body = this.cluster.jobBody({ ...BATCH, sacks: 2400, grind_s: grindS, miller: 't0' });
-    void this.cluster.user(body, null);
-    return String(body.id);
+  submitLarge(durationS = 0.5): string {
+    const job = this.cluster.newJob({ ...BATCH, tasks: 2400, durationS, team: 't0' });
+    void this.cluster.user(job, null);
+    return job.id;
   }
 
   /** Nothing was broken, and all arrays end. */
@@ -119,7 +119,7 @@
     const { rules } = this.cluster;
     const open = (): boolean =>
       [...rules.jobs.values()].some(
-        (job) => job.spec.grind !== 'daemon' && job.toldDoneAt === null,
+        (job) => job.spec.kind !== 'service' && job.toldDoneAt === null,
       );
     await this.until('all arrays are done', () => !open(), 120);
     assert.deepEqual(rules.broken, []);
@@ -130,5 +130,5 @@
 
 export function withJobs(roll: Roll, count = 4): void {
   for (let i = 0; i < count; i++)
-    void roll.cluster.user(roll.cluster.jobBody({ ...BATCH, sacks: 6 }), null);
+    void roll.cluster.user(roll.cluster.newJob({ ...BATCH, tasks: 6 }), null);
 }
--- a/test/sim/rules.ts
+++ b/test/sim/rules.ts
@@ -1,7 +1,7 @@
-import type { Body } from '../../src/wire/cbor.js';
+import type { JobReply, JobState, JobSubmission } from './wire/users.js';
 
 export interface JobFacts {
-  spec: Body;
+  spec: JobSubmission;
   toldAccepted: boolean;
   submitted: boolean;
   cancelAsked: boolean;
@@ -18,7 +18,7 @@
   progressMs: number;
 }
 
-export function jobFacts(spec: Body, now: number): JobFacts {
+export function jobFacts(spec: JobSubmission, now: number): JobFacts {
   return {
     spec,
     toldAccepted: false,
@@ -86,7 +86,7 @@
   }
 
   cpusOf(task: string): number {
-    return this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec.vcpus as number;
+    return this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec.cpus;
   }
 
   /** What the team's tasks use now. */
@@ -95,8 +95,8 @@
   }
 
   private use(job: JobFacts, sign: number): void {
-    const team = job.spec.miller as string;
-    this.usedBy.set(team, (this.usedBy.get(team) ?? 0) + sign * (job.spec.vcpus as number));
+    const team = job.spec.team;
+    this.usedBy.set(team, (this.usedBy.get(team) ?? 0) + sign * job.spec.cpus);
   }
 
   start(task: string, place: Place): void {
@@ -121,27 +121,26 @@
     this.on.set(task, [...there, place]);
     this.byJob.set(id, (this.byJob.get(id) ?? new Set()).add(task));
     this.use(job, 1);
-    const limit = this.limits.get(s.miller as string) ?? Infinity;
-    if (this.usedBy.get(s.miller as string)! > limit + 1e-6)
-      this.break('quota', `${s.miller as string} by ${task}`);
+    const limit = this.limits.get(s.team) ?? Infinity;
+    if (this.usedBy.get(s.team)! > limit + 1e-6) this.break('quota', `${s.team} by ${task}`);
   }
 
-  private checkPlace(task: string, spec: Body, place: Place): void {
-    const types = spec.stone_kinds as string[] | null;
+  private checkPlace(task: string, spec: JobSubmission, place: Place): void {
+    const types = spec.machineTypes;
     if (types && !types.includes(place.type))
       this.break('wrong_place', `${task} on type ${place.type}`);
-    if (spec.yard && spec.yard !== place.zone)
+    if (spec.zone && spec.zone !== place.zone)
       this.break('wrong_place', `${task} in zone ${place.zone}`);
-    if (place.spot && !spec.loaned_stones) this.break('wrong_place', `${task} on a spot machine`);
+    if (place.spot && !spec.spot) this.break('wrong_place', `${task} on a spot machine`);
   }
 
   /** Given where the job's other tasks are. */
-  private checkZones(task: string, spec: Body, place: Place, others: Place[]): void {
-    if (spec.one_zone && others.some((p) => p.zone !== place.zone))
+  private checkZones(task: string, spec: JobSubmission, place: Place, others: Place[]): void {
+    if (spec.oneZone && others.some((p) => p.zone !== place.zone))
       this.break('wrong_place', `${task} not in one zone`);
-    if (!spec.scatter) return;
+    if (!spec.spread) return;
     const same = others.filter((p) => p.zone === place.zone).length + 1;
-    if (same > Math.ceil((spec.sacks as number) / 2))
+    if (same > Math.ceil(spec.tasks / 2))
       this.break('wrong_place', `${task}: ${same} in ${place.zone}`);
   }
 
@@ -160,33 +159,33 @@
   }
 
   /** An answer to a request that was sent at `asked`: what was told before then must stand. */
-  told(id: string, status: number, condition: unknown, asked: number): void {
+  told(id: string, { status, job: answered }: JobReply, asked: number): void {
     const job = this.jobs.get(id);
     if (status === 404 && job?.toldAccepted) this.break('forgotten', id);
-    if (status !== 200 && status !== 201) return;
+    if (!answered) return;
     if (!job?.submitted) {
       this.break('invented', id);
       return;
     }
     job.toldAccepted = true;
     job.answeredAt = this.now();
-    this.checkStands(id, job, condition, asked);
-    if (condition === 'cancelled') {
+    this.checkStands(id, job, answered.state, asked);
+    if (answered.state === 'cancelled') {
       if (!job.cancelAsked) this.break('went_back', `${id} cancelled by nobody`);
       job.toldCancelledAt ??= this.now();
       this.cancelled.set(id, job);
     }
-    if (condition === 'done') {
+    if (answered.state === 'done') {
       job.toldDoneAt ??= this.now();
-      if (job.finished.size < (job.spec.sacks as number)) this.break('not_done', id);
+      if (job.finished.size < job.spec.tasks) this.break('not_done', id);
     }
   }
 
   /** A job that was called done or cancelled before the question stays so. */
-  private checkStands(id: string, job: JobFacts, condition: unknown, asked: number): void {
-    if (job.toldDoneAt !== null && job.toldDoneAt <= asked && condition !== 'done')
-      this.break('went_back', `${id} was done, now ${String(condition)}`);
-    if (job.toldCancelledAt !== null && job.toldCancelledAt <= asked && condition !== 'cancelled')
+  private checkStands(id: string, job: JobFacts, state: JobState, asked: number): void {
+    if (job.toldDoneAt !== null && job.toldDoneAt <= asked && state !== 'done')
+      this.break('went_back', `${id} was done, now ${state}`);
+    if (job.toldCancelledAt !== null && job.toldCancelledAt <= asked && state !== 'cancelled')
       this.break('went_back', `${id} was cancelled`);
   }
 
@@ -205,29 +204,26 @@
 
   private fits(job: JobFacts, id: string, room: Room): boolean {
     const s = job.spec;
-    const types = s.stone_kinds as string[] | null;
+    const types = s.machineTypes;
     if (types && !types.includes(room.type)) return false;
-    if ((s.yard && s.yard !== room.zone) || (room.spot && !s.loaned_stones)) return false;
+    if ((s.zone && s.zone !== room.zone) || (room.spot && !s.spot)) return false;
     const others = [...this.tasksOf(id)];
-    if (s.one_zone && others.some((p) => p.zone !== room.zone)) return false;
+    if (s.oneZone && others.some((p) => p.zone !== room.zone)) return false;
     const same = others.filter((p) => p.zone === room.zone).length;
-    if (s.scatter && same + 1 > Math.ceil((s.sacks as number) / 2)) return false;
-    return room.freeCpus >= (s.vcpus as number);
+    if (s.spread && same + 1 > Math.ceil(s.tasks / 2)) return false;
+    return room.freeCpus >= s.cpus;
   }
 
   /** Room for one task, or for a whole gang of which nothing is anywhere. */
   private hasRoom(job: JobFacts, id: string, rooms: Room[]): boolean {
     const fitting = rooms.filter((r) => this.fits(job, id, r));
-    if (job.spec.grind !== 'group') return fitting.length > 0;
+    if (job.spec.kind !== 'gang') return fitting.length > 0;
     if ((this.byJob.get(id)?.size ?? 0) > 0) return false;
-    const zones = job.spec.one_zone ? [...new Set(fitting.map((r) => r.zone))] : [null];
+    const zones = job.spec.oneZone ? [...new Set(fitting.map((r) => r.zone))] : [null];
     return zones.some((z) => {
       const there = fitting.filter((r) => z === null || r.zone === z);
-      const n = there.reduce(
-        (sum, r) => sum + Math.floor(r.freeCpus / (job.spec.vcpus as number)),
-        0,
-      );
-      return n >= (job.spec.sacks as number);
+      const n = there.reduce((sum, r) => sum + Math.floor(r.freeCpus / job.spec.cpus), 0);
+      return n >= job.spec.tasks;
     });
   }
 
@@ -235,14 +231,14 @@
   checkWaiting(rooms: Room[], fetching: string[]): void {
     const used = new Map(this.usedBy);
     for (const task of fetching) {
-      const team = this.jobs.get(task.slice(0, task.lastIndexOf('/')))?.spec.miller as string;
+      const { team } = this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec;
       used.set(team, (used.get(team) ?? 0) + this.cpusOf(task));
     }
     for (const [id, job] of this.jobs) {
-      const team = job.spec.miller as string;
+      const { team } = job.spec;
       // A gang starts whole or not at all, so that all of it has to fit under the limit.
-      const together = job.spec.grind === 'group' ? (job.spec.sacks as number) : 1;
-      const cpus = (used.get(team) ?? 0) + together * (job.spec.vcpus as number);
+      const together = job.spec.kind === 'gang' ? job.spec.tasks : 1;
+      const cpus = (used.get(team) ?? 0) + together * job.spec.cpus;
       const isUnderLimit = cpus <= (this.limits.get(team) ?? Infinity);
       const waits = this.hasTasksLeft(id, job) && isUnderLimit && this.hasRoom(job, id, rooms);
       this.noteWaiting(id, job, waits);
@@ -250,8 +246,8 @@
   }
 
   private hasTasksLeft(id: string, job: JobFacts): boolean {
-    if (!job.toldAccepted || job.cancelAsked || job.spec.broken === true) return false;
-    return (job.spec.sacks as number) - job.finished.size - (this.byJob.get(id)?.size ?? 0) > 0;
+    if (!job.toldAccepted || job.cancelAsked) return false;
+    return job.spec.tasks - job.finished.size - (this.byJob.get(id)?.size ?? 0) > 0;
   }
 
   private noteWaiting(id: string, job: JobFacts, waits: boolean): void {
@@ -274,21 +270,21 @@
       void groups.set(key, [...(groups.get(key) ?? []), j]);
     const accepted = [...this.jobs.values()].filter((j) => j.toldAccepted && !j.cancelAsked);
     for (const j of accepted) {
-      add(`class ${j.spec.grist as string}`, j);
-      add(`team ${j.spec.miller as string}`, j);
+      add(`class ${j.spec.jobClass}`, j);
+      add(`team ${j.spec.team}`, j);
     }
     for (const [key, list] of [...groups]) {
       if (!key.startsWith('class')) continue;
-      const bySize = [...list].sort((a, b) => (b.spec.sacks as number) - (a.spec.sacks as number));
+      const bySize = [...list].sort((a, b) => b.spec.tasks - a.spec.tasks);
       const largest = bySize.slice(0, Math.ceil(list.length / 10));
       groups.set(`largest of ${key}`, largest);
       for (const j of largest)
         if ((j.firstStartAt ?? this.now()) - j.submittedAt > LARGEST_BEGIN_MS)
-          this.break('unserved', `${j.spec.id as string}, among the largest, begins late`);
+          this.break('unserved', `${j.spec.id}, among the largest, begins late`);
     }
     for (const [key, list] of groups) {
       const served = list.filter((j) =>
-        j.spec.grind === 'daemon' ? j.firstStartAt !== null : j.toldDoneAt !== null,
+        j.spec.kind === 'service' ? j.firstStartAt !== null : j.toldDoneAt !== null,
       );
       if (served.length * 2 < list.length)
         this.break('unserved', `${key}: ${served.length} of ${list.length}`);
--- a/test/sim/scenarios.ts
+++ b/test/sim/scenarios.ts
@@ -3,6 +3,7 @@
 import { Cluster, LEASE_MS } from './cluster.js';
 import type { ClusterConfig } from './cluster-config.js';
 import { DESK } from './jobs.js';
+import { HEARTBEAT_PATH } from './wire/workers.js';
 
 /** Services on their machines, nobody losing messages by chance. */
 export async function serving(config: ClusterConfig, jobs = 4): Promise<Cluster> {
@@ -10,7 +11,7 @@
   c.net.lossy = 0;
   c.net.repeats = 0;
   await c.run(4);
-  for (let i = 0; i < jobs; i++) void c.user(c.jobBody(DESK), null);
+  for (let i = 0; i < jobs; i++) void c.user(c.newJob(DESK), null);
   await c.run(14);
   assert.equal(c.rules.on.size, 3 * jobs);
   return c;
@@ -63,7 +64,7 @@
 /** That share of reports comes again, up to four leases later, to whoever leads then. */
 export function copiesTo(c: Cluster, chance: number): void {
   c.net.copies = {
-    path: '/agent/beat',
+    path: HEARTBEAT_PATH,
     chance,
     upToMs: 4 * LEASE_MS,
     to: () => `${leaderOr(c)}:80`,
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -1,7 +1,23 @@
 import type { Reply } from '../../src/runtime.js';
-import { type Body, isMap, narrow } from '../../src/wire/cbor.js';
+import { type Body, isMap } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
+import {
+  type ReadRequest,
+  type RecordEvent,
+  type RecordMutation,
+  type StateRequest,
+  type Transaction,
+  type WatchRequest,
+  decodeStateRequest,
+  deleteRequest,
+  encodeConflict,
+  encodeEvents,
+  encodeLease,
+  encodePage,
+  encodeRecord,
+  encodeRevision,
+} from './wire/state.js';
 
 interface Item {
   value: unknown;
@@ -18,6 +34,9 @@
   keys?: string;
 }
 
+/** Changes that watches can still ask for. */
+const KEPT_EVENTS = 10_000;
+
 const ok = (body: Body): Reply => ({ status: 200, body });
 
 /** Stand-in for the state service, after PROTOCOL. */
@@ -26,7 +45,7 @@
   revision = 1;
   private readonly leases = new Map<number, { ttl: number; ends: number }>();
   private nextLease = 1;
-  private events: { revision: number; body: Body }[] = [];
+  private events: RecordEvent[] = [];
   private readonly waiters = new Set<() => void>();
   private downUntil = 0;
   private readonly refusedUntil = new Map<string, number>();
@@ -103,13 +122,12 @@
     const gone = [...this.items].filter(([, i]) => i.lease === id).map(([k]) => k);
     if (gone.length === 0) return;
     this.revision++;
-    for (const k of gone) this.removeKey(k);
+    for (const key of gone) this.removeKey(key);
     this.notify();
   }
 
-  private removeKey(k: string): void {
-    if (this.items.delete(k))
-      this.events.push({ revision: this.revision, body: { remove: k, entry_mark: this.revision } });
+  private removeKey(key: string): void {
+    if (this.items.delete(key)) this.events.push({ kind: 'delete', key, version: this.revision });
   }
 
   private notify(): void {
@@ -124,154 +142,174 @@
   }
 
   private async answer(method: string, path: string, body: Body, from: string): Promise<Reply> {
-    const url = new URL(path, 'http://s');
-    const q = url.searchParams;
-    if (this.tooMany(Array.isArray(body.then) ? body.then.length : 0))
+    const request = decodeStateRequest(method, path, body);
+    if (this.tooMany(request.kind === 'transaction' ? request.mutations.length : 0))
       return { status: 429, body: {} };
-    if (url.pathname === '/watch')
-      return this.watch(q.get('starts')!, Number(q.get('since')), Number(q.get('block_ms')), from);
+    if (request.kind === 'watch') return this.watch(request, from);
     if (this.down(from)) return { status: 503, body: {} };
-    if (url.pathname === '/kv')
-      return this.scan(q.get('starts')!, q.get('since') ?? '', Number(q.get('limit')));
-    if (url.pathname.startsWith('/kv/')) return this.get(url.pathname.slice(4));
-    if (url.pathname === '/txn') {
-      if (this.lateWrites && this.isLate(this.lateWrites, body)) {
-        const byMs = this.lateWrites.byMs ?? this.random.between(2000, 12_000);
-        this.clock.after(byMs, () => this.txn(body));
-        return new Promise(() => undefined);
-      }
-      return this.txn(body);
-    }
-    if (url.pathname === '/leases') {
-      const id = this.nextLease++;
-      const ttl = narrow(body.life_ms)!;
-      this.leases.set(id, { ttl, ends: this.clock.time + ttl });
-      return ok({ tenancy: id });
+    return this.execute(request);
+  }
+
+  private execute(request: Exclude<StateRequest, WatchRequest>): Promise<Reply> | Reply {
+    switch (request.kind) {
+      case 'get':
+      case 'scan':
+        return this.read(request);
+      case 'transaction':
+        return this.transactionNowOrLate(request);
+      case 'grant-lease':
+        return this.grantLease(request.ttlMs);
+      case 'renew-lease':
+      case 'revoke-lease':
+        return this.changeLease(request.kind, request.lease);
     }
-    const [, , id, verb] = url.pathname.split('/');
-    const lease = this.leases.get(Number(id));
-    if (!lease) return { status: 404, body: {} };
-    if (method === 'DELETE') this.endLease(Number(id));
-    else if (verb === 'extend') lease.ends = this.clock.time + lease.ttl;
-    return ok({ tenancy: Number(id) });
   }
 
-  private isLate({ share, until, keys = '' }: LateWrites, body: Body): boolean {
+  private transactionNowOrLate(transaction: Transaction): Promise<Reply> | Reply {
+    if (!this.lateWrites || !this.isLate(this.lateWrites, transaction))
+      return this.transact(transaction);
+    const byMs = this.lateWrites.byMs ?? this.random.between(2000, 12_000);
+    this.clock.after(byMs, () => this.transact(transaction));
+    return new Promise(() => undefined);
+  }
+
+  private isLate({ share, until, keys = '' }: LateWrites, { mutations }: Transaction): boolean {
     if (this.clock.time >= until) return false;
-    const puts = ((body.then ?? []) as Body[]).map((change) => String(change.put ?? change.remove));
-    return puts.some((key) => key.startsWith(keys)) && this.random.chance(share);
+    return mutations.some(({ key }) => key.startsWith(keys)) && this.random.chance(share);
+  }
+
+  private grantLease(ttlMs: number): Reply {
+    const id = this.nextLease++;
+    this.leases.set(id, { ttl: ttlMs, ends: this.clock.time + ttlMs });
+    return ok(encodeLease(id));
+  }
+
+  private changeLease(kind: 'renew-lease' | 'revoke-lease', id: number): Reply {
+    const lease = this.leases.get(id);
+    if (!lease) return { status: 404, body: {} };
+    if (kind === 'revoke-lease') this.endLease(id);
+    else lease.ends = this.clock.time + lease.ttl;
+    return ok(encodeLease(id));
   }
 
-  private get(k: string): Reply {
-    const i = this.items.get(k);
-    return i
-      ? ok({ k, data: i.value, entry_mark: i.version })
-      : { status: 404, body: { ledger_mark: this.revision } };
+  private read(request: ReadRequest): Reply {
+    return request.kind === 'get'
+      ? this.get(request.key)
+      : this.scan(request.prefix, request.after, request.limit);
+  }
+
+  private get(key: string): Reply {
+    const item = this.items.get(key);
+    return item
+      ? ok(encodeRecord({ key, value: item.value, version: item.version }))
+      : { status: 404, body: encodeRevision(this.revision) };
   }
 
   private scan(prefix: string, after: string, limit: number): Reply {
-    const keys = [...this.items.keys()].filter((k) => k.startsWith(prefix) && k > after).sort();
-    const pairs = keys
-      .slice(0, limit)
-      .map((k) => ({ k, data: this.items.get(k)!.value, entry_mark: this.items.get(k)!.version }));
-    return ok({ pairs, truncated: keys.length > limit, ledger_mark: this.revision });
+    const keys = [...this.items.keys()]
+      .filter((key) => key.startsWith(prefix) && key > after)
+      .sort();
+    const records = keys.slice(0, limit).map((key) => {
+      const { value, version } = this.items.get(key)!;
+      return { key, value, version };
+    });
+    return ok(encodePage(records, keys.length > limit, this.revision));
   }
 
-  private txn(body: Body): Reply {
-    const guards = (body.guards ?? []) as Body[];
-    const then = (body.then ?? []) as Body[];
-    const b = this.bounds;
-    if (
-      b &&
-      (then.length > b.txnOps ||
-        then.some((c) => JSON.stringify(c.data ?? 0).length > b.valueBytes))
-    ) {
+  private transact({ preconditions, mutations }: Transaction): Reply {
+    if (this.isTooLarge(mutations)) {
       this.tooLarge++;
       return { status: 400, body: { error: 'too large' } };
     }
-    for (const c of then)
-      if (c.tenancy !== undefined && !this.leases.has(narrow(c.tenancy)!))
+    for (const mutation of mutations)
+      if (mutation.kind === 'put' && mutation.lease !== null && !this.leases.has(mutation.lease))
         return { status: 400, body: { error: 'no such lease' } };
-    const failed = guards
-      .filter((g) => (this.items.get(g.k as string)?.version ?? 0) !== narrow(g.entry_mark))
-      .map((g) => g.k);
-    if (failed.length > 0) return { status: 409, body: { failed, ledger_mark: this.revision } };
-    if (then.length > 0) this.revision++;
-    for (const c of then) {
-      if (typeof c.remove === 'string') this.removeKey(c.remove);
-      else {
-        const k = c.put as string;
-        this.items.set(k, {
-          value: c.data,
-          version: this.revision,
-          lease: c.tenancy === undefined ? null : narrow(c.tenancy)!,
-        });
-        this.events.push({
-          revision: this.revision,
-          body: { put: k, data: c.data, entry_mark: this.revision },
-        });
-      }
-    }
-    if (this.events.length > 10_000) this.events = this.events.slice(-10_000);
+    const failed = preconditions
+      .filter(({ key, version }) => (this.items.get(key)?.version ?? 0) !== version)
+      .map(({ key }) => key);
+    if (failed.length > 0) return { status: 409, body: encodeConflict(failed, this.revision) };
+    if (mutations.length > 0) this.revision++;
+    for (const mutation of mutations) this.apply(mutation);
+    if (this.events.length > KEPT_EVENTS) this.events = this.events.slice(-KEPT_EVENTS);
     this.notify();
-    return ok({ ledger_mark: this.revision });
+    return ok(encodeRevision(this.revision));
+  }
+
+  private isTooLarge(mutations: RecordMutation[]): boolean {
+    if (!this.bounds) return false;
+    const { valueBytes, txnOps } = this.bounds;
+    const bytesOf = (mutation: RecordMutation): number =>
+      mutation.kind === 'put' ? JSON.stringify(mutation.value ?? 0).length : 1;
+    return mutations.length > txnOps || mutations.some((one) => bytesOf(one) > valueBytes);
   }
 
-  private watch(
-    prefix: string,
-    since: number,
-    waitMs: number,
-    from: string,
-  ): Promise<Reply> | Reply {
-    if (this.events.length >= 10_000 && since < this.events[0].revision)
+  private apply(mutation: RecordMutation): void {
+    if (mutation.kind === 'delete') {
+      this.removeKey(mutation.key);
+      return;
+    }
+    const { key, value, lease } = mutation;
+    this.items.set(key, { value, version: this.revision, lease });
+    this.events.push({ kind: 'put', key, value, version: this.revision });
+  }
+
+  private watch(request: WatchRequest, from: string): Promise<Reply> | Reply {
+    const { prefix, afterRevision, waitMs } = request;
+    if (this.events.length >= KEPT_EVENTS && afterRevision < this.events[0].version)
       return { status: 410, body: {} };
     const look = (): Reply | null => {
       if (this.down(from)) return null;
-      const news = this.events.filter((e) => {
-        const k = (e.body.put ?? e.body.remove) as string;
-        return e.revision > since && k.startsWith(prefix);
-      });
-      return news.length > 0
-        ? ok({ ledger_mark: this.revision, news: news.map((e) => e.body) })
-        : null;
+      const events = this.events.filter(
+        ({ key, version }) => version > afterRevision && key.startsWith(prefix),
+      );
+      return events.length > 0 ? ok(encodeEvents(events, this.revision)) : null;
     };
     const now = look();
     if (now) return now;
     if (this.down(from)) return { status: 503, body: {} };
     return new Promise((resolve) => {
-      const finish = (r: Reply): void => {
+      const finish = (reply: Reply): void => {
         this.waiters.delete(wake);
-        resolve(r);
+        resolve(reply);
       };
       const wake = (): void => {
-        const r = look();
-        if (r) finish(r);
+        const reply = look();
+        if (reply) finish(reply);
       };
       this.waiters.add(wake);
       this.clock.after(waitMs, () => {
-        if (this.waiters.has(wake)) finish(ok({ ledger_mark: since, news: [] }));
+        if (this.waiters.has(wake)) finish(ok(encodeEvents([], afterRevision)));
       });
     });
   }
 
   /** A record that was put there by something else than the service. */
-  plant(k: string, value: unknown): void {
-    void this.txn({ then: [{ put: k, data: value }] });
+  plant(key: string, value: unknown): void {
+    const put: RecordMutation = { kind: 'put', key, value, lease: null };
+    void this.transact({ preconditions: [], mutations: [put] });
+  }
+
+  /** An operator deletes a record. */
+  async deleteAsOperator(key: string): Promise<void> {
+    const { method, path, body } = deleteRequest(key);
+    await this.handle(method, path, body, 'operator');
   }
 
   /** All that was ever put under the key, as far as changes are kept. */
-  history(k: string): unknown[] {
-    return this.events.filter((e) => e.body.put === k).map((e) => e.body.data);
+  history(key: string): unknown[] {
+    return this.events.flatMap((event) =>
+      event.kind === 'put' && event.key === key ? [event.value] : [],
+    );
   }
 
   /** Changes to keys with the prefix, as far as changes are kept. */
   changesUnder(prefix: string): number {
-    return this.events.filter((e) => String(e.body.put ?? e.body.remove).startsWith(prefix)).length;
+    return this.events.filter(({ key }) => key.startsWith(prefix)).length;
   }
 
   /** A record as a test may look at it. */
-  value(k: string): unknown {
-    const v = this.items.get(k)?.value;
-    return isMap(v) ? v : undefined;
+  value(key: string): unknown {
+    const value = this.items.get(key)?.value;
+    return isMap(value) ? value : undefined;
   }
 }
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -1,18 +1,34 @@
 import type { Reply } from '../../src/runtime.js';
-import { type Body, narrow } from '../../src/wire/cbor.js';
+import type { Body } from '../../src/wire/cbor.js';
 import type { SeededRandom } from './random.js';
 import type { Network } from './network.js';
 import type { GangCoordinator } from './gang-coordinator.js';
 import type { JobFacts, Rules } from './rules.js';
+import type { JobSubmission } from './wire/users.js';
+import {
+  COMMANDS_PATH,
+  HEARTBEAT_PATH,
+  type ReportedExitCause,
+  type ReportedTaskState,
+  type TaskCommand,
+  decodeCommandRequest,
+  decodeHeartbeatReply,
+  encodeHeartbeat,
+  redirectTarget,
+} from './wire/workers.js';
 
 interface Task {
-  sack: string;
-  try: number;
-  condition: 'fetching' | 'waiting' | 'running' | 'flushing' | 'ended';
-  cause?: string;
+  name: string;
+  attempt: number;
+  state: ReportedTaskState;
+  cause?: ReportedExitCause;
   cancel: () => void;
 }
 
+/** The task is on its machine: it has its image and has not exited. */
+const isPresent = ({ state }: Task): boolean =>
+  state === 'waiting' || state === 'running' || state === 'saving';
+
 /** How often a worker usually looks whether a report is due. */
 export const POLL_MS = 50;
 
@@ -33,12 +49,14 @@
   faulty: boolean;
 }
 
+const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
+
 /** Stand-in for a worker, after PROTOCOL. */
 export class Worker {
-  private session = 1;
-  private seq = 0;
+  private incarnation = 1;
+  private sequence = 0;
   private token = 0;
-  private sessionBegan: number;
+  private incarnationBegan: number;
   private lastAnsweredSent = -Infinity;
   private tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
@@ -48,7 +66,7 @@
   private lastReport = -Infinity;
   private lastTokenChange = -Infinity;
   private dead = false;
-  noticeUntil: number | null = null;
+  preemptionDeadline: number | null = null;
 
   constructor(
     private readonly net: Network,
@@ -57,7 +75,7 @@
     private readonly gangs: GangCoordinator,
     readonly config: WorkerConfig,
   ) {
-    this.sessionBegan = this.now();
+    this.incarnationBegan = this.now();
     this.node = random.int(0, config.nodes.length - 1);
     net.hosts.set(config.address, { handler: (_m, p, b) => this.handle(p, b), hangsUntil: 0 });
     this.loop();
@@ -69,7 +87,7 @@
     if (this.dead) return;
     this.checkLease();
     // Looked at when it may end, since many workers look.
-    const ends = Math.max(this.sessionBegan, this.lastAnsweredSent) + this.config.leaseMs;
+    const ends = Math.max(this.incarnationBegan, this.lastAnsweredSent) + this.config.leaseMs;
     this.net.clock.after(Math.max(20, ends + 1 - this.now()), () => {
       this.leaseLoop();
     });
@@ -104,22 +122,21 @@
   }
 
   private killTasks(): void {
-    for (const t of this.tasks.values()) {
-      t.cancel();
-      if (t.condition === 'waiting' || t.condition === 'running' || t.condition === 'flushing')
-        this.rules.leave(t.sack, this.config.id, false);
-      const [job, taskNumber] = this.jobOf(t.sack);
-      if (job?.spec.grind === 'group') this.gangs.leave(job, t.try, taskNumber, null);
+    for (const task of this.tasks.values()) {
+      task.cancel();
+      if (isPresent(task)) this.rules.leave(task.name, this.config.id, false);
+      const [job, taskNumber] = this.jobOf(task.name);
+      if (job?.spec.kind === 'gang') this.gangs.leave(job, task.attempt, taskNumber, null);
     }
     this.tasks.clear();
   }
 
   private checkLease(): void {
-    if (this.now() - Math.max(this.sessionBegan, this.lastAnsweredSent) <= this.config.leaseMs)
+    if (this.now() - Math.max(this.incarnationBegan, this.lastAnsweredSent) <= this.config.leaseMs)
       return;
     this.killTasks();
-    this.session++;
-    this.sessionBegan = this.now();
+    this.incarnation++;
+    this.incarnationBegan = this.now();
     this.change();
   }
 
@@ -149,166 +166,169 @@
     this.change();
   }
 
-  private body(): Body {
-    const c = this.config;
-    return {
-      stone: c.id,
-      endpoint: c.address,
-      stone_kind: c.type,
-      yard: c.zone,
-      loaned_stones: c.spot,
-      turning: this.session,
-      tally: ++this.seq,
-      warrant: BigInt(this.token),
-      recall_s: this.noticeUntil === null ? null : (this.noticeUntil - this.now()) / 1000,
-      sacks: [...this.tasks.values()].map((t) => ({
-        sack: t.sack,
-        try: BigInt(t.try),
-        condition: t.condition,
-        ...(t.cause ? { cause: t.cause } : {}),
+  private heartbeat(): Body {
+    const { id, address, type, zone, spot } = this.config;
+    const { preemptionDeadline } = this;
+    return encodeHeartbeat({
+      machine: id,
+      endpoint: address,
+      machineType: type,
+      zone,
+      spot,
+      incarnation: this.incarnation,
+      sequence: ++this.sequence,
+      token: BigInt(this.token),
+      preemptionNoticeS:
+        preemptionDeadline === null ? null : (preemptionDeadline - this.now()) / 1000,
+      tasks: [...this.tasks.values()].map(({ name, attempt, state, cause }) => ({
+        task: name,
+        attempt: BigInt(attempt),
+        state,
+        cause,
       })),
-    };
+    });
   }
 
   private report(): void {
     this.reporting = true;
     this.changed = false;
     const sent = (this.lastReport = this.now());
-    const session = this.session;
+    const { incarnation } = this;
     const node = this.config.nodes[this.node % this.config.nodes.length];
-    const next = (): void => {
-      this.node++;
-      this.after(1000, () => (this.reporting = false));
-    };
     void this.net
-      .send(this.config.address, node.address, 'POST', '/agent/beat', this.body(), 4000)
-      .then((r) => {
+      .send(this.config.address, node.address, 'POST', HEARTBEAT_PATH, this.heartbeat(), 4000)
+      .then((reply) => {
         if (this.dead) return;
-        if (r.status === 421) {
-          const i = this.config.nodes.findIndex((n) => n.name === r.body.overseer);
-          if (i < 0 || this.config.nodes[i] === node) next();
-          else {
-            this.node = i;
-            this.after(this.random.between(0, 500), () => {
-              this.lastReport = -Infinity;
-              this.reporting = false;
-            });
-          }
-          return;
-        }
-        if (r.status !== 200) {
-          next();
-          return;
-        }
-        this.reporting = false;
-        this.checkLease();
-        const token = narrow(r.body.warrant);
-        if (session !== this.session || token === undefined || token < this.token) return;
-        this.lastAnsweredSent = sent;
-        this.see(token);
-        this.execute((r.body.orders ?? []) as Body[]);
+        if (reply.status === 421) this.follow(redirectTarget(reply), node.name);
+        else if (reply.status === 200) this.accept(reply.body, sent, incarnation);
+        else this.tryNextNode();
       });
   }
 
+  private tryNextNode(): void {
+    this.node++;
+    this.after(1000, () => (this.reporting = false));
+  }
+
+  /** Reports to the node that it was referred to. */
+  private follow(target: string | undefined, from: string): void {
+    const index = this.config.nodes.findIndex(({ name }) => name === target);
+    if (index < 0 || target === from) {
+      this.tryNextNode();
+      return;
+    }
+    this.node = index;
+    this.after(this.random.between(0, 500), () => {
+      this.lastReport = -Infinity;
+      this.reporting = false;
+    });
+  }
+
+  /** The answer to a report that was sent in the given incarnation. */
+  private accept(body: Body, sent: number, incarnation: number): void {
+    this.reporting = false;
+    this.checkLease();
+    const { token, commands } = decodeHeartbeatReply(body);
+    if (incarnation !== this.incarnation || token === undefined || token < this.token) return;
+    this.lastAnsweredSent = sent;
+    this.see(token);
+    this.execute(commands);
+  }
+
   private handle(path: string, body: Body): Reply {
     this.checkLease();
-    if (path === '/commands') {
-      const token = narrow(body.warrant);
-      if (token === undefined || body.turning === undefined) return { status: 400, body: {} };
-      if (token < this.token || narrow(body.turning) !== this.session)
-        return { status: 409, body: this.body() };
+    if (path === COMMANDS_PATH) {
+      const { token, incarnation, commands } = decodeCommandRequest(body);
+      if (token === undefined || incarnation === undefined) return { status: 400, body: {} };
+      if (token < this.token || incarnation !== this.incarnation)
+        return { status: 409, body: this.heartbeat() };
       this.see(token);
-      this.execute((body.orders ?? []) as Body[]);
+      this.execute(commands);
     }
-    return { status: 200, body: this.body() };
+    return { status: 200, body: this.heartbeat() };
   }
 
   /** Is the task saving here, after it was told to stop? */
-  isSaving(sack: string): boolean {
-    return [...this.tasks.values()].some((t) => t.sack === sack && t.condition === 'flushing');
+  isSaving(name: string): boolean {
+    return [...this.tasks.values()].some((task) => task.name === name && task.state === 'saving');
   }
 
-  /** Ordered here, and without their image yet. */
+  /** Started here, and without their image yet. */
   fetching(): string[] {
-    return [...this.tasks.values()].filter((t) => t.condition === 'fetching').map((t) => t.sack);
+    return [...this.tasks.values()]
+      .filter(({ state }) => state === 'fetching')
+      .map(({ name }) => name);
   }
 
   private usedCpus(): number {
     let sum = 0;
-    for (const t of this.tasks.values())
-      if (t.condition !== 'ended') sum += this.specOf(t.sack).vcpus as number;
+    for (const { name, state } of this.tasks.values())
+      if (state !== 'exited') sum += this.jobOf(name)[0]?.spec.cpus ?? 0;
     return sum;
   }
 
-  private specOf(sack: string): Body {
-    return this.rules.jobs.get(sack.slice(0, sack.lastIndexOf('/')))?.spec ?? { vcpus: 0 };
-  }
-
-  private execute(orders: Body[]): void {
-    for (const o of orders) {
-      const key = `${o.sack as string}#${narrow(o.try)!}`;
-      const t = this.tasks.get(key);
-      if (o.order === 'run' && !t) this.run(key, o.sack as string, narrow(o.try)!);
-      if (o.order === 'stop' && t && t.condition !== 'ended') this.stop(t, o.wind_down_s as number);
-      if (o.order === 'reap' && t?.condition === 'ended') {
+  private execute(commands: TaskCommand[]): void {
+    for (const command of commands) {
+      const key = keyOf(command.task, command.attempt);
+      const task = this.tasks.get(key);
+      if (command.kind === 'start' && !task) this.start(key, command.task, command.attempt);
+      if (command.kind === 'stop' && task && task.state !== 'exited')
+        this.stop(task, command.graceS);
+      if (command.kind === 'remove' && task?.state === 'exited') {
         this.tasks.delete(key);
         this.change();
       }
     }
   }
 
-  private jobOf(sack: string): [JobFacts | undefined, number] {
-    const slash = sack.lastIndexOf('/');
-    return [this.rules.jobs.get(sack.slice(0, slash)), Number(sack.slice(slash + 1))];
+  private jobOf(task: string): [JobFacts | undefined, number] {
+    const slash = task.lastIndexOf('/');
+    return [this.rules.jobs.get(task.slice(0, slash)), Number(task.slice(slash + 1))];
   }
 
-  private stop(t: Task, graceS: number): void {
-    const [job, taskNumber] = this.jobOf(t.sack);
-    if (job?.spec.grind === 'group' && t.condition !== 'fetching')
-      this.gangs.stop(job, t.try, taskNumber, graceS);
-    else if (job && this.saves(t, job, graceS)) this.save(t, job.spec.bin_s as number);
-    else if (t.condition !== 'flushing' || graceS === 0) this.end(t, 'stopped');
+  private stop(task: Task, graceS: number): void {
+    const [job, taskNumber] = this.jobOf(task.name);
+    if (job?.spec.kind === 'gang' && task.state !== 'fetching')
+      this.gangs.stop(job, task.attempt, taskNumber, graceS);
+    else if (job && this.saves(task, job, graceS)) this.save(task, job.spec.checkpointS);
+    else if (task.state !== 'saving' || graceS === 0) this.exit(task, 'stopped');
   }
 
-  private saves(t: Task, job: JobFacts, graceS: number): boolean {
-    const { bin_every_s: every, bin_s: saveS } = job.spec;
-    return (
-      t.condition === 'running' &&
-      (every as number) > 0 &&
-      graceS > 0 &&
-      graceS >= (saveS as number)
-    );
+  private saves(task: Task, job: JobFacts, graceS: number): boolean {
+    const { checkpointEveryS, checkpointS } = job.spec;
+    return task.state === 'running' && checkpointEveryS > 0 && graceS > 0 && graceS >= checkpointS;
   }
 
   /** It stays on its machine while it saves. */
-  private save(t: Task, saveS: number): void {
-    t.cancel();
-    t.condition = 'flushing';
+  private save(task: Task, checkpointS: number): void {
+    task.cancel();
+    task.state = 'saving';
     this.change();
-    t.cancel = this.after(saveS * 1000, () => {
-      this.end(t, 'stopped');
+    task.cancel = this.after(checkpointS * 1000, () => {
+      this.exit(task, 'stopped');
     });
   }
 
   /** It has its image, and finds the others of its attempt. */
-  private join(t: Task, job: JobFacts, taskNumber: number): void {
-    t.condition = 'waiting';
+  private join(task: Task, job: JobFacts, taskNumber: number): void {
+    task.state = 'waiting';
     this.change();
-    const alive = (fn: () => void): void => {
+    const alive = (act: () => void): void => {
       this.after(0, () => {
-        if (this.tasks.get(`${t.sack}#${t.try}`) === t && t.condition !== 'ended') fn();
+        if (this.tasks.get(keyOf(task.name, task.attempt)) === task && task.state !== 'exited')
+          act();
       });
     };
-    this.gangs.arrive(job, t.try, taskNumber, {
+    this.gangs.arrive(job, task.attempt, taskNumber, {
       run: () => {
         alive(() => {
-          t.condition = 'running';
+          task.state = 'running';
           this.change();
         });
       },
       exit: (cause) => {
         alive(() => {
-          this.end(t, cause);
+          this.exit(task, cause);
         });
       },
       hangs: () => this.net.hosts.get(this.config.address)!.hangsUntil > this.now(),
@@ -316,61 +336,66 @@
     });
   }
 
-  private end(t: Task, cause: string): void {
-    t.cancel();
-    if (t.condition === 'waiting' || t.condition === 'running' || t.condition === 'flushing')
-      this.rules.leave(t.sack, this.config.id, cause === 'done');
-    t.condition = 'ended';
-    t.cause = cause;
+  private exit(task: Task, cause: ReportedExitCause): void {
+    task.cancel();
+    if (isPresent(task)) this.rules.leave(task.name, this.config.id, cause === 'done');
+    task.state = 'exited';
+    task.cause = cause;
     this.change();
   }
 
-  private run(key: string, sack: string, attempt: number): void {
-    const t: Task = { sack, try: attempt, condition: 'fetching', cancel: () => undefined };
-    const job = this.rules.jobs.get(sack.slice(0, sack.lastIndexOf('/')));
-    const other = [...this.tasks.values()].some((x) => x.sack === sack);
-    const refused = !job?.submitted ? 'no_such' : other ? 'busy' : null;
-    const full =
-      !refused && this.usedCpus() + (job!.spec.vcpus as number) > this.config.cpus + 1e-6;
-    this.tasks.set(key, t);
+  private start(key: string, name: string, attempt: number): void {
+    const task: Task = { name, attempt, state: 'fetching', cancel: () => undefined };
+    const [job, taskNumber] = this.jobOf(name);
+    const refusal = this.refusalOf(name, job);
+    this.tasks.set(key, task);
     this.change();
-    if (refused || full) {
-      t.condition = 'ended';
-      t.cause = refused ?? 'no_room';
+    if (!job || refusal) {
+      task.state = 'exited';
+      task.cause = refusal ?? 'unknown_task';
       return;
     }
-    const s = job!.spec;
-    const fetch = this.images.has(s.seed as string)
-      ? 1
-      : this.random.between(500, 4000) * (s.image_gb as number);
-    const begin = (): void => {
-      this.images.add(s.seed as string);
-      if (s.grind !== 'group') t.condition = 'running';
-      this.rules.start(sack, {
-        machine: this.config.id,
-        type: this.config.type,
-        zone: this.config.zone,
-        spot: this.config.spot,
-      });
-      if (s.grind === 'group') {
-        this.join(t, job!, Number(sack.slice(sack.lastIndexOf('/') + 1)));
-        return;
-      }
-      this.change();
-      if (this.config.faulty || s.broken === true)
-        t.cancel = this.after(300, () => {
-          this.end(t, 'error');
-        });
-      else if (s.grind !== 'daemon') {
-        const kept = job!.finished.has(Number(sack.slice(sack.lastIndexOf('/') + 1)));
-        const ms = kept
-          ? 1
-          : (s.grind_s as number) * 1000 * this.random.between(0.7, 1.3) * this.config.slow;
-        t.cancel = this.after(ms, () => {
-          this.end(t, 'done');
-        });
-      }
-    };
-    t.cancel = this.after(fetch, begin);
+    task.cancel = this.after(this.fetchMs(job.spec), () => {
+      this.begin(task, job, taskNumber);
+    });
+  }
+
+  private refusalOf(name: string, job: JobFacts | undefined): ReportedExitCause | null {
+    if (!job?.submitted) return 'unknown_task';
+    if ([...this.tasks.values()].some((task) => task.name === name)) return 'already_present';
+    const isFull = this.usedCpus() + job.spec.cpus > this.config.cpus + 1e-6;
+    return isFull ? 'insufficient_resources' : null;
+  }
+
+  private fetchMs({ image, imageGb }: JobSubmission): number {
+    return this.images.has(image) ? 1 : this.random.between(500, 4000) * imageGb;
+  }
+
+  /** The task has its image. */
+  private begin(task: Task, job: JobFacts, taskNumber: number): void {
+    const { id, type, zone, spot, faulty } = this.config;
+    const { kind, image } = job.spec;
+    this.images.add(image);
+    if (kind !== 'gang') task.state = 'running';
+    this.rules.start(task.name, { machine: id, type, zone, spot });
+    if (kind === 'gang') {
+      this.join(task, job, taskNumber);
+      return;
+    }
+    this.change();
+    if (faulty) this.exitAfter(300, task, 'error');
+    else if (kind === 'array') this.exitAfter(this.runMs(job, taskNumber), task, 'done');
+  }
+
+  private exitAfter(ms: number, task: Task, cause: ReportedExitCause): void {
+    task.cancel = this.after(ms, () => {
+      this.exit(task, cause);
+    });
+  }
+
+  /** The result of a task that was done before is kept. */
+  private runMs(job: JobFacts, taskNumber: number): number {
+    if (job.finished.has(taskNumber)) return 1;
+    return job.spec.durationS * 1000 * this.random.between(0.7, 1.3) * this.config.slow;
   }
 }
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -1,6 +1,7 @@
 /** Brings the faults of a schedule about, in the processes, on the links and in the stand-ins. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { SeededRandom } from '../sim/random.js';
+import { HEARTBEAT_PATH } from '../sim/wire/workers.js';
 import type { Fault } from './fault-schedule.js';
 import { NAMES, type SoakDeployment } from './soak-deployment.js';
 
@@ -137,7 +138,12 @@
       this.standIns.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
     } else if (fault.kind === 'copies') {
       const to = (): string => this.deployment.addressOf(this.nameOf('leader'));
-      network.copies = { path: '/agent/beat', chance: fault.chance, upToMs: this.copiesUpToMs, to };
+      network.copies = {
+        path: HEARTBEAT_PATH,
+        chance: fault.chance,
+        upToMs: this.copiesUpToMs,
+        to,
+      };
       clock.after(fault.forMs, () => (network.copies = null));
     } else {
       network.slow = fault.factor;
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -4,11 +4,18 @@
  * are drawn from the seed; what meets what is decided by real time as well, so that a run does not repeat exactly.
  */
 import { setTimeout as delay } from 'node:timers/promises';
-import type { Body } from '../../src/wire/cbor.js';
 import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
 import { BATCH, DESK, GANG } from '../sim/jobs.js';
 import { SeededRandom } from '../sim/random.js';
 import { type JobFacts, jobFacts } from '../sim/rules.js';
+import {
+  type JobSubmission,
+  type UserRequest,
+  cancelRequest,
+  decodeJobReply,
+  pollRequest,
+  submitRequest,
+} from '../sim/wire/users.js';
 import { FaultInjector } from './fault-injector.js';
 import { type ScheduledFault, faultSchedule } from './fault-schedule.js';
 import { NAMES, SoakDeployment, type SoakSize, TEAMS } from './soak-deployment.js';
@@ -109,73 +116,67 @@
 
   private async submit(): Promise<void> {
     while (this.submitting) {
-      const body = this.jobBody();
-      void this.user(body, this.random.chance(0.3) ? this.random.between(0, 12_000) : null);
+      const job = this.newJob();
+      void this.user(job, this.random.chance(0.3) ? this.random.between(0, 12_000) : null);
       await delay(this.random.between(150, 700));
     }
   }
 
-  private jobBody(): Body {
-    const kind = this.random.pick([DESK, BATCH, BATCH, BATCH, GANG]);
+  private newJob(): JobSubmission {
+    const profile = this.random.pick([DESK, BATCH, BATCH, BATCH, GANG]);
     const scale = this.size.teamLimit / SMALL.teamLimit;
-    const over = kind === BATCH ? { sacks: this.random.int(1, Math.round(15 * scale)) } : {};
-    return {
+    const arrayTasks = profile === BATCH ? this.random.int(1, Math.round(15 * scale)) : null;
+    const job = {
       id: `run-${String(this.nextJob++).padStart(6, '0')}`,
-      miller: this.random.pick(TEAMS),
-      vcpus: 2,
+      team: this.random.pick(TEAMS),
+      cpus: 2,
       gpus: 0,
-      ram_gb: 1,
-      seed: `img-${this.random.int(0, 2)}`,
-      image_gb: 0.2,
-      stone_kinds: null,
-      yard: null,
-      grind_s: this.random.between(0.5, 5),
-      bin_every_s: 0,
-      bin_s: 0,
-      ...kind,
-      ...(kind === DESK ? { sacks: this.random.pick([1, 2]) } : {}),
-      ...over,
+      memoryGb: 1,
+      image: `img-${this.random.int(0, 2)}`,
+      imageGb: 0.2,
+      machineTypes: null,
+      zone: null,
+      durationS: this.random.between(0.5, 5),
+      checkpointEveryS: 0,
+      checkpointS: 0,
+      ...profile,
     };
+    const serviceTasks = profile === DESK ? this.random.pick([1, 2]) : null;
+    return { ...job, tasks: arrayTasks ?? serviceTasks ?? GANG.tasks };
   }
 
-  private async user(body: Body, cancelAfterMs: number | null): Promise<void> {
-    const id = String(body.id);
+  private async user(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
+    const { id } = job;
     const { rules, clock } = this.standIns;
-    const facts = jobFacts(body, clock.time);
+    const facts = jobFacts(job, clock.time);
     rules.jobs.set(id, facts);
-    while (!(await this.told(id, 'POST', '/v1/jobs', body))) await delay(USER_RETRY_MS);
+    while (!(await this.told(id, submitRequest(job)))) await delay(USER_RETRY_MS);
     // Services would hold their team's room for ever.
     const until =
-      cancelAfterMs ?? (body.grind === 'daemon' ? this.random.between(8000, 20_000) : null);
+      cancelAfterMs ?? (job.kind === 'service' ? this.random.between(8000, 20_000) : null);
     if (until !== null) void this.cancelLater(id, facts, until);
     while (facts.toldDoneAt === null && facts.toldCancelledAt === null) {
       await delay(this.random.between(200, 900));
-      if (this.random.chance(0.1)) await this.told(id, 'POST', '/v1/jobs', body);
-      else await this.told(id, 'GET', `/v1/jobs/${id}`, null);
+      if (this.random.chance(0.1)) await this.told(id, submitRequest(job));
+      else await this.told(id, pollRequest(id));
     }
   }
 
   private async cancelLater(id: string, facts: JobFacts, afterMs: number): Promise<void> {
     await delay(afterMs);
     facts.cancelAsked = true;
-    while (!(await this.told(id, 'POST', `/v1/jobs/${id}/withdraw`, null)))
-      await delay(USER_RETRY_MS);
+    while (!(await this.told(id, cancelRequest(id)))) await delay(USER_RETRY_MS);
   }
 
   /** Asks a controller; false if the request has to be repeated. */
-  private async told(
-    id: string,
-    method: 'GET' | 'POST',
-    path: string,
-    body: Body | null,
-  ): Promise<boolean> {
+  private async told(id: string, { method, path, body }: UserRequest): Promise<boolean> {
     const { rules, clock } = this.standIns;
     const asked = clock.time - STEP_MARGIN_MS;
     const address = this.deployment.addressOf(this.random.pick(NAMES));
     const reply = await this.standIns.ask(address, method, path, body);
     const refused = reply.status === 400 || reply.status === 422;
     if (refused) rules.break('forgotten', `${id} got ${reply.status}`);
-    else if (reply.status !== 0) rules.told(id, reply.status, reply.body.condition, asked);
+    else if (reply.status !== 0) rules.told(id, decodeJobReply(reply), asked);
     return reply.status === 200 || reply.status === 201;
   }
 
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -1,21 +1,22 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
+import { type JobSubmission, cancelRequest, decodeJobReply } from './sim/wire/users.js';
 
 /** A long array fills its team's limit on machines that the next leader can't reach at first. */
 async function unreachable(seed: number): Promise<Cluster> {
   const c = new Cluster({ seed, teamLimit: 20, ordinaryUp: 6 });
   c.net.lossy = 0;
   await c.run(4);
-  const array = {
-    miller: 't0',
-    grind: 'array',
-    grist: 'batch',
-    precedence: 'normal',
-    scatter: false,
-    one_zone: false,
+  const array: Partial<JobSubmission> = {
+    team: 't0',
+    kind: 'array',
+    jobClass: 'batch',
+    priority: 'normal',
+    spread: false,
+    oneZone: false,
   };
-  void c.user(c.jobBody({ ...array, sacks: 10, grind_s: 90, loaned_stones: false }), null);
+  void c.user(c.newJob({ ...array, tasks: 10, durationS: 90, spot: false }), null);
   await c.run(12);
   assert.equal(c.rules.starts, 10);
   const busy = new Set([...c.rules.on.values()].map((places) => `w-${places[0].machine}:9000`));
@@ -36,15 +37,15 @@
 test('a new job does not break the quota while old tasks are out of sight', async () => {
   const c = await unreachable(3);
   await c.run(3);
-  for (const miller of ['t0', 't1'])
+  for (const team of ['t0', 't1'])
     void c.user(
-      c.jobBody({
-        miller,
-        grind: 'daemon',
-        grist: 'desk',
-        sacks: 3,
-        scatter: true,
-        loaned_stones: false,
+      c.newJob({
+        team,
+        kind: 'service',
+        jobClass: 'desk',
+        tasks: 3,
+        spread: true,
+        spot: false,
       }),
       null,
     );
@@ -59,11 +60,12 @@
   const id = [...c.rules.jobs.keys()][0];
   c.rules.jobs.get(id)!.cancelAsked = true;
   const cancel = async (): Promise<void> => {
-    const n = c.names.find((x) => x === c.leader()) ?? 'n1';
+    const node = c.names.find((name) => name === c.leader()) ?? 'n1';
     const asked = c.clock.time;
-    const r = await c.net.send('user', `${n}:80`, 'POST', `/v1/jobs/${id}/withdraw`, null, 5000);
-    c.rules.told(id, r.status, r.body.condition, asked);
-    if (r.status !== 200) c.clock.after(500, () => void cancel());
+    const { method, path, body } = cancelRequest(id);
+    const reply = await c.net.send('user', `${node}:80`, method, path, body, 5000);
+    c.rules.told(id, decodeJobReply(reply), asked);
+    if (reply.status !== 200) c.clock.after(500, () => void cancel());
   };
   c.clock.after(3800, () => void cancel());
   await c.run(40);
@@ -76,13 +78,13 @@
   const c = new Cluster({ seed: 8, ordinaryUp: 6 });
   await c.run(4);
   void c.user(
-    c.jobBody({
-      grind: 'daemon',
-      grist: 'desk',
-      sacks: 3,
-      scatter: true,
-      one_zone: false,
-      loaned_stones: false,
+    c.newJob({
+      kind: 'service',
+      jobClass: 'desk',
+      tasks: 3,
+      spread: true,
+      oneZone: false,
+      spot: false,
     }),
     null,
   );
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -7,6 +7,20 @@
 import { BATCH, DESK } from './sim/jobs.js';
 import { outsider } from './sim/outsider.js';
 import { jobFacts } from './sim/rules.js';
+import {
+  type JobReply,
+  type UserRequest,
+  cancelRequest,
+  decodeJobReply,
+  pollRequest,
+  submitRequest,
+} from './sim/wire/users.js';
+import {
+  HEARTBEAT_PATH,
+  type WorkerHeartbeat,
+  encodeHeartbeat,
+  reportingMachine,
+} from './sim/wire/workers.js';
 import { StateStore } from '../src/state-store/client.js';
 import { MachineRecordStore } from '../src/workers/machine-records.js';
 import { type Machine } from '../src/workers/machine.js';
@@ -18,14 +32,12 @@
 async function asked(
   c: Cluster,
   node: string,
-  method: string,
-  path: string,
-  body: Body | null,
-): Promise<Reply> {
+  { method, path, body }: UserRequest,
+): Promise<JobReply> {
   let reply: Reply | null = null;
   void c.net.send('user', `${node}:80`, method, path, body, 5000).then((r) => (reply = r));
   for (let i = 0; i < 60 && !reply; i++) await c.run(0.1);
-  return reply!;
+  return decodeJobReply(reply!);
 }
 
 async function upWithDesk(seed: number): Promise<Cluster> {
@@ -33,7 +45,7 @@
   c.net.lossy = 0;
   c.net.repeats = 0;
   await c.run(4);
-  void c.user(c.jobBody(DESK), null);
+  void c.user(c.newJob(DESK), null);
   await c.run(12);
   assert.equal(c.rules.on.size, 3);
   return c;
@@ -72,13 +84,13 @@
 test('a machine that hears nothing does not hold up a takeover', async () => {
   const c = await upWithDesk(12);
   const deaf = [...c.rules.on.values()][0][0].machine;
-  void c.user(c.jobBody({ ...BATCH, sacks: 30, grind_s: 6 }), null);
+  void c.user(c.newJob({ ...BATCH, tasks: 30, durationS: 6 }), null);
   await c.run(1);
   deafen(c, deaf, Infinity);
   c.crash(c.leader()!, 200);
   await c.run(30);
   assert.equal(c.cloud.machines.has(deaf), false);
-  const array = [...c.rules.jobs.values()].find((j) => j.spec.grind === 'array')!;
+  const array = [...c.rules.jobs.values()].find((j) => j.spec.kind === 'array')!;
   assert.equal(array.finished.size, 30, 'an old job went on');
   assert.deepEqual(c.rules.broken, []);
 });
@@ -91,7 +103,7 @@
   const host = c.net.hosts.get(`${c.leader()!}:80`)!;
   const handler = host.handler!;
   host.handler = (m, p, b, from) => {
-    if (p === '/agent/beat' && b.stone === dead && from !== 'copy') copies.push(b);
+    if (p === HEARTBEAT_PATH && reportingMachine(b) === dead && from !== 'copy') copies.push(b);
     return handler(m, p, b, from);
   };
   await c.run(4);
@@ -106,7 +118,7 @@
   for (let s = 0; s < 20; s++) {
     for (const b of copies)
       void c.net
-        .send('copy', `${c.leader() ?? 'n0'}:80`, 'POST', '/agent/beat', b, 4000)
+        .send('copy', `${c.leader() ?? 'n0'}:80`, 'POST', HEARTBEAT_PATH, b, 4000)
         .then((r) => statuses.add(r.status));
     await c.run(0.5);
   }
@@ -119,17 +131,17 @@
 test('a copy that meets a new leader first ends nothing that runs', async () => {
   const c = await upWithDesk(15);
   const before = new Map([...c.rules.on].map(([t, p]) => [t, p[0].machine]));
-  const ghost: Body = {
-    stone: 'i-999999',
+  const ghost: WorkerHeartbeat = {
+    machine: 'i-999999',
     endpoint: 'w-i-999999:9000',
-    stone_kind: 't16',
-    yard: 'a',
-    loaned_stones: false,
-    turning: 1,
-    tally: 40,
-    warrant: 1,
-    recall_s: null,
-    sacks: [...before.keys()].map((sack) => ({ sack, try: 7, condition: 'running' })),
+    machineType: 't16',
+    zone: 'a',
+    spot: false,
+    incarnation: 1,
+    sequence: 40,
+    token: 1,
+    preemptionNoticeS: null,
+    tasks: [...before.keys()].map((task) => ({ task, attempt: 7, state: 'running' })),
   };
   c.crash(c.leader()!, 4000);
   // The copy comes before anything is heard of the machines themselves.
@@ -140,8 +152,9 @@
     mode: 'hold',
   });
   for (let s = 0; s < 60; s++) {
+    const heartbeat = encodeHeartbeat({ ...ghost, sequence: ghost.sequence + s });
     for (const n of c.names)
-      void c.net.send('copy', `${n}:80`, 'POST', '/agent/beat', { ...ghost, tally: 40 + s }, 4000);
+      void c.net.send('copy', `${n}:80`, 'POST', HEARTBEAT_PATH, heartbeat, 4000);
     await c.run(0.1);
   }
   await c.run(20);
@@ -153,7 +166,7 @@
 test('a node that the state service alone refuses sends users elsewhere; in an outage for all nobody does', async () => {
   const c = new Cluster({ seed: 15 });
   await c.run(5);
-  const poll = (n: string): Promise<Reply> => asked(c, n, 'GET', '/v1/jobs/run-123456', null);
+  const poll = (n: string): Promise<JobReply> => asked(c, n, pollRequest('run-123456'));
   c.state.refuse('n1:80', 8000);
   await poll('n1');
   await c.run(2.5);
@@ -192,18 +205,15 @@
   c.state.plant('d/run-700000/0', { odd: true });
   c.crash(c.leader()!, 200);
   await c.run(5);
-  const body = c.jobBody({ ...BATCH, sacks: 4, grind_s: 2 });
-  void c.user(body, null);
+  const other = c.newJob({ ...BATCH, tasks: 4, durationS: 2 });
+  void c.user(other, null);
   await c.run(25);
-  assert.notEqual(c.rules.jobs.get(body.id as string)!.toldDoneAt, null, 'others run');
+  assert.notEqual(c.rules.jobs.get(other.id)!.toldDoneAt, null, 'others run');
   for (const i of poison.keys()) {
-    const path = `/v1/jobs/run-70000${i}`;
-    assert.equal((await asked(c, 'n1', 'GET', path, null)).status, 200);
-    assert.equal(
-      (await asked(c, 'n0', 'POST', `${path}/withdraw`, null)).body.condition,
-      'cancelled',
-    );
-    assert.equal((await asked(c, 'n2', 'GET', path, null)).body.condition, 'cancelled');
+    const id = `run-70000${i}`;
+    assert.equal((await asked(c, 'n1', pollRequest(id))).status, 200);
+    assert.equal((await asked(c, 'n0', cancelRequest(id))).job?.state, 'cancelled');
+    assert.equal((await asked(c, 'n2', pollRequest(id))).job?.state, 'cancelled');
   }
   assert.deepEqual(c.rules.broken, []);
 });
@@ -212,16 +222,16 @@
   const c = new Cluster({ seed: 17, ordinaryUp: 4, capacity: 2, teamLimit: 1000 });
   await c.run(4);
   const small = (n: number): void => {
-    for (let i = 0; i < n; i++) void c.user(c.jobBody({ ...BATCH, sacks: 4, grind_s: 20 }), null);
+    for (let i = 0; i < n; i++) void c.user(c.newJob({ ...BATCH, tasks: 4, durationS: 20 }), null);
   };
   small(40);
-  const large = c.jobBody({ ...BATCH, sacks: 200, grind_s: 20 });
+  const large = c.newJob({ ...BATCH, tasks: 200, durationS: 20 });
   void c.user(large, null);
   for (let s = 0; s < 100; s++) {
     small(s % 2);
     await c.run(1);
   }
-  const began = c.rules.jobs.get(large.id as string)!.firstStartAt;
+  const began = c.rules.jobs.get(large.id)!.firstStartAt;
   assert.ok(began !== null && began < 80_000, `began at ${began}`);
   assert.deepEqual(c.rules.broken, []);
 });
@@ -232,13 +242,13 @@
   await c.run(4);
   const ids: string[] = [];
   for (let i = 0; i < 10; i++) {
-    const body = c.jobBody({ ...DESK, sacks: 1 });
-    c.rules.jobs.set(body.id as string, jobFacts(body, c.clock.time));
-    assert.equal((await asked(c, 'n0', 'POST', '/v1/jobs', body)).status, 201);
-    ids.push(body.id as string);
+    const job = c.newJob({ ...DESK, tasks: 1 });
+    c.rules.jobs.set(job.id, jobFacts(job, c.clock.time));
+    assert.equal((await asked(c, 'n0', submitRequest(job))).status, 201);
+    ids.push(job.id);
     // Accepted through one node, known to the others at once.
     for (const n of ['n1', 'n2'])
-      assert.equal((await asked(c, n, 'GET', `/v1/jobs/${body.id as string}`, null)).status, 200);
+      assert.equal((await asked(c, n, pollRequest(job.id))).status, 200);
   }
   await c.run(3);
   const before = c.state.asked.requests;
@@ -247,10 +257,10 @@
   const without = c.state.asked.requests - idle;
   let answers = 0;
   for (let s = 0; s < 40; s++) {
-    for (const id of ids)
+    for (const { method, path, body } of ids.map(pollRequest))
       for (const n of c.names)
         void c.net
-          .send('user', `${n}:80`, 'GET', `/v1/jobs/${id}`, null, 2000)
+          .send('user', `${n}:80`, method, path, body, 2000)
           .then((r) => (answers += Number(r.status === 200)));
     await c.run(0.1);
   }
@@ -401,7 +411,7 @@
   c.net.repeats = 0;
   await c.run(4);
   await leaderFromZoneA(c);
-  for (let i = 0; i < 4; i++) void c.user(c.jobBody(DESK), null);
+  for (let i = 0; i < 4; i++) void c.user(c.newJob(DESK), null);
   await c.run(14);
   assert.equal(c.rules.on.size, 12);
   const { starts } = c.rules;
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -3,23 +3,25 @@
  * beside large ones, and a zone with large machines only.
  */
 import assert from 'node:assert/strict';
-import type { CloudPool, CloudType } from './sim/cloud.js';
+import type { CloudPool } from './sim/cloud.js';
 import type { Cluster } from './sim/cluster.js';
 import { BATCH, DESK } from './sim/jobs.js';
 import { testDays } from './sim/play.js';
+import type { CloudType } from './sim/wire/cloud.js';
+import type { JobSubmission } from './sim/wire/users.js';
 
 const TASK_CPUS = 4;
 
 function machineType(name: string, cpus: number, pricePerCpu: number): CloudType {
   return {
     name,
-    vcpus: cpus,
+    cpus,
     gpus: 0,
-    ram_gb: 4 * cpus,
-    fetch_gb_per_s: 0.5,
+    memoryGb: 4 * cpus,
+    fetchGbPerS: 0.5,
     price: pricePerCpu * cpus,
-    spot_price: 0.4 * pricePerCpu * cpus,
-    boot_s: 5,
+    spotPrice: 0.4 * pricePerCpu * cpus,
+    bootS: 5,
   };
 }
 
@@ -35,19 +37,29 @@
   { type: 'large-64', zone: 'c', count: 1 },
 ];
 
-function submit(c: Cluster, body: object, cancelAfterMs: number | null = null): void {
-  void c.user(c.jobBody({ vcpus: TASK_CPUS, ...body }), cancelAfterMs);
+function submit(
+  c: Cluster,
+  job: Partial<JobSubmission>,
+  cancelAfterMs: number | null = null,
+): void {
+  void c.user(c.newJob({ cpus: TASK_CPUS, ...job }), cancelAfterMs);
 }
 
 /** At the start all that waits for the first machines; then a stream of arrays, more than there is room for at times. */
 function work(c: Cluster, second: number): void {
-  const urgent = { ...BATCH, grist: 'urgent', precedence: 'high', loaned_stones: true, grind_s: 3 };
-  const normal = { ...BATCH, loaned_stones: true, grind_s: 6 };
+  const urgent: Partial<JobSubmission> = {
+    ...BATCH,
+    jobClass: 'urgent',
+    priority: 'high',
+    spot: true,
+    durationS: 3,
+  };
+  const normal = { ...BATCH, spot: true, durationS: 6 };
   if (second === 0)
-    for (const sacks of [2, 3, 3, 2])
-      submit(c, { ...DESK, sacks }, c.random.chance(0.3) ? 30_000 : null);
-  if (second % 6 === 0) submit(c, { ...normal, sacks: c.random.int(8, 24) });
-  if (second % 9 === 4) submit(c, { ...urgent, sacks: c.random.int(6, 16) });
+    for (const tasks of [2, 3, 3, 2])
+      submit(c, { ...DESK, tasks }, c.random.chance(0.3) ? 30_000 : null);
+  if (second % 6 === 0) submit(c, { ...normal, tasks: c.random.int(8, 24) });
+  if (second % 9 === 4) submit(c, { ...urgent, tasks: c.random.int(6, 16) });
 }
 
 /** The controllers are restarted one after the other, with the state service slow, and the cloud's interface down. */
@@ -83,17 +95,14 @@
   'teams within and beyond their guarantees, urgent and not, on a full fleet: what starts is not stopped in turn',
   [43],
   (c, second) => {
-    const arrays = { ...BATCH, loaned_stones: true, grind_s: 5 };
+    const arrays = { ...BATCH, spot: true, durationS: 5 };
     if (second > 30 || second % 2 === 1) return;
-    submit(c, { ...arrays, grist: 'urgent', precedence: 'high', miller: 't0', sacks: 20 });
-    submit(c, { ...arrays, precedence: 'normal', miller: 't1', sacks: 4 });
+    submit(c, { ...arrays, jobClass: 'urgent', priority: 'high', team: 't0', tasks: 20 });
+    submit(c, { ...arrays, priority: 'normal', team: 't1', tasks: 4 });
   },
   { nodes: 3, ordinaryUp: 0, types: TYPES, pools: POOLS.slice(0, 2), teamLimit: 400 },
   ({ cluster }) => {
-    const tasks = [...cluster.rules.jobs.values()].reduce(
-      (sum, job) => sum + (job.spec.sacks as number),
-      0,
-    );
+    const tasks = [...cluster.rules.jobs.values()].reduce((sum, job) => sum + job.spec.tasks, 0);
     assert.ok(
       cluster.rules.starts < 1.6 * tasks,
       `${cluster.rules.starts} starts for ${tasks} tasks`,
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -12,6 +12,7 @@
 import type { JobSpec } from '../src/wire/model.js';
 import { Cluster, LEASE_MS } from './sim/cluster.js';
 import { BATCH, DESK, GANG } from './sim/jobs.js';
+import type { JobSubmission, SubmittedKind } from './sim/wire/users.js';
 import { expectKept, play } from './sim/play.js';
 import { outsider } from './sim/outsider.js';
 import { jobFacts } from './sim/rules.js';
@@ -86,11 +87,11 @@
   const sent = new Map<string, unknown>();
   c.listen((m) => sent.set(m.t, m));
   await c.run(5);
-  void c.user(c.jobBody({ ...DESK, miller: 't0' }), null);
-  void c.user(c.jobBody({ ...BATCH, miller: 't1', sacks: 60, grind_s: 9 }), null);
-  void c.user(c.jobBody({ ...GANG, miller: 't0', sacks: 4, grind_s: 60 }), null);
-  void c.user(c.jobBody({ ...BATCH, miller: 't0', sacks: 3, grind_s: 2 }), null);
-  const cancelled = c.jobBody({ ...GANG, miller: 't0', sacks: 2, grind_s: 40 });
+  void c.user(c.newJob({ ...DESK, team: 't0' }), null);
+  void c.user(c.newJob({ ...BATCH, team: 't1', tasks: 60, durationS: 9 }), null);
+  void c.user(c.newJob({ ...GANG, team: 't0', tasks: 4, durationS: 60 }), null);
+  void c.user(c.newJob({ ...BATCH, team: 't0', tasks: 3, durationS: 2 }), null);
+  const cancelled = c.newJob({ ...GANG, team: 't0', tasks: 2, durationS: 40 });
   void c.user(cancelled, 16_000);
   await c.run(20);
   const items = [...c.state.items].map(([key, item]): [string, unknown] => [key, item.value]);
@@ -133,12 +134,16 @@
     for (const [key, value] of Object.entries(older.items)) c.state.plant(key, value);
     const live = Object.entries(older.items).filter(([k]) => k.startsWith('j/'));
     const waiting = new Set<string>();
-    const kinds = { array: BATCH, service: { ...BATCH, grind: 'daemon' }, gang: GANG };
+    const kinds: Record<SubmittedKind, Partial<JobSubmission>> = {
+      array: BATCH,
+      service: { ...BATCH, kind: 'service' },
+      gang: GANG,
+    };
     for (const [key, value] of live) {
       const { spec, cancelled } = readLive(value)!;
       const id = key.slice(2);
-      const body = c.jobBody(kinds[spec.kind]);
-      const facts = jobFacts({ ...body, id, sacks: spec.tasks, miller: spec.team, grind_s: 2 }, 0);
+      const job = c.newJob(kinds[spec.kind]);
+      const facts = jobFacts({ ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 }, 0);
       Object.assign(facts, { toldAccepted: true, cancelAsked: cancelled });
       c.rules.jobs.set(id, facts);
       if (!cancelled) waiting.add(id);
@@ -148,8 +153,8 @@
     for (const id of waiting) {
       const job = c.rules.jobs.get(id)!;
       assert.ok(job.firstStartAt !== null, `${id} went on`);
-      if (job.spec.grind !== 'daemon')
-        assert.deepEqual(c.state.value(endedKey(id)), { state: 'done', tasks: job.spec.sacks });
+      if (job.spec.kind !== 'service')
+        assert.deepEqual(c.state.value(endedKey(id)), { state: 'done', tasks: job.spec.tasks });
     }
     for (const [key] of live)
       if (!waiting.has(key.slice(2)))
@@ -176,7 +181,7 @@
     spec: { ...spec, id, hue: 3 },
     later: { deep: [1] },
   });
-  c.rules.jobs.set(id, jobFacts(c.jobBody({ ...BATCH, id, miller: spec.team }), 0));
+  c.rules.jobs.set(id, jobFacts(c.newJob({ ...BATCH, id, team: spec.team }), 0));
   // A machine that hangs keeps the record live for a while.
   for (const m of c.cloud.machines.values()) if (m.worker) c.hang(m.id, LEASE_MS);
   void c.cancel(id);
@@ -211,7 +216,7 @@
   const c = new Cluster({ seed: 3, ordinaryUp: 45, capacity: 60, teamLimit: 2000 });
   c.net.lossy = 0;
   await c.run(4);
-  for (let i = 0; i < 25; i++) void c.user(c.jobBody({ ...DESK, vcpus: 8 }), null);
+  for (let i = 0; i < 25; i++) void c.user(c.newJob({ ...DESK, cpus: 8 }), null);
   await c.run(12);
   const pagesNow = (): { id: string }[][] =>
     [...c.state.items]
@@ -264,7 +269,7 @@
     later: 'x'.repeat(500),
   });
   c.rules.jobs.set(id, {
-    ...jobFacts(c.jobBody({ ...BATCH, id, miller: spec.team }), 0),
+    ...jobFacts(c.newJob({ ...BATCH, id, team: spec.team }), 0),
     toldAccepted: true,
   });
   c.state.bounds = { valueBytes: 1024, txnOps: 4 };
@@ -364,8 +369,7 @@
       if (s === 18) for (const n of c.names.slice(0, 4)) c.crash(n, 4000);
       if (s % 13 === 6) c.cancelNow(2, 2000);
       if (s === 30) c.state.bounds = { valueBytes: 1024, txnOps: 4 };
-      if (s > 3 && s % 4 === 0)
-        void c.user(c.jobBody({ ...GANG, sacks: c.random.int(2, 6) }), null);
+      if (s > 3 && s % 4 === 0) void c.user(c.newJob({ ...GANG, tasks: c.random.int(2, 6) }), null);
       if (s === 44) c.crash(c.leader() ?? 'n1', 150);
     });
     expectKept(o);
@@ -388,7 +392,7 @@
       if (s % 13 === 6) c.cancelNow(2, 2000);
       if (s === 30) c.state.bounds = { valueBytes: 1024, txnOps: 4 };
       if (s > 26 && s % 4 === 0)
-        void c.user(c.jobBody({ ...GANG, sacks: c.random.int(2, 6) }), null);
+        void c.user(c.newJob({ ...GANG, tasks: c.random.int(2, 6) }), null);
       if (s === 40) c.crash(c.leader() ?? 'n1', 150);
       if (s === 50) for (const n of c.names) c.crash(n, c.random.between(100, 3000));
     });
