--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -33,14 +33,14 @@
   for (const [task, places] of rules.on) {
     const job = rules.jobs.get(task.slice(0, task.lastIndexOf('/')));
     const machine = cloud.machines.get(places[0]?.machine);
-    if (job?.spec.grind !== 'group' || !machine?.worker) continue;
+    if (job?.spec.kind !== 'gang' || !machine?.worker) continue;
     takeAfterNotice(cluster, machine);
     return;
   }
 }
 
 function takeAfterNotice(cluster: Cluster, machine: CloudMachine): void {
-  machine.worker!.noticeUntil = cluster.clock.time + SPOT_NOTICE_MS;
+  machine.worker!.preemptionDeadline = cluster.clock.time + SPOT_NOTICE_MS;
   cluster.clock.after(SPOT_NOTICE_MS, () => {
     cluster.cloud.take(machine);
   });
