--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -2,6 +2,7 @@
 export { DUTIES, type Duty, isDuty } from './duty.js';
 export { type DutyHolder, type Performed } from './holder.js';
 export { IntentLog, type IntentLogDependencies, type Opened } from './intent-log.js';
+export { MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST } from './limits.js';
 export { type DutyCounters, DutyMember, type DutyMemberDependencies } from './member.js';
 export {
   DutyOperator,
--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -2,6 +2,7 @@
 import { type Parsed, parseRecord } from '@millring/state-access';
 import * as z from 'zod/mini';
 import { DUTIES, type Duty } from './duty.js';
+import { MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST } from './limits.js';
 
 export const PREFIX = 'duties/';
 export const HOLDERS = `${PREFIX}holders/`;
@@ -20,12 +21,9 @@
 export const memberKey = (controller: string): string => MEMBERS + controller;
 export const intentKey = (id: string): string => INTENTS + id;
 
-/** The cloud's limits of one request. */
-export const MOST_RENTED = 50;
-export const MOST_DELETED = 100;
-const MOST_CHARACTERS = 200;
+const MAX_NAME_LENGTH = 200;
 
-const name = z.string().check(z.minLength(1), z.maxLength(MOST_CHARACTERS));
+const name = z.string().check(z.minLength(1), z.maxLength(MAX_NAME_LENGTH));
 const duty = z.enum(DUTIES);
 const token = z.int().check(z.gte(1));
 const machines = (most: number) => z.array(name).check(z.maxLength(most));
@@ -52,16 +50,16 @@
   type: name,
   zone: name,
   spot: z.boolean(),
-  count: z.int().check(z.gte(1), z.lte(MOST_RENTED)),
+  count: z.int().check(z.gte(1), z.lte(MAX_MACHINES_PER_REQUEST)),
 });
 
 const deleteSchema = z.object({
   kind: z.literal('delete'),
-  machines: machines(MOST_DELETED).check(z.minLength(1)),
+  machines: machines(MAX_MACHINES_PER_DELETION).check(z.minLength(1)),
 });
 
 const outcomeSchema = z.discriminatedUnion('kind', [
-  z.object({ kind: z.literal('rented'), machines: machines(MOST_RENTED) }),
+  z.object({ kind: z.literal('rented'), machines: machines(MAX_MACHINES_PER_REQUEST) }),
   z.object({ kind: z.literal('no-capacity') }),
   z.object({ kind: z.literal('deleted') }),
 ]);
--- a/packages/duties/test/records.test.ts
+++ b/packages/duties/test/records.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { mayFollow, type HolderState } from '../src/holder-state.js';
-import { type Intent, MOST_DELETED, readHolder, readIntent, readToken } from '../src/records.js';
+import { MAX_MACHINES_PER_DELETION } from '../src/limits.js';
+import { type Intent, readHolder, readIntent, readToken } from '../src/records.js';
 import { DutiesView } from '../src/view.js';
 
 const INTENT: Intent = {
@@ -24,7 +25,7 @@
     {
       action: {
         kind: 'delete',
-        machines: Array.from({ length: MOST_DELETED + 1 }, (_, i) => `m-${i}`),
+        machines: Array.from({ length: MAX_MACHINES_PER_DELETION + 1 }, (_, i) => `m-${i}`),
       },
     },
     { action: { kind: 'rent', type: 't', zone: 'a', spot: false, count: 1 } },
--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -1,9 +1,10 @@
 /**
- * Client of the cloud's interface. Every call, each page of a list included, takes from one budget, so that no size of the
- * fleet makes the cloud refuse calls.
+ * Client of the cloud's interface. Every call, each page of a list included, takes from one budget, so that the cloud
+ * refuses no calls, however many machines there are.
  */
-import { type Runtime, sleep } from '../runtime.js';
+import { type Reply, type Runtime, sleep } from '../runtime.js';
 import { TokenBucket } from '../state-store/token-bucket.js';
+import type { Body } from '../wire/cbor.js';
 import type { ListedMachine, MachineType } from '../wire/model.js';
 import {
   type MachinePage,
@@ -15,115 +16,111 @@
   cloudPaths,
 } from '../wire/cloud.js';
 
-const TIMEOUT_MS = 5000;
+const REQUEST_TIMEOUT_MS = 5000;
 /** Of the calls allowed per second, those that this controller plans with; the others are left to other controllers. */
 const RATE_SHARE = 0.7;
-/** Of these, the part that lists may take: rentals and deletions need the rest. */
+/** Of these, the part that lists may take: requests for machines and deletions need the rest. */
 const LIST_SHARE = 0.5;
-/** Calls that a page of a list leaves in the budget for a rental or deletion that comes meanwhile. */
-const LEFT_BY_LISTS = 1;
+/** Calls that a page of a list leaves in the budget for a request or deletion that comes meanwhile. */
+const CALLS_RESERVED_FROM_LISTS = 1;
 /** How often one page is asked for before the list is given up. */
-const PAGE_ATTEMPTS = 3;
+const MAX_PAGE_ATTEMPTS = 3;
 
-export type RentResult =
-  | { kind: 'rented'; ids: string[] }
+/**
+ * - `granted`: these machines are booting; they may be fewer than asked for.
+ * - `no-capacity`: the cloud has none of this kind at the moment.
+ * - `indeterminate`: no response; the request may have been executed.
+ * - `rejected`: not executed, for a reason that says nothing of the cloud's capacity.
+ */
+export type MachineRequestResult =
+  | { kind: 'granted'; ids: string[] }
   | { kind: 'no-capacity' }
-  | { kind: 'unknown' }
-  | { kind: 'refused' };
+  | { kind: 'indeterminate' }
+  | { kind: 'rejected' };
 
-/** All controllers share the cloud's rate; the leader uses most of it. */
+/** All controllers share the cloud's rate of calls; the leader uses most of it. */
 export class Cloud {
-  private readonly bucket: TokenBucket;
+  private readonly callBudget: TokenBucket;
   /** Pages of the longest recent list. */
-  private pages = 1;
+  private pageCount = 1;
 
+  /** `maxCallsPerS` is the rate that the cloud allows to all controllers together, or this client's part of it. */
   constructor(
     private readonly runtime: Runtime,
     private readonly address: string,
-    private readonly rps: number,
+    private readonly maxCallsPerS: number,
   ) {
-    const burst = Math.max(rps, 1 + LEFT_BY_LISTS);
-    this.bucket = new TokenBucket(rps * RATE_SHARE, burst, () => runtime.clock.now());
+    const burst = Math.max(maxCallsPerS, 1 + CALLS_RESERVED_FROM_LISTS);
+    this.callBudget = new TokenBucket(maxCallsPerS * RATE_SHARE, burst, () => runtime.clock.now());
   }
 
-  room(): boolean {
-    return this.bucket.tryAcquire();
+  /** Takes one call from the budget, before a request for machines or a deletion; false if none is left. */
+  tryAcquireCall(): boolean {
+    return this.callBudget.tryAcquire();
   }
 
-  /** Lists no further apart than this would take more than their share of the calls. */
-  shortestListIntervalMs(): number {
-    return (1000 * this.pages) / (this.rps * RATE_SHARE * LIST_SHARE);
+  /** Lists in quicker succession would take more than their share of the calls. */
+  minListIntervalMs(): number {
+    return (1000 * this.pageCount) / (this.maxCallsPerS * RATE_SHARE * LIST_SHARE);
   }
 
-  async types(): Promise<MachineType[] | null> {
-    const r = await this.runtime.http.send(this.address, 'GET', cloudPaths.types, null, TIMEOUT_MS);
-    return r.status === 200 ? readTypes(r.body) : null;
+  /** The catalog of machine types; null without a valid response. */
+  async listMachineTypes(): Promise<MachineType[] | null> {
+    const response = await this.send('GET', cloudPaths.types, null);
+    return response.status === 200 ? readTypes(response.body) : null;
   }
 
-  /** All machines, page by page; null if a page can't be had, or `active` turns false meanwhile. */
-  async list(active: () => boolean): Promise<ListedMachine[] | null> {
-    const all: ListedMachine[] = [];
+  /** All machines, page by page; null if a page can't be had, or `isActive` turns false meanwhile. */
+  async listMachines(isActive: () => boolean): Promise<ListedMachine[] | null> {
+    const machines: ListedMachine[] = [];
     for (let after = '', pages = 1; ; pages++) {
-      const page = await this.page(after, active);
+      const page = await this.readPage(after, isActive);
       if (!page) return null;
-      all.push(...page.machines);
-      this.pages = Math.max(pages, this.pages - 1);
-      if (!page.more || page.machines.length === 0) return all;
+      machines.push(...page.machines);
+      this.pageCount = Math.max(pages, this.pageCount - 1);
+      if (!page.more || page.machines.length === 0) return machines;
       after = page.machines[page.machines.length - 1].id;
     }
   }
 
   /** A page that was refused is asked for again: starting over would never end where a list has many pages. */
-  private async page(after: string, active: () => boolean): Promise<MachinePage | null> {
-    for (let attempt = 0; attempt < PAGE_ATTEMPTS; attempt++) {
-      while (active() && !this.bucket.tryAcquire(1, LEFT_BY_LISTS))
-        await sleep(this.runtime.clock, 1000 / this.rps);
-      if (!active()) return null;
-      const r = await this.runtime.http.send(
-        this.address,
-        'GET',
-        cloudPaths.list(after),
-        null,
-        TIMEOUT_MS,
-      );
-      const page = r.status === 200 ? readMachineList(r.body) : null;
+  private async readPage(after: string, isActive: () => boolean): Promise<MachinePage | null> {
+    for (let attempt = 0; attempt < MAX_PAGE_ATTEMPTS; attempt++) {
+      while (isActive() && !this.callBudget.tryAcquire(1, CALLS_RESERVED_FROM_LISTS))
+        await sleep(this.runtime.clock, 1000 / this.maxCallsPerS);
+      if (!isActive()) return null;
+      const response = await this.send('GET', cloudPaths.list(after), null);
+      const page = response.status === 200 ? readMachineList(response.body) : null;
       if (page) return page;
     }
     return null;
   }
 
-  async rent(
-    request: string,
+  /** Asks for `count` machines. The cloud executes a repeated `requestName` only once. */
+  async requestMachines(
+    requestName: string,
     type: string,
     zone: string,
     spot: boolean,
     count: number,
-  ): Promise<RentResult> {
-    const body = rentalBody(request, type, zone, spot, count);
-    const r = await this.runtime.http.send(
-      this.address,
-      'POST',
-      cloudPaths.machines,
-      body,
-      TIMEOUT_MS,
-    );
-    const ids = r.status === 200 ? readRental(r.body) : null;
-    if (ids) return { kind: 'rented', ids };
-    if (r.status === 0) return { kind: 'unknown' };
-    return r.status === 503 && r.body.error === 'no capacity'
+  ): Promise<MachineRequestResult> {
+    const body = rentalBody(requestName, type, zone, spot, count);
+    const response = await this.send('POST', cloudPaths.machines, body);
+    const ids = response.status === 200 ? readRental(response.body) : null;
+    if (ids) return { kind: 'granted', ids };
+    if (response.status === 0) return { kind: 'indeterminate' };
+    return response.status === 503 && response.body.error === 'no capacity'
       ? { kind: 'no-capacity' }
-      : { kind: 'refused' };
+      : { kind: 'rejected' };
+  }
+
+  /** True only if the cloud has confirmed it: then the machines and everything on them are gone. */
+  async deleteMachines(ids: string[]): Promise<boolean> {
+    const response = await this.send('POST', cloudPaths.deletion, deletionBody(ids));
+    return response.status === 200;
   }
 
-  /** True only for a 200: then the machines and everything on them are gone. */
-  async delete(ids: string[]): Promise<boolean> {
-    const r = await this.runtime.http.send(
-      this.address,
-      'POST',
-      cloudPaths.deletion,
-      deletionBody(ids),
-      TIMEOUT_MS,
-    );
-    return r.status === 200;
+  private send(method: 'GET' | 'POST', path: string, body: Body | null): Promise<Reply> {
+    return this.runtime.http.send(this.address, method, path, body, REQUEST_TIMEOUT_MS);
   }
 }
--- a/src/autoscaler/demand.ts
+++ b/src/autoscaler/demand.ts
@@ -1,9 +1,9 @@
-/** What the live jobs ask of the fleet: pure. */
+/** What the jobs need of the cluster's machines: a pure function. */
 import type { Job } from '../jobs/job-table.js';
 import type { JobSpec, MachineType } from '../wire/model.js';
 import type { Demand } from './scaling-plan.js';
 
-/** Machines take up to so much longer than usual until they are up. */
+/** Machines may take this much longer than their type's usual boot time. */
 const BOOT_TIME_FACTOR = 1.3;
 
 function fitsType(spec: JobSpec, type: MachineType): boolean {
@@ -13,25 +13,32 @@
   );
 }
 
+/**
+ * Sums up what all jobs that are not cancelled need.
+ *
+ * @param wantedCpus CPUs that a job's tasks need, waiting or running.
+ * @param arrivingCpusPerS CPUs a second that services have asked for lately.
+ * @param types The catalog; must not be empty.
+ */
 export function demandOf(
   jobs: Iterable<Job>,
   wantedCpus: (job: Job) => number,
-  arriving: number,
+  arrivingCpusPerS: number,
   types: MachineType[],
 ): Demand {
   const live = [...jobs].filter((job) => !job.jobCancelled);
-  let ordinary = 0;
-  let any = 0;
+  let ordinaryCpus = 0;
+  let spotEligibleCpus = 0;
   for (const job of live) {
-    if (job.spec.spot) any += wantedCpus(job);
-    else ordinary += wantedCpus(job);
+    if (job.spec.spot) spotEligibleCpus += wantedCpus(job);
+    else ordinaryCpus += wantedCpus(job);
   }
   return {
-    ordinary,
-    any,
-    usable: (type) => live.some(({ spec }) => fitsType(spec, type)),
-    arriving,
-    bootS: BOOT_TIME_FACTOR * Math.max(...types.map((t) => t.bootS)),
-    biggestCpus: Math.max(...types.map((t) => t.cpus)),
+    ordinaryCpus,
+    spotEligibleCpus,
+    isUsable: (type) => live.some(({ spec }) => fitsType(spec, type)),
+    arrivingCpusPerS,
+    bootS: BOOT_TIME_FACTOR * Math.max(...types.map((type) => type.bootS)),
+    largestMachineCpus: Math.max(...types.map((type) => type.cpus)),
   };
 }
--- a/src/autoscaler/idle-machines.ts
+++ b/src/autoscaler/idle-machines.ts
@@ -1,12 +1,12 @@
-/** Which machines are more than the fleet needs: pure, apart from the mark on the machine. */
+/** Which machines are surplus: pure, apart from the mark on the machine. */
 import type { Machine } from '../workers/machine.js';
-import type { Targets } from './scaling-plan.js';
+import type { ScalingTargets } from './scaling-plan.js';
 
-/** A machine that was rented more recently than this is not returned yet. */
+/** A machine that was requested more recently than this is not surplus yet. */
 const MIN_AGE_MS = 60_000;
 
-/** CPUs of the machines that stay, in all and on ordinary machines. */
-interface Kept {
+/** CPUs of the machines that are not surplus. */
+interface KeptCpus {
   total: number;
   ordinary: number;
 }
@@ -17,34 +17,54 @@
   return false;
 }
 
-function add(kept: Kept, machine: Machine, sign: 1 | -1): void {
+function add(kept: KeptCpus, machine: Machine, sign: 1 | -1): void {
   kept.total += sign * machine.type.cpus;
   if (!machine.spot) kept.ordinary += sign * machine.type.cpus;
 }
 
 /**
- * Machines beyond the target take nothing new, and go once they are empty: their tasks are left to finish.
- * When the demand comes back first, they are taken into use again instead of renting others.
+ * Marks machines beyond the targets as surplus: they take no new tasks, theirs run to their end, and then the machine
+ * goes. When the demand comes back before that, they are taken into use again instead of others being requested.
+ *
+ * @param machines All machines that are up and not being deleted.
  */
-export function markSurplus(up: Machine[], target: Targets, now: number): void {
-  const active = up.filter((m) => !m.drainReason);
-  const kept: Kept = { total: 0, ordinary: 0 };
+export function markSurplus(
+  machines: readonly Machine[],
+  targets: ScalingTargets,
+  now: number,
+): void {
+  const active = machines.filter((machine) => !machine.drainReason);
+  const kept: KeptCpus = { total: 0, ordinary: 0 };
   for (const machine of active) add(kept, machine, 1);
-  for (const machine of up) {
-    if (machine.drainReason !== 'surplus') continue;
-    const missing = kept.total + machine.type.cpus / 2 < target.total;
-    if (!missing && (machine.spot || kept.ordinary >= target.ordinary)) continue;
-    machine.drainReason = null;
-    add(kept, machine, 1);
-  }
-  const busy = (m: Machine): number => m.usedCpus / m.type.cpus;
-  active.sort((a, b) => Number(a.spot) - Number(b.spot) || busy(a) - busy(b));
+  unmarkNeeded(machines, targets, kept);
+  const usedShare = (machine: Machine): number => machine.usedCpus / machine.type.cpus;
+  active.sort((a, b) => Number(a.spot) - Number(b.spot) || usedShare(a) - usedShare(b));
   for (const machine of active) {
-    const { cpus } = machine.type;
-    if (kept.total - cpus < target.total) continue;
-    if (!machine.spot && kept.ordinary - cpus < target.ordinary) continue;
-    if (runsService(machine) || now - (machine.rentedAt ?? 0) < MIN_AGE_MS) continue;
+    if (!isSurplus(machine, targets, kept, now)) continue;
     add(kept, machine, -1);
     machine.drainReason = 'surplus';
   }
 }
+
+function unmarkNeeded(machines: readonly Machine[], targets: ScalingTargets, kept: KeptCpus): void {
+  for (const machine of machines) {
+    if (machine.drainReason !== 'surplus') continue;
+    const isTotalMissing = kept.total + machine.type.cpus / 2 < targets.totalCpus;
+    const isOrdinaryMissing = !machine.spot && kept.ordinary < targets.ordinaryCpus;
+    if (!isTotalMissing && !isOrdinaryMissing) continue;
+    machine.drainReason = null;
+    add(kept, machine, 1);
+  }
+}
+
+function isSurplus(
+  machine: Machine,
+  targets: ScalingTargets,
+  kept: KeptCpus,
+  now: number,
+): boolean {
+  const { cpus } = machine.type;
+  if (kept.total - cpus < targets.totalCpus) return false;
+  if (!machine.spot && kept.ordinary - cpus < targets.ordinaryCpus) return false;
+  return !runsService(machine) && now - (machine.rentedAt ?? 0) >= MIN_AGE_MS;
+}
--- a/src/autoscaler/machine-actions.ts
+++ b/src/autoscaler/machine-actions.ts
@@ -1,44 +1,44 @@
 /** How the leader's decisions about machines are carried out. */
-import type { Cloud, RentResult } from './cloud.js';
+import { MAX_MACHINES_PER_DELETION } from '@millring/duties';
+import type { Cloud, MachineRequestResult } from './cloud.js';
 import type { Pool } from './scaling-plan.js';
 
-/** `return`: nothing needs the machines. `reclaim`: they are silent or failed. */
+/** Why machines are deleted. `return`: they stand idle. `reclaim`: they are dead, faulty or failed to boot. */
 export type DeletionPurpose = 'return' | 'reclaim';
 
+/** Requests and deletes machines, either at the cloud itself or through intents. */
 export interface MachineActions {
-  /** May one more action be begun now? Takes its part of the budget. */
-  mayBegin(): boolean;
-  rent(pool: Pool, count: number): Promise<RentResult>;
+  /** Takes one call from the budget; false if none is left now. */
+  tryAcquireCall(): boolean;
+  /** Asks for `count` machines of the pool. */
+  requestMachines(pool: Pool, count: number): Promise<MachineRequestResult>;
   /** True only once the machines and everything on them are gone. */
-  delete(ids: string[], purpose: DeletionPurpose): Promise<boolean>;
-  /** How many of these machines one deletion may name. */
-  mostDeleted(ids: readonly string[]): number;
+  deleteMachines(ids: string[], purpose: DeletionPurpose): Promise<boolean>;
+  /** How many of these machines one deletion may name, at least 1. */
+  maxDeletions(ids: readonly string[]): number;
 }
 
-/** The cloud's limit of one request. */
-export const MOST_DELETED = 100;
-
 /** The leader asks the cloud itself. */
 export class DirectActions implements MachineActions {
+  /** `nextRequestName` gives a new name each time, unique for ever across all controllers. */
   constructor(
     private readonly cloud: Cloud,
-    /** Unique for ever: no request name is used twice, by any node. */
-    private readonly requestName: () => string,
+    private readonly nextRequestName: () => string,
   ) {}
 
-  mayBegin(): boolean {
-    return this.cloud.room();
+  tryAcquireCall(): boolean {
+    return this.cloud.tryAcquireCall();
   }
 
-  rent(pool: Pool, count: number): Promise<RentResult> {
-    return this.cloud.rent(this.requestName(), pool.type.name, pool.zone, pool.spot, count);
+  requestMachines({ type, zone, spot }: Pool, count: number): Promise<MachineRequestResult> {
+    return this.cloud.requestMachines(this.nextRequestName(), type.name, zone, spot, count);
   }
 
-  delete(ids: string[]): Promise<boolean> {
-    return this.cloud.delete(ids);
+  deleteMachines(ids: string[]): Promise<boolean> {
+    return this.cloud.deleteMachines(ids);
   }
 
-  mostDeleted(): number {
-    return MOST_DELETED;
+  maxDeletions(): number {
+    return MAX_MACHINES_PER_DELETION;
   }
 }
--- /dev/null
+++ b/src/autoscaler/scale-out.ts
@@ -0,0 +1,154 @@
+/** Requests machines from the cloud as the scaling plan says. */
+import type { OperatorSettings } from '../settings/operator.js';
+import type { Runtime } from '../runtime.js';
+import type { MachineType } from '../wire/model.js';
+import type { Machine } from '../workers/machine.js';
+import type { MachineTable } from '../workers/machine-table.js';
+import type { MachineRequestResult } from './cloud.js';
+import type { MachineActions } from './machine-actions.js';
+import type { MachineDeletion } from './machine-deletion.js';
+import type { MachineLiveness } from './machine-liveness.js';
+import { type Demand, type Pool, planScaleOut } from './scaling-plan.js';
+import type { ZonePartitions } from './zone-partitions.js';
+
+/** What scaling out needs of the leader and of its settings. */
+export interface ScaleOutDependencies {
+  runtime: Runtime;
+  actions: MachineActions;
+  table: MachineTable;
+  operator: OperatorSettings;
+  types: MachineType[];
+  saveMoney: boolean;
+  /** Zones that have controllers. */
+  controllerZones: Set<string>;
+  isLeader(): boolean;
+}
+
+/** How long a pool without capacity, or whose request has an unknown outcome, is left alone. */
+const NO_CAPACITY_BACKOFF_MS = 12_000;
+/** The same for a request that was rejected, which says nothing of the pool. */
+const REJECTED_BACKOFF_MS = 2000;
+
+/** Capacity in CPUs, up or booting. */
+export interface Capacity {
+  ordinaryCpus: number;
+  spotCpus: number;
+}
+
+/** The pools that machines are requested from, with at most one request at a time for each. */
+export class ScaleOut {
+  private readonly pools = new Map<string, Pool>();
+  private readonly pendingRequests = new Set<Pool>();
+
+  constructor(
+    private readonly deps: ScaleOutDependencies,
+    private readonly deletion: MachineDeletion,
+    private readonly liveness: MachineLiveness,
+    private readonly zones: ZonePartitions,
+  ) {
+    for (const type of deps.types)
+      for (const zone of type.zones)
+        for (const spot of [false, true])
+          this.pools.set(poolKey(type.name, zone, spot), {
+            type,
+            zone,
+            spot,
+            hasControllers: deps.controllerZones.has(zone),
+            machineCount: 0,
+            unavailableUntil: 0,
+          });
+  }
+
+  /** Counts the machines of each pool anew, and blocks the pools of quarantined zones for `blockMs`. */
+  updatePools(now: number, blockMs: number): Capacity {
+    for (const pool of this.pools.values()) pool.machineCount = 0;
+    for (const machine of this.deps.table.all()) {
+      const pool = this.pools.get(poolKey(machine.type.name, machine.zone, machine.spot));
+      if (pool && this.countsAsCapacity(machine, now)) pool.machineCount++;
+    }
+    const capacity: Capacity = { ordinaryCpus: 0, spotCpus: 0 };
+    for (const pool of this.pools.values()) {
+      if (this.zones.isQuarantined(pool.zone, now))
+        pool.unavailableUntil = Math.max(pool.unavailableUntil, now + blockMs);
+      const cpus = pool.machineCount * pool.type.cpus;
+      if (pool.spot) capacity.spotCpus += cpus;
+      else capacity.ordinaryCpus += cpus;
+    }
+    return capacity;
+  }
+
+  /** Requests what the demand needs beyond the pools as last counted. */
+  requestMissing(demand: Demand, now: number): void {
+    const { saveMoney, operator } = this.deps;
+    const plan = planScaleOut({
+      pools: [...this.pools.values()],
+      demand,
+      saveMoney,
+      spareShare: operator.spare_share,
+      now,
+    });
+    for (const [pool, count] of plan)
+      if (!this.pendingRequests.has(pool)) void this.request(pool, count);
+  }
+
+  /** Follows a request that a former leader began: until its result is known, nothing more is requested there. */
+  restore(
+    type: string,
+    zone: string,
+    spot: boolean,
+    count: number,
+    result: Promise<MachineRequestResult>,
+  ): void {
+    const pool = this.pools.get(poolKey(type, zone, spot));
+    if (pool) void this.settle(pool, count, result);
+  }
+
+  /** It is up or booting, and will stay. */
+  private countsAsCapacity(machine: Machine, now: number): boolean {
+    if (machine.deleting || machine.preemptionDeadline !== null) return false;
+    if (machine.drainReason && machine.drainReason !== 'surplus') return false;
+    if (this.liveness.isUnreachable(machine, now)) return false;
+    return machine.reported || !this.zones.isPartitioned(machine.zone);
+  }
+
+  private async request(pool: Pool, count: number): Promise<void> {
+    const { actions } = this.deps;
+    if (!actions.tryAcquireCall() || !this.deps.isLeader()) return;
+    await this.settle(pool, count, actions.requestMachines(pool, count));
+  }
+
+  private async settle(
+    pool: Pool,
+    count: number,
+    pending: Promise<MachineRequestResult>,
+  ): Promise<void> {
+    const { clock, log } = this.deps.runtime;
+    this.pendingRequests.add(pool);
+    const result = await pending;
+    this.pendingRequests.delete(pool);
+    const now = clock.now();
+    const { type, zone, spot } = pool;
+    const granted = result.kind === 'granted' ? result.ids.length : 0;
+    log.info(
+      { type: type.name, zone, spot, count, result: result.kind, granted },
+      'machines requested',
+    );
+    if (result.kind === 'granted') this.addMachines(pool, result.ids, now);
+    if (granted < count)
+      pool.unavailableUntil =
+        now + (result.kind === 'rejected' ? REJECTED_BACKOFF_MS : NO_CAPACITY_BACKOFF_MS);
+  }
+
+  private addMachines({ type, zone, spot }: Pool, ids: readonly string[], now: number): void {
+    const { table } = this.deps;
+    for (const id of ids) {
+      if (table.get(id) || this.deletion.isDeleted(id)) continue;
+      const machine = table.add(id, '', type, zone, spot, now);
+      machine.rentedAt = now;
+    }
+  }
+}
+
+function poolKey(type: string, zone: string, spot: boolean): string {
+  return `${type}|${zone}|${spot}`;
+}
--- a/src/autoscaler/scaling-plan.ts
+++ b/src/autoscaler/scaling-plan.ts
@@ -1,130 +1,159 @@
-/** How many machines to rent and which to return: pure. */
+/** How many machines the cluster should have, and how many to request from which pool: pure functions. */
+import { MAX_MACHINES_PER_REQUEST } from '@millring/duties';
 import type { MachineType } from '../wire/model.js';
 
-/** Machines that can stand for each other: like machines are decided as a class. */
+/** Machines that can stand for each other. */
 export interface Pool {
   type: MachineType;
   zone: string;
   spot: boolean;
-  /** In a zone that has controllers, which keep its machines' leases while it is cut off. */
-  home: boolean;
-  /** Up or on their way. */
-  count: number;
-  /** The cloud had none left; not asked again before then. */
-  refusedUntil: number;
+  /** In a zone with controllers, which extend its machines' leases during a partition. */
+  hasControllers: boolean;
+  /** Machines that are up or booting, and will stay. */
+  machineCount: number;
+  /** Nothing is requested before this time, by the steady clock. */
+  unavailableUntil: number;
 }
 
+/** What the jobs need, waiting and running tasks together. */
 export interface Demand {
-  /** CPUs of work that needs ordinary machines, waiting or there. */
-  ordinary: number;
-  /** CPUs of work that may use spot machines. */
-  any: number;
-  /** CPUs a second that services have asked for lately, and how long a machine takes until it is up. */
-  arriving: number;
+  /** CPUs of tasks that need ordinary machines. */
+  ordinaryCpus: number;
+  /** CPUs of tasks that may run on spot machines. */
+  spotEligibleCpus: number;
+  /** CPUs a second that services have asked for lately. */
+  arrivingCpusPerS: number;
+  /** How long a machine takes until it is up, in seconds. */
   bootS: number;
-  /** CPUs of the biggest machine type. */
-  biggestCpus: number;
-  /** Shapes that some waiting job needs, so that no type is rented which nobody can use. */
-  usable(type: MachineType): boolean;
+  /** CPUs of the largest machine type. */
+  largestMachineCpus: number;
+  /** Whether a task of some job fits the type: no other is requested. */
+  isUsable(type: MachineType): boolean;
 }
 
-export interface PlanInput {
+/** What a plan is made from. */
+export interface ScaleOutInput {
   pools: Pool[];
   demand: Demand;
   saveMoney: boolean;
+  /** Capacity to keep free, as a share of what is used; counts only with `saveMoney`. */
   spareShare: number;
+  /** By the steady clock. */
   now: number;
 }
 
-export interface Targets {
-  ordinary: number;
-  total: number;
+/** CPUs that the cluster should have; `totalCpus` includes the ordinary machines' ones. */
+export interface ScalingTargets {
+  ordinaryCpus: number;
+  totalCpus: number;
 }
 
-/** Of what services use, at most. */
-const MOST_SPARE = 0.2;
+/** Of what services use. */
+const MAX_SPARE_SHARE_FOR_ARRIVALS = 0.2;
+/** Where money does not count: capacity for twice the work, and this on top. */
+const FREE_CAPACITY_FACTOR = 2;
+const FREE_CAPACITY_EXTRA_CPUS = 100;
+/** Of the spot-eligible demand: so much may wait for spot machines where money counts. */
+const SPOT_PATIENCE_SHARE = 0.2;
 
-export function targets(d: Demand, saveMoney: boolean, spareShare: number): Targets {
+/** The capacity to aim at. Without `saveMoney` it is ample, so that bursts find machines that are up. */
+export function scalingTargets(
+  demand: Demand,
+  saveMoney: boolean,
+  spareShare: number,
+): ScalingTargets {
+  const { ordinaryCpus, spotEligibleCpus } = demand;
   if (!saveMoney) {
-    // Nobody counts the money: room for twice the work, so that waves and bursts find machines that are up.
-    const ordinary = d.ordinary > 0 || d.any > 0 ? 2 * (d.ordinary + d.any) + 100 : 0;
-    return { ordinary, total: ordinary };
+    const hasWork = ordinaryCpus > 0 || spotEligibleCpus > 0;
+    const cpus = hasWork
+      ? FREE_CAPACITY_FACTOR * (ordinaryCpus + spotEligibleCpus) + FREE_CAPACITY_EXTRA_CPUS
+      : 0;
+    return { ordinaryCpus: cpus, totalCpus: cpus };
   }
   // A service that comes now must find room while another machine boots: half a machine more than is used, and a
-  // share, or what comes in that time when services arrive in numbers.
-  const spare = Math.max(
-    spareShare * d.ordinary,
-    Math.min(MOST_SPARE * d.ordinary, d.arriving * d.bootS),
+  // share, or what arrives in that time when services arrive in numbers.
+  const spareCpus = Math.max(
+    spareShare * ordinaryCpus,
+    Math.min(MAX_SPARE_SHARE_FOR_ARRIVALS * ordinaryCpus, demand.arrivingCpusPerS * demand.bootS),
   );
-  const ordinary = d.ordinary > 0 ? d.ordinary + spare + d.biggestCpus / 2 : 0;
-  return { ordinary, total: ordinary + d.any * (1 + spareShare) };
+  const targetCpus =
+    ordinaryCpus > 0 ? ordinaryCpus + spareCpus + demand.largestMachineCpus / 2 : 0;
+  return { ordinaryCpus: targetCpus, totalCpus: targetCpus + spotEligibleCpus * (1 + spareShare) };
 }
 
-function capacity(pools: Pool[], spot: boolean): number {
-  return pools.filter((p) => p.spot === spot).reduce((sum, p) => sum + p.count * p.type.cpus, 0);
+function capacityCpus(pools: readonly Pool[]): number {
+  return pools.reduce((sum, pool) => sum + pool.machineCount * pool.type.cpus, 0);
 }
 
-/** The most that one request may ask for. */
-const MOST_AT_ONCE = 50;
+/** Machines to request, by pool. */
+type MachineCounts = Map<Pool, number>;
+
+function plannedCpus(counts: MachineCounts): number {
+  return [...counts].reduce((sum, [pool, count]) => sum + count * pool.type.cpus, 0);
+}
 
 /**
- * Where money counts, the cheapest pools first. Then zones with controllers, but none beyond half of all, since
- * replicas are spread; then the pools with the fewest machines.
+ * Spreads `missingCpus` over the pools. Where money counts, the cheapest pools first. Then zones with controllers, but
+ * none beyond half of `targetCpus`, since replicas are spread; then the pools with the fewest machines.
  */
-function fill(
-  pools: Pool[],
-  cpus: number,
-  target: number,
+function distribute(
+  pools: readonly Pool[],
+  missingCpus: number,
+  targetCpus: number,
   now: number,
   saveMoney: boolean,
-): Map<Pool, number> {
-  const out = new Map<Pool, number>();
-  const open = pools.filter((p) => p.refusedUntil <= now);
-  const zones = new Map<string, number>();
-  for (const p of pools) zones.set(p.zone, (zones.get(p.zone) ?? 0) + p.count * p.type.cpus);
-  const price = (p: Pool): number =>
-    saveMoney ? (p.spot ? p.type.spotPrice : p.type.price) / p.type.cpus : 0;
-  const inZone = (p: Pool): number => zones.get(p.zone) ?? 0;
-  const away = (p: Pool): number => Number(p.spot || !p.home || inZone(p) >= target / 2);
-  for (let missing = cpus; missing > 0 && open.length > 0;) {
-    open.sort(
+): MachineCounts {
+  const counts: MachineCounts = new Map();
+  const available = pools.filter((pool) => pool.unavailableUntil <= now);
+  const zoneCpus = new Map<string, number>();
+  const cpusIn = (zone: string): number => zoneCpus.get(zone) ?? 0;
+  for (const { zone, machineCount, type } of pools)
+    zoneCpus.set(zone, cpusIn(zone) + machineCount * type.cpus);
+  const pricePerCpu = ({ spot, type }: Pool): number =>
+    saveMoney ? (spot ? type.spotPrice : type.price) / type.cpus : 0;
+  const isUnfavoured = (pool: Pool): boolean =>
+    pool.spot || !pool.hasControllers || cpusIn(pool.zone) >= targetCpus / 2;
+  const machinesOf = (pool: Pool): number => pool.machineCount + (counts.get(pool) ?? 0);
+  for (let missing = missingCpus; missing > 0 && available.length > 0;) {
+    available.sort(
       (a, b) =>
-        price(a) - price(b) ||
-        away(a) - away(b) ||
-        a.count + (out.get(a) ?? 0) - (b.count + (out.get(b) ?? 0)) ||
+        pricePerCpu(a) - pricePerCpu(b) ||
+        Number(isUnfavoured(a)) - Number(isUnfavoured(b)) ||
+        machinesOf(a) - machinesOf(b) ||
         b.type.cpus - a.type.cpus,
     );
-    const p = open[0];
-    const n = (out.get(p) ?? 0) + 1;
-    out.set(p, n);
-    zones.set(p.zone, inZone(p) + p.type.cpus);
-    if (n >= MOST_AT_ONCE) open.shift();
-    missing -= p.type.cpus;
+    const [pool] = available;
+    const count = (counts.get(pool) ?? 0) + 1;
+    counts.set(pool, count);
+    zoneCpus.set(pool.zone, cpusIn(pool.zone) + pool.type.cpus);
+    if (count >= MAX_MACHINES_PER_REQUEST) available.shift();
+    missing -= pool.type.cpus;
   }
-  return out;
+  return counts;
 }
 
-export function planRentals(input: PlanInput): Map<Pool, number> {
+/** How many machines to request from which pool now: at most one request's worth for each. */
+export function planScaleOut(input: ScaleOutInput): Map<Pool, number> {
   const { demand, now, saveMoney } = input;
-  const pools = input.pools.filter((p) => demand.usable(p.type));
-  const t = targets(demand, saveMoney, input.spareShare);
-  const haveOrdinary = capacity(pools, false);
-  const haveSpot = capacity(pools, true);
-  const ordinary = pools.filter((p) => !p.spot);
-  const spot = pools.filter((p) => p.spot);
-  const out = fill(ordinary, t.ordinary - haveOrdinary, t.ordinary, now, saveMoney);
-  const planned = [...out].reduce((sum, [p, n]) => sum + n * p.type.cpus, 0);
-  const missing = t.total - haveOrdinary - haveSpot - planned;
-  const spotPlan = fill(spot, missing, t.total, now, saveMoney);
-  let left = missing;
-  for (const [p, n] of spotPlan) {
-    out.set(p, n);
-    left -= n * p.type.cpus;
+  const usable = input.pools.filter((pool) => demand.isUsable(pool.type));
+  const ordinary = usable.filter((pool) => !pool.spot);
+  const spot = usable.filter((pool) => pool.spot);
+  const { ordinaryCpus, totalCpus } = scalingTargets(demand, saveMoney, input.spareShare);
+  const existingOrdinaryCpus = capacityCpus(ordinary);
+  const missingOrdinaryCpus = ordinaryCpus - existingOrdinaryCpus;
+  const plan = distribute(ordinary, missingOrdinaryCpus, ordinaryCpus, now, saveMoney);
+  const missingCpus = totalCpus - existingOrdinaryCpus - capacityCpus(spot) - plannedCpus(plan);
+  const spotPlan = distribute(spot, missingCpus, totalCpus, now, saveMoney);
+  const patienceCpus = saveMoney ? SPOT_PATIENCE_SHARE * demand.spotEligibleCpus : 0;
+  let unmetCpus = missingCpus;
+  for (const [pool, count] of spotPlan) {
+    plan.set(pool, count);
+    unmetCpus -= count * pool.type.cpus;
   }
-  // What spot machines can't give is rented as ordinary ones; where money counts only once much is missing.
-  const patience = saveMoney ? 0.2 * demand.any : 0;
-  if (left > patience && spot.every((p) => p.refusedUntil > now))
-    for (const [p, n] of fill(ordinary, left - patience, t.total, now, saveMoney))
-      out.set(p, Math.max(out.get(p) ?? 0, n));
-  return out;
+  // What spot machines can't give is requested as ordinary ones; where money counts only once much is missing.
+  if (unmetCpus <= patienceCpus || spot.some((pool) => pool.unavailableUntil <= now)) return plan;
+  const insteadCpus = unmetCpus - patienceCpus;
+  for (const [pool, count] of distribute(ordinary, insteadCpus, totalCpus, now, saveMoney))
+    plan.set(pool, Math.max(plan.get(pool) ?? 0, count));
+  return plan;
 }
--- /dev/null
+++ b/src/autoscaler/zone-partitions.ts
@@ -0,0 +1,86 @@
+/** Detects zones that a network partition separates from this controller. */
+import type { Machine } from '../workers/machine.js';
+import type { MachineLiveness } from './machine-liveness.js';
+
+/** A zone with fewer machines than this is not judged as a whole. */
+const MIN_MACHINES_PER_ZONE = 4;
+/** Of a zone's machines, those that must be suspected; of all others, those that must be heard. */
+const ZONE_MAJORITY_SHARE = 0.7;
+const QUARANTINE_MS = 45_000;
+
+interface ZoneCounts {
+  machines: number;
+  suspected: number;
+}
+
+/** Keeps which zones are partitioned, and which were until a short time ago. */
+export class ZonePartitions {
+  private partitioned = new Set<string>();
+  /** Until when machines requested in a zone would likely not reach this controller, by zone. */
+  private readonly quarantinedUntil = new Map<string, number>();
+
+  constructor(private readonly liveness: MachineLiveness) {}
+
+  /** As of the last `update`. */
+  isPartitioned(zone: string): boolean {
+    return this.partitioned.has(zone);
+  }
+
+  /** It is partitioned, or was so recently that no machines should be requested there. */
+  isQuarantined(zone: string, now: number): boolean {
+    return now < (this.quarantinedUntil.get(zone) ?? 0);
+  }
+
+  /** How many zones are partitioned. */
+  count(): number {
+    return this.partitioned.size;
+  }
+
+  /** Judges the zones of these machines anew. */
+  update(machines: readonly Machine[], now: number): void {
+    const partitioned = this.findPartitioned(machines, now);
+    // Machines of a zone that is back are not all heard at once: the others get the time for a heartbeat.
+    for (const machine of machines)
+      if (
+        this.partitioned.has(machine.zone) &&
+        !partitioned.has(machine.zone) &&
+        !machine.leaseExpired
+      )
+        machine.lastHeardAt = Math.max(machine.lastHeardAt, now);
+    this.partitioned = partitioned;
+    for (const zone of partitioned) this.quarantinedUntil.set(zone, now + QUARANTINE_MS);
+  }
+
+  /** Zones most of whose machines are suspected, as long as most machines elsewhere are heard: else we are cut off. */
+  private findPartitioned(machines: readonly Machine[], now: number): Set<string> {
+    const candidates = new Set<string>();
+    const elsewhere: ZoneCounts = { machines: 0, suspected: 0 };
+    for (const [zone, counts] of this.countByZone(machines, now)) {
+      if (isMostlySuspected(counts)) {
+        candidates.add(zone);
+        continue;
+      }
+      elsewhere.machines += counts.machines;
+      elsewhere.suspected += counts.suspected;
+    }
+    const heard = elsewhere.machines - elsewhere.suspected;
+    const canJudge =
+      heard > ZONE_MAJORITY_SHARE * elsewhere.machines && heard >= MIN_MACHINES_PER_ZONE;
+    return canJudge ? candidates : new Set();
+  }
+
+  private countByZone(machines: readonly Machine[], now: number): Map<string, ZoneCounts> {
+    const zones = new Map<string, ZoneCounts>();
+    for (const machine of machines) {
+      const counts = zones.get(machine.zone) ?? { machines: 0, suspected: 0 };
+      counts.machines++;
+      if (this.liveness.isSuspected(machine, now)) counts.suspected++;
+      zones.set(machine.zone, counts);
+    }
+    return zones;
+  }
+}
+
+function isMostlySuspected({ machines, suspected }: ZoneCounts): boolean {
+  return machines >= MIN_MACHINES_PER_ZONE && suspected > ZONE_MAJORITY_SHARE * machines;
+}
--- a/src/duties/cloud-provider.ts
+++ b/src/duties/cloud-provider.ts
@@ -15,24 +15,24 @@
   constructor(private readonly cloud: Cloud) {}
 
   mayCall(): boolean {
-    return this.cloud.room();
+    return this.cloud.tryAcquireCall();
   }
 
   async rent(_permit: Permit, request: string, action: RentAction): Promise<RentResult> {
     const { type, zone, spot, count } = action;
-    const result = await this.cloud.rent(request, type, zone, spot, count);
+    const result = await this.cloud.requestMachines(request, type, zone, spot, count);
     switch (result.kind) {
-      case 'rented':
+      case 'granted':
         return { kind: 'rented', machines: result.ids };
       case 'no-capacity':
         return result;
-      case 'unknown':
-      case 'refused':
+      case 'indeterminate':
+      case 'rejected':
         return { kind: 'unavailable' };
     }
   }
 
   async delete(_permit: Permit, machines: readonly string[]): Promise<DeleteResult> {
-    return { kind: (await this.cloud.delete([...machines])) ? 'deleted' : 'unavailable' };
+    return { kind: (await this.cloud.deleteMachines([...machines])) ? 'deleted' : 'unavailable' };
   }
 }
--- a/src/duties/intent-actions.ts
+++ b/src/duties/intent-actions.ts
@@ -1,11 +1,10 @@
 /** The leader's decisions about machines as intents, which the holders of the duties carry out. */
-import type { IntentLog, Opened } from '@millring/duties';
-import type { RentResult } from '../autoscaler/cloud.js';
-import {
-  type DeletionPurpose,
-  type DirectActions,
-  MOST_DELETED,
-  type MachineActions,
+import { type IntentLog, MAX_MACHINES_PER_DELETION, type Opened } from '@millring/duties';
+import type { MachineRequestResult } from '../autoscaler/cloud.js';
+import type {
+  DeletionPurpose,
+  DirectActions,
+  MachineActions,
 } from '../autoscaler/machine-actions.js';
 import type { Pool } from '../autoscaler/scaling-plan.js';
 
@@ -28,42 +27,42 @@
   constructor(private readonly deps: IntentActionsDependencies) {}
 
   /** The holder has its own budget of the cloud's calls. */
-  mayBegin(): boolean {
-    return this.deps.usesIntents() || this.deps.direct.mayBegin();
+  tryAcquireCall(): boolean {
+    return this.deps.usesIntents() || this.deps.direct.tryAcquireCall();
   }
 
-  async rent(pool: Pool, count: number): Promise<RentResult> {
-    if (!this.deps.usesIntents()) return this.deps.direct.rent(pool, count);
+  async requestMachines(pool: Pool, count: number): Promise<MachineRequestResult> {
+    if (!this.deps.usesIntents()) return this.deps.direct.requestMachines(pool, count);
     const { type, zone, spot } = pool;
-    return rentResult(
+    return toRequestResult(
       await this.deps.log.open('rent', { kind: 'rent', type: type.name, zone, spot, count }),
     );
   }
 
-  async delete(ids: string[], purpose: DeletionPurpose): Promise<boolean> {
-    if (!this.deps.usesIntents()) return this.deps.direct.delete(ids);
+  async deleteMachines(ids: string[], purpose: DeletionPurpose): Promise<boolean> {
+    if (!this.deps.usesIntents()) return this.deps.direct.deleteMachines(ids);
     const opened = await this.deps.log.open(purpose, { kind: 'delete', machines: ids });
     return opened.kind === 'resolved' && opened.outcome.kind === 'deleted';
   }
 
-  mostDeleted(ids: readonly string[]): number {
-    if (!this.deps.usesIntents()) return this.deps.direct.mostDeleted();
+  maxDeletions(ids: readonly string[]): number {
+    if (!this.deps.usesIntents()) return this.deps.direct.maxDeletions();
     const longest = Math.max(1, ...ids.map((id) => id.length));
     const fitting = Math.floor((this.deps.valueBytes - FRAME_BYTES) / (longest + BYTES_PER_NAME));
-    return Math.max(1, Math.min(MOST_DELETED, fitting));
+    return Math.max(1, Math.min(MAX_MACHINES_PER_DELETION, fitting));
   }
 }
 
-/** What an intent to rent came to, in the terms of a request. */
-export function rentResult(opened: Opened): RentResult {
-  if (opened.kind === 'not-opened') return { kind: 'refused' };
-  if (opened.kind === 'unknown') return { kind: 'unknown' };
+/** What came of an intent to request machines, as the result of the request itself. */
+export function toRequestResult(opened: Opened): MachineRequestResult {
+  if (opened.kind === 'not-opened') return { kind: 'rejected' };
+  if (opened.kind === 'unknown') return { kind: 'indeterminate' };
   switch (opened.outcome.kind) {
     case 'rented':
-      return { kind: 'rented', ids: opened.outcome.machines };
+      return { kind: 'granted', ids: opened.outcome.machines };
     case 'no-capacity':
       return { kind: 'no-capacity' };
     case 'deleted':
-      return { kind: 'unknown' };
+      return { kind: 'indeterminate' };
   }
 }
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -196,17 +196,18 @@
       operator,
       types: this.deps.types,
       saveMoney: moneyCounts(settings, operator),
-      reportS: settings.reportS,
+      heartbeatIntervalS: settings.reportS,
       listLagS: settings.listLagS,
       isLeader: () => this.leads(),
       demand: () => this.demand(),
-      cutZones: () => partitionedZones(settings, this.grants, runtime.clock.now()),
-      keptUntil: (zone) =>
+      partitionedZones: () => partitionedZones(settings, this.grants, runtime.clock.now()),
+      leasesExtendableUntil: (zone) =>
         leasesExtendableUntil(zone, settings, this.grants, this.leaseExtensionMs),
-      homeZones: new Set([settings.zone, ...settings.peers.map((p) => p.zone)]),
+      controllerZones: new Set([settings.zone, ...settings.peers.map((p) => p.zone)]),
       leaseS: settings.leaseS,
-      behind: () => this.eventLoopLag.isLagging(runtime.clock.now()) || this.sender.isCongested(),
-      gone: (m) => {
+      isLagging: () =>
+        this.eventLoopLag.isLagging(runtime.clock.now()) || this.sender.isCongested(),
+      machineDeleted: (m) => {
         this.table.remove(m, runtime.clock.now());
         this.machineRecords.removed(m);
         this.scheduleCycle();
@@ -240,7 +241,7 @@
       attemptBase: this.baseToken,
       recoveryComplete: () => this.recovery.isComplete(),
       wallMs: () => this.deps.wallMs(),
-      isSilent: (m) => this.autoscaler.isSilent(m, runtime.clock.now()),
+      isSilent: (m) => this.autoscaler.isUnreachable(m, runtime.clock.now()),
     });
   }
 
@@ -430,7 +431,7 @@
     if (!this.deps.isLeader()) return null;
     const now = this.deps.runtime.clock.now();
     if (this.state !== 'serving') return { token: this.baseToken, orders: [] };
-    if (this.autoscaler.isGone(r.machine)) return { token: this.baseToken, orders: [] };
+    if (this.autoscaler.isDeleted(r.machine)) return { token: this.baseToken, orders: [] };
     let m = this.table.get(r.machine);
     if (!m) {
       const type = this.deps.types.find((t) => t.name === r.type);
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -11,7 +11,7 @@
   sender: CommandSender;
   machineRecords: MachineRecordStore;
   log: Log;
-  autoscaler: Pick<Autoscaler, 'isOverdue' | 'isSilent' | 'isLost'>;
+  autoscaler: Pick<Autoscaler, 'isHeartbeatOverdue' | 'isUnreachable' | 'isInPartitionedZone'>;
   /** How long followers may extend leases after they have asked. */
   leaseExtensionMs: number;
   /** Until when followers may have extended leases. */
@@ -43,8 +43,8 @@
   private mustEnd(machine: Machine, now: number): boolean {
     const { autoscaler, leaseExtensionMs } = this.deps;
     if (machine.leaseExpired) return false;
-    if (autoscaler.isLost(machine) || autoscaler.isSilent(machine, now - leaseExtensionMs / 4))
-      return true;
+    if (autoscaler.isInPartitionedZone(machine)) return true;
+    if (autoscaler.isUnreachable(machine, now - leaseExtensionMs / 4)) return true;
     // Nor while a takeover waits for one that does not answer: each grant would put off the proof for all old jobs.
     return machine.awaitingReconciliation && !machine.isReconciled() && machine.commandFailures > 0;
   }
@@ -55,7 +55,7 @@
     for (const machine of table.all()) {
       if (!machine.stored && !machine.reported) continue;
       const unanswered = !machine.isReconciled() || machine.commandFailures > 0;
-      if (!unanswered && !autoscaler.isOverdue(machine, now)) continue;
+      if (!unanswered && !autoscaler.isHeartbeatOverdue(machine, now)) continue;
       if (sender.isWorthProbing(machine, now)) sender.flush(machine, true);
     }
   }
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -1,7 +1,7 @@
 /** What a new leader makes of the intents that former leaders have stored. */
 import type { Intent, IntentLog, Versioned } from '@millring/duties';
 import type { Conversion } from '@millring/rollout';
-import { rentResult } from '../duties/intent-actions.js';
+import { toRequestResult } from '../duties/intent-actions.js';
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 
 /** An intent as it was read. */
@@ -16,17 +16,23 @@
 export function restoreIntents(
   intents: readonly StoredIntent[],
   log: IntentLog,
-  fleet: Autoscaler,
+  autoscaler: Autoscaler,
 ): void {
   for (const { value, version } of intents) {
     const { action, id } = value;
     if (action.kind === 'delete') {
       const done =
         value.outcome !== null || log.follow(id, version).then(({ kind }) => kind === 'resolved');
-      fleet.takeOverDeletion(action.machines, Promise.resolve(done));
+      autoscaler.restoreDeletion(action.machines, Promise.resolve(done));
     } else if (value.outcome === null) {
       const { type, zone, spot, count } = action;
-      fleet.takeOverRental(type, zone, spot, count, log.follow(id, version).then(rentResult));
+      autoscaler.restoreMachineRequest(
+        type,
+        zone,
+        spot,
+        count,
+        log.follow(id, version).then(toRequestResult),
+      );
     }
   }
 }
--- a/src/node.ts
+++ b/src/node.ts
@@ -231,7 +231,7 @@
         this.types = readTypes(kept.entry.value as Body);
         if (this.types) return;
       }
-      const fresh = await this.cloud.types();
+      const fresh = await this.cloud.listMachineTypes();
       if (fresh) {
         this.types = fresh;
         void this.store.compareAndSwap([], [{ put: MACHINE_TYPES_KEY, value: catalogBody(fresh) }]);
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -53,7 +53,7 @@
 
 async function listWithin(s: Setup, ms: number): Promise<ListedMachine[] | null> {
   let result: ListedMachine[] | null = null;
-  void s.cloud.list(() => true).then((list) => (result = list));
+  void s.cloud.listMachines(() => true).then((list) => (result = list));
   await s.clock.runUntil(s.clock.time + ms, () => undefined);
   return result;
 }
@@ -62,9 +62,9 @@
   const s = await manyMachines();
   let rentals = 0;
   const rentEachSecond = (): void => {
-    if (s.cloud.room()) {
+    if (s.cloud.tryAcquireCall()) {
       rentals++;
-      void s.cloud.rent(`r-${rentals}`, 't16', 'b', false, 1);
+      void s.cloud.requestMachines(`r-${rentals}`, 't16', 'b', false, 1);
     }
     s.clock.after(1000, rentEachSecond);
   };
@@ -78,7 +78,7 @@
   assert.ok(rentals >= 40, `${rentals} rentals in 48 s`);
   const pages = MACHINES / 500;
   assert.ok(
-    s.cloud.shortestListIntervalMs() >= (1000 * pages) / (RPS / 2),
+    s.cloud.minListIntervalMs() >= (1000 * pages) / (RPS / 2),
     'lists take half of the calls at most',
   );
 });
@@ -103,7 +103,7 @@
   let wanted = true;
   let ended = false;
   void s.cloud
-    .list(() => wanted)
+    .listMachines(() => wanted)
     .then((list) => {
       ended = list === null;
     });
--- a/test/fleet.test.ts
+++ b/test/fleet.test.ts
@@ -24,7 +24,7 @@
   zones: ['a', 'b', 'c'],
 };
 const LEASE_S = 20;
-const REPORT_S = 2;
+const HEARTBEAT_INTERVAL_S = 2;
 
 class Bed {
   now = 0;
@@ -37,7 +37,7 @@
   behind = false;
   demand = 400;
   readonly table: MachineTable;
-  readonly fleet: Autoscaler;
+  readonly autoscaler: Autoscaler;
 
   constructor(perZone: number) {
     const world: Runtime = {
@@ -63,7 +63,7 @@
       attemptEnded: none,
     });
     const cloud = new Cloud(world, 'cloud:1', 50);
-    this.fleet = new Autoscaler({
+    this.autoscaler = new Autoscaler({
       runtime: world,
       cloud,
       actions: new DirectActions(cloud, () => 'r'),
@@ -71,23 +71,23 @@
       operator: defaultOperatorSettings(),
       types: [TYPE],
       saveMoney: false,
-      reportS: REPORT_S,
+      heartbeatIntervalS: HEARTBEAT_INTERVAL_S,
       listLagS: 2,
       isLeader: () => true,
       demand: () => ({
-        ordinary: this.demand,
-        any: 0,
-        arriving: 0,
+        ordinaryCpus: this.demand,
+        spotEligibleCpus: 0,
+        arrivingCpusPerS: 0,
         bootS: 20,
-        biggestCpus: 8,
-        usable: () => true,
+        largestMachineCpus: 8,
+        isUsable: () => true,
       }),
-      cutZones: () => new Set(),
-      keptUntil: (zone) => (zone === 'c' ? null : this.kept),
-      homeZones: new Set(['a', 'b']),
+      partitionedZones: () => new Set(),
+      leasesExtendableUntil: (zone) => (zone === 'c' ? null : this.kept),
+      controllerZones: new Set(['a', 'b']),
       leaseS: LEASE_S,
-      behind: () => this.behind,
-      gone: (m) => {
+      isLagging: () => this.behind,
+      machineDeleted: (m) => {
         this.table.remove(m, this.now);
       },
     });
@@ -140,8 +140,8 @@
       this.now += 500;
       for (const m of [...this.table.all()])
         if (heard(m)) this.report(m);
-        else if (this.fleet.isOverdue(m, this.now)) m.commandFailures++;
-      this.fleet.tick();
+        else if (this.autoscaler.isHeartbeatOverdue(m, this.now)) m.commandFailures++;
+      this.autoscaler.tick();
       await new Promise<void>((done) => setImmediate(done));
     }
   }
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -8,7 +8,7 @@
 import { forgetFailedMachines, noteFailure } from '../src/placement/failures.js';
 import type { Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
-import { planRentals, type Pool } from '../src/autoscaler/scaling-plan.js';
+import { planScaleOut, type Pool } from '../src/autoscaler/scaling-plan.js';
 import { Timings, slowMachines } from '../src/placement/stragglers.js';
 import { finishGoals, servingOrder, urgency } from '../src/placement/order.js';
 import type { MachineType } from '../src/wire/model.js';
@@ -110,26 +110,26 @@
   assert.deepEqual(order, ['service', 'small', 'big', 'second', 'late']);
 });
 
-test('rentals: ordinary machines for what needs them, cheap ones for the rest, refused pools left alone', () => {
+test('scale-out: ordinary machines for what needs them, cheap ones for the rest, unavailable pools left alone', () => {
   const type = machineType(32);
-  const pool = (zone: string, spot: boolean, refusedUntil = 0): Pool => ({
+  const pool = (zone: string, spot: boolean, unavailableUntil = 0): Pool => ({
     type,
     zone,
     spot,
-    home: zone === 'a',
-    count: 0,
-    refusedUntil,
+    hasControllers: zone === 'a',
+    machineCount: 0,
+    unavailableUntil,
   });
   const pools = [pool('a', false), pool('b', false), pool('a', true), pool('b', true, 99)];
   const demand = {
-    ordinary: 100,
-    any: 160,
-    arriving: 0,
+    ordinaryCpus: 100,
+    spotEligibleCpus: 160,
+    arrivingCpusPerS: 0,
     bootS: 25,
-    biggestCpus: 32,
-    usable: () => true,
+    largestMachineCpus: 32,
+    isUsable: () => true,
   };
-  const plan = planRentals({ pools, demand, saveMoney: true, spareShare: 0, now: 10 });
+  const plan = planScaleOut({ pools, demand, saveMoney: true, spareShare: 0, now: 10 });
   const sum = (spot: boolean): number =>
     [...plan].reduce((n, [p, c]) => n + (p.spot === spot ? c : 0), 0);
   assert.equal(sum(false), 4);
