--- a/test/fleet.test.ts
+++ b/test/autoscaler.test.ts
@@ -1,4 +1,4 @@
-/** The fleet's judgement of silence, against a cloud that only notes what it is asked for. */
+/** The autoscaler against a cloud that only records its calls: failure detection, scale-out and scale-in. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cloud } from '../src/autoscaler/cloud.js';
@@ -26,15 +26,15 @@
 const LEASE_S = 20;
 const HEARTBEAT_INTERVAL_S = 2;
 
-class Bed {
+class AutoscalerHarness {
   now = 0;
   deleted = new Set<string>();
-  rentedIn = new Set<string>();
+  requestedZones = new Set<string>();
   /** Not in the cloud's list any more. */
-  readonly taken = new Set<string>();
-  /** Until when controllers in zones a and b may keep the leases there. */
-  kept = Infinity;
-  behind = false;
+  readonly unlisted = new Set<string>();
+  /** Until when controllers in zones a and b may extend the leases there. */
+  extendableUntil = Infinity;
+  isLagging = false;
   demand = 400;
   readonly table: MachineTable;
   readonly autoscaler: Autoscaler;
@@ -46,7 +46,7 @@
         send: (_to, _method, path, body) => {
           if (path === '/machines/delete')
             for (const id of body!.stones as string[]) this.deleted.add(id);
-          if (path === '/machines') this.rentedIn.add(body!.yard as string);
+          if (path === '/machines') this.requestedZones.add(body!.yard as string);
           const status = path === '/machines' ? 503 : 200;
           return Promise.resolve({
             status,
@@ -83,10 +83,10 @@
         isUsable: () => true,
       }),
       partitionedZones: () => new Set(),
-      leasesExtendableUntil: (zone) => (zone === 'c' ? null : this.kept),
+      leasesExtendableUntil: (zone) => (zone === 'c' ? null : this.extendableUntil),
       controllerZones: new Set(['a', 'b']),
       leaseS: LEASE_S,
-      isLagging: () => this.behind,
+      isLagging: () => this.isLagging,
       machineDeleted: (m) => {
         this.table.remove(m, this.now);
       },
@@ -100,7 +100,7 @@
   }
 
   private list(): Body {
-    const there = [...this.table.all()].filter((m) => !this.taken.has(m.id));
+    const there = [...this.table.all()].filter((m) => !this.unlisted.has(m.id));
     return {
       stones: there.map((m) => ({
         id: m.id,
@@ -149,23 +149,26 @@
 
 const ids = (zone: string): string[] => [...Array(10).keys()].map((i) => `${zone}${i}`);
 
-test('a zone that falls silent as a whole is shunned but kept: only replicas that nobody keeps alive are given up', async () => {
-  const b = new Bed(10);
+test('a zone that falls silent as a whole is quarantined but kept: only machines with replicas whose leases nobody extends are deleted', async () => {
+  const b = new AutoscalerHarness(10);
   await b.pass(5, () => true);
   for (const m of b.table.all()) m.serviceTasks = Number(m.id.slice(1)) < 3 ? 1 : 0;
   await b.pass(LEASE_S * 0.7, (m) => m.zone !== 'c');
   assert.equal(b.deleted.size, 0, 'it may come back, and its work runs on');
-  b.rentedIn.clear();
+  b.requestedZones.clear();
   await b.pass(LEASE_S * 0.25, (m) => m.zone !== 'c');
   assert.deepEqual([...b.deleted].sort(), ['c0', 'c1', 'c2']);
   await b.pass(40, (m) => m.zone !== 'c');
   assert.equal(b.deleted.size, 3, 'the other machines are worth more than new ones');
   await b.pass(15, () => true);
-  assert.ok(b.rentedIn.has('a') && !b.rentedIn.has('c'), 'nothing is rented in it for a while');
+  assert.ok(
+    b.requestedZones.has('a') && !b.requestedZones.has('c'),
+    'nothing is requested in it for a while',
+  );
 });
 
-test('the machines of a lost zone that has controllers are kept, and given up in the end', async () => {
-  const b = new Bed(10);
+test('the machines of a partitioned zone that has controllers are kept, and deleted in the end', async () => {
+  const b = new AutoscalerHarness(10);
   await b.pass(5, () => true);
   for (const m of b.table.all()) m.serviceTasks = 1;
   await b.pass(90, (m) => m.zone !== 'b');
@@ -174,8 +177,8 @@
   assert.deepEqual([...b.deleted].sort(), ids('b'));
 });
 
-test('when a lost zone is back, its machines get the time to say so', async () => {
-  const b = new Bed(10);
+test('when a partition heals, machines of the zone get the time for a heartbeat', async () => {
+  const b = new AutoscalerHarness(10);
   await b.pass(5, () => true);
   await b.pass(14, (m) => m.zone !== 'b');
   // Half of them report a second or two later than the others; one does not come back.
@@ -184,13 +187,13 @@
   assert.deepEqual([...b.deleted], ['b9']);
 });
 
-test('in a lost zone with controllers, replicas are given up shortly before kept leases end, where they can run elsewhere', async () => {
+test('in a partitioned zone with controllers, machines with replicas are deleted shortly before extended leases end, where the replicas can run elsewhere', async () => {
   for (const zonesLost of ['b', 'bc']) {
-    const b = new Bed(20);
+    const b = new AutoscalerHarness(20);
     await b.pass(5, () => true);
     for (const m of b.table.all())
       m.serviceTasks = m.zone === 'b' && Number(m.id.slice(1)) < 3 ? 1 : 0;
-    b.kept = b.now + 15_000;
+    b.extendableUntil = b.now + 15_000;
     await b.pass(15 + LEASE_S * 0.75, (m) => !zonesLost.includes(m.zone));
     assert.equal(b.deleted.size, 0);
     await b.pass(LEASE_S * 0.2, (m) => !zonesLost.includes(m.zone));
@@ -198,16 +201,16 @@
   }
 });
 
-test('silent machines that the cloud no longer lists are given up at once, however many, and in a lost zone too', async () => {
-  const b = new Bed(10);
+test('silent machines that the cloud no longer lists are deleted at once, however many, and in a partitioned zone too', async () => {
+  const b = new AutoscalerHarness(10);
   await b.pass(12, () => true);
-  for (const m of b.table.all()) if (m.zone === 'b' || m.id === 'a1') b.taken.add(m.id);
-  await b.pass(6, (m) => !b.taken.has(m.id));
+  for (const m of b.table.all()) if (m.zone === 'b' || m.id === 'a1') b.unlisted.add(m.id);
+  await b.pass(6, (m) => !b.unlisted.has(m.id));
   assert.deepEqual([...b.deleted].sort(), ['a1', ...ids('b')]);
 });
 
 test('a machine that is heard, but never shows the token it is told, is deleted', async () => {
-  const b = new Bed(10);
+  const b = new AutoscalerHarness(10);
   await b.pass(5, () => true);
   for (let i = 0; i < 40; i++) {
     await b.pass(1, () => true);
@@ -219,71 +222,71 @@
   assert.deepEqual([...b.deleted], ['b4']);
 });
 
-test('when machines of all zones are silent at once, it is we who are cut off', async () => {
-  const b = new Bed(10);
+test('when machines of all zones are silent at once, it is the leader that is partitioned', async () => {
+  const b = new AutoscalerHarness(10);
   await b.pass(5, () => true);
   await b.pass(30, (m) => Number(m.id.slice(1)) < 5);
   assert.equal(b.deleted.size, 0);
 });
 
-test('while we are behind, silence is not believed at once', async () => {
-  const b = new Bed(10);
+test('while the leader lags, silent machines are not deleted at once', async () => {
+  const b = new AutoscalerHarness(10);
   await b.pass(5, () => true);
-  b.behind = true;
+  b.isLagging = true;
   await b.pass(8, (m) => m.id !== 'a3');
   assert.equal(b.deleted.size, 0);
-  b.behind = false;
+  b.isLagging = false;
   await b.pass(1.5, (m) => m.id !== 'a3');
   assert.deepEqual([...b.deleted], ['a3']);
 });
 
-test('a takeover waits seconds, not a lease, for the last machines and for a zone nobody keeps', async () => {
-  const b = new Bed(10);
+test('a takeover waits seconds, not a lease, for the last machines and for a zone whose leases nobody extends', async () => {
+  const b = new AutoscalerHarness(10);
   for (const m of b.table.all()) m.commandFailures = 2;
-  b.behind = true;
+  b.isLagging = true;
   await b.pass(6, (m) => m.zone !== 'c' && m.id !== 'a7');
   assert.deepEqual([...b.deleted].sort(), ['a7', ...ids('c')]);
 });
 
-test('a takeover deletes nothing in a lost zone that has controllers, where work may be kept alive', async () => {
-  const b = new Bed(10);
+test('a takeover deletes nothing in a partitioned zone that has controllers, which may extend leases', async () => {
+  const b = new AutoscalerHarness(10);
   for (const m of b.table.all()) m.commandFailures = 2;
   await b.pass(30, (m) => m.zone !== 'b' && m.id !== 'a7');
   assert.deepEqual([...b.deleted], ['a7']);
 });
 
-test('a new leader rents nothing in a zone that is cut off, and does not count on what was rented there', async () => {
-  const b = new Bed(10);
+test('a new leader requests nothing in a partitioned zone, and does not count on what was requested there', async () => {
+  const b = new AutoscalerHarness(10);
   // Twice that is the target, beside a hundred: with the 240 there would be enough.
   b.demand = 140;
   for (const m of b.table.all()) if (m.zone === 'c') m.commandFailures = 1;
   // On their way when the zone was cut off: 240 CPUs that will not come.
   for (let i = 0; i < 30; i++) b.table.add(`new${i}`, '', TYPE, 'c', false, 0).rentedAt = 0;
   await b.pass(8, (m) => m.stored && m.zone !== 'c');
-  assert.deepEqual([...b.rentedIn].sort(), ['a', 'b']);
+  assert.deepEqual([...b.requestedZones].sort(), ['a', 'b']);
 });
 
-test('a new leader looks around before it rents', async () => {
-  const b = new Bed(10);
+test('a new leader detects partitions before it requests machines', async () => {
+  const b = new AutoscalerHarness(10);
   await b.pass(2, (m) => m.zone !== 'c' && m.id !== 'a0');
-  assert.equal(b.rentedIn.size, 0);
+  assert.equal(b.requestedZones.size, 0);
   await b.pass(2, () => true);
-  assert.ok(b.rentedIn.size > 0);
+  assert.ok(b.requestedZones.size > 0);
 });
 
-test('with no work at all machines are returned also where money does not count', async () => {
-  const b = new Bed(5);
+test('with no work at all idle machines are deleted also where money does not count', async () => {
+  const b = new AutoscalerHarness(5);
   await b.pass(40, () => true);
   assert.equal(b.deleted.size, 0, 'spare ones are kept while there is work');
   b.demand = 0;
-  b.rentedIn.clear();
+  b.requestedZones.clear();
   await b.pass(20, () => true);
   assert.equal(b.deleted.size, 15);
-  assert.equal(b.rentedIn.size, 0, 'nor is anything rented');
+  assert.equal(b.requestedZones.size, 0, 'nor is anything requested');
 });
 
 test('a task that was found running is not timed: its start is not known', () => {
-  const b = new Bed(1);
+  const b = new AutoscalerHarness(1);
   const m = b.table.get('a0')!;
   const task = { job: 'run-1', taskNumber: 0, attempt: 1, cause: null };
   const r = {
