--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -11,6 +11,7 @@
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { quietLog } from './sim/quiet-log.js';
+import { type MachineListEntry, decodeCloudRequest, encodeMachineList } from './sim/wire/cloud.js';
 
 const TYPE: MachineType = {
   name: 't',
@@ -44,13 +45,12 @@
       clock: { now: () => this.now, after: () => () => undefined },
       http: {
         send: (_to, _method, path, body) => {
-          if (path === '/machines/delete')
-            for (const id of body!.stones as string[]) this.deleted.add(id);
-          if (path === '/machines') this.requestedZones.add(body!.yard as string);
-          const status = path === '/machines' ? 503 : 200;
+          const request = decodeCloudRequest(path, body ?? {});
+          if (request.kind === 'delete') for (const id of request.machines) this.deleted.add(id);
+          if (request.kind === 'rent') this.requestedZones.add(request.zone);
           return Promise.resolve({
-            status,
-            body: path.startsWith('/machines?') ? this.list() : {},
+            status: request.kind === 'rent' ? 503 : 200,
+            body: request.kind === 'list' ? this.list() : {},
           });
         },
       },
@@ -87,60 +87,58 @@
       controllerZones: new Set(['a', 'b']),
       leaseS: LEASE_S,
       isLagging: () => this.isLagging,
-      machineDeleted: (m) => {
-        this.table.remove(m, this.now);
+      machineDeleted: (machine) => {
+        this.table.remove(machine, this.now);
       },
     });
     for (const zone of ['a', 'b', 'c'])
       for (let i = 0; i < perZone; i++) {
-        const m = this.table.add(`${zone}${i}`, `${zone}${i}:1`, TYPE, zone, false, 0);
-        m.stored = true;
-        m.awaitingReconciliation = true;
+        const machine = this.table.add(`${zone}${i}`, `${zone}${i}:1`, TYPE, zone, false, 0);
+        machine.stored = true;
+        machine.awaitingReconciliation = true;
       }
   }
 
   private list(): Body {
     const there = [...this.table.all()].filter((m) => !this.unlisted.has(m.id));
-    return {
-      stones: there.map((m) => ({
-        id: m.id,
-        endpoint: m.endpoint,
-        stone_kind: 't',
-        yard: m.zone,
-        loaned_stones: m.spot,
-        condition: 'running',
-        age_s: 100,
-      })),
-      truncated: false,
-    };
+    const entries = there.map(({ id, endpoint, zone, spot }): MachineListEntry => ({
+      id,
+      endpoint,
+      type: TYPE.name,
+      zone,
+      spot,
+      state: 'running',
+      ageS: 100,
+    }));
+    return encodeMachineList(entries, false);
   }
 
-  private report(m: Machine): void {
+  private report(machine: Machine): void {
     const r: Heartbeat = {
-      machine: m.id,
-      endpoint: m.endpoint,
+      machine: machine.id,
+      endpoint: machine.endpoint,
       type: 't',
-      zone: m.zone,
+      zone: machine.zone,
       spot: false,
       incarnation: 1,
-      sequence: m.lastSequence + 1,
+      sequence: machine.lastSequence + 1,
       token: 100,
       preemptionNoticeS: null,
       tasks: [],
     };
-    m.lastHeardAt = this.now;
-    this.table.applyHeartbeat(m, r, this.now);
-    m.awaitingReconciliation = false;
-    m.commandFailures = 0;
+    machine.lastHeardAt = this.now;
+    this.table.applyHeartbeat(machine, r, this.now);
+    machine.awaitingReconciliation = false;
+    machine.commandFailures = 0;
   }
 
   /** Time goes on; those that are heard report, the others answer no probe either. */
-  async pass(seconds: number, heard: (m: Machine) => boolean): Promise<void> {
+  async advance(seconds: number, heard: (machine: Machine) => boolean): Promise<void> {
     for (let t = 0; t < seconds * 2; t++) {
       this.now += 500;
-      for (const m of [...this.table.all()])
-        if (heard(m)) this.report(m);
-        else if (this.autoscaler.isHeartbeatOverdue(m, this.now)) m.commandFailures++;
+      for (const machine of [...this.table.all()])
+        if (heard(machine)) this.report(machine);
+        else if (this.autoscaler.isHeartbeatOverdue(machine, this.now)) machine.commandFailures++;
       this.autoscaler.tick();
       await new Promise<void>((done) => setImmediate(done));
     }
@@ -150,144 +148,146 @@
 const ids = (zone: string): string[] => [...Array(10).keys()].map((i) => `${zone}${i}`);
 
 test('a zone that falls silent as a whole is quarantined but kept: only machines with replicas whose leases nobody extends are deleted', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(5, () => true);
-  for (const m of b.table.all()) m.serviceTasks = Number(m.id.slice(1)) < 3 ? 1 : 0;
-  await b.pass(LEASE_S * 0.7, (m) => m.zone !== 'c');
-  assert.equal(b.deleted.size, 0, 'it may come back, and its work runs on');
-  b.requestedZones.clear();
-  await b.pass(LEASE_S * 0.25, (m) => m.zone !== 'c');
-  assert.deepEqual([...b.deleted].sort(), ['c0', 'c1', 'c2']);
-  await b.pass(40, (m) => m.zone !== 'c');
-  assert.equal(b.deleted.size, 3, 'the other machines are worth more than new ones');
-  await b.pass(15, () => true);
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  for (const machine of harness.table.all())
+    machine.serviceTasks = Number(machine.id.slice(1)) < 3 ? 1 : 0;
+  await harness.advance(LEASE_S * 0.7, (m) => m.zone !== 'c');
+  assert.equal(harness.deleted.size, 0, 'it may come back, and its work runs on');
+  harness.requestedZones.clear();
+  await harness.advance(LEASE_S * 0.25, (m) => m.zone !== 'c');
+  assert.deepEqual([...harness.deleted].sort(), ['c0', 'c1', 'c2']);
+  await harness.advance(40, (m) => m.zone !== 'c');
+  assert.equal(harness.deleted.size, 3, 'the other machines are worth more than new ones');
+  await harness.advance(15, () => true);
   assert.ok(
-    b.requestedZones.has('a') && !b.requestedZones.has('c'),
+    harness.requestedZones.has('a') && !harness.requestedZones.has('c'),
     'nothing is requested in it for a while',
   );
 });
 
 test('the machines of a partitioned zone that has controllers are kept, and deleted in the end', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(5, () => true);
-  for (const m of b.table.all()) m.serviceTasks = 1;
-  await b.pass(90, (m) => m.zone !== 'b');
-  assert.equal(b.deleted.size, 0);
-  await b.pass(60, (m) => m.zone !== 'b');
-  assert.deepEqual([...b.deleted].sort(), ids('b'));
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  for (const machine of harness.table.all()) machine.serviceTasks = 1;
+  await harness.advance(90, (m) => m.zone !== 'b');
+  assert.equal(harness.deleted.size, 0);
+  await harness.advance(60, (m) => m.zone !== 'b');
+  assert.deepEqual([...harness.deleted].sort(), ids('b'));
 });
 
 test('when a partition heals, machines of the zone get the time for a heartbeat', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(5, () => true);
-  await b.pass(14, (m) => m.zone !== 'b');
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  await harness.advance(14, (m) => m.zone !== 'b');
   // Half of them report a second or two later than the others; one does not come back.
-  await b.pass(2, (m) => m.zone !== 'b' || Number(m.id.slice(1)) < 5);
-  await b.pass(12, (m) => m.id !== 'b9');
-  assert.deepEqual([...b.deleted], ['b9']);
+  await harness.advance(2, (m) => m.zone !== 'b' || Number(m.id.slice(1)) < 5);
+  await harness.advance(12, (m) => m.id !== 'b9');
+  assert.deepEqual([...harness.deleted], ['b9']);
 });
 
 test('in a partitioned zone with controllers, machines with replicas are deleted shortly before extended leases end, where the replicas can run elsewhere', async () => {
   for (const zonesLost of ['b', 'bc']) {
-    const b = new AutoscalerHarness(20);
-    await b.pass(5, () => true);
-    for (const m of b.table.all())
-      m.serviceTasks = m.zone === 'b' && Number(m.id.slice(1)) < 3 ? 1 : 0;
-    b.extendableUntil = b.now + 15_000;
-    await b.pass(15 + LEASE_S * 0.75, (m) => !zonesLost.includes(m.zone));
-    assert.equal(b.deleted.size, 0);
-    await b.pass(LEASE_S * 0.2, (m) => !zonesLost.includes(m.zone));
-    assert.deepEqual([...b.deleted].sort(), zonesLost === 'b' ? ['b0', 'b1', 'b2'] : []);
+    const harness = new AutoscalerHarness(20);
+    await harness.advance(5, () => true);
+    for (const machine of harness.table.all())
+      machine.serviceTasks = machine.zone === 'b' && Number(machine.id.slice(1)) < 3 ? 1 : 0;
+    harness.extendableUntil = harness.now + 15_000;
+    await harness.advance(15 + LEASE_S * 0.75, (m) => !zonesLost.includes(m.zone));
+    assert.equal(harness.deleted.size, 0);
+    await harness.advance(LEASE_S * 0.2, (m) => !zonesLost.includes(m.zone));
+    assert.deepEqual([...harness.deleted].sort(), zonesLost === 'b' ? ['b0', 'b1', 'b2'] : []);
   }
 });
 
 test('silent machines that the cloud no longer lists are deleted at once, however many, and in a partitioned zone too', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(12, () => true);
-  for (const m of b.table.all()) if (m.zone === 'b' || m.id === 'a1') b.unlisted.add(m.id);
-  await b.pass(6, (m) => !b.unlisted.has(m.id));
-  assert.deepEqual([...b.deleted].sort(), ['a1', ...ids('b')]);
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(12, () => true);
+  for (const machine of harness.table.all())
+    if (machine.zone === 'b' || machine.id === 'a1') harness.unlisted.add(machine.id);
+  await harness.advance(6, (m) => !harness.unlisted.has(m.id));
+  assert.deepEqual([...harness.deleted].sort(), ['a1', ...ids('b')]);
 });
 
 test('a machine that is heard, but never shows the token it is told, is deleted', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(5, () => true);
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
   for (let i = 0; i < 40; i++) {
-    await b.pass(1, () => true);
-    for (const m of b.table.all()) {
-      const token = b.table.requestTokenAck(m, b.now, LEASE_S * 500);
-      if (m.id !== 'b4') m.shownToken = token;
+    await harness.advance(1, () => true);
+    for (const machine of harness.table.all()) {
+      const token = harness.table.requestTokenAck(machine, harness.now, LEASE_S * 500);
+      if (machine.id !== 'b4') machine.shownToken = token;
     }
   }
-  assert.deepEqual([...b.deleted], ['b4']);
+  assert.deepEqual([...harness.deleted], ['b4']);
 });
 
 test('when machines of all zones are silent at once, it is the leader that is partitioned', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(5, () => true);
-  await b.pass(30, (m) => Number(m.id.slice(1)) < 5);
-  assert.equal(b.deleted.size, 0);
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  await harness.advance(30, (m) => Number(m.id.slice(1)) < 5);
+  assert.equal(harness.deleted.size, 0);
 });
 
 test('while the leader lags, silent machines are not deleted at once', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(5, () => true);
-  b.isLagging = true;
-  await b.pass(8, (m) => m.id !== 'a3');
-  assert.equal(b.deleted.size, 0);
-  b.isLagging = false;
-  await b.pass(1.5, (m) => m.id !== 'a3');
-  assert.deepEqual([...b.deleted], ['a3']);
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  harness.isLagging = true;
+  await harness.advance(8, (m) => m.id !== 'a3');
+  assert.equal(harness.deleted.size, 0);
+  harness.isLagging = false;
+  await harness.advance(1.5, (m) => m.id !== 'a3');
+  assert.deepEqual([...harness.deleted], ['a3']);
 });
 
 test('a takeover waits seconds, not a lease, for the last machines and for a zone whose leases nobody extends', async () => {
-  const b = new AutoscalerHarness(10);
-  for (const m of b.table.all()) m.commandFailures = 2;
-  b.isLagging = true;
-  await b.pass(6, (m) => m.zone !== 'c' && m.id !== 'a7');
-  assert.deepEqual([...b.deleted].sort(), ['a7', ...ids('c')]);
+  const harness = new AutoscalerHarness(10);
+  for (const machine of harness.table.all()) machine.commandFailures = 2;
+  harness.isLagging = true;
+  await harness.advance(6, (m) => m.zone !== 'c' && m.id !== 'a7');
+  assert.deepEqual([...harness.deleted].sort(), ['a7', ...ids('c')]);
 });
 
 test('a takeover deletes nothing in a partitioned zone that has controllers, which may extend leases', async () => {
-  const b = new AutoscalerHarness(10);
-  for (const m of b.table.all()) m.commandFailures = 2;
-  await b.pass(30, (m) => m.zone !== 'b' && m.id !== 'a7');
-  assert.deepEqual([...b.deleted], ['a7']);
+  const harness = new AutoscalerHarness(10);
+  for (const machine of harness.table.all()) machine.commandFailures = 2;
+  await harness.advance(30, (m) => m.zone !== 'b' && m.id !== 'a7');
+  assert.deepEqual([...harness.deleted], ['a7']);
 });
 
 test('a new leader requests nothing in a partitioned zone, and does not count on what was requested there', async () => {
-  const b = new AutoscalerHarness(10);
+  const harness = new AutoscalerHarness(10);
   // Twice that is the target, beside a hundred: with the 240 there would be enough.
-  b.demand = 140;
-  for (const m of b.table.all()) if (m.zone === 'c') m.commandFailures = 1;
+  harness.demand = 140;
+  for (const machine of harness.table.all()) if (machine.zone === 'c') machine.commandFailures = 1;
   // On their way when the zone was cut off: 240 CPUs that will not come.
-  for (let i = 0; i < 30; i++) b.table.add(`new${i}`, '', TYPE, 'c', false, 0).rentedAt = 0;
-  await b.pass(8, (m) => m.stored && m.zone !== 'c');
-  assert.deepEqual([...b.requestedZones].sort(), ['a', 'b']);
+  for (let i = 0; i < 30; i++) harness.table.add(`new${i}`, '', TYPE, 'c', false, 0).rentedAt = 0;
+  await harness.advance(8, (m) => m.stored && m.zone !== 'c');
+  assert.deepEqual([...harness.requestedZones].sort(), ['a', 'b']);
 });
 
 test('a new leader detects partitions before it requests machines', async () => {
-  const b = new AutoscalerHarness(10);
-  await b.pass(2, (m) => m.zone !== 'c' && m.id !== 'a0');
-  assert.equal(b.requestedZones.size, 0);
-  await b.pass(2, () => true);
-  assert.ok(b.requestedZones.size > 0);
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(2, (m) => m.zone !== 'c' && m.id !== 'a0');
+  assert.equal(harness.requestedZones.size, 0);
+  await harness.advance(2, () => true);
+  assert.ok(harness.requestedZones.size > 0);
 });
 
 test('with no work at all idle machines are deleted also where money does not count', async () => {
-  const b = new AutoscalerHarness(5);
-  await b.pass(40, () => true);
-  assert.equal(b.deleted.size, 0, 'spare ones are kept while there is work');
-  b.demand = 0;
-  b.requestedZones.clear();
-  await b.pass(20, () => true);
-  assert.equal(b.deleted.size, 15);
-  assert.equal(b.requestedZones.size, 0, 'nor is anything requested');
+  const harness = new AutoscalerHarness(5);
+  await harness.advance(40, () => true);
+  assert.equal(harness.deleted.size, 0, 'spare ones are kept while there is work');
+  harness.demand = 0;
+  harness.requestedZones.clear();
+  await harness.advance(20, () => true);
+  assert.equal(harness.deleted.size, 15);
+  assert.equal(harness.requestedZones.size, 0, 'nor is anything requested');
 });
 
 test('a task that was found running is not timed: its start is not known', () => {
-  const b = new AutoscalerHarness(1);
-  const m = b.table.get('a0')!;
+  const harness = new AutoscalerHarness(1);
+  const machine = harness.table.get('a0')!;
   const task = { job: 'run-1', taskNumber: 0, attempt: 1, cause: null };
   const r = {
     machine: 'a0',
@@ -299,17 +299,21 @@
     token: 100,
     preemptionNoticeS: null,
   };
-  b.table.applyHeartbeat(m, { ...r, sequence: 1, tasks: [{ ...task, state: 'running' }] }, 1000);
-  assert.equal([...m.attempts.values()][0].runningSince, 0);
-  b.table.applyHeartbeat(
-    m,
+  harness.table.applyHeartbeat(
+    machine,
+    { ...r, sequence: 1, tasks: [{ ...task, state: 'running' }] },
+    1000,
+  );
+  assert.equal([...machine.attempts.values()][0].runningSince, 0);
+  harness.table.applyHeartbeat(
+    machine,
     { ...r, sequence: 2, tasks: [{ ...task, taskNumber: 1, state: 'fetching' }] },
     2000,
   );
-  b.table.applyHeartbeat(
-    m,
+  harness.table.applyHeartbeat(
+    machine,
     { ...r, sequence: 3, tasks: [{ ...task, taskNumber: 1, state: 'running' }] },
     3000,
   );
-  assert.equal([...m.attempts.values()][0].runningSince, 3000);
+  assert.equal([...machine.attempts.values()][0].runningSince, 3000);
 });
