--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -41,30 +41,15 @@
   readonly autoscaler: Autoscaler;
 
   constructor(perZone: number) {
-    const world: Runtime = {
-      clock: { now: () => this.now, after: () => () => undefined },
-      http: {
-        send: (_to, _method, path, body) => {
-          const request = decodeCloudRequest(path, body ?? {});
-          if (request.kind === 'delete') for (const id of request.machines) this.deleted.add(id);
-          if (request.kind === 'rent') this.requestedZones.add(request.zone);
-          return Promise.resolve({
-            status: request.kind === 'rent' ? 503 : 200,
-            body: request.kind === 'list' ? this.list() : {},
-          });
-        },
-      },
-      log: quietLog,
-      random: () => 0.5,
-    };
+    const runtime = this.createRuntime();
     const none = (): undefined => undefined;
     this.table = new MachineTable(100, LEASE_S * 1000, none, {
       attemptAdded: none,
       attemptEnded: none,
     });
-    const cloud = new Cloud(world, 'cloud:1', 50);
+    const cloud = new Cloud(runtime, 'cloud:1', 50);
     this.autoscaler = new Autoscaler({
-      runtime: world,
+      runtime,
       cloud,
       actions: new DirectActions(cloud, () => 'r'),
       table: this.table,
@@ -99,6 +84,25 @@
       }
   }
 
+  private createRuntime(): Runtime {
+    return {
+      clock: { now: () => this.now, after: () => () => undefined },
+      http: {
+        send: (_to, _method, path, body) => {
+          const request = decodeCloudRequest(path, body ?? {});
+          if (request.kind === 'delete') for (const id of request.machines) this.deleted.add(id);
+          if (request.kind === 'rent') this.requestedZones.add(request.zone);
+          return Promise.resolve({
+            status: request.kind === 'rent' ? 503 : 200,
+            body: request.kind === 'list' ? this.list() : {},
+          });
+        },
+      },
+      log: quietLog,
+      random: () => 0.5,
+    };
+  }
+
   private list(): Body {
     const there = [...this.table.all()].filter((m) => !this.unlisted.has(m.id));
     const entries = there.map(({ id, endpoint, zone, spot }): MachineListEntry => ({
@@ -114,7 +118,7 @@
   }
 
   private report(machine: Machine): void {
-    const r: Heartbeat = {
+    const heartbeat: Heartbeat = {
       machine: machine.id,
       endpoint: machine.endpoint,
       type: 't',
@@ -127,14 +131,14 @@
       tasks: [],
     };
     machine.lastHeardAt = this.now;
-    this.table.applyHeartbeat(machine, r, this.now);
+    this.table.applyHeartbeat(machine, heartbeat, this.now);
     machine.awaitingReconciliation = false;
     machine.commandFailures = 0;
   }
 
   /** Time goes on; those that are heard report, the others answer no probe either. */
   async advance(seconds: number, heard: (machine: Machine) => boolean): Promise<void> {
-    for (let t = 0; t < seconds * 2; t++) {
+    for (let i = 0; i < seconds * 2; i++) {
       this.now += 500;
       for (const machine of [...this.table.all()])
         if (heard(machine)) this.report(machine);
@@ -289,7 +293,7 @@
   const harness = new AutoscalerHarness(1);
   const machine = harness.table.get('a0')!;
   const task = { job: 'run-1', taskNumber: 0, attempt: 1, cause: null };
-  const r = {
+  const heartbeat = {
     machine: 'a0',
     endpoint: 'a0:1',
     type: 't',
@@ -301,18 +305,18 @@
   };
   harness.table.applyHeartbeat(
     machine,
-    { ...r, sequence: 1, tasks: [{ ...task, state: 'running' }] },
+    { ...heartbeat, sequence: 1, tasks: [{ ...task, state: 'running' }] },
     1000,
   );
   assert.equal([...machine.attempts.values()][0].runningSince, 0);
   harness.table.applyHeartbeat(
     machine,
-    { ...r, sequence: 2, tasks: [{ ...task, taskNumber: 1, state: 'fetching' }] },
+    { ...heartbeat, sequence: 2, tasks: [{ ...task, taskNumber: 1, state: 'fetching' }] },
     2000,
   );
   harness.table.applyHeartbeat(
     machine,
-    { ...r, sequence: 3, tasks: [{ ...task, taskNumber: 1, state: 'running' }] },
+    { ...heartbeat, sequence: 3, tasks: [{ ...task, taskNumber: 1, state: 'running' }] },
     3000,
   );
   assert.equal([...machine.attempts.values()][0].runningSince, 3000);
