--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -22,9 +22,9 @@
   leaseExtensionMs: number;
   demand(): Demand;
   /** Does this controller lag, so that what seems silent may just wait unread? */
-  isBehind(): boolean;
+  isLagging(): boolean;
   /** The machine and everything on it are gone. */
-  machineGone(machine: Machine): void;
+  machineDeleted(machine: Machine): void;
 }
 
 /** An autoscaler that acts through intents where the cluster's level allows them, and directly elsewhere. */
@@ -43,17 +43,18 @@
     operator,
     types,
     saveMoney: moneyCounts(settings, operator),
-    reportS: settings.reportS,
+    heartbeatIntervalS: settings.reportS,
     listLagS: settings.listLagS,
     isLeader: () => lifecycle.isLeader(),
     demand: () => context.demand(),
-    cutZones: () => partitionedZones(settings, grants, runtime.clock.now()),
-    keptUntil: (zone) => leasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
-    homeZones: new Set([settings.zone, ...settings.peers.map((peer) => peer.zone)]),
+    partitionedZones: () => partitionedZones(settings, grants, runtime.clock.now()),
+    leasesExtendableUntil: (zone) =>
+      leasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
+    controllerZones: new Set([settings.zone, ...settings.peers.map((peer) => peer.zone)]),
     leaseS: settings.leaseS,
-    behind: () => context.isBehind(),
-    gone: (machine) => {
-      context.machineGone(machine);
+    isLagging: () => context.isLagging(),
+    machineDeleted: (machine) => {
+      context.machineDeleted(machine);
     },
   });
 }
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -187,8 +187,8 @@
       grants: this.grants,
       leaseExtensionMs: this.leaseExtensionMs,
       demand: () => this.demand(),
-      isBehind: () => this.eventLoopLag.isLagging(clock.now()) || this.sender.isCongested(),
-      machineGone: (machine) => {
+      isLagging: () => this.eventLoopLag.isLagging(clock.now()) || this.sender.isCongested(),
+      machineDeleted: (machine) => {
         this.forgetMachine(machine);
       },
     });
@@ -216,7 +216,7 @@
       attemptBase: this.lifecycle.baseToken,
       recoveryComplete: () => this.recovery.isComplete(),
       wallMs: () => this.deps.wallMs(),
-      isSilent: (machine) => this.autoscaler.isSilent(machine, runtime.clock.now()),
+      isSilent: (machine) => this.autoscaler.isUnreachable(machine, runtime.clock.now()),
     });
   }
 
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -1,7 +1,7 @@
 /** What a new leader makes of the intents that former leaders have stored. */
 import type { Intent, IntentLog, Versioned } from '@millring/duties';
 import type { Conversion } from '@millring/rollout';
-import { rentResult } from '../duties/intent-actions.js';
+import { toRequestResult } from '../duties/intent-actions.js';
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 
 /** An intent as it was read. */
@@ -23,11 +23,18 @@
     const { action, id } = value;
     if (action.kind === 'delete') {
       const done =
-        value.outcome !== null || log.follow(id, version).then(({ kind }) => kind === 'resolved');
-      autoscaler.takeOverDeletion(action.machines, Promise.resolve(done));
+        value.outcome !== null ||
+        log.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
+      autoscaler.restoreDeletion(action.machines, Promise.resolve(done));
     } else if (value.outcome === null) {
       const { type, zone, spot, count } = action;
-      autoscaler.takeOverRental(type, zone, spot, count, log.follow(id, version).then(rentResult));
+      autoscaler.restoreMachineRequest(
+        type,
+        zone,
+        spot,
+        count,
+        log.awaitOutcome(id, version).then(toRequestResult),
+      );
     }
   }
 }
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -53,7 +53,7 @@
 
 async function listWithin(setup: Setup, ms: number): Promise<ListedMachine[] | null> {
   let result: ListedMachine[] | null = null;
-  void setup.cloud.list(() => true).then((list) => (result = list));
+  void setup.cloud.listMachines(() => true).then((list) => (result = list));
   await setup.clock.runUntil(setup.clock.time + ms, () => undefined);
   return result;
 }
@@ -62,9 +62,9 @@
   const setup = await manyMachines();
   let rentals = 0;
   const rentEachSecond = (): void => {
-    if (setup.cloud.room()) {
+    if (setup.cloud.tryAcquireCall()) {
       rentals++;
-      void setup.cloud.rent(`r-${rentals}`, 't16', 'b', false, 1);
+      void setup.cloud.requestMachines(`r-${rentals}`, 't16', 'b', false, 1);
     }
     setup.clock.after(1000, rentEachSecond);
   };
@@ -78,7 +78,7 @@
   assert.ok(rentals >= 40, `${rentals} rentals in 48 s`);
   const pages = MACHINES / 500;
   assert.ok(
-    setup.cloud.shortestListIntervalMs() >= (1000 * pages) / (RPS / 2),
+    setup.cloud.minListIntervalMs() >= (1000 * pages) / (RPS / 2),
     'lists take half of the calls at most',
   );
 });
@@ -103,7 +103,7 @@
   let wanted = true;
   let ended = false;
   void setup.cloud
-    .list(() => wanted)
+    .listMachines(() => wanted)
     .then((list) => {
       ended = list === null;
     });
