--- a/packages/state-access/src/index.ts
+++ b/packages/state-access/src/index.ts
@@ -1,31 +1,50 @@
 /**
- * What packages need of the state service: linearizable reads, guarded atomic writes, leases and watches. The
- * program's own client is passed in; packages open no connection themselves.
+ * What packages need of the state service: linearizable reads, compare-and-swap over several keys, leases and
+ * watches. The program's own client is passed in; packages open no connection themselves.
  */
 export { type Parsed, parseRecord } from './parsed.js';
 
-/** The transaction is applied only if the key has this version; 0: the key does not exist. */
+/** Holds if the key has exactly this version; 0: the key does not exist. */
 export interface Precondition {
   key: string;
   version: number;
 }
 
-/** A key put under a lease is removed with it. */
+/** One write or removal of a key. A key put under a lease is removed when the lease ends. */
 export type Mutation = { put: string; value: unknown; lease?: number } | { remove: string };
 
+/** A key as it is stored. Its version changes with each write. */
 export interface KeyValue {
   key: string;
   value: unknown;
   version: number;
 }
 
-/** `refused`: not executed. */
+/**
+ * The result of a linearizable read. `absent`: there was no such key as of `revision`. `unavailable`: not answered,
+ * so nothing is known of the key.
+ */
 export type ReadResult =
   | { kind: 'found'; entry: KeyValue }
   | { kind: 'absent'; revision: number }
   | { kind: 'unavailable' };
 
-/** `unknown`: no answer came, so the transaction may have been applied, or may still be. */
+/** All keys under a prefix. A watch after `revision` misses nothing that changed since. */
+export interface Snapshot {
+  pairs: KeyValue[];
+  revision: number;
+}
+
+/**
+ * What became of a compare-and-swap.
+ *
+ * - `committed`: all mutations were applied, at `revision`.
+ * - `conflict`: nothing was applied, because the preconditions on the keys `failed` did not hold.
+ * - `invalid`: nothing was applied, and the request will never be accepted as it stands, for example because a value
+ *   is too large.
+ * - `rejected`: surely not executed, for example over a rate limit; it may be sent again as it stands.
+ * - `indeterminate`: no answer came, so it may have been executed, or may still be.
+ */
 export type CompareAndSwapResult =
   | { kind: 'committed'; revision: number }
   | { kind: 'conflict'; failed: string[] }
@@ -33,6 +52,7 @@
   | { kind: 'rejected' }
   | { kind: 'indeterminate' };
 
+/** One change of a key, the latest if there were several. `deleted`: the key was removed. */
 export interface WatchEvent {
   key: string;
   value: unknown;
@@ -40,23 +60,35 @@
   deleted: boolean;
 }
 
+/**
+ * The result of a watch. `events`: all changes up to `revision`, from which the next watch goes on; there may be
+ * none. `compacted`: the service no longer has the history since the revision asked for, so that all keys must be
+ * loaded again. `unavailable`: not answered; the same watch may be repeated.
+ */
 export type WatchResult =
   | { kind: 'events'; revision: number; events: WatchEvent[] }
   | { kind: 'compacted' }
   | { kind: 'unavailable' };
 
-/** A client of the state service. */
+/** `expired`: the lease has ended for good. `indeterminate`: not answered, so it may have been renewed. */
+export type LeaseRenewal = 'renewed' | 'expired' | 'indeterminate';
+
+/** A client of the state service. Its methods never throw: what went wrong is part of their results. */
 export interface StateAccess {
   get(key: string): Promise<ReadResult>;
-  scan(prefix: string): Promise<{ pairs: KeyValue[]; revision: number } | null>;
-  compareAndSwap(guards: Precondition[], changes: Mutation[]): Promise<CompareAndSwapResult>;
+  /** All keys under the prefix; null if the service did not answer. */
+  scan(prefix: string): Promise<Snapshot | null>;
+  /** Applies all mutations at once if all preconditions hold, and otherwise none. */
+  compareAndSwap(
+    preconditions: Precondition[],
+    mutations: Mutation[],
+  ): Promise<CompareAndSwapResult>;
+  /** The id of a new lease that ends after `ttlMs` unless it is renewed; null if none is known to be granted. */
   grantLease(ttlMs: number): Promise<number | null>;
-  renewLease(
-    lease: number,
-    ttlMs: number,
-    timeoutMs: number,
-  ): Promise<'renewed' | 'expired' | 'indeterminate'>;
+  renewLease(lease: number, ttlMs: number, timeoutMs: number): Promise<LeaseRenewal>;
+  /** Ends a lease, and removes its keys. True once it has surely ended. */
   revokeLease(lease: number): Promise<boolean>;
+  /** Changes under the prefix after a revision; waits up to `waitMs` for the first of them. */
   watch(prefix: string, after: number, waitMs: number): Promise<WatchResult>;
 }
 
@@ -74,6 +106,7 @@
   log: { info(fields: object, text: string): void; error(fields: object, text: string): void };
 }
 
+/** Resolves after `ms` of the environment's clock. */
 export function sleep(environment: Environment, ms: number): Promise<void> {
   return new Promise((done) => environment.clock.after(ms, done));
 }
--- a/src/duties/command-line.ts
+++ b/src/duties/command-line.ts
@@ -14,7 +14,7 @@
 } from '../command-outcome.js';
 import type { Runtime } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
-import { stateStoreOf } from '../state-store/client.js';
+import { createStateStore } from '../state-store/client.js';
 
 export type DutiesCommand =
   { action: 'status'; json: boolean } | { action: 'release' | 'hold'; duty: Duty; json: boolean };
@@ -26,7 +26,7 @@
   wallMs: () => number,
 ): Promise<CommandOutcome> {
   const operator = new DutyOperator({
-    store: stateStoreOf(world, settings),
+    store: createStateStore(world, settings),
     by: operatorName(world, wallMs),
     wallMs,
   });
--- a/src/node.ts
+++ b/src/node.ts
@@ -20,7 +20,7 @@
 import type { PeerMessage } from './peers/peers.js';
 import { ControllerDuties } from './duties/controller-duties.js';
 import { ControllerRollout } from './rollout/controller-rollout.js';
-import { type StateStore, stateStoreOf } from './state-store/client.js';
+import { type StateStore, createStateStore } from './state-store/client.js';
 import type { Body } from './wire/cbor.js';
 import { catalogBody, readTypes } from './wire/cloud.js';
 import { readHeartbeat, redirectBody, heartbeatResponse } from './wire/workers.js';
@@ -66,7 +66,7 @@
     build: Build = BUILD,
   ) {
     const process = `${wallMs()}-${runtime.random()}`;
-    this.store = stateStoreOf(runtime, settings);
+    this.store = createStateStore(runtime, settings);
     this.cancellations = new Cancellations(settings.cancelS, settings.leaseS, () =>
       runtime.clock.now(),
     );
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -10,7 +10,7 @@
 import type { Runtime } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
-import { stateStoreOf } from '../state-store/client.js';
+import { createStateStore } from '../state-store/client.js';
 
 export const ROLLOUT_ACTIONS = ['status', 'activate', 'abort', 'downgrade'] as const;
 export type RolloutAction = (typeof ROLLOUT_ACTIONS)[number];
@@ -28,7 +28,7 @@
   wallMs: () => number,
 ): Promise<CommandOutcome> {
   const rollout = new RolloutOperator({
-    store: stateStoreOf(world, settings),
+    store: createStateStore(world, settings),
     controllers: [settings.node, ...settings.peers.map((peer) => peer.name)],
     registry: FEATURES,
     settings: operator.rollout,
--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -3,41 +3,58 @@
  * service's limits.
  */
 import type {
+  CompareAndSwapResult,
+  KeyValue,
+  LeaseRenewal,
   Mutation,
   Precondition,
-  KeyValue,
   ReadResult,
+  Snapshot,
   StateAccess,
-  CompareAndSwapResult,
   WatchResult,
 } from '@millring/state-access';
 import type { Reply, Runtime } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
+import type { Body } from '../wire/cbor.js';
+import { HTTP_STATUS, isNoReply } from '../wire/http-status.js';
 import {
+  compareAndSwapBody,
   leaseBody,
-  readFailed,
-  readLease,
-  readWatchEvents,
-  readPair,
-  readPairs,
+  readFailedKeys,
+  readKeyValue,
+  readLeaseId,
   readRevision,
-  txnBody,
+  readScanPage,
+  readWatchEvents,
   statePaths,
 } from '../wire/state.js';
 import { TokenBucket } from './token-bucket.js';
 
-export interface StoreLimits {
+/** Where the state service is, and the rates that all nodes together may ask of it. */
+export interface StateStoreLimits {
   address: string;
+  /** Controllers that share the limits. */
   nodes: number;
+  /** Requests per second. */
   rps: number;
+  /** Mutations per second. */
   writeRps: number;
 }
 
 const TIMEOUT_MS = 2000;
+/** Beyond the time that a watch may block before it is answered. */
+const WATCH_TIMEOUT_MARGIN_MS = 3000;
+
+/** Load is uneven (the leader writes, users gather on one node): an even share would leave most unused. */
+const MIN_SHARE_OF_LIMIT = 0.5;
+/** Of the limit, divided evenly among the nodes. */
+const EVENLY_DIVIDED_SHARE = 0.95;
+/** Of the limit, that one node may use at once. */
+const BURST_SHARE = 0.9;
 
 /** A client within the limits that the platform has set. */
-export function stateStoreOf(world: Runtime, settings: PlatformSettings): StateStore {
-  return new StateStore(world, {
+export function createStateStore(runtime: Runtime, settings: PlatformSettings): StateStore {
+  return new StateStore(runtime, {
     address: settings.state,
     nodes: settings.nodes,
     rps: settings.stateRps,
@@ -45,49 +62,51 @@
   });
 }
 
+function sharedBucket(limitPerS: number, nodes: number, now: () => number): TokenBucket {
+  const ratePerS = Math.max(
+    limitPerS * MIN_SHARE_OF_LIMIT,
+    (limitPerS * EVENLY_DIVIDED_SHARE) / nodes,
+  );
+  return new TokenBucket(ratePerS, limitPerS * BURST_SHARE, now);
+}
+
 /**
  * The state service, met by its protocol. The service's limits are shared by all nodes without their talking
- * to each other: each holds to its share, and renewals are let through first.
+ * to each other: each holds to its share, and lease renewals are let through first.
  */
 export class StateStore implements StateAccess {
   private readonly reads: TokenBucket;
   private readonly writes: TokenBucket;
+  /** When the last request was sent that was answered, and the last that was not. */
   private lastSuccessAt: number;
   private lastFailureAt = -Infinity;
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly limits: StoreLimits,
+    private readonly limits: StateStoreLimits,
   ) {
     const now = () => runtime.clock.now();
     this.lastSuccessAt = now();
-    // Load is uneven (the leader writes, users gather on one node): a fair third each would leave most unused.
-    const share = (n: number) => Math.max(n * 0.5, (n * 0.95) / limits.nodes);
-    this.reads = new TokenBucket(share(limits.rps), limits.rps * 0.9, now);
-    this.writes = new TokenBucket(share(limits.writeRps), limits.writeRps * 0.9, now);
+    this.reads = sharedBucket(limits.rps, limits.nodes, now);
+    this.writes = sharedBucket(limits.writeRps, limits.nodes, now);
   }
 
   private async send(
     method: 'GET' | 'POST' | 'DELETE',
     path: string,
-    body: object | null,
+    body: Body | null,
     timeoutMs = TIMEOUT_MS,
   ): Promise<Reply> {
     const { clock, http } = this.runtime;
-    const sent = clock.now();
-    const r = await http.send(
-      this.limits.address,
-      method,
-      path,
-      body as Reply['body'] | null,
-      timeoutMs,
-    );
-    if (r.status === 0 || r.status === 503) this.lastFailureAt = sent;
-    else this.lastSuccessAt = sent;
-    return r;
+    const sentAt = clock.now();
+    const reply = await http.send(this.limits.address, method, path, body, timeoutMs);
+    if (isNoReply(reply) || reply.status === HTTP_STATUS.serviceUnavailable)
+      this.lastFailureAt = sentAt;
+    else this.lastSuccessAt = sentAt;
+    return reply;
   }
 
-  /** For how long requests have not been served; 0 while the last one was. */
+  /** For how long requests have not been answered; 0 while the last one was. */
   unavailableForMs(): number {
     return this.lastFailureAt > this.lastSuccessAt
       ? this.runtime.clock.now() - this.lastSuccessAt
@@ -96,82 +115,99 @@
 
   async get(key: string): Promise<ReadResult> {
     if (!this.reads.tryAcquire()) return { kind: 'unavailable' };
-    const r = await this.send('GET', statePaths.key(key), null);
-    if (r.status === 404) return { kind: 'absent', revision: readRevision(r.body) };
-    const pair = r.status === 200 ? readPair(r.body) : null;
-    return pair ? { kind: 'found', entry: pair } : { kind: 'unavailable' };
+    const { status, body } = await this.send('GET', statePaths.key(key), null);
+    if (status === HTTP_STATUS.notFound) return { kind: 'absent', revision: readRevision(body) };
+    const entry = status === HTTP_STATUS.ok ? readKeyValue(body) : null;
+    return entry ? { kind: 'found', entry } : { kind: 'unavailable' };
   }
 
-  /** All pairs under the prefix, with the revision before the first page: a watch from there misses nothing. */
-  async scan(prefix: string): Promise<{ pairs: KeyValue[]; revision: number } | null> {
-    const all: KeyValue[] = [];
-    let revision = -1;
+  async scan(prefix: string): Promise<Snapshot | null> {
+    const pairs: KeyValue[] = [];
+    let revision: number | null = null;
     for (let after = ''; ;) {
       this.reads.acquireUnconditionally();
-      const r = await this.send('GET', statePaths.scan(prefix, after), null);
-      const page = r.status === 200 ? readPairs(r.body) : null;
+      const { status, body } = await this.send('GET', statePaths.scan(prefix, after), null);
+      const page = status === HTTP_STATUS.ok ? readScanPage(body) : null;
       if (!page) return null;
-      if (revision < 0) revision = page.revision;
-      all.push(...page.pairs);
-      if (!page.more || page.pairs.length === 0) return { pairs: all, revision };
+      revision ??= page.revision;
+      pairs.push(...page.pairs);
+      if (!page.more || page.pairs.length === 0) return { pairs, revision };
       after = page.pairs[page.pairs.length - 1].key;
     }
   }
 
   /** `urgent` is for leadership: it does not wait for room in the budget. */
   async compareAndSwap(
-    guards: Precondition[],
-    changes: Mutation[],
+    preconditions: Precondition[],
+    mutations: Mutation[],
     urgent = false,
   ): Promise<CompareAndSwapResult> {
     if (urgent) {
       this.reads.acquireUnconditionally();
-      this.writes.acquireUnconditionally(changes.length);
-    } else if (!this.writes.tryAcquire(changes.length) || !this.reads.tryAcquire()) {
+      this.writes.acquireUnconditionally(mutations.length);
+    } else if (!this.writes.tryAcquire(mutations.length) || !this.reads.tryAcquire()) {
       return { kind: 'rejected' };
     }
-    const r = await this.send('POST', statePaths.txn, txnBody(guards, changes));
-    if (r.status === 200) return { kind: 'committed', revision: readRevision(r.body) };
-    if (r.status === 409) return { kind: 'conflict', failed: readFailed(r.body) };
-    if (r.status === 400) {
-      this.runtime.log.info({ body: r.body, guards, changes }, 'transaction refused as malformed');
-      return { kind: 'invalid' };
+    const reply = await this.send(
+      'POST',
+      statePaths.compareAndSwap,
+      compareAndSwapBody(preconditions, mutations),
+    );
+    if (reply.status === HTTP_STATUS.badRequest) {
+      const fields = { body: reply.body, preconditions, mutations };
+      this.runtime.log.info(fields, 'compare-and-swap refused as invalid');
     }
-    return r.status === 0 ? { kind: 'indeterminate' } : { kind: 'rejected' };
+    return compareAndSwapResult(reply);
   }
 
   async grantLease(ttlMs: number): Promise<number | null> {
     this.reads.acquireUnconditionally();
-    const r = await this.send('POST', statePaths.leases, leaseBody(ttlMs));
-    return r.status === 200 ? (readLease(r.body) ?? null) : null;
+    const { status, body } = await this.send('POST', statePaths.leases, leaseBody(ttlMs));
+    return status === HTTP_STATUS.ok ? (readLeaseId(body) ?? null) : null;
   }
 
-  async renewLease(
-    lease: number,
-    ttlMs: number,
-    timeoutMs: number,
-  ): Promise<'renewed' | 'expired' | 'indeterminate'> {
+  async renewLease(lease: number, ttlMs: number, timeoutMs: number): Promise<LeaseRenewal> {
     this.reads.acquireUnconditionally();
-    const r = await this.send('POST', statePaths.renew(lease), leaseBody(ttlMs), timeoutMs);
-    return r.status === 200 ? 'renewed' : r.status === 404 ? 'expired' : 'indeterminate';
+    const path = statePaths.renewLease(lease);
+    const { status } = await this.send('POST', path, leaseBody(ttlMs), timeoutMs);
+    if (status === HTTP_STATUS.ok) return 'renewed';
+    return status === HTTP_STATUS.notFound ? 'expired' : 'indeterminate';
   }
 
   async revokeLease(lease: number): Promise<boolean> {
     this.reads.acquireUnconditionally();
-    const r = await this.send('DELETE', statePaths.lease(lease), null);
-    return r.status === 200 || r.status === 204 || r.status === 404;
+    const { status } = await this.send('DELETE', statePaths.lease(lease), null);
+    return (
+      status === HTTP_STATUS.ok ||
+      status === HTTP_STATUS.noContent ||
+      status === HTTP_STATUS.notFound
+    );
   }
 
   async watch(
     prefix: string,
     after: number,
     waitMs: number,
-    timeoutMs = waitMs + 3000,
+    timeoutMs = waitMs + WATCH_TIMEOUT_MARGIN_MS,
   ): Promise<WatchResult> {
     this.reads.acquireUnconditionally();
-    const r = await this.send('GET', statePaths.watch(prefix, after, waitMs), null, timeoutMs);
-    if (r.status === 410) return { kind: 'compacted' };
-    const n = r.status === 200 ? readWatchEvents(r.body) : null;
-    return n ? { kind: 'events', ...n } : { kind: 'unavailable' };
+    const path = statePaths.watch(prefix, after, waitMs);
+    const { status, body } = await this.send('GET', path, null, timeoutMs);
+    if (status === HTTP_STATUS.gone) return { kind: 'compacted' };
+    const read = status === HTTP_STATUS.ok ? readWatchEvents(body) : null;
+    return read ? { kind: 'events', ...read } : { kind: 'unavailable' };
+  }
+}
+
+function compareAndSwapResult(reply: Reply): CompareAndSwapResult {
+  switch (reply.status) {
+    case HTTP_STATUS.ok:
+      return { kind: 'committed', revision: readRevision(reply.body) };
+    case HTTP_STATUS.conflict:
+      return { kind: 'conflict', failed: readFailedKeys(reply.body) };
+    case HTTP_STATUS.badRequest:
+      return { kind: 'invalid' };
+    default:
+      return isNoReply(reply) ? { kind: 'indeterminate' } : { kind: 'rejected' };
   }
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,23 +1,23 @@
 /** The cloud's catalog, machine list, rentals and deletions. */
 import { type Body, isMap } from './cbor.js';
 import type { ListedMachine, ListedState, MachineType } from './model.js';
-import { amount, text } from './validators.js';
+import { isAmount, isText } from './validators.js';
 
 export function readTypes(b: Body): MachineType[] | null {
   if (!Array.isArray(b.stone_kinds)) return null;
   const out: MachineType[] = [];
   for (const v of b.stone_kinds) {
-    if (!isMap(v) || !text(v.name) || !amount(v.vcpus) || !amount(v.ram_gb)) return null;
+    if (!isMap(v) || !isText(v.name) || !isAmount(v.vcpus) || !isAmount(v.ram_gb)) return null;
     out.push({
       name: v.name,
       cpus: v.vcpus,
-      gpus: amount(v.gpus) ? v.gpus : 0,
+      gpus: isAmount(v.gpus) ? v.gpus : 0,
       memoryGb: v.ram_gb,
-      fetchGbPerS: amount(v.fetch_gb_per_s) ? v.fetch_gb_per_s : 0.1,
-      price: amount(v.price) ? v.price : 0,
-      spotPrice: amount(v.spot_price) ? v.spot_price : 0,
-      bootS: amount(v.boot_s) ? v.boot_s : 60,
-      zones: Array.isArray(v.yards) ? v.yards.filter(text) : [],
+      fetchGbPerS: isAmount(v.fetch_gb_per_s) ? v.fetch_gb_per_s : 0.1,
+      price: isAmount(v.price) ? v.price : 0,
+      spotPrice: isAmount(v.spot_price) ? v.spot_price : 0,
+      bootS: isAmount(v.boot_s) ? v.boot_s : 60,
+      zones: Array.isArray(v.yards) ? v.yards.filter(isText) : [],
     });
   }
   return out;
@@ -57,15 +57,15 @@
   if (!Array.isArray(b.stones)) return null;
   const machines: ListedMachine[] = [];
   for (const v of b.stones) {
-    if (!isMap(v) || !text(v.id)) continue;
+    if (!isMap(v) || !isText(v.id)) continue;
     machines.push({
       id: v.id,
-      endpoint: text(v.endpoint) ? v.endpoint : '',
+      endpoint: isText(v.endpoint) ? v.endpoint : '',
       type: String(v.stone_kind),
       zone: String(v.yard),
       spot: v.loaned_stones === true,
       state: LISTED[v.condition as string] ?? 'running',
-      ageS: amount(v.age_s) ? v.age_s : 0,
+      ageS: isAmount(v.age_s) ? v.age_s : 0,
     });
   }
   return { machines, more: b.truncated === true };
@@ -82,7 +82,7 @@
 }
 
 export function readRental(b: Body): string[] | null {
-  return Array.isArray(b.stones) ? b.stones.filter(text) : null;
+  return Array.isArray(b.stones) ? b.stones.filter(isText) : null;
 }
 
 export function deletionBody(ids: string[]): Body {
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,68 +1,100 @@
-/** The state service's requests and answers. */
-import type { Mutation, Precondition, KeyValue, WatchEvent } from '@millring/state-access';
+/** The state service's requests and responses. */
+import type {
+  KeyValue,
+  Mutation,
+  Precondition,
+  Snapshot,
+  WatchEvent,
+} from '@millring/state-access';
 import { type Body, isMap, narrow, wide } from './cbor.js';
-import { text } from './validators.js';
+import { isText } from './validators.js';
 
-export function readPair(v: unknown): KeyValue | null {
-  if (!isMap(v) || typeof v.k !== 'string') return null;
-  return { key: v.k, value: v.data, version: narrow(v.entry_mark) ?? 0 };
+/*
+ * The protocol's own words: `entry_mark` is the version of a key, `ledger_mark` the revision of the whole store, `tenancy`
+ * a lease and `life_ms` its time to live, `news` the events of a watch.
+ */
+
+const versionOf = (body: Body): number => narrow(body.entry_mark) ?? 0;
+
+/** The store's revision as a response tells it; 0 if it doesn't. */
+export function readRevision(body: Body): number {
+  return narrow(body.ledger_mark) ?? 0;
+}
+
+/** One key with its value and version; null if the body is no such pair. */
+export function readKeyValue(body: unknown): KeyValue | null {
+  if (!isMap(body) || typeof body.k !== 'string') return null;
+  return { key: body.k, value: body.data, version: versionOf(body) };
 }
 
-export function readPairs(b: Body): { pairs: KeyValue[]; more: boolean; revision: number } | null {
-  if (!Array.isArray(b.pairs)) return null;
-  const pairs = b.pairs.map(readPair).filter((p): p is KeyValue => p !== null);
-  return { pairs, more: b.truncated === true, revision: narrow(b.ledger_mark) ?? 0 };
+/** One page of a scan; `more`: further keys follow after its last one. */
+export interface ScanPage extends Snapshot {
+  more: boolean;
 }
 
-export function txnBody(guards: Precondition[], changes: Mutation[]): Body {
+/** Null if the body is no page. Pairs in it that can't be read are left out. */
+export function readScanPage(body: Body): ScanPage | null {
+  if (!Array.isArray(body.pairs)) return null;
+  const pairs = body.pairs.map(readKeyValue).filter((pair): pair is KeyValue => pair !== null);
+  return { pairs, more: body.truncated === true, revision: readRevision(body) };
+}
+
+/** The request that applies all mutations if all preconditions hold. */
+export function compareAndSwapBody(preconditions: Precondition[], mutations: Mutation[]): Body {
   return {
-    guards: guards.map((g) => ({ k: g.key, entry_mark: wide(g.version) })),
-    then: changes.map((c) =>
-      'remove' in c
-        ? { remove: c.remove }
-        : c.lease === undefined
-          ? { put: c.put, data: c.value }
-          : { put: c.put, data: c.value, tenancy: c.lease },
-    ),
+    guards: preconditions.map(({ key, version }) => ({
+      k: key,
+      entry_mark: wide(version),
+    })),
+    then: mutations.map(mutationBody),
   };
 }
 
-export function readRevision(b: Body): number {
-  return narrow(b.ledger_mark) ?? 0;
+function mutationBody(mutation: Mutation): Body {
+  if ('remove' in mutation) return { remove: mutation.remove };
+  const { put, value, lease } = mutation;
+  return lease === undefined ? { put, data: value } : { put, data: value, tenancy: lease };
 }
 
-export function readFailed(b: Body): string[] {
-  return Array.isArray(b.failed) ? b.failed.filter(text) : [];
+/** The keys whose preconditions did not hold. */
+export function readFailedKeys(body: Body): string[] {
+  return Array.isArray(body.failed) ? body.failed.filter(isText) : [];
 }
 
-export function readWatchEvents(b: Body): { revision: number; events: WatchEvent[] } | null {
-  if (!Array.isArray(b.news)) return null;
+/** Events and the revision up to which they are complete; null if the body holds no events. */
+export function readWatchEvents(body: Body): { revision: number; events: WatchEvent[] } | null {
+  if (!Array.isArray(body.news)) return null;
   const events: WatchEvent[] = [];
-  for (const v of b.news) {
-    if (!isMap(v)) continue;
-    const deleted = typeof v.remove === 'string';
-    const key = deleted ? v.remove : v.put;
+  for (const event of body.news) {
+    if (!isMap(event)) continue;
+    const deleted = typeof event.remove === 'string';
+    const key = deleted ? event.remove : event.put;
     if (typeof key === 'string')
-      events.push({ key, value: v.data, version: narrow(v.entry_mark) ?? 0, deleted });
+      events.push({ key, value: event.data, version: versionOf(event), deleted });
   }
-  return { revision: readRevision(b), events };
+  return { revision: readRevision(body), events };
 }
 
+/** The request for a lease, or for its renewal, that ends after `ttlMs` milliseconds. */
 export function leaseBody(ttlMs: number): Body {
   return { life_ms: ttlMs };
 }
 
-export function readLease(b: Body): number | undefined {
-  return narrow(b.tenancy);
+/** The id of the lease that was granted. */
+export function readLeaseId(body: Body): number | undefined {
+  return narrow(body.tenancy);
 }
 
+const KEYS_PER_SCAN_PAGE = 1000;
+
+/** Paths of the state service. */
 export const statePaths = {
   key: (key: string) => `/kv/${key}`,
   scan: (prefix: string, after: string) =>
-    `/kv?starts=${prefix}&limit=1000${after ? `&since=${after}` : ''}`,
-  txn: '/txn',
+    `/kv?starts=${prefix}&limit=${KEYS_PER_SCAN_PAGE}${after ? `&since=${after}` : ''}`,
+  compareAndSwap: '/txn',
   leases: '/leases',
-  renew: (lease: number) => `/leases/${lease}/extend`,
+  renewLease: (lease: number) => `/leases/${lease}/extend`,
   lease: (lease: number) => `/leases/${lease}`,
   watch: (prefix: string, after: number, waitMs: number) =>
     `/watch?starts=${prefix}&since=${after}&block_ms=${waitMs}`,
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,7 +1,7 @@
 /** Users' requests and answers: submissions, questions and cancellations. */
 import { type Body, narrow } from './cbor.js';
 import { type JobKind, type JobSpec, type JobState, MAX_TASKS, type Priority } from './model.js';
-import { amount, flag, text } from './validators.js';
+import { isAmount, isFlag, isText } from './validators.js';
 
 const PRIORITIES = ['production', 'high', 'normal', 'idle'];
 const KINDS: Record<string, JobKind> = { array: 'array', daemon: 'service', group: 'gang' };
@@ -26,30 +26,30 @@
 }
 
 const isTypeList: Check = (value) =>
-  Array.isArray(value) && value.length <= MAX_TYPES && value.every(text);
+  Array.isArray(value) && value.length <= MAX_TYPES && value.every(isText);
 
 /** What each field of a submission must be, in the order in which they are checked. */
 const SUBMISSION_CHECKS: Record<string, Check> = {
   id: (value) => typeof value === 'string' && isJobId(value),
-  grist: text,
-  miller: text,
+  grist: isText,
+  miller: isText,
   grind: (value) => typeof value === 'string' && Object.hasOwn(KINDS, value),
   precedence: (value) => PRIORITIES.includes(value as string),
   sacks: isTaskCount,
-  vcpus: amount,
-  gpus: amount,
-  ram_gb: amount,
-  image_gb: amount,
-  grind_s: amount,
-  bin_every_s: amount,
-  bin_s: amount,
-  seed: text,
+  vcpus: isAmount,
+  gpus: isAmount,
+  ram_gb: isAmount,
+  image_gb: isAmount,
+  grind_s: isAmount,
+  bin_every_s: isAmount,
+  bin_s: isAmount,
+  seed: isText,
   stone_kinds: orNull(isTypeList),
-  yard: orNull(text),
-  one_zone: flag,
-  scatter: flag,
-  loaned_stones: flag,
-  due_s: orNull(amount),
+  yard: orNull(isText),
+  one_zone: isFlag,
+  scatter: isFlag,
+  loaned_stones: isFlag,
+  due_s: orNull(isAmount),
 };
 
 export type Submission = { kind: 'job'; job: JobSpec } | { kind: 'invalid'; field: string };
--- a/src/wire/validators.ts
+++ b/src/wire/validators.ts
@@ -1,9 +1,9 @@
 /** Checks of single fields of bodies that come from outside. */
 
-export const text = (v: unknown): v is string =>
+export const isText = (v: unknown): v is string =>
   typeof v === 'string' && v.length > 0 && v.length <= 120;
 
-export const amount = (v: unknown): v is number =>
+export const isAmount = (v: unknown): v is number =>
   typeof v === 'number' && Number.isFinite(v) && v >= 0 && v < 1e9;
 
-export const flag = (v: unknown): v is boolean => typeof v === 'boolean';
+export const isFlag = (v: unknown): v is boolean => typeof v === 'boolean';
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -8,7 +8,7 @@
   type WorkerCommand,
   type Heartbeat,
 } from './model.js';
-import { text } from './validators.js';
+import { isText } from './validators.js';
 
 const TASK_STATES: Record<string, TaskState | undefined> = {
   fetching: 'fetching',
@@ -46,7 +46,8 @@
   const session = narrow(b.turning);
   const seq = narrow(b.tally);
   const token = narrow(b.warrant);
-  if (!text(b.stone) || !text(b.endpoint) || !text(b.stone_kind) || !text(b.yard)) return null;
+  if (!isText(b.stone) || !isText(b.endpoint) || !isText(b.stone_kind) || !isText(b.yard))
+    return null;
   if (session === undefined || seq === undefined || token === undefined || !Array.isArray(b.sacks))
     return null;
   const tasks: TaskStatus[] = [];
