--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -10,7 +10,7 @@
   deletionBody,
   readMachineList,
   readRental,
-  readTypes,
+  readMachineTypes,
   rentalBody,
   cloudPaths,
 } from '../wire/cloud.js';
@@ -57,7 +57,7 @@
 
   async types(): Promise<MachineType[] | null> {
     const r = await this.runtime.http.send(this.address, 'GET', cloudPaths.types, null, TIMEOUT_MS);
-    return r.status === 200 ? readTypes(r.body) : null;
+    return r.status === 200 ? readMachineTypes(r.body) : null;
   }
 
   /** All machines, page by page; null if a page can't be had, or `active` turns false meanwhile. */
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -116,19 +116,25 @@
       case 'absent':
         return { status: 404, body: { error: 'no such job' } };
       case 'ended':
-        return { status: 200, body: jobAnswer(id, k.state, k.state === 'done' ? k.tasks : 0, 0) };
+        return {
+          status: 200,
+          body: jobAnswer(id, k.state, { done: k.state === 'done' ? k.tasks : 0, running: 0 }),
+        };
       case 'live': {
         if (k.record?.cancelled) return this.cancelled(id);
         const p = this.deps.progress(id);
         const state = p && p.running > 0 ? 'running' : 'pending';
-        return { status: 200, body: jobAnswer(id, state, p?.done ?? 0, p?.running ?? 0) };
+        return {
+          status: 200,
+          body: jobAnswer(id, state, { done: p?.done ?? 0, running: p?.running ?? 0 }),
+        };
       }
     }
   }
 
   private cancelled(id: string): Answer {
     this.deps.beforeConfirm(id);
-    return { status: 200, body: jobAnswer(id, 'cancelled', 0, 0) };
+    return { status: 200, body: jobAnswer(id, 'cancelled', { done: 0, running: 0 }) };
   }
 
   async submit(body: Body): Promise<Answer> {
--- a/src/node.ts
+++ b/src/node.ts
@@ -22,7 +22,7 @@
 import { ControllerRollout } from './rollout/controller-rollout.js';
 import { type StateStore, createStateStore } from './state-store/client.js';
 import type { Body } from './wire/cbor.js';
-import { catalogBody, readTypes } from './wire/cloud.js';
+import { catalogBody, readMachineTypes } from './wire/cloud.js';
 import { readHeartbeat, redirectBody, heartbeatResponse } from './wire/workers.js';
 import type { MachineType, WorkerCommand, Heartbeat } from './wire/model.js';
 
@@ -228,7 +228,7 @@
     while (this.types === null) {
       const kept = await this.store.get(MACHINE_TYPES_KEY);
       if (kept.kind === 'found') {
-        this.types = readTypes(kept.entry.value as Body);
+        this.types = readMachineTypes(kept.entry.value as Body);
         if (this.types) return;
       }
       const fresh = await this.cloud.types();
--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -3,20 +3,28 @@
 
 const codec = new Encoder({ useRecords: false, variableMapSize: true, mapsAsObjects: true });
 
+const MAX_UINT32 = 0xffffffff;
+
+/** The body of a request or response: a map with text keys. */
 export type Body = Record<string, unknown>;
 
 /** Integers above 32 bits would otherwise be written as floats, which the outside takes for amounts. */
-export function wide(n: number): number | bigint {
-  return n > 0xffffffff ? BigInt(n) : n;
+export function wide(value: number): number | bigint {
+  return value > MAX_UINT32 ? BigInt(value) : value;
 }
 
-/** The inverse: 64-bit integers are read as bigint; every count we deal in is below 2^53. */
-export function narrow(v: unknown): number | undefined {
-  if (typeof v === 'number') return v;
-  if (typeof v === 'bigint' && v >= 0n && v <= BigInt(Number.MAX_SAFE_INTEGER)) return Number(v);
+/**
+ * A number as it was received. 64-bit integers are read as bigint; every count we deal in is below 2^53.
+ * Undefined for anything else.
+ */
+export function narrow(value: unknown): number | undefined {
+  if (typeof value === 'number') return value;
+  if (typeof value === 'bigint' && value >= 0n && value <= BigInt(Number.MAX_SAFE_INTEGER))
+    return Number(value);
   return undefined;
 }
 
+/** The bytes of a body. */
 export function encode(body: unknown): Buffer {
   return codec.encode(body);
 }
@@ -24,19 +32,20 @@
 /** Null unless the bytes are exactly one map. */
 export function decodeMap(bytes: Uint8Array): Body | null {
   try {
-    const v: unknown = codec.decode(bytes);
-    return isMap(v) ? v : null;
+    const decoded: unknown = codec.decode(bytes);
+    return isMap(decoded) ? decoded : null;
   } catch {
     return null;
   }
 }
 
-export function isMap(v: unknown): v is Body {
+/** A decoded map, as opposed to the other values that are objects in JavaScript. */
+export function isMap(value: unknown): value is Body {
   return (
-    typeof v === 'object' &&
-    v !== null &&
-    !Array.isArray(v) &&
-    !(v instanceof Uint8Array) &&
-    !(v instanceof Date)
+    typeof value === 'object' &&
+    value !== null &&
+    !Array.isArray(value) &&
+    !(value instanceof Uint8Array) &&
+    !(value instanceof Date)
   );
 }
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -3,44 +3,63 @@
 import type { ListedMachine, ListedState, MachineType } from './model.js';
 import { isAmount, isText } from './validators.js';
 
-export function readTypes(b: Body): MachineType[] | null {
-  if (!Array.isArray(b.stone_kinds)) return null;
-  const out: MachineType[] = [];
-  for (const v of b.stone_kinds) {
-    if (!isMap(v) || !isText(v.name) || !isAmount(v.vcpus) || !isAmount(v.ram_gb)) return null;
-    out.push({
-      name: v.name,
-      cpus: v.vcpus,
-      gpus: isAmount(v.gpus) ? v.gpus : 0,
-      memoryGb: v.ram_gb,
-      fetchGbPerS: isAmount(v.fetch_gb_per_s) ? v.fetch_gb_per_s : 0.1,
-      price: isAmount(v.price) ? v.price : 0,
-      spotPrice: isAmount(v.spot_price) ? v.spot_price : 0,
-      bootS: isAmount(v.boot_s) ? v.boot_s : 60,
-      zones: Array.isArray(v.yards) ? v.yards.filter(isText) : [],
-    });
+/*
+ * The protocol's own words: `stone` is a machine, `stone_kind` its type, `yard` a zone, `loaned_stones` spot machines,
+ * `condition` a state; `hire` is the id of a request for machines and `number` how many.
+ */
+
+/** Of a machine type whose entry in the catalog does not tell. */
+const DEFAULT_FETCH_GB_PER_S = 0.1;
+const DEFAULT_BOOT_S = 60;
+
+const amountOr = (value: unknown, fallback: number): number => (isAmount(value) ? value : fallback);
+
+function readMachineType(entry: unknown): MachineType | null {
+  if (!isMap(entry) || !isText(entry.name)) return null;
+  if (!isAmount(entry.vcpus) || !isAmount(entry.ram_gb)) return null;
+  return {
+    name: entry.name,
+    cpus: entry.vcpus,
+    gpus: amountOr(entry.gpus, 0),
+    memoryGb: entry.ram_gb,
+    fetchGbPerS: amountOr(entry.fetch_gb_per_s, DEFAULT_FETCH_GB_PER_S),
+    price: amountOr(entry.price, 0),
+    spotPrice: amountOr(entry.spot_price, 0),
+    bootS: amountOr(entry.boot_s, DEFAULT_BOOT_S),
+    zones: Array.isArray(entry.yards) ? entry.yards.filter(isText) : [],
+  };
+}
+
+/** The catalog; null if the body is none, or one of its entries can't be read. */
+export function readMachineTypes(body: Body): MachineType[] | null {
+  if (!Array.isArray(body.stone_kinds)) return null;
+  const types: MachineType[] = [];
+  for (const entry of body.stone_kinds) {
+    const type = readMachineType(entry);
+    if (!type) return null;
+    types.push(type);
   }
-  return out;
+  return types;
 }
 
-/** The catalog in its own words, so that one reader serves the cloud's and the kept one. */
+/** The catalog in the cloud's words, so that one reader serves the cloud's and the kept one. */
 export function catalogBody(types: MachineType[]): Body {
   return {
-    stone_kinds: types.map((t) => ({
-      name: t.name,
-      vcpus: t.cpus,
-      gpus: t.gpus,
-      ram_gb: t.memoryGb,
-      fetch_gb_per_s: t.fetchGbPerS,
-      price: t.price,
-      spot_price: t.spotPrice,
-      boot_s: t.bootS,
-      yards: t.zones,
+    stone_kinds: types.map((type) => ({
+      name: type.name,
+      vcpus: type.cpus,
+      gpus: type.gpus,
+      ram_gb: type.memoryGb,
+      fetch_gb_per_s: type.fetchGbPerS,
+      price: type.price,
+      spot_price: type.spotPrice,
+      boot_s: type.bootS,
+      yards: type.zones,
     })),
   };
 }
 
-const LISTED: Record<string, ListedState> = {
+const LISTED_STATES: Record<string, ListedState> = {
   starting: 'booting',
   running: 'running',
   failed: 'failed',
@@ -53,45 +72,52 @@
   more: boolean;
 }
 
-export function readMachineList(b: Body): MachinePage | null {
-  if (!Array.isArray(b.stones)) return null;
+/** Null if the body is no page. Machines without an id are left out. */
+export function readMachineList(body: Body): MachinePage | null {
+  if (!Array.isArray(body.stones)) return null;
   const machines: ListedMachine[] = [];
-  for (const v of b.stones) {
-    if (!isMap(v) || !isText(v.id)) continue;
+  for (const entry of body.stones) {
+    if (!isMap(entry) || !isText(entry.id)) continue;
     machines.push({
-      id: v.id,
-      endpoint: isText(v.endpoint) ? v.endpoint : '',
-      type: String(v.stone_kind),
-      zone: String(v.yard),
-      spot: v.loaned_stones === true,
-      state: LISTED[v.condition as string] ?? 'running',
-      ageS: isAmount(v.age_s) ? v.age_s : 0,
+      id: entry.id,
+      endpoint: isText(entry.endpoint) ? entry.endpoint : '',
+      type: String(entry.stone_kind),
+      zone: String(entry.yard),
+      spot: entry.loaned_stones === true,
+      state: LISTED_STATES[entry.condition as string] ?? 'running',
+      ageS: amountOr(entry.age_s, 0),
     });
   }
-  return { machines, more: b.truncated === true };
+  return { machines, more: body.truncated === true };
 }
 
+/** A request for machines. Repeated with the same id it rents no others. */
 export function rentalBody(
-  request: string,
+  requestId: string,
   type: string,
   zone: string,
   spot: boolean,
   count: number,
 ): Body {
-  return { hire: request, stone_kind: type, yard: zone, loaned_stones: spot, number: count };
+  return { hire: requestId, stone_kind: type, yard: zone, loaned_stones: spot, number: count };
 }
 
-export function readRental(b: Body): string[] | null {
-  return Array.isArray(b.stones) ? b.stones.filter(isText) : null;
+/** The ids of the machines that were rented; null if the body does not tell. */
+export function readRental(body: Body): string[] | null {
+  return Array.isArray(body.stones) ? body.stones.filter(isText) : null;
 }
 
+/** A request to delete these machines. */
 export function deletionBody(ids: string[]): Body {
   return { stones: ids };
 }
 
+const MACHINES_PER_PAGE = 500;
+
+/** Paths of the cloud. */
 export const cloudPaths = {
   types: '/catalog',
   machines: '/machines',
   deletion: '/machines/delete',
-  list: (after: string) => `/machines?limit=500${after ? `&since=${after}` : ''}`,
+  list: (after: string) => `/machines?limit=${MACHINES_PER_PAGE}${after ? `&since=${after}` : ''}`,
 };
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -3,14 +3,23 @@
 import { type JobKind, type JobSpec, type JobState, MAX_TASKS, type Priority } from './model.js';
 import { isAmount, isFlag, isText } from './validators.js';
 
+/*
+ * The protocol's own words: `grist` is a job's class, `miller` a team, `grind` a kind, `precedence` a priority, `sacks` the
+ * number of tasks, `seed` an image, `stone_kinds` machine types, `yard` a zone, `scatter` spreading over zones,
+ * `loaned_stones` spot machines; `grind_s` is a task's estimated run time, `bin_every_s` the time between checkpoints,
+ * `bin_s` the time that saving takes, `due_s` a deadline; `condition` is a state and "withdraw" a cancellation.
+ */
+
+/** By number: 0 is the most urgent. */
 const PRIORITIES = ['production', 'high', 'normal', 'idle'];
-const KINDS: Record<string, JobKind> = { array: 'array', daemon: 'service', group: 'gang' };
+const JOB_KINDS: Record<string, JobKind> = { array: 'array', daemon: 'service', group: 'gang' };
 /** Machine types that one submission may name. */
-const MAX_TYPES = 100;
-const JOB_ID = /^run-[0-9]{1,18}$/;
+const MAX_TYPES_PER_JOB = 100;
+const JOB_ID_PATTERN = /^run-[0-9]{1,18}$/;
 
+/** Whether a job may have this id. */
 export function isJobId(id: string): boolean {
-  return JOB_ID.test(id);
+  return JOB_ID_PATTERN.test(id);
 }
 
 type Check = (value: unknown) => boolean;
@@ -26,14 +35,14 @@
 }
 
 const isTypeList: Check = (value) =>
-  Array.isArray(value) && value.length <= MAX_TYPES && value.every(isText);
+  Array.isArray(value) && value.length <= MAX_TYPES_PER_JOB && value.every(isText);
 
 /** What each field of a submission must be, in the order in which they are checked. */
 const SUBMISSION_CHECKS: Record<string, Check> = {
   id: (value) => typeof value === 'string' && isJobId(value),
   grist: isText,
   miller: isText,
-  grind: (value) => typeof value === 'string' && Object.hasOwn(KINDS, value),
+  grind: (value) => typeof value === 'string' && Object.hasOwn(JOB_KINDS, value),
   precedence: (value) => PRIORITIES.includes(value as string),
   sacks: isTaskCount,
   vcpus: isAmount,
@@ -52,22 +61,23 @@
   due_s: orNull(isAmount),
 };
 
+/** A job, or the first field that is missing or invalid, by its name on the wire. */
 export type Submission = { kind: 'job'; job: JobSpec } | { kind: 'invalid'; field: string };
 
-/** The job asked for, or the name of the first field that is missing or invalid. */
+/** Checks and reads a submission. */
 export function readJob(body: Body): Submission {
   for (const [field, isValid] of Object.entries(SUBMISSION_CHECKS))
     if (!isValid(body[field])) return { kind: 'invalid', field };
-  return { kind: 'job', job: jobOf(body) };
+  return { kind: 'job', job: jobSpecOf(body) };
 }
 
 /** Of a body whose fields have been checked. */
-function jobOf(body: Body): JobSpec {
+function jobSpecOf(body: Body): JobSpec {
   return {
     id: body.id as string,
     cls: body.grist as string,
     team: body.miller as string,
-    kind: KINDS[body.grind as string],
+    kind: JOB_KINDS[body.grind as string],
     priority: PRIORITIES.indexOf(body.precedence as string) as Priority,
     tasks: Number(narrow(body.sacks)),
     cpus: body.vcpus as number,
@@ -87,12 +97,17 @@
   };
 }
 
-export function jobAnswer(id: string, state: JobState, done?: number, running?: number): Body {
-  return done === undefined
-    ? { id, condition: state }
-    : { id, condition: state, done, running: running ?? 0 };
+/** A job's state, and how many of its tasks are done and run, where that is told. */
+export function jobAnswer(
+  id: string,
+  state: JobState,
+  progress?: { done: number; running: number },
+): Body {
+  if (!progress) return { id, condition: state };
+  return { id, condition: state, done: progress.done, running: progress.running };
 }
 
+/** Paths of the users' API. */
 export const userPaths = {
   jobs: '/v1/jobs',
   cancel: (id: string) => `/v1/jobs/${id}/withdraw`,
--- a/src/wire/validators.ts
+++ b/src/wire/validators.ts
@@ -1,9 +1,15 @@
 /** Checks of single fields of bodies that come from outside. */
 
-export const isText = (v: unknown): v is string =>
-  typeof v === 'string' && v.length > 0 && v.length <= 120;
+const MAX_TEXT_LENGTH = 120;
+const MAX_AMOUNT = 1e9;
 
-export const isAmount = (v: unknown): v is number =>
-  typeof v === 'number' && Number.isFinite(v) && v >= 0 && v < 1e9;
+/** A text that is not empty, and of a length that may be kept. */
+export const isText = (value: unknown): value is string =>
+  typeof value === 'string' && value.length > 0 && value.length <= MAX_TEXT_LENGTH;
 
-export const isFlag = (v: unknown): v is boolean => typeof v === 'boolean';
+/** A number that is not negative, and of a size with which sums stay exact enough. */
+export const isAmount = (value: unknown): value is number =>
+  typeof value === 'number' && Number.isFinite(value) && value >= 0 && value < MAX_AMOUNT;
+
+/** A truth value, present. */
+export const isFlag = (value: unknown): value is boolean => typeof value === 'boolean';
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,15 +1,22 @@
-/** Workers' reports and the commands that answer them or go to workers directly. */
+/** Workers' heartbeats and the commands that answer them or go to workers directly. */
 import { type Body, isMap, narrow, wide } from './cbor.js';
 import {
   type ExitCause,
+  type Heartbeat,
   MAX_TASKS,
-  type TaskStatus,
   type TaskState,
+  type TaskStatus,
   type WorkerCommand,
-  type Heartbeat,
 } from './model.js';
 import { isText } from './validators.js';
 
+/*
+ * The protocol's own words: `stone` is a machine, `stone_kind` its type, `yard` a zone, `loaned_stones` spot machines and
+ * `recall_s` the notice before one is taken back; `turning` is an incarnation, `tally` a sequence number and `warrant` a
+ * fencing token; `sack` is a task, as "job/number", `try` its attempt and `condition` a state; `order` is a command,
+ * `wind_down_s` the time that a stopped task has to save, and `overseer` the leader.
+ */
+
 const TASK_STATES: Record<string, TaskState | undefined> = {
   fetching: 'fetching',
   waiting: 'waiting',
@@ -17,7 +24,8 @@
   flushing: 'saving',
   ended: 'exited',
 };
-const CAUSES: Record<string, ExitCause> = {
+
+const EXIT_CAUSES: Record<string, ExitCause> = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peer_lost',
@@ -27,71 +35,86 @@
   busy: 'busy',
   no_such: 'unknown',
 };
+
 const COMMAND_WORDS = { start: 'run', stop: 'stop', forget: 'reap' } as const;
-function readTask(v: unknown): TaskStatus | null {
-  if (!isMap(v) || typeof v.sack !== 'string') return null;
-  const slash = v.sack.lastIndexOf('/');
-  const taskNumber = Number(v.sack.slice(slash + 1));
-  const attempt = narrow(v.try);
-  const state = TASK_STATES[v.condition as string];
-  if (slash < 1 || !Number.isInteger(taskNumber) || taskNumber < 0 || taskNumber >= MAX_TASKS)
-    return null;
+
+function isTaskNumber(value: number): boolean {
+  return Number.isInteger(value) && value >= 0 && value < MAX_TASKS;
+}
+
+function readTaskStatus(body: unknown): TaskStatus | null {
+  if (!isMap(body) || typeof body.sack !== 'string') return null;
+  const slash = body.sack.lastIndexOf('/');
+  const taskNumber = Number(body.sack.slice(slash + 1));
+  const attempt = narrow(body.try);
+  const state = TASK_STATES[body.condition as string];
+  if (slash < 1 || !isTaskNumber(taskNumber)) return null;
   if (attempt === undefined || !state) return null;
-  const cause = state === 'exited' ? (CAUSES[v.cause as string] ?? 'error') : null;
-  return { job: v.sack.slice(0, slash), taskNumber, attempt, state, cause };
+  const cause = state === 'exited' ? (EXIT_CAUSES[body.cause as string] ?? 'error') : null;
+  return { job: body.sack.slice(0, slash), taskNumber, attempt, state, cause };
 }
 
-/** Null for a bad report: it then changes nothing. */
-export function readHeartbeat(b: Body): Heartbeat | null {
-  const session = narrow(b.turning);
-  const seq = narrow(b.tally);
-  const token = narrow(b.warrant);
-  if (!isText(b.stone) || !isText(b.endpoint) || !isText(b.stone_kind) || !isText(b.yard))
-    return null;
-  if (session === undefined || seq === undefined || token === undefined || !Array.isArray(b.sacks))
-    return null;
+/** Null if one of them can't be read. */
+function readTaskStatuses(list: unknown): TaskStatus[] | null {
+  if (!Array.isArray(list)) return null;
   const tasks: TaskStatus[] = [];
-  for (const v of b.sacks) {
-    const t = readTask(v);
-    if (!t) return null;
-    tasks.push(t);
+  for (const entry of list) {
+    const task = readTaskStatus(entry);
+    if (!task) return null;
+    tasks.push(task);
   }
-  const notice = b.recall_s;
+  return tasks;
+}
+
+/** Null for a bad heartbeat: it then changes nothing. */
+export function readHeartbeat(body: Body): Heartbeat | null {
+  const { stone, endpoint, stone_kind: type, yard: zone, recall_s: noticeS } = body;
+  const incarnation = narrow(body.turning);
+  const sequence = narrow(body.tally);
+  const token = narrow(body.warrant);
+  if (!isText(stone) || !isText(endpoint) || !isText(type) || !isText(zone)) return null;
+  if (incarnation === undefined || sequence === undefined || token === undefined) return null;
+  const tasks = readTaskStatuses(body.sacks);
+  if (!tasks) return null;
   return {
-    machine: b.stone,
-    endpoint: b.endpoint,
-    type: b.stone_kind,
-    zone: b.yard,
-    spot: b.loaned_stones === true,
-    incarnation: session,
-    sequence: seq,
+    machine: stone,
+    endpoint,
+    type,
+    zone,
+    spot: body.loaned_stones === true,
+    incarnation,
+    sequence,
     token,
-    preemptionNoticeS: typeof notice === 'number' ? notice : null,
+    preemptionNoticeS: typeof noticeS === 'number' ? noticeS : null,
     tasks,
   };
 }
 
-function writeCommand(o: WorkerCommand): Body {
+function writeCommand(command: WorkerCommand): Body {
   const base = {
-    order: COMMAND_WORDS[o.op],
-    sack: `${o.job}/${o.taskNumber}`,
-    try: wide(o.attempt),
+    order: COMMAND_WORDS[command.op],
+    sack: `${command.job}/${command.taskNumber}`,
+    try: wide(command.attempt),
   };
-  return o.op === 'stop' ? { ...base, wind_down_s: o.graceS } : base;
+  return command.op === 'stop' ? { ...base, wind_down_s: command.graceS } : base;
 }
 
-export function heartbeatResponse(token: number, orders: WorkerCommand[]): Body {
-  return { warrant: wide(token), orders: orders.map(writeCommand) };
+/** The leader's answer to a heartbeat, which renews the worker's lease. */
+export function heartbeatResponse(token: number, commands: WorkerCommand[]): Body {
+  return { warrant: wide(token), orders: commands.map(writeCommand) };
 }
 
-export function commandBody(token: number, session: number, orders: WorkerCommand[]): Body {
-  return { ...heartbeatResponse(token, orders), turning: session };
+/** A request to a worker. It refuses one that is for another incarnation, or with a lower token than it has seen. */
+export function commandBody(token: number, incarnation: number, commands: WorkerCommand[]): Body {
+  return { ...heartbeatResponse(token, commands), turning: incarnation };
 }
 
+/** The answer of a node that is not the leader; null: it knows of none. */
 export function redirectBody(leader: string | null): Body {
   return leader === null ? {} : { overseer: leader };
 }
 
+/** `heartbeat`: of controllers, where workers report. `commands`: of workers. */
 export const workerPaths = {
   heartbeat: '/agent/beat',
   commands: '/commands',
