--- /dev/null
+++ b/src/workers/heartbeat-applier.ts
@@ -0,0 +1,89 @@
+/** Takes what workers report over into the machine table. */
+import type { Job } from '../jobs/job-table.js';
+import type { Heartbeat, TaskStatus } from '../wire/model.js';
+import type { AttemptLifecycle } from './attempt-lifecycle.js';
+import { recordShownToken } from './fencing-tokens.js';
+import type { Machine } from './machine.js';
+import { TaskAttempt, attemptKey } from './task-attempt.js';
+
+/** Applies heartbeats, each of which lists all attempts on its machine, in the order in which workers sent them. */
+export class HeartbeatApplier {
+  constructor(
+    private readonly lifecycle: AttemptLifecycle,
+    private readonly findJob: (id: string) => Job | undefined,
+  ) {}
+
+  /**
+   * False, and nothing changes, for a heartbeat that is not newer than the last. An attempt that it lacks is removed
+   * only if its start cannot be executed any more: it was answered, or the machine has shown the raised token.
+   */
+  apply(machine: Machine, heartbeat: Heartbeat, now: number): boolean {
+    if (!isNewer(heartbeat, machine)) return false;
+    if (heartbeat.incarnation > machine.incarnation)
+      this.beginIncarnation(machine, heartbeat.incarnation, now);
+    applyMachineStatus(machine, heartbeat, now);
+    const reportedKeys = new Set<string>();
+    for (const task of heartbeat.tasks) {
+      const key = attemptKey(task.job, task.taskNumber, task.attempt);
+      reportedKeys.add(key);
+      this.applyTaskStatus(machine, key, task, now);
+    }
+    for (const [key, attempt] of machine.attempts)
+      if (!reportedKeys.has(key) && !mayStillStart(machine, attempt))
+        this.lifecycle.remove(attempt, now);
+    return true;
+  }
+
+  /** The worker has killed and forgotten everything, and refuses commands for the earlier incarnation. */
+  private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
+    this.lifecycle.removeAll(machine, now);
+    machine.incarnation = incarnation;
+    machine.lastHeartbeatSequence = -1;
+    // The new incarnation's own lease counts from its beginning, which was at the latest now.
+    machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+  }
+
+  private applyTaskStatus(machine: Machine, key: string, task: TaskStatus, now: number): void {
+    const attempt = machine.attempts.get(key) ?? this.discover(machine, task, now);
+    attempt.startUnacknowledged = false;
+    if (task.state === 'exited' && attempt.cause === null) attempt.cause = task.cause;
+    this.lifecycle.transitionTo(attempt, task.state, now);
+  }
+
+  /** An attempt of a former leader, or one that was given up here. */
+  private discover(machine: Machine, task: TaskStatus, now: number): TaskAttempt {
+    const job = this.findJob(task.job) ?? null;
+    const attempt = new TaskAttempt(machine, task.job, job, task.taskNumber, task.attempt, now);
+    attempt.startSent = true;
+    attempt.discovered = task.state !== 'fetching' && task.state !== 'waiting';
+    return this.lifecycle.insert(attempt);
+  }
+}
+
+function isNewer(heartbeat: Heartbeat, machine: Machine): boolean {
+  if (heartbeat.incarnation !== machine.incarnation)
+    return heartbeat.incarnation > machine.incarnation;
+  return heartbeat.sequence > machine.lastSequence;
+}
+
+function applyMachineStatus(machine: Machine, heartbeat: Heartbeat, now: number): void {
+  const { preemptionNoticeS } = heartbeat;
+  machine.lastSequence = heartbeat.sequence;
+  recordShownToken(machine, heartbeat.token, now);
+  machine.endpoint = heartbeat.endpoint;
+  machine.reported = true;
+  machine.leaseExpired = false;
+  machine.preemptionDeadline = preemptionNoticeS === null ? null : now + preemptionNoticeS * 1000;
+}
+
+/** A start that no heartbeat shows may still be executed, unless the machine has shown the token that ends it. */
+function mayStillStart(machine: Machine, attempt: TaskAttempt): boolean {
+  if (!attempt.startUnacknowledged) return false;
+  const inFlight = machine.inFlight?.attempts.has(attempt) === true;
+  return (
+    inFlight ||
+    !attempt.startSent ||
+    attempt.fencedByToken === 0 ||
+    machine.shownToken < attempt.fencedByToken
+  );
+}
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -2,30 +2,40 @@
 import type { MachineType } from '../wire/model.js';
 import type { TaskAttempt } from './task-attempt.js';
 
+/** A request to a worker that is not answered yet, with the attempts that it starts. */
 export interface InFlightRequest {
   attempts: Set<TaskAttempt>;
 }
 
+/** Acknowledgements that a machine may owe before it counts as not acknowledging: one or two may be on their way. */
+const MIN_UNACKNOWLEDGED_HEARTBEATS = 3;
+
+/**
+ * One machine in the leader's table: what its worker has reported, what was sent to it, which attempts may be on it and
+ * what they occupy.
+ */
 export class Machine {
   incarnation = 0;
   lastSequence = -1;
   /** Highest token it has shown. */
   shownToken = 0;
-  /** Highest number of a report that came by itself, in this session: a lower one is a late copy. */
+  /** Highest number of a heartbeat that came by itself, in this incarnation: a lower one is a late copy. */
   lastHeartbeatSequence = -1;
-  /** A token that an answer carried and that no report has shown yet; since when, and reports since then. */
+  /** A token that an answer carried and that no heartbeat has shown yet; since when, and heartbeats since then. */
   pendingTokenAck: { token: number; since: number; heartbeats: number } | null = null;
   /** When it last showed a token that it was asked to show: answers reach it. */
   tokenConfirmedAt: number;
-  /** What it must show before its reports are taken as complete. */
+  /** What it must show before its heartbeats are taken as complete. */
   requiredToken: number;
   /** Raised for this machine alone, on top of the leader's token. */
   tokenOffset = 0;
+  /** It stands in the state service, so that a new leader would find it: only then may commands be sent to it. */
   stored = false;
   /** Anything newer than this has been heard from the worker itself. */
   lastHeardAt: number;
-  /** When the last report was answered that may have renewed the worker's lease. */
+  /** When the last heartbeat was answered that may have renewed the worker's lease. */
   leaseRenewedAt: number;
+  /** A heartbeat has told of it since it was added, or since its lease ended. */
   reported = false;
   preemptionDeadline: number | null = null;
   drainReason: string | null = null;
@@ -34,7 +44,7 @@
   readonly failedJobs = new Set<number>();
   readonly attempts = new Map<string, TaskAttempt>();
   readonly images = new Set<string>();
-  /** Starts ordered or fetching, by image. */
+  /** Attempts that are starting or fetching, by image. */
   readonly fetching = new Map<string, number>();
   /** Tasks of services that may be here. */
   serviceTasks = 0;
@@ -78,11 +88,11 @@
     return this.reported && this.shownToken >= this.requiredToken;
   }
 
-  /** Heard, but answers do not reach it, or it does not do what they say: its reports prove nothing. */
+  /** Its heartbeats arrive, but answers do not reach it, or it does not do what they say: its heartbeats prove nothing. */
   isNotAcknowledging(patienceMs: number, now: number): boolean {
     return (
       this.pendingTokenAck !== null &&
-      this.pendingTokenAck.heartbeats >= 3 &&
+      this.pendingTokenAck.heartbeats >= MIN_UNACKNOWLEDGED_HEARTBEATS &&
       now - this.pendingTokenAck.since > patienceMs
     );
   }
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -4,15 +4,17 @@
 import type { Machine } from './machine.js';
 
 /**
- * ordered: a start was decided; it may be in flight. fetching, waiting, running, saving: as reported.
- * waiting: of a gang only; it has its image and waits for the other tasks. exited: not on the machine any more, but the machine still reports it until it is told to forget.
- * vanished: surely not on the machine, which does not report it either: never executed, killed with its session, or
- * the machine is gone.
+ * - `starting`: a start was decided; it may be in flight.
+ * - `fetching`, `waiting`, `running`, `saving`: as reported. `waiting`: of a gang only; it has its image and waits for
+ *   the other tasks.
+ * - `exited`: not on the machine any more, but the machine still reports it until it is told to forget.
+ * - `removed`: surely not on the machine, which does not report it either: never executed, killed with its incarnation,
+ *   or the machine is gone.
  */
 export type AttemptState =
   'starting' | 'fetching' | 'waiting' | 'running' | 'saving' | 'exited' | 'removed';
 
-export const ATTEMPT_TRANSITIONS: Record<AttemptState, AttemptState[]> = {
+const TRANSITIONS: Record<AttemptState, AttemptState[]> = {
   starting: ['fetching', 'waiting', 'running', 'saving', 'exited', 'removed'],
   fetching: ['waiting', 'running', 'saving', 'exited', 'removed'],
   waiting: ['running', 'saving', 'exited', 'removed'],
@@ -22,6 +24,17 @@
   removed: [],
 };
 
+/** Whether an attempt may go from one state directly to the other. */
+export function mayFollow(state: AttemptState, next: AttemptState): boolean {
+  return TRANSITIONS[state].includes(next);
+}
+
+/** The name under which a machine lists an attempt. */
+export function attemptKey(jobId: string, taskNumber: number, attempt: number): string {
+  return `${jobId}/${taskNumber}/${attempt}`;
+}
+
+/** Why and how an attempt is to leave its machine. */
 export interface StopRequest {
   /** Seconds that the task may take to save. */
   graceS: number;
@@ -36,7 +49,7 @@
   cause: ExitCause | null = null;
   /** The start was sent; it is sent once, never again. */
   startSent = false;
-  /** No answer to the start is known, so it may still be executed; see `fence`. */
+  /** No answer to the start is known, so it may still be executed; see `fencedByToken`. */
   startUnacknowledged = true;
   /** With this token shown by the machine, an unanswered start can no longer be executed. */
   fencedByToken = 0;
@@ -57,6 +70,7 @@
     /** Null: the job is not among the live ones. */
     readonly job: Job | null,
     readonly taskNumber: number,
+    /** The attempt's number. A gang's replaced task is started again under the same one. */
     readonly attempt: number,
     readonly createdAt: number,
   ) {}
