--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -14,7 +14,7 @@
 import { CompletionWriter } from '../jobs/completion-writer.js';
 import { readLive } from '../jobs/records.js';
 import { Placement } from '../placement/placement.js';
-import { MachineRecordStore } from '../workers/machine-records.js';
+import { MachineRecordStore } from '../workers/machine-record-store.js';
 import { CommandSender } from '../workers/command-sender.js';
 import { commandsForHeartbeat } from '../workers/commands.js';
 import { type Machine } from '../workers/machine.js';
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -3,7 +3,7 @@
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { CommandSender } from '../workers/command-sender.js';
 import type { Machine } from '../workers/machine.js';
-import type { MachineRecordStore } from '../workers/machine-records.js';
+import type { MachineRecordStore } from '../workers/machine-record-store.js';
 import type { MachineTable } from '../workers/machine-table.js';
 
 export interface LeaseMonitorDependencies {
--- a/src/leadership/restored-machines.ts
+++ b/src/leadership/restored-machines.ts
@@ -1,6 +1,7 @@
 /** Puts the stored machines of former leaders into a new leader's table. */
 import type { KeyValue } from '@millring/state-access';
-import { type MachineRecordStore, readMachinePage } from '../workers/machine-records.js';
+import type { MachineRecordStore } from '../workers/machine-record-store.js';
+import { readMachinePage } from '../workers/machine-records.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { MachineType } from '../wire/model.js';
 import type { FailoverRecovery } from './failover-recovery.js';
--- /dev/null
+++ b/src/workers/machine-pages.ts
@@ -0,0 +1,94 @@
+/** Which machine stands in which stored page. */
+import type { KeyValue } from '@millring/state-access';
+import { MachinePage } from './machine-page.js';
+import {
+  type MachineRecord,
+  foreignFieldsOf,
+  isPageKey,
+  pageKey,
+  pageNumberOf,
+  sizeOf,
+} from './machine-records.js';
+
+/** All pages. Each machine stands in one of them. */
+export class MachinePages {
+  private readonly byKey = new Map<string, MachinePage>();
+  private readonly byMachine = new Map<string, MachinePage>();
+  private nextNumber = 0;
+
+  /** A stored page. A machine that stands in two of them, which were written one after the other, goes from this one. */
+  load(stored: KeyValue, records: MachineRecord[], now: number): void {
+    const page = new MachinePage(stored.key, foreignFieldsOf(stored), stored.version);
+    for (const record of records) {
+      if (this.byMachine.has(record.id)) {
+        page.markRemovals(now);
+        continue;
+      }
+      page.load(record);
+      this.byMachine.set(record.id, page);
+    }
+    this.byKey.set(stored.key, page);
+    const number = isPageKey(stored.key) ? pageNumberOf(stored.key) : NaN;
+    if (number >= this.nextNumber) this.nextNumber = number + 1;
+  }
+
+  pageOf(machineId: string): MachinePage | undefined {
+    return this.byMachine.get(machineId);
+  }
+
+  add(record: MachineRecord, maxBytes: number): void {
+    this.put(record, this.withRoom(sizeOf(record), maxBytes));
+  }
+
+  remove(machineId: string, now: number): void {
+    const page = this.byMachine.get(machineId);
+    if (!page) return;
+    page.take(machineId);
+    page.markRemovals(now);
+    this.byMachine.delete(machineId);
+  }
+
+  /** Pages to be written now, those with new machines first. */
+  due(now: number, removalDelayMs: number): MachinePage[] {
+    return [...this.byKey.values()]
+      .filter((page) => page.isDue(now, removalDelayMs))
+      .sort((one, other) => Number(other.hasAdditions()) - Number(one.hasAdditions()));
+  }
+
+  /** A page stored under higher limits comes apart into such as may be written now. */
+  split(page: MachinePage, maxBytes: number): void {
+    for (const record of [...page.machines.values()].reverse()) {
+      if (!page.isOver(maxBytes)) return;
+      page.take(record.id);
+      const bytes = sizeOf(record);
+      let part = page.splitOff.find((candidate) => candidate.fits(bytes, maxBytes));
+      if (!part) {
+        part = this.newPage();
+        page.splitOff.push(part);
+      }
+      this.put(record, part);
+    }
+  }
+
+  /** A page without machines is stored no longer. */
+  dropIfEmpty(page: MachinePage): void {
+    if (page.machines.size === 0 && page.isStored()) this.byKey.delete(page.key);
+  }
+
+  private put(record: MachineRecord, page: MachinePage): void {
+    page.add(record);
+    this.byMachine.set(record.id, page);
+  }
+
+  private withRoom(recordBytes: number, maxBytes: number): MachinePage {
+    for (const page of this.byKey.values())
+      if (isPageKey(page.key) && page.fits(recordBytes, maxBytes)) return page;
+    return this.newPage();
+  }
+
+  private newPage(): MachinePage {
+    const page = new MachinePage(pageKey(this.nextNumber++), {}, 0);
+    this.byKey.set(page.key, page);
+    return page;
+  }
+}
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -8,7 +8,7 @@
 import { outsider } from './sim/outsider.js';
 import { jobFacts } from './sim/rules.js';
 import { StateStore } from '../src/state-store/client.js';
-import { MachineRecordStore } from '../src/workers/machine-records.js';
+import { MachineRecordStore } from '../src/workers/machine-record-store.js';
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { JobCache } from '../src/jobs/job-cache.js';
