--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -132,7 +132,7 @@
     for (const job of this.deps.jobs.all()) {
       if (job.jobCancelled || job.isComplete() || this.mustWait(job, now)) continue;
       this.records.adapt(job, segmentGuard !== null, now);
-      for (const [chunk, since] of job.dirty)
+      for (const [chunk, since] of job.finished.dirtyChunks)
         if (now - since >= PARTIAL_MS && !batch.covers(job, chunk))
           this.addChunk(batch, job, chunk, now);
       if (segmentGuard && this.records.usesSegments(job) && batch.jobs.has(job))
@@ -196,8 +196,8 @@
     for (const { job, chunks, layout, count } of batch.progress) {
       this.records.noteDurable(job, chunks, layout);
       for (const chunk of chunks) {
-        if (job.finishedCount === count) job.dirty.delete(chunk);
-        else if (job.dirty.has(chunk)) job.dirty.set(chunk, now);
+        if (job.finishedCount === count) job.finished.dirtyChunks.delete(chunk);
+        else if (job.finished.dirtyChunks.has(chunk)) job.finished.dirtyChunks.set(chunk, now);
       }
     }
     for (const { job, recordNumber } of batch.replaced)
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -76,20 +76,31 @@
   adapt(job: Job, segmentsAllowed: boolean, now: number): void {
     const uses = this.usesSegments(job);
     if (uses && !segmentsAllowed) this.change(job, CHUNKS, now);
-    if (!uses && segmentsAllowed && job.dirty.size > 0 && mayUseSegments(job.spec.tasks))
+    if (
+      !uses &&
+      segmentsAllowed &&
+      job.finished.dirtyChunks.size > 0 &&
+      mayUseSegments(job.spec.tasks)
+    )
       this.change(job, { kind: 'segments', split: 0 }, now);
   }
 
   private change(job: Job, layout: Layout, now: number): void {
     const records = this.of(job);
     records.layout = layout;
-    records.toRewrite = job.markAllDirty(now);
+    records.toRewrite = job.finished.markAllDirty(now);
   }
 
   /** The records that make a chunk durable. Null: they did not fit, and from now on the job's are cut smaller. */
   recordsFor(job: Job, chunk: number, now: number): Extract<ChunkRecords, { kind: 'fits' }> | null {
     const { layout } = this.of(job);
-    const result = recordsOfChunk(job.finished, job.spec.tasks, chunk, layout, this.valueBytes);
+    const result = recordsOfChunk(
+      job.finished.bits,
+      job.spec.tasks,
+      chunk,
+      layout,
+      this.valueBytes,
+    );
     if (result.kind === 'fits') return result;
     this.change(job, finer(layout), now);
     return null;
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -418,7 +418,8 @@
   /** Places the job's next task; null if no machine takes it. */
   private startNext(job: Job, candidates: Candidates, pass: SchedulingCycle): Machine | null {
     const taskNumber = job.peekNextTask();
-    const choice = taskNumber < 0 ? null : candidates.best();
+    if (taskNumber === null) return null;
+    const choice = candidates.best();
     if (!choice) return null;
     const { machine, victims } = choice;
     for (const victim of victims) this.stop(victim, 0, 'preempted');
--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -23,7 +23,7 @@
 function storeAndLoad(job: Job, layout: Layout, valueBytes = Infinity): Job {
   const loaded = new Job(1, job.spec, 1, 0, true, 0);
   for (let chunk = 0; chunk * CHUNK < job.spec.tasks; chunk++) {
-    const made = recordsOfChunk(job.finished, job.spec.tasks, chunk, layout, valueBytes);
+    const made = recordsOfChunk(job.finished.bits, job.spec.tasks, chunk, layout, valueBytes);
     assert.ok(made.kind === 'fits' && made.chunks.includes(chunk));
     for (const { number, value } of made.records) {
       const read = readFinishedRecord(number, value);
@@ -44,7 +44,7 @@
         const a = new Job(0, spec({ tasks: n }), 1, 0, true, 0);
         for (const taskNumber of list) a.finish(taskNumber, 0);
         const b = storeAndLoad(a, layout);
-        assert.deepEqual(b.finished, a.finished);
+        assert.deepEqual(b.finished.bits, a.finished.bits);
         assert.equal(b.finishedCount, new Set(list.filter((x) => x < n)).size);
         assert.equal(b.pending(), n - b.finishedCount);
       },
@@ -115,7 +115,7 @@
   job.loadFinished(0, new Uint8Array([1]));
   for (const number of [0, 1000]) records.noteWritten(job, number);
   assert.deepEqual(records.stale(job, 5), []);
-  assert.deepEqual([...job.dirty.keys()], [0]);
+  assert.deepEqual([...job.finished.dirtyChunks.keys()], [0]);
   assert.deepEqual(records.stale(job, 5), [], 'not before it is written');
   records.noteDurable(job, [0], CHUNKS);
   assert.deepEqual(records.stale(job, 5), [], 'nor by a write in the other layout');
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -76,7 +76,7 @@
   const j = new Job(0, spec(), 1, 0, true, 0);
   j.finish(3, 100);
   assert.equal(j.isDurable(3), false);
-  j.dirty.clear();
+  j.finished.dirtyChunks.clear();
   assert.deepEqual([j.isDurable(3), j.isDurable(4)], [true, false]);
 });
 
