--- a/src/jobs/finished-records.ts
+++ b/src/jobs/finished-records.ts
@@ -9,7 +9,7 @@
 import { deflateSync, inflateSync } from 'fflate';
 import * as z from 'zod/mini';
 import { MAX_TASKS } from '../wire/model.js';
-import { CHUNK, packFinished } from './records.js';
+import { TASKS_PER_CHUNK, packChunk } from './records.js';
 
 /** Tasks of the smallest segment: what fits into the least value size that settings allow, however random the bits. */
 const SMALLEST_SEGMENT = 2048;
@@ -21,7 +21,7 @@
 /** How a job's records are cut: `split` halvings of one segment that covers all the tasks a job may have. */
 export type Layout = { kind: 'chunks' } | { kind: 'segments'; split: number };
 
-export const CHUNKS: Layout = { kind: 'chunks' };
+export const CHUNK_LAYOUT: Layout = { kind: 'chunks' };
 
 export interface FinishedRecord {
   number: number;
@@ -52,7 +52,7 @@
 }
 
 export function layoutOf(recordNumber: number): Layout {
-  if (!isSegment(recordNumber)) return CHUNKS;
+  if (!isSegment(recordNumber)) return CHUNK_LAYOUT;
   const split = Math.floor((recordNumber - FIRST_SEGMENT_NUMBER) / NUMBERS_PER_SPLIT);
   return { kind: 'segments', split };
 }
@@ -63,7 +63,7 @@
 }
 
 /** The layout with smaller records, or the same where there are none. */
-export function finer(layout: Layout): Layout {
+export function finerLayout(layout: Layout): Layout {
   if (layout.kind === 'chunks') return layout;
   return { kind: 'segments', split: Math.min(FINEST_SPLIT, layout.split + 1) };
 }
@@ -74,7 +74,7 @@
 
 /** The longest text of a chunk of a job with so many tasks, as counted against the size of a value. */
 export function chunkBytes(tasks: number): number {
-  const bytes = Math.ceil(Math.min(tasks, CHUNK) / 8);
+  const bytes = Math.ceil(Math.min(tasks, TASKS_PER_CHUNK) / 8);
   const quotes = 2;
   return Math.ceil(bytes / 3) * 4 + quotes;
 }
@@ -90,13 +90,13 @@
   if (layout.kind === 'chunks')
     return {
       kind: 'fits',
-      records: [{ number: chunk, value: packFinished(finished, chunk) }],
+      records: [{ number: chunk, value: packChunk(finished, chunk) }],
       chunks: [chunk],
     };
   const size = segmentTasks(layout.split);
   const records: FinishedRecord[] = [];
-  const first = Math.floor((chunk * CHUNK) / size);
-  const end = Math.min(tasks, (chunk + 1) * CHUNK);
+  const first = Math.floor((chunk * TASKS_PER_CHUNK) / size);
+  const end = Math.min(tasks, (chunk + 1) * TASKS_PER_CHUNK);
   for (let segment = first; segment * size < end; segment++) {
     const value = packSegment(finished, segment * size, Math.min(size, tasks - segment * size));
     if (layout.split < FINEST_SPLIT && JSON.stringify(value).length > valueBytes)
@@ -107,7 +107,7 @@
   return {
     kind: 'fits',
     records,
-    chunks: chunksWithin(first * size, Math.max(size, CHUNK), tasks),
+    chunks: chunksWithin(first * size, Math.max(size, TASKS_PER_CHUNK), tasks),
   };
 }
 
@@ -122,8 +122,8 @@
 
 function chunksWithin(from: number, size: number, tasks: number): number[] {
   const chunks: number[] = [];
-  for (let task = from; task < Math.min(tasks, from + size); task += CHUNK)
-    chunks.push(task / CHUNK);
+  for (let task = from; task < Math.min(tasks, from + size); task += TASKS_PER_CHUNK)
+    chunks.push(task / TASKS_PER_CHUNK);
   return chunks;
 }
 
@@ -149,5 +149,9 @@
 
 function readChunk(chunk: number, value: unknown): FinishedTasks {
   if (typeof value !== 'string') return { kind: 'unreadable', reason: 'not a text' };
-  return { kind: 'readable', firstTask: chunk * CHUNK, bits: Buffer.from(value, 'base64') };
+  return {
+    kind: 'readable',
+    firstTask: chunk * TASKS_PER_CHUNK,
+    bits: Buffer.from(value, 'base64'),
+  };
 }
--- a/src/jobs/finished-tasks.ts
+++ b/src/jobs/finished-tasks.ts
@@ -1,10 +1,10 @@
 /** Which tasks of a job are finished, one bit a task, and which of that is not stored yet. */
-import { CHUNK } from './records.js';
+import { TASKS_PER_CHUNK } from './records.js';
 
 const BITS_PER_BYTE = 8;
 
 function chunkOf(taskNumber: number): number {
-  return Math.floor(taskNumber / CHUNK);
+  return Math.floor(taskNumber / TASKS_PER_CHUNK);
 }
 
 /** The finished tasks of one job. They are stored chunk by chunk; a finished task never becomes unfinished. */
@@ -44,8 +44,8 @@
   /** All that is finished has to be written again. Returns the chunks that hold any of it. */
   markAllDirty(now: number): Set<number> {
     const chunks = new Set<number>();
-    const bytesPerChunk = CHUNK / BITS_PER_BYTE;
-    for (let chunk = 0; chunk * CHUNK < this.tasks; chunk++) {
+    const bytesPerChunk = TASKS_PER_CHUNK / BITS_PER_BYTE;
+    for (let chunk = 0; chunk * TASKS_PER_CHUNK < this.tasks; chunk++) {
       const bytes = this.bits.subarray(chunk * bytesPerChunk, (chunk + 1) * bytesPerChunk);
       if (!bytes.some((byte) => byte !== 0)) continue;
       chunks.add(chunk);
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -1,11 +1,11 @@
 /** Which records of finished tasks stand in the state service for each live job, and how the next ones are cut. */
 import { type Conversion } from '@millring/rollout';
 import {
-  CHUNKS,
+  CHUNK_LAYOUT,
   type ChunkRecords,
   type Layout,
   chunkBytes,
-  finer,
+  finerLayout,
   isSegment,
   layoutOf,
   mayUseSegments,
@@ -51,7 +51,7 @@
     if (!records)
       this.byJob.set(
         job.index,
-        (records = { layout: CHUNKS, numbers: new Set(), toRewrite: null }),
+        (records = { layout: CHUNK_LAYOUT, numbers: new Set(), toRewrite: null }),
       );
     return records;
   }
@@ -75,7 +75,7 @@
   /** Follows whether segments may be written now. A job that has to change has all its tasks written again. */
   adapt(job: Job, segmentsAllowed: boolean, now: number): void {
     const uses = this.usesSegments(job);
-    if (uses && !segmentsAllowed) this.change(job, CHUNKS, now);
+    if (uses && !segmentsAllowed) this.change(job, CHUNK_LAYOUT, now);
     if (
       !uses &&
       segmentsAllowed &&
@@ -102,7 +102,7 @@
       this.valueBytes,
     );
     if (result.kind === 'fits') return result;
-    this.change(job, finer(layout), now);
+    this.change(job, finerLayout(layout), now);
     return null;
   }
 
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -7,7 +7,7 @@
 export const FINISHED = 'd/';
 
 /** Tasks per record of finished task numbers: small enough for the least value size that settings allow. */
-export const CHUNK = 8192;
+export const TASKS_PER_CHUNK = 8192;
 
 export interface LiveRecord {
   spec: JobSpec;
@@ -87,8 +87,8 @@
 }
 
 /** One bit a task, as text, since no body holds anything binary. */
-export function packFinished(bits: Uint8Array, chunk: number): string {
-  return Buffer.from(bits.subarray((chunk * CHUNK) / 8, ((chunk + 1) * CHUNK) / 8)).toString(
-    'base64',
-  );
+export function packChunk(bits: Uint8Array, chunk: number): string {
+  return Buffer.from(
+    bits.subarray((chunk * TASKS_PER_CHUNK) / 8, ((chunk + 1) * TASKS_PER_CHUNK) / 8),
+  ).toString('base64');
 }
--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -9,7 +9,7 @@
 export type Body = Record<string, unknown>;
 
 /** Integers above 32 bits would otherwise be written as floats, which the outside takes for amounts. */
-export function wide(value: number): number | bigint {
+export function toWireInteger(value: number): number | bigint {
   return value > MAX_UINT32 ? BigInt(value) : value;
 }
 
@@ -17,7 +17,7 @@
  * A number as it was received. 64-bit integers are read as bigint; every count we deal in is below 2^53.
  * Undefined for anything else.
  */
-export function narrow(value: unknown): number | undefined {
+export function toNumber(value: unknown): number | undefined {
   if (typeof value === 'number') return value;
   if (typeof value === 'bigint' && value >= 0n && value <= BigInt(Number.MAX_SAFE_INTEGER))
     return Number(value);
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -6,7 +6,7 @@
   Snapshot,
   WatchEvent,
 } from '@millring/state-access';
-import { type Body, isMap, narrow, wide } from './cbor.js';
+import { type Body, isMap, toNumber, toWireInteger } from './cbor.js';
 import { isText } from './validators.js';
 
 /*
@@ -14,11 +14,11 @@
  * a lease and `life_ms` its time to live, `news` the events of a watch.
  */
 
-const versionOf = (body: Body): number => narrow(body.entry_mark) ?? 0;
+const versionOf = (body: Body): number => toNumber(body.entry_mark) ?? 0;
 
 /** The store's revision as a response tells it; 0 if it doesn't. */
 export function readRevision(body: Body): number {
-  return narrow(body.ledger_mark) ?? 0;
+  return toNumber(body.ledger_mark) ?? 0;
 }
 
 /** One key with its value and version; null if the body is no such pair. */
@@ -44,7 +44,7 @@
   return {
     guards: preconditions.map(({ key, version }) => ({
       k: key,
-      entry_mark: wide(version),
+      entry_mark: toWireInteger(version),
     })),
     then: mutations.map(mutationBody),
   };
@@ -82,7 +82,7 @@
 
 /** The id of the lease that was granted. */
 export function readLeaseId(body: Body): number | undefined {
-  return narrow(body.tenancy);
+  return toNumber(body.tenancy);
 }
 
 const KEYS_PER_SCAN_PAGE = 1000;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,5 +1,5 @@
 /** Users' requests and answers: submissions, questions and cancellations. */
-import { type Body, narrow } from './cbor.js';
+import { type Body, toNumber } from './cbor.js';
 import { type JobKind, type JobSpec, type JobState, MAX_TASKS, type Priority } from './model.js';
 import { isAmount, isFlag, isText } from './validators.js';
 
@@ -30,7 +30,7 @@
     value === null || value === undefined || check(value);
 
 function isTaskCount(value: unknown): boolean {
-  const tasks = narrow(value);
+  const tasks = toNumber(value);
   return tasks !== undefined && Number.isInteger(tasks) && tasks >= 1 && tasks <= MAX_TASKS;
 }
 
@@ -79,7 +79,7 @@
     team: body.miller as string,
     kind: JOB_KINDS[body.grind as string],
     priority: PRIORITIES.indexOf(body.precedence as string) as Priority,
-    tasks: Number(narrow(body.sacks)),
+    tasks: Number(toNumber(body.sacks)),
     cpus: body.vcpus as number,
     gpus: body.gpus as number,
     memoryGb: body.ram_gb as number,
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,5 +1,5 @@
 /** Workers' heartbeats and the commands that answer them or go to workers directly. */
-import { type Body, isMap, narrow, wide } from './cbor.js';
+import { type Body, isMap, toNumber, toWireInteger } from './cbor.js';
 import {
   type ExitCause,
   type Heartbeat,
@@ -46,7 +46,7 @@
   if (!isMap(body) || typeof body.sack !== 'string') return null;
   const slash = body.sack.lastIndexOf('/');
   const taskNumber = Number(body.sack.slice(slash + 1));
-  const attempt = narrow(body.try);
+  const attempt = toNumber(body.try);
   const state = TASK_STATES[body.condition as string];
   if (slash < 1 || !isTaskNumber(taskNumber)) return null;
   if (attempt === undefined || !state) return null;
@@ -69,9 +69,9 @@
 /** Null for a bad heartbeat: it then changes nothing. */
 export function readHeartbeat(body: Body): Heartbeat | null {
   const { stone, endpoint, stone_kind: type, yard: zone, recall_s: noticeS } = body;
-  const incarnation = narrow(body.turning);
-  const sequence = narrow(body.tally);
-  const token = narrow(body.warrant);
+  const incarnation = toNumber(body.turning);
+  const sequence = toNumber(body.tally);
+  const token = toNumber(body.warrant);
   if (!isText(stone) || !isText(endpoint) || !isText(type) || !isText(zone)) return null;
   if (incarnation === undefined || sequence === undefined || token === undefined) return null;
   const tasks = readTaskStatuses(body.sacks);
@@ -94,14 +94,14 @@
   const base = {
     order: COMMAND_WORDS[command.op],
     sack: `${command.job}/${command.taskNumber}`,
-    try: wide(command.attempt),
+    try: toWireInteger(command.attempt),
   };
   return command.op === 'stop' ? { ...base, wind_down_s: command.graceS } : base;
 }
 
 /** The leader's answer to a heartbeat, which renews the worker's lease. */
 export function heartbeatResponse(token: number, commands: WorkerCommand[]): Body {
-  return { warrant: wide(token), orders: commands.map(writeCommand) };
+  return { warrant: toWireInteger(token), orders: commands.map(writeCommand) };
 }
 
 /** A request to a worker. It refuses one that is for another incarnation, or with a lower token than it has seen. */
--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { readJob } from '../src/wire/users.js';
 import { readHeartbeat } from '../src/wire/workers.js';
-import { decodeMap, encode, narrow, wide } from '../src/wire/cbor.js';
+import { decodeMap, encode, toNumber, toWireInteger } from '../src/wire/cbor.js';
 import { Cluster } from './sim/cluster.js';
 import { jobFacts } from './sim/rules.js';
 import type { Reply } from '../src/runtime.js';
@@ -172,9 +172,9 @@
 
 test('integers above 32 bits stay integers on the wire', () => {
   const value = 2 ** 45 + 1;
-  const back = decodeMap(encode({ v: wide(value) }))!;
+  const back = decodeMap(encode({ v: toWireInteger(value) }))!;
   assert.equal(typeof back.v, 'bigint');
-  assert.equal(narrow(back.v), value);
+  assert.equal(toNumber(back.v), value);
   assert.equal(decodeMap(new Uint8Array([0xff])), null);
   assert.equal(decodeMap(encode([1])), null);
 });
--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -3,26 +3,26 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  CHUNKS,
+  CHUNK_LAYOUT,
   type Layout,
   readFinishedRecord,
   recordsOfChunk,
 } from '../src/jobs/finished-records.js';
 import { Job, JobTable } from '../src/jobs/job-table.js';
 import { ProgressRecords } from '../src/jobs/progress-records.js';
-import { CHUNK } from '../src/jobs/records.js';
+import { TASKS_PER_CHUNK } from '../src/jobs/records.js';
 import { MAX_TASKS } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
 
 const LAYOUTS: Layout[] = [
-  CHUNKS,
+  CHUNK_LAYOUT,
   ...[0, 1, 4, 5, 6].map((split) => ({ kind: 'segments' as const, split })),
 ];
 
 /** Stores all chunks of the job in a layout, and reads them into an empty one. */
 function storeAndLoad(job: Job, layout: Layout, valueBytes = Infinity): Job {
   const loaded = new Job(1, job.spec, 1, 0, true, 0);
-  for (let chunk = 0; chunk * CHUNK < job.spec.tasks; chunk++) {
+  for (let chunk = 0; chunk * TASKS_PER_CHUNK < job.spec.tasks; chunk++) {
     const made = recordsOfChunk(job.finished.bits, job.spec.tasks, chunk, layout, valueBytes);
     assert.ok(made.kind === 'fits' && made.chunks.includes(chunk));
     for (const { number, value } of made.records) {
@@ -37,8 +37,8 @@
 test('finished task numbers survive packing, in any order, chunk by chunk, in every layout', () => {
   fc.assert(
     fc.property(
-      fc.integer({ min: 1, max: 3 * CHUNK }),
-      fc.array(fc.nat(3 * CHUNK - 1), { maxLength: 60 }),
+      fc.integer({ min: 1, max: 3 * TASKS_PER_CHUNK }),
+      fc.array(fc.nat(3 * TASKS_PER_CHUNK - 1), { maxLength: 60 }),
       fc.constantFrom(...LAYOUTS),
       (count, list, layout) => {
         const original = new Job(0, spec({ tasks: count }), 1, 0, true, 0);
@@ -58,7 +58,7 @@
     seed: 3,
     numRuns: 1,
   })[0];
-  for (let chunk = 0; chunk * CHUNK < MAX_TASKS; chunk++) {
+  for (let chunk = 0; chunk * TASKS_PER_CHUNK < MAX_TASKS; chunk++) {
     const made = recordsOfChunk(random, MAX_TASKS, chunk, { kind: 'segments', split: 6 }, 512);
     assert.ok(made.kind === 'fits');
     for (const { value } of made.records) assert.ok(JSON.stringify(value).length <= 512);
@@ -117,14 +117,14 @@
   assert.deepEqual(records.stale(job, 5), []);
   assert.deepEqual([...job.finished.dirtyChunks.keys()], [0]);
   assert.deepEqual(records.stale(job, 5), [], 'not before it is written');
-  records.noteDurable(job, [0], CHUNKS);
+  records.noteDurable(job, [0], CHUNK_LAYOUT);
   assert.deepEqual(records.stale(job, 5), [], 'nor by a write in the other layout');
   records.noteDurable(job, [0], { kind: 'segments', split: 0 });
   assert.deepEqual(records.stale(job, 6), [0]);
   // Lowered: the other way round.
   records.adapt(job, false, 7);
   assert.deepEqual(records.stale(job, 8), []);
-  records.noteDurable(job, [0], CHUNKS);
+  records.noteDurable(job, [0], CHUNK_LAYOUT);
   // A task that ends meanwhile keeps nothing up: a busy job would never be converted.
   job.finish(9000, 8);
   assert.deepEqual(records.stale(job, 8), [1000]);
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -4,8 +4,13 @@
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { build as histogram } from 'hdr-histogram-js';
-import { CHUNKS, type Layout, finer, recordsOfChunk } from '../src/jobs/finished-records.js';
-import { CHUNK } from '../src/jobs/records.js';
+import {
+  CHUNK_LAYOUT,
+  type Layout,
+  finerLayout,
+  recordsOfChunk,
+} from '../src/jobs/finished-records.js';
+import { TASKS_PER_CHUNK } from '../src/jobs/records.js';
 import { ControllerProcesses } from './sim/controller-processes.js';
 import { SeededRandom } from './sim/random.js';
 
@@ -94,9 +99,9 @@
   layout: Layout,
 ): { records: number; bytes: number } {
   const values = new Map<number, number>();
-  for (let chunk = 0; chunk * CHUNK < tasks; chunk++) {
+  for (let chunk = 0; chunk * TASKS_PER_CHUNK < tasks; chunk++) {
     const made = recordsOfChunk(finished, tasks, chunk, layout, VALUE_BYTES);
-    if (made.kind === 'too-large') return stored(finished, tasks, finer(layout));
+    if (made.kind === 'too-large') return stored(finished, tasks, finerLayout(layout));
     for (const { number, value } of made.records) values.set(number, JSON.stringify(value).length);
   }
   return {
@@ -122,7 +127,7 @@
   for (const tasks of [2048, 6144, 20_000, 100_000])
     for (const [name, isFinished] of patterns) {
       const bits = bitsOf(tasks, (task) => isFinished(task, tasks));
-      const chunks = stored(bits, tasks, CHUNKS);
+      const chunks = stored(bits, tasks, CHUNK_LAYOUT);
       const segments = stored(bits, tasks, { kind: 'segments', split: 0 });
       console.log(`${tasks} tasks, ${name}:`, JSON.stringify({ chunks, segments }));
     }
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -9,7 +9,7 @@
   StaleTokenError,
 } from '@millring/duties';
 import type { Http, Reply } from '../../src/runtime.js';
-import { type Body, narrow } from '../../src/wire/cbor.js';
+import { type Body, toNumber } from '../../src/wire/cbor.js';
 import type { Handler } from './network.js';
 
 const PRECONDITION_FAILED = 412;
@@ -61,7 +61,7 @@
 
   private execute(path: string, body: Body): Reply {
     const duty = body.duty as Duty;
-    const token = narrow(body.token)!;
+    const token = toNumber(body.token)!;
     const newest = Math.max(token, this.newest.get(duty) ?? 0);
     this.newest.set(duty, newest);
     const request = path === '/rent' ? (body.request as string) : null;
@@ -76,7 +76,7 @@
   private rent(request: string, body: Body): string[] {
     const before = this.rented.get(request);
     if (before) return before;
-    const names = Array.from({ length: narrow(body.count)! }, () => `p-${this.nextMachine++}`);
+    const names = Array.from({ length: toNumber(body.count)! }, () => `p-${this.nextMachine++}`);
     for (const name of names) this.machines.add(name);
     this.rented.set(request, names);
     return names;
@@ -119,7 +119,7 @@
     const { http, address } = this.options;
     const reply = await http.send(address, 'POST', path, { ...body, duty, token }, TIMEOUT_MS);
     if (reply.status === PRECONDITION_FAILED)
-      throw new StaleTokenError(duty, token, narrow(reply.body.newest)!);
+      throw new StaleTokenError(duty, token, toNumber(reply.body.newest)!);
     return reply.status === 200 ? reply.body : null;
   }
 }
--- a/test/sim/wire/fields.ts
+++ b/test/sim/wire/fields.ts
@@ -1,5 +1,5 @@
 /** Strict access to the fields of decoded bodies: what is missing or of another type is a fault, not a default. */
-import { type Body, isMap, narrow } from '../../../src/wire/cbor.js';
+import { type Body, isMap, toNumber } from '../../../src/wire/cbor.js';
 
 export function textField(body: Body, field: string): string {
   const value = body[field];
@@ -8,7 +8,7 @@
 }
 
 export function integerField(body: Body, field: string): number {
-  const value = narrow(body[field]);
+  const value = toNumber(body[field]);
   if (value === undefined || !Number.isInteger(value)) throw malformed(body, field);
   return value;
 }
--- a/test/sim/wire/workers.ts
+++ b/test/sim/wire/workers.ts
@@ -1,6 +1,6 @@
 /** The workers' side of the protocol as the stand-ins speak it: heartbeats, their answers, and commands. */
 import type { Reply } from '../../../src/runtime.js';
-import { type Body, narrow } from '../../../src/wire/cbor.js';
+import { type Body, toNumber } from '../../../src/wire/cbor.js';
 import { amountField, integerField, mapsField, textField, wordField } from './fields.js';
 
 export type ReportedTaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
@@ -117,7 +117,7 @@
 }
 
 export function decodeHeartbeatReply(body: Body): HeartbeatReply {
-  return { token: narrow(body.warrant), commands: mapsField(body, 'orders').map(decodeCommand) };
+  return { token: toNumber(body.warrant), commands: mapsField(body, 'orders').map(decodeCommand) };
 }
 
 /** The controller that a heartbeat is referred to, if the answer names one. */
@@ -126,7 +126,7 @@
 }
 
 export function decodeCommandRequest(body: Body): CommandRequest {
-  return { ...decodeHeartbeatReply(body), incarnation: narrow(body.turning) };
+  return { ...decodeHeartbeatReply(body), incarnation: toNumber(body.turning) };
 }
 
 /** Does a request to a worker start any task? */
