--- a/src/leadership/control-loop.ts
+++ b/src/leadership/control-loop.ts
@@ -4,7 +4,7 @@
 import type { Placement } from '../placement/placement.js';
 import type { Clock } from '../runtime.js';
 import type { CommandSender } from '../workers/command-sender.js';
-import type { MachineRecordStore } from '../workers/machine-records.js';
+import type { MachineRecordStore } from '../workers/machine-record-store.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { CycleScheduler } from './cycle-scheduler.js';
 import type { EventLoopLag } from './event-loop-lag.js';
--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -2,7 +2,7 @@
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { Placement } from '../placement/placement.js';
 import type { Clock } from '../runtime.js';
-import { commandsForHeartbeat } from '../workers/command-sender.js';
+import { commandsForHeartbeat } from '../workers/commands.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { Heartbeat, MachineType, WorkerCommand } from '../wire/model.js';
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -9,7 +9,7 @@
 import { shareSockets } from '../sockets.js';
 import { CommandSender } from '../workers/command-sender.js';
 import type { Machine } from '../workers/machine.js';
-import { MachineRecordStore } from '../workers/machine-records.js';
+import { MachineRecordStore } from '../workers/machine-record-store.js';
 import { MachineTable } from '../workers/machine-table.js';
 import { ControlLoop, TICK_MS } from './control-loop.js';
 import { CycleScheduler } from './cycle-scheduler.js';
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -76,7 +76,7 @@
   const job = new Job(0, spec(), 1, 0, true, 0);
   job.finish(3, 100);
   assert.equal(job.isDurable(3), false);
-  job.dirty.clear();
+  job.finished.dirtyChunks.clear();
   assert.deepEqual([job.isDurable(3), job.isDurable(4)], [true, false]);
 });
 
--- a/test/troubles.test.ts
+++ b/test/troubles.test.ts
@@ -22,7 +22,7 @@
   reportingMachine,
 } from './sim/wire/workers.js';
 import { StateStore } from '../src/state-store/client.js';
-import { MachineRecordStore } from '../src/workers/machine-records.js';
+import { MachineRecordStore } from '../src/workers/machine-record-store.js';
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { JobCache } from '../src/jobs/job-cache.js';
