--- a/packages/duties/src/spread.ts
+++ b/packages/duties/src/duty-assignment.ts
@@ -9,7 +9,7 @@
   /** The duties that it may hold. */
   duties: readonly Duty[];
   /** Duties that it holds. */
-  holds: number;
+  heldCount: number;
 }
 
 /** The leader has other work, as much as this many duties. */
@@ -20,7 +20,7 @@
 const LEAST_GAIN = 2;
 
 function loadOf(member: MemberView): number {
-  return member.holds + (member.isLeader ? LEADER_LOAD : 0);
+  return member.heldCount + (member.isLeader ? LEADER_LOAD : 0);
 }
 
 /** Settled members first, then the least loaded ones; equals in an order that differs from duty to duty. */
--- a/packages/duties/src/executor.ts
+++ b/packages/duties/src/executor.ts
@@ -7,6 +7,7 @@
 import { type Intent, type Outcome, intentKey } from './records.js';
 import type { DutiesView, Versioned } from './view.js';
 
+/** What the executor needs of its process. */
 export interface ExecutorDependencies {
   environment: Environment;
   store: StateAccess;
@@ -15,26 +16,30 @@
   holderOf(duty: Duty): DutyHolder;
 }
 
-const FIRST_RETRY_MS = 500;
-const LONGEST_RETRY_MS = 10_000;
-/** Requests on their way for one holder: each may take seconds to be answered. */
-const MOST_IN_FLIGHT = 4;
+const INITIAL_BACKOFF_MS = 500;
+const MAX_BACKOFF_MS = 10_000;
+/** Of all duties together: each request may take seconds to be answered. */
+const MAX_IN_FLIGHT = 4;
 
-/** An intent that this process has tried, or is trying. */
-interface Attempt {
-  inFlight: boolean;
+/** How far this process is with an intent. */
+interface Execution {
+  isInFlight: boolean;
   failures: number;
   notBefore: number;
-  /** The provider has answered, but the record does not say so yet. */
+  /** The provider's answer, while it is not stored yet. */
   outcome: Outcome | null;
 }
 
+/**
+ * Repeats each open intent with exponential backoff until its outcome is stored. Repeating is harmless: the provider
+ * grants a request name once, and no task runs on a machine that an intent deletes.
+ */
 export class IntentExecutor {
-  private readonly attempts = new Map<string, Attempt>();
+  private readonly executions = new Map<string, Execution>();
 
   constructor(private readonly deps: ExecutorDependencies) {}
 
-  /** Begins what is due. */
+  /** To be called several times a second; begins what is due. */
   tick(): void {
     const { view, environment, provider } = this.deps;
     this.forgetResolved();
@@ -42,57 +47,59 @@
     for (const [id, intent] of view.intents()) {
       if (intent.value.outcome !== null) continue;
       const holder = this.deps.holderOf(intent.value.duty);
-      const attempt = this.attempts.get(id) ?? newAttempt();
-      if (!holder.isHeld() || attempt.inFlight || now < attempt.notBefore) continue;
-      if (this.inFlight() >= MOST_IN_FLIGHT) return;
-      if (attempt.outcome === null && !provider.mayCall()) return;
-      this.attempts.set(id, attempt);
-      void this.run(id, intent, holder, attempt);
+      const execution = this.executions.get(id) ?? newExecution();
+      if (!holder.isHeld() || execution.isInFlight || now < execution.notBefore) continue;
+      if (this.inFlightCount() >= MAX_IN_FLIGHT) return;
+      if (execution.outcome === null && !provider.tryAcquireCall()) return;
+      this.executions.set(id, execution);
+      void this.run(id, intent, holder, execution);
     }
   }
 
-  private inFlight(): number {
+  private inFlightCount(): number {
     let count = 0;
-    for (const attempt of this.attempts.values()) if (attempt.inFlight) count++;
+    for (const execution of this.executions.values()) if (execution.isInFlight) count++;
     return count;
   }
 
   private forgetResolved(): void {
-    for (const id of this.attempts.keys()) if (!this.deps.view.isOpen(id)) this.attempts.delete(id);
+    for (const id of this.executions.keys())
+      if (!this.deps.view.isOpen(id)) this.executions.delete(id);
   }
 
   private async run(
     id: string,
     intent: Versioned<Intent>,
     holder: DutyHolder,
-    attempt: Attempt,
+    execution: Execution,
   ): Promise<void> {
-    attempt.inFlight = true;
+    execution.isInFlight = true;
     const performed = await holder.perform((permit) =>
-      this.attempt(id, intent, permit, holder, attempt),
+      this.attempt(id, intent, permit, holder, execution),
     );
-    attempt.inFlight = false;
+    execution.isInFlight = false;
     if (performed.kind === 'performed' && performed.value) return;
     const { environment } = this.deps;
-    const backoffMs = Math.min(LONGEST_RETRY_MS, FIRST_RETRY_MS * 2 ** attempt.failures++);
-    attempt.notBefore = environment.clock.now() + backoffMs * (0.5 + environment.random() / 2);
+    const backoffMs = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** execution.failures++);
+    execution.notBefore = environment.clock.now() + backoffMs * (0.5 + environment.random() / 2);
   }
 
-  /** True once the intent is resolved. */
+  /** True once the outcome is stored. */
   private async attempt(
     id: string,
     intent: Versioned<Intent>,
     permit: Permit,
     holder: DutyHolder,
-    attempt: Attempt,
+    execution: Execution,
   ): Promise<boolean> {
-    attempt.outcome ??= await this.request(intent.value, permit);
-    if (attempt.outcome === null) return false;
-    const value: Intent = { ...intent.value, outcome: attempt.outcome, token: permit.token };
-    const guards = [permit.guard, { key: intentKey(id), version: intent.version }];
-    const result = await this.deps.store.compareAndSwap(guards, [{ put: intentKey(id), value }]);
-    if (result.kind === 'conflict' && result.failed.includes(permit.guard.key))
-      holder.conflicted(permit);
+    execution.outcome ??= await this.request(intent.value, permit);
+    if (execution.outcome === null) return false;
+    const key = intentKey(id);
+    const value: Intent = { ...intent.value, outcome: execution.outcome, token: permit.token };
+    const preconditions = [permit.precondition, { key, version: intent.version }];
+    const result = await this.deps.store.compareAndSwap(preconditions, [{ put: key, value }]);
+    if (result.kind === 'conflict' && result.failed.includes(permit.precondition.key))
+      holder.recordConflict(permit);
     return result.kind === 'committed';
   }
 
@@ -106,6 +113,6 @@
   }
 }
 
-function newAttempt(): Attempt {
-  return { inFlight: false, failures: 0, notBefore: 0, outcome: null };
+function newExecution(): Execution {
+  return { isInFlight: false, failures: 0, notBefore: 0, outcome: null };
 }
--- a/packages/duties/src/holder-state.ts
+++ b/packages/duties/src/holder-state.ts
@@ -1,16 +1,16 @@
-/** The state of one duty as one controller process holds it, or does not. */
+/** The states of one duty at one controller process. */
 
 /**
  * - `vacant`: this process does not hold the duty.
  * - `acquiring`: a claim is on its way.
- * - `held`: the lease surely lives, counted by this process's own steady clock.
- * - `suspended`: the lease may have ended, so nothing may be done; it may still turn out to live.
+ * - `held`: the lease is surely valid, counted by this process's own steady clock.
+ * - `suspended`: the lease may have expired, so nothing may be done; it may still turn out to be valid.
  * - `releasing`: handed over in order; nothing new is begun.
  * - `lost`: the duty ended without this process's doing.
  */
 export type HolderState = 'vacant' | 'acquiring' | 'held' | 'suspended' | 'releasing' | 'lost';
 
-const NEXT: Record<HolderState, readonly HolderState[]> = {
+const ALLOWED_TRANSITIONS: Record<HolderState, readonly HolderState[]> = {
   vacant: ['acquiring'],
   acquiring: ['held', 'vacant'],
   held: ['suspended', 'releasing', 'lost'],
@@ -19,6 +19,7 @@
   lost: ['vacant'],
 };
 
-export function mayFollow(from: HolderState, to: HolderState): boolean {
-  return NEXT[from].includes(to);
+/** Whether the state machine has this transition. */
+export function isAllowedTransition(from: HolderState, to: HolderState): boolean {
+  return ALLOWED_TRANSITIONS[from].includes(to);
 }
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -1,7 +1,7 @@
 /** Duties that exactly one controller performs at a time, under leases and fencing tokens. See docs/duties.md. */
 export { DUTIES, type Duty, isDuty } from './duty.js';
 export { type DutyHolder, type Performed } from './holder.js';
-export { IntentLog, type IntentLogDependencies, type Opened } from './intent-log.js';
+export { IntentLog, type IntentLogDependencies, type IntentResult } from './intent-log.js';
 export { MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST } from './limits.js';
 export { type DutyCounters, DutyMember, type DutyMemberDependencies } from './member.js';
 export {
@@ -14,7 +14,7 @@
 export { type Permit, StaleTokenError } from './permit.js';
 export type { DeleteResult, MachineProvider, RentResult } from './provider.js';
 export {
-  INTENTS,
+  INTENTS_PREFIX,
   type Intent,
   type IntentAction,
   intentKey,
--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -7,12 +7,12 @@
 } from '@millring/state-access';
 import { type Duty } from './duty.js';
 import {
-  INTENTS,
+  INTENTS_PREFIX,
   type Intent,
   type IntentAction,
   type Outcome,
   intentKey,
-  readIntent,
+  parseIntent,
 } from './records.js';
 import type { DutiesView, Versioned } from './view.js';
 
@@ -22,14 +22,14 @@
   /** As kept by this controller's `DutyMember`. */
   view: DutiesView;
   /** The decider's claim still stands. */
-  active(): boolean;
+  isActive(): boolean;
   /** Unique for ever. */
   newId(): string;
   /** Guards each new intent: the decider's claim and the cluster's level. Null: none may be opened now. */
-  guards(): Precondition[] | null;
+  preconditions(): Precondition[] | null;
 }
 
-export type Opened =
+export type IntentResult =
   | { kind: 'resolved'; outcome: Outcome }
   /** Surely not stored: nothing will be done. */
   | { kind: 'not-opened' }
@@ -45,11 +45,11 @@
   constructor(private readonly deps: IntentLogDependencies) {}
 
   /** All intents that are stored; null if they could not be read. Whoever decides reads them before it decides. */
-  async read(): Promise<Versioned<Intent>[] | null> {
-    const read = await this.deps.store.scan(INTENTS);
+  async readAll(): Promise<Versioned<Intent>[] | null> {
+    const read = await this.deps.store.scan(INTENTS_PREFIX);
     if (!read) return null;
     return read.pairs.flatMap(({ value, version }) => {
-      const parsed = readIntent(value);
+      const parsed = parseIntent(value);
       return parsed.kind === 'valid' ? [{ value: parsed.value, version }] : [];
     });
   }
@@ -58,13 +58,13 @@
    * Resolves once the action is done, or can't be followed any more. A write without an answer is sent again as it was:
    * it is stored once, and if a late copy stores it anew after its record was removed, doing it again changes nothing.
    */
-  open(duty: Duty, action: IntentAction): Promise<Opened> {
+  open(duty: Duty, action: IntentAction): Promise<IntentResult> {
     return this.counted(this.store(duty, action));
   }
 
-  private async store(duty: Duty, action: IntentAction): Promise<Opened> {
+  private async store(duty: Duty, action: IntentAction): Promise<IntentResult> {
     const { environment, store } = this.deps;
-    const guards = this.deps.guards();
+    const guards = this.deps.preconditions();
     if (!guards) return { kind: 'not-opened' };
     const id = this.deps.newId();
     const intent: Intent = {
@@ -76,7 +76,7 @@
       token: null,
     };
     const key = intentKey(id);
-    for (let mayBeStored = false; this.deps.active();) {
+    for (let mayBeStored = false; this.deps.isActive();) {
       const result = await store.compareAndSwap(
         [...guards, { key, version: 0 }],
         [{ put: key, value: intent }],
@@ -92,8 +92,8 @@
     return { kind: 'unknown' };
   }
 
-  private async followStored(id: string): Promise<Opened> {
-    while (this.deps.active()) {
+  private async followStored(id: string): Promise<IntentResult> {
+    while (this.deps.isActive()) {
       const read = await this.deps.store.get(intentKey(id));
       if (read.kind === 'found') return this.followRecord(id, read.entry.version);
       if (read.kind === 'absent') return { kind: 'unknown' };
@@ -103,25 +103,25 @@
   }
 
   /** How many intents this decider waits for: all that are open, since it took over those of its predecessors. */
-  pending(): number {
+  pendingCount(): number {
     return this.followed;
   }
 
   /** Waits for the outcome of an intent that is stored since `version`. */
-  async follow(id: string, version: number): Promise<Opened> {
+  async awaitOutcome(id: string, version: number): Promise<IntentResult> {
     return this.counted(this.followRecord(id, version));
   }
 
-  private async counted(opened: Promise<Opened>): Promise<Opened> {
+  private async counted(opened: Promise<IntentResult>): Promise<IntentResult> {
     this.followed++;
     const result = await opened;
     this.followed--;
     return result;
   }
 
-  private async followRecord(id: string, version: number): Promise<Opened> {
+  private async followRecord(id: string, version: number): Promise<IntentResult> {
     const { environment, view } = this.deps;
-    while (this.deps.active()) {
+    while (this.deps.isActive()) {
       const entry = view.intent(id);
       if (entry.kind === 'present' && entry.value.outcome !== null)
         return { kind: 'resolved', outcome: entry.value.outcome };
--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -1,24 +1,23 @@
-/** A controller process as a member of those that share the duties: follows the records, acquires, acts, hands over. */
-import {
-  type Environment,
-  type StateAccess,
-  type WatchResult,
-  sleep,
-} from '@millring/state-access';
+/** A controller process as a member of those that share the duties: composes all that this takes. */
+import type { Environment, StateAccess } from '@millring/state-access';
 import { IntentCleaner } from './cleaner.js';
 import { DUTIES, type Duty } from './duty.js';
+import { DutyBalancer } from './duty-balancer.js';
 import { IntentExecutor } from './executor.js';
+import { FirstSeen } from './first-seen.js';
 import { DutyHolder } from './holder.js';
+import { MemberTracker } from './member-tracker.js';
 import { Membership } from './membership.js';
 import type { MachineProvider } from './provider.js';
-import { PREFIX } from './records.js';
+import { RecordWatch } from './record-watch.js';
 import type { DutySettings } from './settings.js';
-import { type MemberView, acquisitionDelayMs, dutyToHandOver } from './spread.js';
 import { DutiesView } from './view.js';
 
+/** What a member needs of its process and of the settings. */
 export interface DutyMemberDependencies {
   environment: Environment;
   store: StateAccess;
+  /** Name of this controller. */
   self: string;
   /** Tells this process apart from all others of this controller. */
   process: string;
@@ -34,8 +33,10 @@
 
 /** Counters for the log and for operators. */
 export interface DutyCounters {
+  /** The duties that this process holds. */
   held: Duty[];
   acquired: number;
+  /** Actions that were rejected since another holder had replaced this process. */
   refused: number;
   openIntents: number;
   /** By our steady clock since it was first seen; 0 if none is open. */
@@ -43,110 +44,154 @@
 }
 
 const TICK_MS = 100;
-/** An answer that is lost costs this and the client's timeout: so long an operator's hold may go unnoticed. */
-const WATCH_MS = 3000;
-const RETRY_MS = 300;
-const ACQUIRE_RETRY_MS = 500;
-/** Those that start or are turned on together see each other before the first of them acquires anything. */
-const JOIN_MS = 1000;
-
-interface Seen {
-  process: string;
-  duties: readonly Duty[];
-  since: number;
-}
 
+/** Joins, acquires, acts and hands over while `mayHold` is true, and leaves in order once it is not. */
 export class DutyMember {
   readonly view: DutiesView;
   private readonly membership: Membership;
-  private readonly holders: Map<Duty, DutyHolder>;
+  private readonly watch: RecordWatch;
+  private readonly holders: ReadonlyMap<Duty, DutyHolder>;
+  private readonly members: MemberTracker;
+  private readonly balancer: DutyBalancer;
   private readonly executor: IntentExecutor;
   private readonly cleaner: IntentCleaner;
-  private readonly membersSeen = new Map<string, Seen>();
-  private readonly vacantSince = new Map<Duty, number>();
-  /** When this process was last seen to hold the duty. */
-  private readonly heldAt = new Map<Duty, number>();
-  private readonly openSince = new Map<string, number>();
-  private readonly settleMs: number;
-  private movedAt: number;
-  private reportedAt: number;
-  private follows = false;
+  private readonly openIntents = new FirstSeen();
+  private lastReportAt: number;
 
   constructor(private readonly deps: DutyMemberDependencies) {
-    const { environment, store, self, process, settings, provider, txnOps } = deps;
-    this.movedAt = this.reportedAt = environment.clock.now();
-    this.settleMs = settings.settle_s * 1000;
+    const { environment } = deps;
+    this.lastReportAt = environment.clock.now();
     this.view = new DutiesView(environment.log);
-    this.membership = new Membership({
+    this.membership = this.createMembership();
+    this.watch = this.createWatch();
+    this.holders = this.createHolders();
+    this.members = this.createMemberTracker();
+    this.balancer = this.createBalancer();
+    this.executor = this.createExecutor();
+    this.cleaner = this.createCleaner();
+  }
+
+  private createMembership(): Membership {
+    const { environment, store, self, process, settings } = this.deps;
+    const leaseMs = settings.lease_s * 1000;
+    return new Membership({
       environment,
       store,
       self,
       process,
-      leaseMs: settings.lease_s * 1000,
+      leaseMs,
       duties: settings.held_here,
     });
-    const shared = {
+  }
+
+  private createWatch(): RecordWatch {
+    const { environment, store } = this.deps;
+    return new RecordWatch({
       environment,
       store,
       view: this.view,
-      membership: this.membership,
+      isActive: () => this.deps.mayHold(),
+      onChange: () => {
+        if (this.deps.mayHold()) this.step();
+      },
+    });
+  }
+
+  private createHolders(): ReadonlyMap<Duty, DutyHolder> {
+    const { environment, store, self, process } = this.deps;
+    const { view, membership } = this;
+    const shared = { environment, store, view, membership, self, process };
+    return new Map(DUTIES.map((duty) => [duty, new DutyHolder(duty, shared)]));
+  }
+
+  private createMemberTracker(): MemberTracker {
+    const { environment, self, settings } = this.deps;
+    return new MemberTracker({
+      environment,
+      view: this.view,
       self,
-      process,
-    };
-    this.holders = new Map(DUTIES.map((duty) => [duty, new DutyHolder(duty, shared)]));
+      settleMs: settings.settle_s * 1000,
+      leader: () => this.deps.leader(),
+      isAcquiring: (duty) => this.holder(duty).state() === 'acquiring',
+    });
+  }
+
+  private createBalancer(): DutyBalancer {
+    const { environment, self, settings } = this.deps;
+    const { members, holders } = this;
+    return new DutyBalancer({
+      environment,
+      members,
+      holders,
+      self,
+      duties: settings.held_here,
+      settleMs: settings.settle_s * 1000,
+      rebalanceMs: settings.rebalance_s * 1000,
+    });
+  }
+
+  private createExecutor(): IntentExecutor {
+    const { environment, store, provider } = this.deps;
     const holderOf = (duty: Duty): DutyHolder => this.holder(duty);
-    this.executor = new IntentExecutor({ environment, store, view: this.view, provider, holderOf });
-    this.cleaner = new IntentCleaner({
+    return new IntentExecutor({ environment, store, view: this.view, provider, holderOf });
+  }
+
+  private createCleaner(): IntentCleaner {
+    const { environment, store, settings, txnOps } = this.deps;
+    return new IntentCleaner({
       environment,
       store,
       view: this.view,
-      holder: holderOf('clean-up'),
+      holder: this.holder('clean-up'),
       retentionMs: settings.retention_s * 1000,
       txnOps,
     });
   }
 
+  /** The holder of each duty lasts as long as the process, whether or not the duty is held. */
   holder(duty: Duty): DutyHolder {
     const holder = this.holders.get(duty);
     if (!holder) throw new Error(`${duty}: no holder`);
     return holder;
   }
 
+  /** Begins to take part, for as long as the process lives. */
   run(): void {
     this.tick();
   }
 
+  /** Since the process started. */
   counters(): DutyCounters {
     const now = this.deps.environment.clock.now();
     const holders = [...this.holders.values()];
     const sum = (of: (holder: DutyHolder) => number): number =>
-      holders.reduce((n, h) => n + of(h), 0);
-    const oldest = Math.min(now, ...this.openSince.values());
+      holders.reduce((total, holder) => total + of(holder), 0);
     return {
       held: holders.filter((holder) => holder.isHeld()).map((holder) => holder.duty),
       acquired: sum((holder) => holder.counters().acquired),
       refused: sum((holder) => holder.counters().refused),
-      openIntents: this.openSince.size,
-      oldestOpenMs: now - oldest,
+      openIntents: this.openIntents.count(),
+      oldestOpenMs: this.openIntents.longestMs(now),
     };
   }
 
   private tick(): void {
-    if (this.deps.mayHold()) this.takePart();
-    else if (this.membership.isIn()) void this.leave();
+    if (this.deps.mayHold()) this.step();
+    else if (this.membership.isMember()) void this.leave();
     this.deps.environment.clock.after(TICK_MS, () => {
       this.tick();
     });
   }
 
-  private takePart(): void {
-    if (!this.membership.isIn()) void this.membership.run();
-    if (!this.follows) void this.follow();
+  /** Does whatever is due now. */
+  private step(): void {
+    if (!this.membership.isMember()) void this.membership.run();
+    this.watch.ensureRunning();
     if (this.view.knownRevision() < 0) return;
-    this.noteMembers();
-    this.noteIntents();
-    for (const holder of this.holders.values()) this.attend(holder);
-    this.spreadEvenly();
+    this.members.update();
+    this.trackOpenIntents();
+    this.balancer.acquireVacant();
+    this.balancer.rebalance();
     this.executor.tick();
     this.cleaner.tick();
     this.report();
@@ -159,127 +204,18 @@
     for (const holder of this.holders.values()) holder.refresh();
   }
 
-  /** Reads everything once, then follows the changes. */
-  private async follow(): Promise<void> {
-    const { environment, store } = this.deps;
-    this.follows = true;
-    while (this.deps.mayHold()) {
-      if (this.view.knownRevision() < 0) await this.reload();
-      if (this.view.knownRevision() < 0) {
-        await sleep(environment, RETRY_MS * (1 + environment.random()));
-        continue;
-      }
-      const answer = await store.watch(PREFIX, this.view.knownRevision(), WATCH_MS);
-      if (answer.kind === 'events') this.apply(answer);
-      else if (answer.kind === 'compacted') await this.reload();
-      else await sleep(environment, RETRY_MS * (1 + environment.random()));
-    }
-    this.follows = false;
-  }
-
-  /** What is new is acted on at once. */
-  private apply(answer: Extract<WatchResult, { kind: 'events' }>): void {
-    this.view.apply(answer.events, answer.revision);
-    if (this.deps.mayHold()) this.takePart();
-  }
-
-  private async reload(): Promise<void> {
-    const read = await this.deps.store.scan(PREFIX);
-    if (read) this.view.load(read.pairs, read.revision);
-  }
-
-  private noteMembers(): void {
-    const now = this.deps.environment.clock.now();
-    const present = new Set<string>();
-    for (const [name, { value }] of this.view.members()) {
-      present.add(name);
-      if (this.membersSeen.get(name)?.process !== value.process)
-        this.membersSeen.set(name, { ...value, since: now });
-    }
-    for (const name of this.membersSeen.keys())
-      if (!present.has(name)) this.membersSeen.delete(name);
-  }
-
-  private noteIntents(): void {
+  private trackOpenIntents(): void {
     const now = this.deps.environment.clock.now();
     for (const [id, { value }] of this.view.intents())
-      if (value.outcome === null && !this.openSince.has(id)) this.openSince.set(id, now);
-    for (const id of this.openSince.keys()) if (!this.view.isOpen(id)) this.openSince.delete(id);
-  }
-
-  private memberViews(): MemberView[] {
-    const now = this.deps.environment.clock.now();
-    const leader = this.deps.leader();
-    return [...this.membersSeen].map(([name, { since, duties }]) => ({
-      name,
-      duties,
-      settled: now - since >= this.settleMs,
-      isLeader: name === leader,
-      holds: this.countHeldBy(name),
-    }));
-  }
-
-  /** What this process is about to hold counts, too. */
-  private countHeldBy(name: string): number {
-    const isOwn = name === this.deps.self;
-    const holds = (duty: Duty): boolean =>
-      this.nameOfHolder(duty) === name || (isOwn && this.holder(duty).state() === 'acquiring');
-    return DUTIES.filter(holds).length;
-  }
-
-  private nameOfHolder(duty: Duty): string | null {
-    const entry = this.view.holder(duty);
-    return entry.kind === 'present' ? entry.value.controller : null;
-  }
-
-  private attend(holder: DutyHolder): void {
-    holder.refresh();
-    const { duty } = holder;
-    const now = this.deps.environment.clock.now();
-    if (holder.isHeld()) this.heldAt.set(duty, now);
-    if (!holder.isVacant()) {
-      this.vacantSince.delete(duty);
-      if (holder.state() === 'vacant') void holder.releaseStray();
-      return;
-    }
-    if (!this.deps.settings.held_here.includes(duty) || !this.hasJoined(now)) return;
-    const since = this.vacantSince.get(duty) ?? now;
-    this.vacantSince.set(duty, since);
-    if (now - since < this.acquisitionDelayMs(duty, now)) return;
-    this.movedAt = now;
-    this.vacantSince.set(duty, now + ACQUIRE_RETRY_MS);
-    void holder.acquire();
-  }
-
-  private hasJoined(now: number): boolean {
-    const self = this.membersSeen.get(this.deps.self);
-    return self !== undefined && now - self.since >= JOIN_MS;
-  }
-
-  /** Whoever just had the duty goes last: it was taken away for a reason. */
-  private acquisitionDelayMs(duty: Duty, now: number): number {
-    const members = this.memberViews();
-    const { settleMs } = this;
-    const delayMs = acquisitionDelayMs(duty, this.deps.self, members, settleMs);
-    const hadItLately = now - (this.heldAt.get(duty) ?? -Infinity) < settleMs;
-    return hadItLately && members.length > 1 ? delayMs + settleMs : delayMs;
-  }
-
-  private spreadEvenly(): void {
-    const now = this.deps.environment.clock.now();
-    if (now - this.movedAt < this.deps.settings.rebalance_s * 1000) return;
-    const held = DUTIES.filter((duty) => this.holder(duty).isHeld());
-    const duty = dutyToHandOver(this.deps.self, held, this.memberViews());
-    if (duty === null) return;
-    this.movedAt = now;
-    void this.holder(duty).release('handed over for an even spread');
+      if (value.outcome === null) this.openIntents.record(id, now);
+    this.openIntents.retain((id) => this.view.isOpen(id));
   }
 
   private report(): void {
     const { environment, settings } = this.deps;
     const now = environment.clock.now();
-    if (now - this.reportedAt < settings.report_s * 1000) return;
-    this.reportedAt = now;
+    if (now - this.lastReportAt < settings.report_s * 1000) return;
+    this.lastReportAt = now;
     environment.log.info(this.counters(), 'duties');
   }
 }
--- a/packages/duties/src/membership.ts
+++ b/packages/duties/src/membership.ts
@@ -3,9 +3,11 @@
 import type { Duty } from './duty.js';
 import { memberKey } from './records.js';
 
+/** What a membership needs of its process and of the settings. */
 export interface MembershipDependencies {
   environment: Environment;
   store: StateAccess;
+  /** Name of this controller. */
   self: string;
   /** Tells this process apart from all others of this controller. */
   process: string;
@@ -15,16 +17,17 @@
 }
 
 /** Steady clocks of different machines drift apart by at most this factor. */
-const DRIFT = 1.001;
+const MAX_CLOCK_DRIFT_FACTOR = 1.001;
 /** Between a look at the clock and what rests on it. */
-const MARGIN_MS = 20;
+const VALIDITY_MARGIN_MS = 20;
 const RENEWALS_PER_LEASE = 4;
 const RETRY_MS = 200;
 
-type MembershipState = 'out' | 'in' | 'leaving';
+type MembershipState = 'out' | 'member' | 'leaving';
 
+/** Holds the process's lease and member record, and tells for how long the lease is surely valid. */
 export class Membership {
-  private lease: number | null = null;
+  private leaseId: number | null = null;
   private validUntil = -Infinity;
   private state: MembershipState = 'out';
   /** Counts the times that this process has joined. */
@@ -32,85 +35,89 @@
 
   constructor(private readonly deps: MembershipDependencies) {}
 
-  /** The lease surely lives at this very moment. */
+  /** The lease is surely valid at this very moment, by this process's own clock. */
   isValid(): boolean {
-    return this.lease !== null && this.deps.environment.clock.now() < this.validUntil;
+    return this.leaseId !== null && this.deps.environment.clock.now() < this.validUntil;
   }
 
-  /** What is attached to another lease than this one was lost with it. */
+  /** Whatever is attached to another lease than this one is no longer held. Null between leases. */
   currentLease(): number | null {
-    return this.lease;
+    return this.leaseId;
   }
 
-  isIn(): boolean {
+  /** From `run` until `leave` has ended. */
+  isMember(): boolean {
     return this.state !== 'out';
   }
 
-  /** Opens leases and renews them until `leave`. */
+  /** Grants leases and renews them until `leave`. */
   async run(): Promise<void> {
     if (this.state !== 'out') return;
-    this.state = 'in';
+    this.state = 'member';
     const term = ++this.term;
     const { environment, leaseMs } = this.deps;
-    while (this.isMember(term)) {
-      if (this.lease === null && !(await this.join(term))) {
+    while (this.isMemberInTerm(term)) {
+      if (this.leaseId === null && !(await this.join(term))) {
         await sleep(environment, RETRY_MS * (1 + environment.random()));
         continue;
       }
       await sleep(environment, leaseMs / RENEWALS_PER_LEASE);
-      if (this.isMember(term)) await this.renew();
+      if (this.isMemberInTerm(term)) await this.renew();
     }
   }
 
-  /** Ends the lease, and with it whatever is attached to it. */
+  /** Revokes the lease, and with it whatever is attached to it. */
   async leave(): Promise<void> {
-    if (this.state !== 'in') return;
+    if (this.state !== 'member') return;
     this.state = 'leaving';
-    const { lease } = this;
-    this.validUntil = -Infinity;
-    this.lease = null;
-    if (lease !== null) await this.deps.store.revokeLease(lease);
+    const { leaseId } = this;
+    this.forgetLease();
+    if (leaseId !== null) await this.deps.store.revokeLease(leaseId);
     this.state = 'out';
   }
 
-  /** Not for a loop of an earlier term that has slept while this process left and joined again. */
-  private isMember(term: number): boolean {
-    return this.state === 'in' && this.term === term;
+  /** False for a loop of an earlier term that has slept while this process left and joined again. */
+  private isMemberInTerm(term: number): boolean {
+    return this.state === 'member' && this.term === term;
   }
 
   private async join(term: number): Promise<boolean> {
     const { environment, store, self, process, leaseMs, duties } = this.deps;
-    const sent = environment.clock.now();
-    const lease = await store.grantLease(leaseMs);
-    if (lease === null) return false;
+    const sentAt = environment.clock.now();
+    const leaseId = await store.grantLease(leaseMs);
+    if (leaseId === null) return false;
     const result = await store.compareAndSwap(
       [],
-      [{ put: memberKey(self), value: { process, duties: [...duties] }, lease }],
+      [{ put: memberKey(self), value: { process, duties: [...duties] }, lease: leaseId }],
     );
-    if (result.kind === 'committed' && this.isMember(term)) {
-      this.lease = lease;
-      this.setValid(sent);
+    if (result.kind === 'committed' && this.isMemberInTerm(term)) {
+      this.leaseId = leaseId;
+      this.extendValidity(sentAt);
       return true;
     }
-    await store.revokeLease(lease);
+    await store.revokeLease(leaseId);
     return false;
   }
 
-  /** Counted by our own clock from when the request was sent, drift taken off. */
-  private setValid(sent: number): void {
-    this.validUntil = Math.max(this.validUntil, sent + this.deps.leaseMs / DRIFT - MARGIN_MS);
+  /** Counted by our own clock from when the request was sent, with the drift taken off. */
+  private extendValidity(sentAt: number): void {
+    const validForMs = this.deps.leaseMs / MAX_CLOCK_DRIFT_FACTOR - VALIDITY_MARGIN_MS;
+    this.validUntil = Math.max(this.validUntil, sentAt + validForMs);
   }
 
   private async renew(): Promise<void> {
     const { environment, store, leaseMs } = this.deps;
-    const { lease } = this;
-    if (lease === null) return;
-    const sent = environment.clock.now();
-    const result = await store.renewLease(lease, leaseMs, leaseMs / RENEWALS_PER_LEASE);
-    if (this.lease !== lease) return;
-    if (result === 'renewed') this.setValid(sent);
-    if (result !== 'expired') return;
-    this.lease = null;
+    const { leaseId } = this;
+    if (leaseId === null) return;
+    const sentAt = environment.clock.now();
+    const result = await store.renewLease(leaseId, leaseMs, leaseMs / RENEWALS_PER_LEASE);
+    if (this.leaseId !== leaseId) return;
+    if (result === 'renewed') this.extendValidity(sentAt);
+    if (result === 'expired') this.forgetLease();
+  }
+
+  private forgetLease(): void {
+    this.leaseId = null;
     this.validUntil = -Infinity;
   }
 }
--- a/packages/duties/src/operator.ts
+++ b/packages/duties/src/operator.ts
@@ -1,7 +1,13 @@
 /** What operators see of the duties and do about them: guarded writes like any other. */
 import type { Mutation, Environment, Precondition, StateAccess } from '@millring/state-access';
 import { DUTIES, type Duty } from './duty.js';
-import { type HolderRecord, type HoldRecord, PREFIX, holdKey, holderKey } from './records.js';
+import {
+  type HolderRecord,
+  type HoldRecord,
+  DUTIES_PREFIX,
+  holdKey,
+  holderKey,
+} from './records.js';
 import { DutiesView } from './view.js';
 
 export interface DutyOperatorDependencies {
@@ -93,7 +99,7 @@
   }
 
   private async read(): Promise<DutiesView | null> {
-    const read = await this.deps.store.scan(PREFIX);
+    const read = await this.deps.store.scan(DUTIES_PREFIX);
     if (!read) return null;
     const view = new DutiesView(QUIET);
     view.load(read.pairs, read.revision);
--- a/packages/duties/src/permit.ts
+++ b/packages/duties/src/permit.ts
@@ -1,4 +1,4 @@
-/** What an action of a duty carries: proof that its holder was checked, and the token. */
+/** What an action of a duty carries: proof that its holder was checked, and the fencing token. */
 import type { Precondition } from '@millring/state-access';
 import type { Duty } from './duty.js';
 
@@ -7,24 +7,24 @@
  * that needs one can't act without a check of the holder.
  */
 export class Permit {
-  readonly #guard: Precondition;
+  readonly #precondition: Precondition;
 
   constructor(
     readonly duty: Duty,
-    /** Rises with every change of the holder. */
+    /** The fencing token: it rises with every change of the holder. */
     readonly token: number,
-    guard: Precondition,
+    precondition: Precondition,
   ) {
-    this.#guard = guard;
+    this.#precondition = precondition;
   }
 
-  /** Belongs into every transaction of the action: it changes nothing once the duty has another holder, or none. */
-  get guard(): Precondition {
-    return this.#guard;
+  /** Belongs into every transaction of the action: it fails once the duty has another holder, or none. */
+  get precondition(): Precondition {
+    return this.#precondition;
   }
 }
 
-/** The other side has seen a higher token of the duty: this holder was replaced. */
+/** Thrown by a provider that has seen a higher fencing token of the duty: this holder was replaced. */
 export class StaleTokenError extends Error {
   constructor(
     readonly duty: Duty,
--- /dev/null
+++ b/packages/duties/src/record-watch.ts
@@ -0,0 +1,60 @@
+/** Keeps the view of the duties' records up to date with the state service. */
+import { type Environment, type StateAccess, sleep } from '@millring/state-access';
+import { DUTIES_PREFIX } from './records.js';
+import type { DutiesView } from './view.js';
+
+/** What watching the records needs of its process. */
+export interface RecordWatchDependencies {
+  environment: Environment;
+  store: StateAccess;
+  view: DutiesView;
+  /** The loop ends once this is false. */
+  isActive(): boolean;
+  /** Called after changes have come in, so that they are acted on at once. */
+  onChange(): void;
+}
+
+/** A response that is lost costs this and the client's timeout: so long an operator's hold may go unnoticed. */
+const WATCH_TIMEOUT_MS = 3000;
+const RETRY_MS = 300;
+
+/** Reads all records once, then watches for changes. */
+export class RecordWatch {
+  private isRunning = false;
+
+  constructor(private readonly deps: RecordWatchDependencies) {}
+
+  /** Runs the loop unless it runs already. */
+  ensureRunning(): void {
+    if (!this.isRunning) void this.run();
+  }
+
+  private async run(): Promise<void> {
+    const { store, view } = this.deps;
+    this.isRunning = true;
+    while (this.deps.isActive()) {
+      if (view.knownRevision() < 0) await this.reload();
+      if (view.knownRevision() < 0) {
+        await this.pause();
+        continue;
+      }
+      const answer = await store.watch(DUTIES_PREFIX, view.knownRevision(), WATCH_TIMEOUT_MS);
+      if (answer.kind === 'events') {
+        view.apply(answer.events, answer.revision);
+        this.deps.onChange();
+      } else if (answer.kind === 'compacted') await this.reload();
+      else await this.pause();
+    }
+    this.isRunning = false;
+  }
+
+  private pause(): Promise<void> {
+    const { environment } = this.deps;
+    return sleep(environment, RETRY_MS * (1 + environment.random()));
+  }
+
+  private async reload(): Promise<void> {
+    const read = await this.deps.store.scan(DUTIES_PREFIX);
+    if (read) this.deps.view.load(read.pairs, read.revision);
+  }
+}
--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -4,22 +4,22 @@
 import { DUTIES, type Duty } from './duty.js';
 import { MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST } from './limits.js';
 
-export const PREFIX = 'duties/';
-export const HOLDERS = `${PREFIX}holders/`;
-export const TOKENS = `${PREFIX}tokens/`;
-export const HOLDS = `${PREFIX}holds/`;
-export const MEMBERS = `${PREFIX}members/`;
-export const INTENTS = `${PREFIX}intents/`;
+export const DUTIES_PREFIX = 'duties/';
+export const HOLDERS_PREFIX = `${DUTIES_PREFIX}holders/`;
+export const TOKENS_PREFIX = `${DUTIES_PREFIX}tokens/`;
+export const HOLDS_PREFIX = `${DUTIES_PREFIX}holds/`;
+export const MEMBERS_PREFIX = `${DUTIES_PREFIX}members/`;
+export const INTENTS_PREFIX = `${DUTIES_PREFIX}intents/`;
 
 /** Attached to the lease of the process that holds the duty. */
-export const holderKey = (duty: Duty): string => HOLDERS + duty;
+export const holderKey = (duty: Duty): string => HOLDERS_PREFIX + duty;
 /** Attached to no lease: it must outlive every holder. */
-export const tokenKey = (duty: Duty): string => TOKENS + duty;
+export const tokenKey = (duty: Duty): string => TOKENS_PREFIX + duty;
 /** Put there by an operator: while it exists nobody holds the duty. */
-export const holdKey = (duty: Duty): string => HOLDS + duty;
+export const holdKey = (duty: Duty): string => HOLDS_PREFIX + duty;
 /** Attached to the lease of the process that wrote it. */
-export const memberKey = (controller: string): string => MEMBERS + controller;
-export const intentKey = (id: string): string => INTENTS + id;
+export const memberKey = (controller: string): string => MEMBERS_PREFIX + controller;
+export const intentKey = (id: string): string => INTENTS_PREFIX + id;
 
 const MAX_NAME_LENGTH = 200;
 
@@ -104,10 +104,10 @@
 export type DeleteAction = Extract<IntentAction, { kind: 'delete' }>;
 export type Outcome = NonNullable<Intent['outcome']>;
 
-export const readHolder = (value: unknown): Parsed<HolderRecord> =>
+export const parseHolder = (value: unknown): Parsed<HolderRecord> =>
   parseRecord(holderSchema, value);
-export const readToken = (value: unknown): Parsed<TokenRecord> => parseRecord(tokenSchema, value);
-export const readHold = (value: unknown): Parsed<HoldRecord> => parseRecord(holdSchema, value);
-export const readMember = (value: unknown): Parsed<MemberRecord> =>
+export const parseToken = (value: unknown): Parsed<TokenRecord> => parseRecord(tokenSchema, value);
+export const parseHold = (value: unknown): Parsed<HoldRecord> => parseRecord(holdSchema, value);
+export const parseMember = (value: unknown): Parsed<MemberRecord> =>
   parseRecord(memberSchema, value);
-export const readIntent = (value: unknown): Parsed<Intent> => parseRecord(intentSchema, value);
+export const parseIntent = (value: unknown): Parsed<Intent> => parseRecord(intentSchema, value);
--- a/packages/duties/src/settings.ts
+++ b/packages/duties/src/settings.ts
@@ -1,8 +1,9 @@
 /** The operators' settings of the duties. */
 import type { Duty } from './duty.js';
 
+/** Fields are named as in the operators' settings file. */
 export interface DutySettings {
-  /** `off`: the leader performs everything itself, as before there were duties. */
+  /** `off`: the leader performs everything itself. */
   mode: 'off' | 'on';
   /** The duties that this controller may hold. */
   held_here: Duty[];
--- a/packages/duties/src/view.ts
+++ b/packages/duties/src/view.ts
@@ -2,21 +2,21 @@
 import type { Environment, KeyValue, Parsed, WatchEvent } from '@millring/state-access';
 import { type Duty, isDuty } from './duty.js';
 import {
-  HOLDERS,
-  HOLDS,
+  HOLDERS_PREFIX,
+  HOLDS_PREFIX,
   type HolderRecord,
   type HoldRecord,
-  INTENTS,
+  INTENTS_PREFIX,
   type Intent,
-  MEMBERS,
+  MEMBERS_PREFIX,
   type MemberRecord,
-  TOKENS,
+  TOKENS_PREFIX,
   type TokenRecord,
-  readHold,
-  readHolder,
-  readIntent,
-  readMember,
-  readToken,
+  parseHold,
+  parseHolder,
+  parseIntent,
+  parseMember,
+  parseToken,
 } from './records.js';
 
 export interface Versioned<T> {
@@ -33,7 +33,7 @@
 const ABSENT = { kind: 'absent' } as const;
 
 /** The records of one kind, by the end of their keys. */
-class Section<T> {
+class RecordSection<T> {
   private readonly entries = new Map<string, Entry<T>>();
 
   constructor(
@@ -76,11 +76,11 @@
 }
 
 export class DutiesView {
-  private readonly holderSection = new Section<HolderRecord>(HOLDERS, readHolder);
-  private readonly tokenSection = new Section<TokenRecord>(TOKENS, readToken);
-  private readonly holdSection = new Section<HoldRecord>(HOLDS, readHold);
-  private readonly memberSection = new Section<MemberRecord>(MEMBERS, readMember);
-  private readonly intentSection = new Section<Intent>(INTENTS, readIntent);
+  private readonly holderSection = new RecordSection<HolderRecord>(HOLDERS_PREFIX, parseHolder);
+  private readonly tokenSection = new RecordSection<TokenRecord>(TOKENS_PREFIX, parseToken);
+  private readonly holdSection = new RecordSection<HoldRecord>(HOLDS_PREFIX, parseHold);
+  private readonly memberSection = new RecordSection<MemberRecord>(MEMBERS_PREFIX, parseMember);
+  private readonly intentSection = new RecordSection<Intent>(INTENTS_PREFIX, parseIntent);
   private readonly sections = [
     this.holderSection,
     this.tokenSection,
@@ -151,7 +151,7 @@
     this.revision = Math.max(this.revision, revision);
   }
 
-  private sectionOf(key: string): Section<unknown> | undefined {
+  private sectionOf(key: string): RecordSection<unknown> | undefined {
     return this.sections.find((section) => key.startsWith(section.prefix));
   }
 
@@ -163,7 +163,7 @@
     else if (section && this.isMisplaced(section, name)) this.logOnce(key, version, 'unknown duty');
   }
 
-  private isMisplaced(section: Section<unknown>, name: string): boolean {
+  private isMisplaced(section: RecordSection<unknown>, name: string): boolean {
     const ofDuties: unknown[] = [this.holderSection, this.tokenSection, this.holdSection];
     return ofDuties.includes(section) && !isDuty(name);
   }
--- a/packages/duties/test/spread.test.ts
+++ b/packages/duties/test/duty-assignment.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Duty } from '../src/duty.js';
-import { type MemberView, acquisitionDelayMs, dutyToHandOver } from '../src/spread.js';
+import { type MemberView, acquisitionDelayMs, dutyToHandOver } from '../src/duty-assignment.js';
 
 const SETTLE_MS = 10_000;
 
 function member(name: string, over: Partial<MemberView> = {}): MemberView {
-  return { name, settled: true, isLeader: false, duties: DUTIES, holds: 0, ...over };
+  return { name, settled: true, isLeader: false, duties: DUTIES, heldCount: 0, ...over };
 }
 
 function ranking(duty: Duty, members: MemberView[]): string[] {
@@ -31,7 +31,7 @@
   const members = [
     member('leader', { isLeader: true }),
     member('new', { settled: false }),
-    member('busy', { holds: 3 }),
+    member('busy', { heldCount: 3 }),
     member('idle'),
   ];
   assert.deepEqual(ranking('return', members), ['idle', 'leader', 'busy', 'new']);
@@ -46,7 +46,7 @@
 });
 
 test('who may not hold a duty keeps nobody waiting, and gets none handed over', () => {
-  const members = [member('n0', { duties: [] }), member('n1', { holds: 4 })];
+  const members = [member('n0', { duties: [] }), member('n1', { heldCount: 4 })];
   assert.equal(acquisitionDelayMs('rent', 'n1', members, SETTLE_MS), 0);
   assert.equal(dutyToHandOver('n1', DUTIES, members), null);
 });
@@ -59,7 +59,7 @@
   ] as [string, Duty[]][]);
   const views = (): MemberView[] =>
     [...holds].map(([name, duties]) =>
-      member(name, { holds: duties.length, isLeader: name === 'n2' }),
+      member(name, { heldCount: duties.length, isLeader: name === 'n2' }),
     );
   let moves = 0;
   for (let round = 0; round < 20; round++)
--- a/packages/duties/test/records.test.ts
+++ b/packages/duties/test/records.test.ts
@@ -1,9 +1,9 @@
 /** What is taken for a record, and what is left alone. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { mayFollow, type HolderState } from '../src/holder-state.js';
+import { isAllowedTransition, type HolderState } from '../src/holder-state.js';
 import { MAX_MACHINES_PER_DELETION } from '../src/limits.js';
-import { type Intent, readHolder, readIntent, readToken } from '../src/records.js';
+import { type Intent, parseHolder, parseIntent, parseToken } from '../src/records.js';
 import { DutiesView } from '../src/view.js';
 
 const INTENT: Intent = {
@@ -16,7 +16,7 @@
 };
 
 test('intents: each field is checked, and the action has to fit the duty', () => {
-  assert.equal(readIntent(INTENT).kind, 'valid');
+  assert.equal(parseIntent(INTENT).kind, 'valid');
   const wrong: object[] = [
     { duty: 'dance' },
     { duty: 'rent' },
@@ -34,16 +34,16 @@
     { id: '' },
   ];
   for (const over of wrong)
-    assert.equal(readIntent({ ...INTENT, ...over }).kind, 'invalid', JSON.stringify(over));
-  assert.equal(readIntent({ ...INTENT, outcome: { kind: 'deleted' }, token: 3 }).kind, 'valid');
+    assert.equal(parseIntent({ ...INTENT, ...over }).kind, 'invalid', JSON.stringify(over));
+  assert.equal(parseIntent({ ...INTENT, outcome: { kind: 'deleted' }, token: 3 }).kind, 'valid');
 });
 
 test('tokens are whole numbers from 1 on', () => {
   const holder = { controller: 'n0', process: 'p', token: 1 };
-  assert.equal(readHolder(holder).kind, 'valid');
+  assert.equal(parseHolder(holder).kind, 'valid');
   for (const token of [0, -1, 1.5, '1', null]) {
-    assert.equal(readHolder({ ...holder, token }).kind, 'invalid');
-    assert.equal(readToken({ token, controller: 'n0', sinceMs: 0 }).kind, 'invalid');
+    assert.equal(parseHolder({ ...holder, token }).kind, 'invalid');
+    assert.equal(parseToken({ token, controller: 'n0', sinceMs: 0 }).kind, 'invalid');
   }
 });
 
@@ -68,6 +68,7 @@
     ['releasing', 'held'],
     ['acquiring', 'suspended'],
   ];
-  for (const [from, to] of forbidden) assert.equal(mayFollow(from, to), false, `${from} -> ${to}`);
-  assert.ok(mayFollow('suspended', 'held') && mayFollow('suspended', 'lost'));
+  for (const [from, to] of forbidden)
+    assert.equal(isAllowedTransition(from, to), false, `${from} -> ${to}`);
+  assert.ok(isAllowedTransition('suspended', 'held') && isAllowedTransition('suspended', 'lost'));
 });
--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -2,7 +2,7 @@
 import { advance } from './cluster-level.js';
 import { type Conversion, type Decision, decide } from './decide.js';
 import type { FeatureRegistry } from './levels.js';
-import { type ClusterLevel, LEVEL_KEY, PREFIX } from './records.js';
+import { type ClusterLevel, LEVEL_KEY, ROLLOUT_PREFIX } from './records.js';
 import type { RolloutSettings } from './settings.js';
 import {
   type Environment,
@@ -10,7 +10,7 @@
   type StateAccess,
   sleep,
 } from '@millring/state-access';
-import { type ClusterView, announcementGuards, obstacleToRaise, readView } from './view.js';
+import { type ClusterView, announcementPreconditions, obstacleToRaise, readView } from './view.js';
 
 export interface CoordinatorDependencies {
   environment: Environment;
@@ -26,9 +26,9 @@
   /** Entitled to act at this very moment. */
   isLeader(): boolean;
   /** The claim still stands, though it may be paused. */
-  active(): boolean;
+  isActive(): boolean;
   /** A write that arrives after the claim has gone changes nothing. */
-  leaderGuard(): Precondition;
+  leaderPrecondition(): Precondition;
   /** The process of each other controller, as last heard from itself. */
   processes(): ReadonlyMap<string, string>;
   /** How far records above `target` have been converted back; asked while the level is lowered. */
@@ -51,9 +51,9 @@
   constructor(private readonly deps: CoordinatorDependencies) {}
 
   async run(): Promise<void> {
-    while (this.deps.active()) {
+    while (this.deps.isActive()) {
       await sleep(this.deps.environment, this.isAtRest() ? IDLE_MS : BUSY_MS);
-      if (this.deps.active() && this.deps.isLeader() && this.hasWork()) await this.step();
+      if (this.deps.isActive() && this.deps.isLeader() && this.hasWork()) await this.step();
     }
   }
 
@@ -76,7 +76,7 @@
   /** One look at the stored records, and at most one change. */
   async step(): Promise<void> {
     const { store, controllers } = this.deps;
-    const read = await store.scan(PREFIX);
+    const read = await store.scan(ROLLOUT_PREFIX);
     if (!read || !this.deps.isLeader()) return;
     const result = readView(read.pairs, controllers, this.deps.processes());
     if (result.kind === 'invalid') {
@@ -133,8 +133,8 @@
       environment.log.error({ event: decision.event.type, reason: next.reason }, 'cluster level');
       return;
     }
-    const guards = [this.deps.leaderGuard(), { key: LEVEL_KEY, version: view.levelVersion }];
-    if (decision.restsOnAll) guards.push(...announcementGuards(view));
+    const guards = [this.deps.leaderPrecondition(), { key: LEVEL_KEY, version: view.levelVersion }];
+    if (decision.restsOnAll) guards.push(...announcementPreconditions(view));
     const result = await store.compareAndSwap(guards, [{ put: LEVEL_KEY, value: next.level }]);
     if (result.kind !== 'committed') return;
     this.written = next.level;
--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -6,17 +6,17 @@
   type ClusterView,
   buildsDiffer,
   buildsOf,
-  incapable,
+  findIncapable,
   obstacleToRaise,
-  startOf,
-  unacknowledged,
+  startedWith,
+  findUnacknowledged,
 } from './view.js';
 
 /** How far records above the target have been converted back. */
 export type Conversion =
   { kind: 'running'; remaining: number } | { kind: 'done' } | { kind: 'refused'; reason: string };
 
-export interface Situation {
+export interface DecisionInput {
   view: ClusterView;
   registry: FeatureRegistry;
   settings: RolloutSettings;
@@ -33,7 +33,7 @@
   /** `restsOnAll`: void if any announcement has changed meanwhile. */
   | { kind: 'advance'; event: LevelEvent; restsOnAll: boolean };
 
-export function decide(situation: Situation): Decision {
+export function decide(situation: DecisionInput): Decision {
   switch (situation.view.level.state) {
     case 'stable':
       return decideStable(situation);
@@ -61,11 +61,11 @@
   return obstacleToRaise(view, target);
 }
 
-function decideStable(situation: Situation): Decision {
+function decideStable(situation: DecisionInput): Decision {
   const { view, settings, registry } = situation;
   if (settings.mode !== 'automatic') return wait('an operator raises the level');
   const { held } = view.level;
-  if (held && buildsDiffer(held.builds, view)) return onward(situation, { type: 'release' }, false);
+  if (held && buildsDiffer(held.builds, view)) return advanceWith(situation, { type: 'release' }, false);
   const obstacle = obstacleToPropose(view, registry, settings);
   if (obstacle !== null) return wait(obstacle);
   if (held?.target === view.level.active + 1)
@@ -73,23 +73,23 @@
   const leftMs = settings.soak_s * 1000 - situation.ableForMs;
   if (leftMs > 0)
     return wait(`all controllers can raise the level; soaking for ${settings.soak_s} s`);
-  return onward(situation, { type: 'propose', startedWith: startOf(view) }, true);
+  return advanceWith(situation, { type: 'propose', startedWith: startedWith(view) }, true);
 }
 
-function decideRaising(situation: Situation): Decision {
+function decideRaising(situation: DecisionInput): Decision {
   const { view } = situation;
   const target = view.level.target ?? view.level.active;
-  const waitingFor = unacknowledged(view);
+  const waitingFor = findUnacknowledged(view);
   const reason =
-    incapable(view, target, canRaiseTo) ?? endingAgain(situation) ?? stalled(situation, waitingFor);
+    findIncapable(view, target, canRaiseTo) ?? findRestarting(situation) ?? stallReason(situation, waitingFor);
   if (reason !== null)
-    return onward(situation, { type: 'abort', reason, builds: buildsOf(view) }, false);
+    return advanceWith(situation, { type: 'abort', reason, builds: buildsOf(view) }, false);
   if (waitingFor !== null) return wait(waitingFor);
-  return onward(situation, { type: 'acknowledged' }, true);
+  return advanceWith(situation, { type: 'acknowledged' }, true);
 }
 
 /** Nothing was written at the target yet, so nobody who is away can hold this up. */
-function decideAborting(situation: Situation): Decision {
+function decideAborting(situation: DecisionInput): Decision {
   const { view } = situation;
   const late = [...view.controllers].find(
     ([, state]) =>
@@ -97,34 +97,34 @@
   );
   if (late && sinceChangeMs(situation) < situation.settings.stall_s * 1000)
     return wait(`${late[0]} has not confirmed yet`);
-  return onward(situation, { type: 'aborted' }, false);
+  return advanceWith(situation, { type: 'aborted' }, false);
 }
 
-function decideLowering(situation: Situation): Decision {
+function decideLowering(situation: DecisionInput): Decision {
   const { view, conversion } = situation;
   const target = view.level.target ?? view.level.active;
-  const waitingFor = unacknowledged(view);
+  const waitingFor = findUnacknowledged(view);
   const reason =
-    incapable(view, target, canRead) ??
-    (conversion.kind === 'refused' ? conversion.reason : stalled(situation, waitingFor));
-  if (reason !== null) return onward(situation, { type: 'keep', reason }, false);
+    findIncapable(view, target, canRead) ??
+    (conversion.kind === 'refused' ? conversion.reason : stallReason(situation, waitingFor));
+  if (reason !== null) return advanceWith(situation, { type: 'keep', reason }, false);
   if (waitingFor !== null) return wait(waitingFor);
   if (conversion.kind === 'running')
     return wait(`${conversion.remaining} records are left to convert`);
-  return onward(situation, { type: 'converted', builds: buildsOf(view) }, true);
+  return advanceWith(situation, { type: 'converted', builds: buildsOf(view) }, true);
 }
 
-function sinceChangeMs({ view, wallMs }: Situation): number {
+function sinceChangeMs({ view, wallMs }: DecisionInput): number {
   return wallMs - view.level.sinceMs;
 }
 
-function stalled(situation: Situation, waitingFor: string | null): string | null {
+function stallReason(situation: DecisionInput, waitingFor: string | null): string | null {
   const { stall_s } = situation.settings;
   if (waitingFor === null || sinceChangeMs(situation) < stall_s * 1000) return null;
   return `no progress for ${stall_s} s: ${waitingFor}`;
 }
 
-function endingAgain({ view, settings }: Situation): string | null {
+function findRestarting({ view, settings }: DecisionInput): string | null {
   for (const [controller, state] of view.controllers) {
     if (state.kind === 'missing') continue;
     if (!Object.hasOwn(view.level.startedWith, controller)) continue;
@@ -135,7 +135,7 @@
   return null;
 }
 
-function onward({ by, wallMs }: Situation, event: UnstampedEvent, restsOnAll: boolean): Decision {
+function advanceWith({ by, wallMs }: DecisionInput, event: UnstampedEvent, restsOnAll: boolean): Decision {
   return { kind: 'advance', event: { ...event, by, atMs: wallMs }, restsOnAll };
 }
 
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -2,15 +2,15 @@
 import { type LevelEvent, type UnstampedEvent, advance } from './cluster-level.js';
 import { obstacleToPropose } from './decide.js';
 import { type FeatureRegistry, canRead } from './levels.js';
-import { type ClusterLevel, LEVEL_KEY, PREFIX, readClusterLevel } from './records.js';
+import { type ClusterLevel, LEVEL_KEY, ROLLOUT_PREFIX, parseClusterLevel } from './records.js';
 import type { RolloutSettings } from './settings.js';
 import type { Precondition, StateAccess } from '@millring/state-access';
 import {
   type ClusterView,
-  announcementGuards,
-  incapable,
+  announcementPreconditions,
+  findIncapable,
   readView,
-  startOf,
+  startedWith,
   buildsOf,
 } from './view.js';
 
@@ -44,7 +44,7 @@
 
   async status(): Promise<StatusResult> {
     const { registry, settings } = this.deps;
-    const read = await this.deps.store.scan(PREFIX);
+    const read = await this.deps.store.scan(ROLLOUT_PREFIX);
     if (!read) return { kind: 'unreachable' };
     const result = readView(read.pairs, this.deps.controllers);
     if (result.kind === 'invalid') return { kind: 'refused', reason: result.reason };
@@ -56,7 +56,7 @@
   activate(): Promise<OperatorResult> {
     return this.change((view, obstacle) => {
       if (obstacle !== null) return { kind: 'refused', reason: obstacle };
-      return this.event({ type: 'propose', startedWith: startOf(view) }, true);
+      return this.event({ type: 'propose', startedWith: startedWith(view) }, true);
     });
   }
 
@@ -80,7 +80,7 @@
           kind: 'refused',
           reason: `records of ${irreversible.name} can't be converted back`,
         };
-      const unable = incapable(view, active - 1, canRead);
+      const unable = findIncapable(view, active - 1, canRead);
       if (unable !== null) return { kind: 'refused', reason: unable };
       return this.event(
         { type: 'lower', target: active - 1, reason: 'lowered by an operator' },
@@ -105,7 +105,7 @@
     const next = advance(view.level, asked.event);
     if (next.kind === 'refused') return next;
     const guards = [{ key: LEVEL_KEY, version: view.levelVersion }];
-    if (asked.restsOnAll) guards.push(...announcementGuards(view));
+    if (asked.restsOnAll) guards.push(...announcementPreconditions(view));
     return this.write(next.level, guards);
   }
 
@@ -127,7 +127,7 @@
   /** The answer was lost. */
   private async outcomeOf(level: ClusterLevel): Promise<OperatorResult> {
     const read = await this.deps.store.get(LEVEL_KEY);
-    const stored = read.kind === 'found' ? readClusterLevel(read.entry.value) : null;
+    const stored = read.kind === 'found' ? parseClusterLevel(read.entry.value) : null;
     const isOurs =
       stored?.kind === 'valid' &&
       stored.value.change === level.change &&
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -11,9 +11,9 @@
   LEVEL_KEY,
   announcementKey,
   incarnationKey,
-  readAnnouncement,
-  readClusterLevel,
-  readIncarnation,
+  parseAnnouncement,
+  parseClusterLevel,
+  parseIncarnation,
 } from './records.js';
 import type { RolloutSettings } from './settings.js';
 import {
@@ -34,7 +34,7 @@
   registry: FeatureRegistry;
   settings: Pick<RolloutSettings, 'mode' | 'announcement_lease_s'>;
   /** Called whenever the answer of `mayServe` changes. */
-  servingChanged(mayServe: boolean): void;
+  onServingChanged(mayServe: boolean): void;
 }
 
 /**
@@ -101,7 +101,7 @@
    * For every write in the form of a feature: the write is void once the level has changed. Null if the feature is
    * not on, and then nothing may be written in its form.
    */
-  writeGuard(feature: string): Precondition | null {
+  writePrecondition(feature: string): Precondition | null {
     if (this.mode(feature) !== 'on' || !this.known) return null;
     return { key: LEVEL_KEY, version: this.known.version };
   }
@@ -125,7 +125,7 @@
     return sleep(this.deps.environment, RETRY_MS * (1 + this.deps.environment.random()));
   }
 
-  private become(next: ParticipantState, why: string): void {
+  private transitionTo(next: ParticipantState, why: string): void {
     if (next === this.state) return;
     if (!NEXT[this.state].includes(next))
       throw new Error(`rollout participant: ${this.state} -> ${next}`);
@@ -133,7 +133,7 @@
     this.deps.environment.log.info({ from: this.state, to: next, why }, 'rollout');
     this.state = next;
     this.why = why;
-    if (served !== this.mayServe()) this.deps.servingChanged(this.mayServe());
+    if (served !== this.mayServe()) this.deps.onServingChanged(this.mayServe());
   }
 
   /**
@@ -145,10 +145,10 @@
     const read = await store.get(incarnationKey(self));
     if (read.kind === 'unavailable') return false;
     if (read.kind === 'absent' && settings.mode === 'off') {
-      this.become('outside', 'the rollout is off');
+      this.transitionTo('outside', 'the rollout is off');
       return true;
     }
-    const stored = read.kind === 'found' ? readIncarnation(read.entry.value) : null;
+    const stored = read.kind === 'found' ? parseIncarnation(read.entry.value) : null;
     const last = stored?.kind === 'valid' ? stored.value : { incarnation: 0, process: '' };
     const version = read.kind === 'found' ? read.entry.version : 0;
     if (last.process === process) return this.registered(last.incarnation, version);
@@ -186,27 +186,27 @@
   private async readLevel(): Promise<boolean> {
     const read = await this.deps.store.get(LEVEL_KEY);
     if (read.kind === 'unavailable') return false;
-    if (read.kind === 'found') this.takeIn(read.entry.value, read.entry.version);
+    if (read.kind === 'found') this.applyRecord(read.entry.value, read.entry.version);
     // One that was there and has gone tells nothing of what is stored.
     else if (this.known && this.known.version > 0)
       this.exclude('the cluster level is gone from the state service');
-    else this.takeLevel({ level: INITIAL_LEVEL, version: 0 });
+    else this.applyLevel({ level: INITIAL_LEVEL, version: 0 });
     return true;
   }
 
-  private takeIn(value: unknown, version: number): void {
+  private applyRecord(value: unknown, version: number): void {
     if (this.known && version <= this.known.version) return;
-    const read = readClusterLevel(value);
-    if (read.kind === 'valid') this.takeLevel({ level: read.value, version });
+    const read = parseClusterLevel(value);
+    if (read.kind === 'valid') this.applyLevel({ level: read.value, version });
     else this.exclude(`the cluster level can't be read (${read.reason})`);
   }
 
-  private takeLevel(known: KnownLevel): void {
+  private applyLevel(known: KnownLevel): void {
     this.known = known;
     const { active, state, target } = known.level;
     if (this.replaced) return;
     if (canRead(this.deps.build, active)) {
-      this.become(
+      this.transitionTo(
         'serving',
         `cluster level ${active}, ${state}${target === null ? '' : ` -> ${target}`}`,
       );
@@ -217,7 +217,7 @@
 
   private exclude(why: string): void {
     this.why = why;
-    this.become('excluded', why);
+    this.transitionTo('excluded', why);
   }
 
   private async followLevel(): Promise<void> {
@@ -233,7 +233,7 @@
   private applyEvent(event: WatchEvent): void {
     if (event.key !== LEVEL_KEY) return;
     if (event.deleted) this.exclude('the cluster level is gone from the state service');
-    else this.takeIn(event.value, event.version);
+    else this.applyRecord(event.value, event.version);
     if (this.needsToAcknowledge()) void this.announce();
   }
 
@@ -297,16 +297,16 @@
     } else if (result.kind === 'invalid') {
       this.lease = null;
     } else if (result.kind !== 'rejected') {
-      await this.learnAnnouncement();
+      await this.refreshAnnouncement();
     }
   }
 
   /** After a conflict or a lost answer: what stands there, and whether this process was replaced. */
-  private async learnAnnouncement(): Promise<void> {
+  private async refreshAnnouncement(): Promise<void> {
     const { store, self, process } = this.deps;
     const incarnation = await store.get(incarnationKey(self));
     if (incarnation.kind === 'found') {
-      const read = readIncarnation(incarnation.entry.value);
+      const read = parseIncarnation(incarnation.entry.value);
       if (
         read.kind === 'valid' &&
         read.value.process !== process &&
@@ -321,7 +321,7 @@
     if (announced.kind === 'absent') this.announcementVersion = 0;
     if (announced.kind !== 'found') return;
     this.announcementVersion = announced.entry.version;
-    const read = readAnnouncement(announced.entry.value);
+    const read = parseAnnouncement(announced.entry.value);
     if (read.kind === 'valid' && read.value.process === process)
       this.acknowledged = read.value.acknowledged;
   }
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -3,10 +3,10 @@
 import * as z from 'zod/mini';
 import { BASE_LEVEL } from './levels.js';
 
-export const PREFIX = 'rollout/';
-export const LEVEL_KEY = `${PREFIX}level`;
-const ANNOUNCEMENTS = `${PREFIX}controllers/`;
-const INCARNATIONS = `${PREFIX}incarnations/`;
+export const ROLLOUT_PREFIX = 'rollout/';
+export const LEVEL_KEY = `${ROLLOUT_PREFIX}level`;
+const ANNOUNCEMENTS = `${ROLLOUT_PREFIX}controllers/`;
+const INCARNATIONS = `${ROLLOUT_PREFIX}incarnations/`;
 
 /** Attached to the lease of the process that wrote it. */
 export const announcementKey = (controller: string): string => ANNOUNCEMENTS + controller;
@@ -111,9 +111,9 @@
   held: null,
 };
 
-export const readAnnouncement = (value: unknown): Parsed<Announcement> =>
+export const parseAnnouncement = (value: unknown): Parsed<Announcement> =>
   parseRecord(announcementSchema, value);
-export const readIncarnation = (value: unknown): Parsed<Incarnation> =>
+export const parseIncarnation = (value: unknown): Parsed<Incarnation> =>
   parseRecord(incarnationSchema, value);
-export const readClusterLevel = (value: unknown): Parsed<ClusterLevel> =>
+export const parseClusterLevel = (value: unknown): Parsed<ClusterLevel> =>
   parseRecord(levelSchema, value);
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -9,9 +9,9 @@
   type StartedWith,
   announcementKey,
   incarnationKey,
-  readAnnouncement,
-  readClusterLevel,
-  readIncarnation,
+  parseAnnouncement,
+  parseClusterLevel,
+  parseIncarnation,
 } from './records.js';
 import type { Precondition, KeyValue } from '@millring/state-access';
 
@@ -50,7 +50,7 @@
   const byKey = new Map(pairs.map((pair) => [pair.key, pair]));
   const levelPair = byKey.get(LEVEL_KEY);
   const level = levelPair
-    ? readClusterLevel(levelPair.value)
+    ? parseClusterLevel(levelPair.value)
     : { kind: 'valid' as const, value: INITIAL_LEVEL };
   if (level.kind === 'invalid') return { kind: 'invalid', reason: `${LEVEL_KEY}: ${level.reason}` };
   const ignored: IgnoredRecord[] = [];
@@ -78,12 +78,12 @@
   incarnation: KeyValue | undefined,
 ): ControllerView {
   if (!announcement) return { kind: 'missing', reason: 'has not announced itself' };
-  const read = readAnnouncement(announcement.value);
+  const read = parseAnnouncement(announcement.value);
   if (read.kind === 'invalid')
     return { kind: 'missing', reason: `its announcement is malformed (${read.reason})` };
   if (read.value.controller !== controller)
     return { kind: 'missing', reason: `its announcement names ${read.value.controller}` };
-  const present = incarnation ? readIncarnation(incarnation.value) : null;
+  const present = incarnation ? parseIncarnation(incarnation.value) : null;
   if (present?.kind !== 'valid')
     return { kind: 'missing', reason: 'its incarnation is not stored' };
   if (
@@ -105,18 +105,18 @@
 
 /** The first reason why the level can't be raised to `target` with these controllers, or null. */
 export function obstacleToRaise(view: ClusterView, target: number): string | null {
-  return missing(view) ?? incapable(view, target, canRaiseTo);
+  return findMissing(view) ?? findIncapable(view, target, canRaiseTo);
 }
 
 /** The first controller that has not announced itself, or null. */
-function missing(view: ClusterView): string | null {
+function findMissing(view: ClusterView): string | null {
   for (const [controller, state] of view.controllers)
     if (state.kind === 'missing') return `${controller} ${state.reason}`;
   return null;
 }
 
 /** The first controller that is known to run a build which can't follow to `target`, or null. */
-export function incapable(
+export function findIncapable(
   view: ClusterView,
   target: number,
   able: typeof canRaiseTo | typeof canRead,
@@ -128,11 +128,11 @@
 }
 
 /** The first controller that has not taken in the latest change, or null. */
-export function unacknowledged(view: ClusterView): string | null {
+export function findUnacknowledged(view: ClusterView): string | null {
   const isBehind = (state: ControllerView): boolean =>
     state.kind === 'announced' && state.announcement.acknowledged !== view.level.change;
   const behind = [...view.controllers].find(([, state]) => isBehind(state));
-  return missing(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
+  return findMissing(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
 }
 
 /** The builds of the controllers that have announced themselves. */
@@ -153,7 +153,7 @@
 }
 
 /** A change that rests on every announcement is void once any of them changes. */
-export function announcementGuards(view: ClusterView): Precondition[] {
+export function announcementPreconditions(view: ClusterView): Precondition[] {
   return [...view.controllers].map(([controller, state]) => ({
     key: announcementKey(controller),
     version: state.kind === 'announced' ? state.version : 0,
@@ -161,7 +161,7 @@
 }
 
 /** The processes that a change of level begins with. */
-export function startOf(view: ClusterView): StartedWith {
+export function startedWith(view: ClusterView): StartedWith {
   const started: StartedWith = {};
   for (const [controller, state] of view.controllers)
     if (state.kind === 'announced')
--- a/packages/rollout/test/cluster-level.test.ts
+++ b/packages/rollout/test/cluster-level.test.ts
@@ -4,7 +4,7 @@
 import fc from 'fast-check';
 import { type FeatureMode, type LevelEvent, advance, modeOf } from '../src/cluster-level.js';
 import type { Feature } from '../src/levels.js';
-import { type ClusterLevel, INITIAL_LEVEL, readClusterLevel } from '../src/records.js';
+import { type ClusterLevel, INITIAL_LEVEL, parseClusterLevel } from '../src/records.js';
 
 const STAMP = { by: 'n0', atMs: 1000 };
 const BUILDS = { n0: 'a' };
@@ -45,7 +45,7 @@
       for (const event of events) {
         const next = advance(level, event);
         if (next.kind === 'refused') continue;
-        assert.equal(readClusterLevel(next.level).kind, 'valid', JSON.stringify(next.level));
+        assert.equal(parseClusterLevel(next.level).kind, 'valid', JSON.stringify(next.level));
         assert.equal(next.level.change, level.change + 1);
         for (const each of [2, 3, 4].map(feature)) {
           const step = Math.abs(RANK[modeOf(each, next.level)] - RANK[modeOf(each, level)]);
@@ -106,7 +106,7 @@
     { ...good, held: 'yes' },
   ];
   for (const record of wrong)
-    assert.equal(readClusterLevel(record).kind, 'invalid', JSON.stringify(record));
-  const more = readClusterLevel({ ...good, later: { deep: 1 } });
+    assert.equal(parseClusterLevel(record).kind, 'invalid', JSON.stringify(record));
+  const more = parseClusterLevel({ ...good, later: { deep: 1 } });
   assert.ok(more.kind === 'valid');
 });
--- a/packages/rollout/test/decide.test.ts
+++ b/packages/rollout/test/decide.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type LevelEvent, advance } from '../src/cluster-level.js';
-import { type Situation, decide, obstacleToPropose } from '../src/decide.js';
+import { type DecisionInput, decide, obstacleToPropose } from '../src/decide.js';
 import { type Build, type Feature, FeatureRegistry, FeatureRegistryError } from '../src/levels.js';
 import {
   type Announcement,
@@ -87,7 +87,7 @@
     return result.view;
   }
 
-  situation(over: Partial<Situation> = {}): Situation {
+  situation(over: Partial<DecisionInput> = {}): DecisionInput {
     return {
       view: this.view(),
       registry: REGISTRY,
@@ -101,7 +101,7 @@
   }
 
   /** Does what is decided, after which everyone confirms. */
-  follow(its: Build[], over: Partial<Situation> = {}): LevelEvent['type'] | 'wait' {
+  follow(its: Build[], over: Partial<DecisionInput> = {}): LevelEvent['type'] | 'wait' {
     const decision = decide(this.situation({ ableForMs: 20_000, ...over }));
     if (decision.kind === 'wait') return 'wait';
     const next = advance(this.level, decision.event);
@@ -198,7 +198,7 @@
   };
   records.level = lowering;
   for (const name of NAMES) records.announce(name, build(2));
-  const keepReason = (over: Partial<Situation>): string => {
+  const keepReason = (over: Partial<DecisionInput>): string => {
     const decision = decide(records.situation(over));
     return decision.kind === 'advance' && decision.event.type === 'keep'
       ? decision.event.reason
--- a/src/duties/cloud-provider.ts
+++ b/src/duties/cloud-provider.ts
@@ -14,7 +14,7 @@
 export class CloudProvider implements MachineProvider {
   constructor(private readonly cloud: Cloud) {}
 
-  mayCall(): boolean {
+  tryAcquireCall(): boolean {
     return this.cloud.tryAcquireCall();
   }
 
--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -28,10 +28,10 @@
 /** What decides, for the time of one claim. */
 export interface DecidingTerm {
   /** The claim still stands, though it may be paused. */
-  active(): boolean;
-  leaderGuard(): Precondition;
+  isActive(): boolean;
+  leaderPrecondition(): Precondition;
   /** Unique for ever: no name is used twice, by any node. */
-  requestName(): string;
+  nextRequestName(): string;
 }
 
 export class ControllerDuties {
@@ -48,18 +48,18 @@
       settings: holdingSettings(operator.duties),
       provider: new CloudProvider(new Cloud(runtime, settings.cloud, callsPerS)),
       txnOps: settings.txnOps,
-      mayHold: () => this.areKnown() && rollout.mayServe(),
+      mayHold: () => this.mayIntentsExist() && rollout.mayServe(),
       leader: () => deps.leader(),
     });
   }
 
   /** Once it is known whether the level may ever change for this process. */
   run(): void {
-    if (this.deps.rollout.takesPart()) this.member.run();
+    if (this.deps.rollout.isParticipating()) this.member.run();
   }
 
   /** Intents may stand in the records: whoever leads must read them before it decides anything. */
-  areKnown(): boolean {
+  mayIntentsExist(): boolean {
     return this.deps.rollout.mode(FENCED_DUTIES) !== 'off';
   }
 
@@ -67,7 +67,7 @@
   usesIntents(): boolean {
     return (
       this.deps.operator.duties.mode === 'on' &&
-      this.deps.rollout.writeGuard(FENCED_DUTIES) !== null
+      this.deps.rollout.writePrecondition(FENCED_DUTIES) !== null
     );
   }
 
@@ -76,11 +76,11 @@
       environment: packageEnvironment(this.deps),
       store: this.deps.store,
       view: this.member.view,
-      active: () => term.active(),
-      newId: () => term.requestName(),
-      guards: () => {
-        const levelGuard = this.deps.rollout.writeGuard(FENCED_DUTIES);
-        return levelGuard ? [term.leaderGuard(), levelGuard] : null;
+      isActive: () => term.isActive(),
+      newId: () => term.nextRequestName(),
+      preconditions: () => {
+        const levelGuard = this.deps.rollout.writePrecondition(FENCED_DUTIES);
+        return levelGuard ? [term.leaderPrecondition(), levelGuard] : null;
       },
     });
   }
--- a/src/duties/intent-actions.ts
+++ b/src/duties/intent-actions.ts
@@ -1,5 +1,5 @@
 /** The leader's decisions about machines as intents, which the holders of the duties carry out. */
-import { type IntentLog, MAX_MACHINES_PER_DELETION, type Opened } from '@millring/duties';
+import { type IntentLog, MAX_MACHINES_PER_DELETION, type IntentResult } from '@millring/duties';
 import type { MachineRequestResult } from '../autoscaler/cloud.js';
 import type {
   DeletionPurpose,
@@ -54,7 +54,7 @@
 }
 
 /** What came of an intent to request machines, as the result of the request itself. */
-export function toRequestResult(opened: Opened): MachineRequestResult {
+export function toRequestResult(opened: IntentResult): MachineRequestResult {
   if (opened.kind === 'not-opened') return { kind: 'rejected' };
   if (opened.kind === 'unknown') return { kind: 'indeterminate' };
   switch (opened.outcome.kind) {
--- a/src/leadership/leader-term-dependencies.ts
+++ b/src/leadership/leader-term-dependencies.ts
@@ -22,6 +22,6 @@
   cancellationsAreFresh(): boolean;
   /** For records in compressed segments, see `CompletionWriter`. */
   segmentPrecondition(): Precondition | null;
-  duties: Pick<ControllerDuties, 'areKnown' | 'usesIntents' | 'intentLog'>;
+  duties: Pick<ControllerDuties, 'mayIntentsExist' | 'usesIntents' | 'intentLog'>;
   resign(why: string): void;
 }
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -19,7 +19,7 @@
 import { type Machine } from '../workers/machine.js';
 import { MachineTable } from '../workers/machine-table.js';
 import { COMPACT_FINISHED_TASKS, FENCED_DUTIES } from '../build.js';
-import { conversionTo } from '../rollout/conversions.js';
+import { combinedConversion } from '../rollout/conversions.js';
 import type { WorkerCommand, Heartbeat } from '../wire/model.js';
 import { LeaseExtensionGrants, leaseExtensionMs } from './lease-extension.js';
 import { JobFeed } from './job-feed.js';
@@ -98,9 +98,9 @@
     this.machineRecords = this.createMachineRecordStore();
     this.completionWriter = this.createCompletionWriter();
     this.intents = deps.duties.intentLog({
-      active: () => this.state !== 'ended',
-      leaderGuard: () => deps.termPrecondition(),
-      requestName: () => this.requestName(),
+      isActive: () => this.state !== 'ended',
+      leaderPrecondition: () => deps.termPrecondition(),
+      nextRequestName: () => this.requestName(),
     });
     this.autoscaler = this.createAutoscaler();
     this.placement = this.createPlacement();
@@ -248,7 +248,7 @@
   /** How much of what is stored above the target is left, while the cluster's level is lowered. */
   conversion(target: number): Conversion {
     if (this.state !== 'serving') return REBUILDING;
-    return conversionTo(target, {
+    return combinedConversion(target, {
       [COMPACT_FINISHED_TASKS]: () => this.completionWriter.conversion(),
       [FENCED_DUTIES]: () => intentConversion(this.intents),
     });
@@ -305,7 +305,7 @@
   private async rebuild(): Promise<number | null> {
     const { store, duties, runtime } = this.deps;
     const began = runtime.clock.now();
-    const stored = await readStoredState(store, duties.areKnown() ? this.intents : null);
+    const stored = await readStoredState(store, duties.mayIntentsExist() ? this.intents : null);
     if (!stored || !this.isRebuilding()) return null;
     logStoredState(stored, began, { claim: this.term.epoch, token: this.baseToken }, runtime);
     restoreMachines(stored.machines, {
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -9,7 +9,7 @@
 
 /** While any is open, a leader that can't follow intents must not lead. */
 export function intentConversion(log: IntentLog): Conversion {
-  const remaining = log.pending();
+  const remaining = log.pendingCount();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
@@ -22,7 +22,7 @@
     const { action, id } = value;
     if (action.kind === 'delete') {
       const done =
-        value.outcome !== null || log.follow(id, version).then(({ kind }) => kind === 'resolved');
+        value.outcome !== null || log.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
       autoscaler.restoreDeletion(action.machines, Promise.resolve(done));
     } else if (value.outcome === null) {
       const { type, zone, spot, count } = action;
@@ -31,7 +31,7 @@
         zone,
         spot,
         count,
-        log.follow(id, version).then(toRequestResult),
+        log.awaitOutcome(id, version).then(toRequestResult),
       );
     }
   }
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -23,7 +23,7 @@
   const machines = await store.scan('m/');
   const jobs = machines && (await store.scan(LIVE));
   const finished = jobs && (await store.scan(FINISHED));
-  const opened = finished && (intents ? await intents.read() : []);
+  const opened = finished && (intents ? await intents.readAll() : []);
   if (!machines || !jobs || !finished || !opened) return null;
   const { revision } = jobs;
   return {
--- a/src/node.ts
+++ b/src/node.ts
@@ -99,7 +99,7 @@
       process,
       wallMs,
       broadcast,
-      excluded: () => void this.leadership.resign('the stored state cannot be read'),
+      onExcluded: () => void this.leadership.resign('the stored state cannot be read'),
     });
     this.duties = new ControllerDuties({
       runtime,
@@ -207,7 +207,7 @@
         termPrecondition: () => leadership.termPrecondition(),
         isCancelled: (id) => this.cancellations.has(id),
         cancellationsAreFresh: () => this.cancellations.ageMs() < CANCELLATIONS_MAX_AGE_MS,
-        segmentPrecondition: () => this.rollout.writeGuard(COMPACT_FINISHED_TASKS),
+        segmentPrecondition: () => this.rollout.writePrecondition(COMPACT_FINISHED_TASKS),
         duties: this.duties,
         resign: (why) => void leadership.resign(why),
       },
@@ -217,7 +217,7 @@
     void term.run();
     this.rollout.coordinate({
       isLeader: () => leadership.isLeader() && leadership.currentTerm() === claim,
-      active: () => leadership.currentTerm() === claim,
+      isActive: () => leadership.currentTerm() === claim,
       leaderPrecondition: () => leadership.termPrecondition(),
       conversion: (target) => term.conversion(target),
     });
@@ -290,12 +290,12 @@
         this.cancellations.record(m.id);
         return;
       case 'build':
-        this.rollout.heardBuild(m);
+        this.rollout.recordBuild(m);
         return;
       case 'attest':
         for (const id of m.cancelled) this.cancellations.record(id);
         this.attestations.recordStatement(m);
-        this.rollout.heardProcess(m.from, m.life);
+        this.rollout.recordProcess(m.from, m.life);
         this.cancellations.advanceWatermark(
           this.attestations.completeFrom(this.cancellations.watermark()),
         );
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -15,7 +15,7 @@
 import type { StateStore } from '../state-store/client.js';
 
 /** How often the other controllers are told of this build. */
-const TELL_MS = 5000;
+const BUILD_BROADCAST_INTERVAL_MS = 5000;
 
 export interface ControllerRolloutDependencies {
   runtime: Runtime;
@@ -28,13 +28,13 @@
   wallMs(): number;
   broadcast(message: PeerMessage): void;
   /** The process may not serve any more: whatever it leads must be given up. */
-  excluded(): void;
+  onExcluded(): void;
 }
 
 /** What the coordinator needs of the leader's term. */
 export interface CoordinatedTerm {
   isLeader(): boolean;
-  active(): boolean;
+  isActive(): boolean;
   leaderPrecondition(): Precondition;
   conversion(target: number): Conversion;
 }
@@ -55,19 +55,19 @@
       build,
       registry: FEATURES,
       settings: operator.rollout,
-      servingChanged: (mayServe) => {
-        if (!mayServe) deps.excluded();
+      onServingChanged: (mayServe) => {
+        if (!mayServe) deps.onExcluded();
       },
     });
   }
 
   async join(): Promise<void> {
     await this.participant.join();
-    if (this.deps.operator.rollout.mode !== 'off') this.tellBuild();
+    if (this.deps.operator.rollout.mode !== 'off') this.broadcastBuild();
   }
 
   /** Whether the level may ever change for this process. */
-  takesPart(): boolean {
+  isParticipating(): boolean {
     return !this.participant.isOutside();
   }
 
@@ -81,8 +81,8 @@
   }
 
   /** See `RolloutParticipant.writeGuard`. */
-  writeGuard(feature: string): Precondition | null {
-    return this.participant.writeGuard(feature);
+  writePrecondition(feature: string): Precondition | null {
+    return this.participant.writePrecondition(feature);
   }
 
   mode(feature: string): FeatureMode {
@@ -91,7 +91,7 @@
 
   /** For the time of one claim. */
   coordinate(term: CoordinatedTerm): void {
-    if (!this.takesPart()) return;
+    if (!this.isParticipating()) return;
     const { settings, store, operator } = this.deps;
     const coordinator = new RolloutCoordinator({
       environment: packageEnvironment(this.deps),
@@ -103,31 +103,31 @@
       knownLevel: () => this.participant.level(),
       processes: () => this.processes,
       isLeader: () => term.isLeader(),
-      active: () => term.active(),
-      leaderGuard: () => term.leaderPrecondition(),
+      isActive: () => term.isActive(),
+      leaderPrecondition: () => term.leaderPrecondition(),
       conversion: (target) => term.conversion(target),
     });
     void coordinator.run();
   }
 
-  private tellBuild(): void {
+  private broadcastBuild(): void {
     const { runtime, settings, build, process } = this.deps;
     const { version, reads, writes } = build;
     const levels = { version, reads: [reads.from, reads.to] as [number, number], writes };
     this.deps.broadcast({ t: 'build', from: settings.node, process, ...levels });
-    runtime.clock.after(TELL_MS, () => {
-      this.tellBuild();
+    runtime.clock.after(BUILD_BROADCAST_INTERVAL_MS, () => {
+      this.broadcastBuild();
     });
   }
 
   /** Another controller was heard: builds without the rollout tell their process, too. */
-  heardProcess(controller: string, process: string): void {
+  recordProcess(controller: string, process: string): void {
     this.processes.set(controller, process);
   }
 
-  heardBuild(message: Extract<PeerMessage, { t: 'build' }>): void {
+  recordBuild(message: Extract<PeerMessage, { t: 'build' }>): void {
     const { from, process, version, reads, writes } = message;
-    this.heardProcess(from, process);
+    this.recordProcess(from, process);
     const build = `${version}, reads ${reads[0]} to ${reads[1]}, writes ${writes}`;
     if (this.builds.get(from) === build) return;
     this.builds.set(from, build);
--- a/src/rollout/conversions.ts
+++ b/src/rollout/conversions.ts
@@ -6,7 +6,7 @@
 export type Conversions = Record<string, () => Conversion>;
 
 /** Of all features above the target: the first refusal, or else what is left in all. */
-export function conversionTo(target: number, conversions: Conversions): Conversion {
+export function combinedConversion(target: number, conversions: Conversions): Conversion {
   let remaining = 0;
   for (const [feature, conversion] of Object.entries(conversions)) {
     if (FEATURES.get(feature).level <= target) continue;
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -1,7 +1,7 @@
 /** Duties in whole simulated clusters: what the leader decides is done by other controllers, whatever fails. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DUTIES, type Intent, INTENTS } from '@millring/duties';
+import { DUTIES, type Intent, INTENTS_PREFIX } from '@millring/duties';
 import { Cluster } from './sim/cluster.js';
 import type { ClusterConfig } from './sim/cluster-config.js';
 import { CloudWatch, ROLLOUT, SETTINGS, plantLevel } from './sim/cloud-watch.js';
@@ -53,7 +53,7 @@
   await cluster.run(45);
   const named = (): string[] =>
     [...cluster.state.items].flatMap(([key, { value }]) => {
-      const intent = key.startsWith(INTENTS) ? (value as Intent) : null;
+      const intent = key.startsWith(INTENTS_PREFIX) ? (value as Intent) : null;
       return intent?.duty === 'return' && intent.action.kind === 'delete'
         ? intent.action.machines
         : [];
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -1,7 +1,7 @@
 /** Duties in simulated groups of controllers: suspended holders, lost leases, late writes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { DUTIES, type Duty, type Opened } from '@millring/duties';
+import { DUTIES, type Duty, type IntentResult } from '@millring/duties';
 import { DutyGroup, resolved, settledGroup, withMachines } from './sim/duty-group.js';
 
 /** The old holder noticed that it lost the duty, and counts as any other since. */
@@ -455,7 +455,7 @@
     const { random } = group;
     let followed = 0;
     let opened = 0;
-    const count = (result: Promise<Opened>): void => {
+    const count = (result: Promise<IntentResult>): void => {
       opened++;
       void result.then(() => followed++);
     };
--- a/test/sim/cloud-watch.ts
+++ b/test/sim/cloud-watch.ts
@@ -1,5 +1,5 @@
 /** What must hold of the requests to the cloud while the duties are on, in a whole simulated cluster. */
-import { INTENTS, type Intent } from '@millring/duties';
+import { INTENTS_PREFIX, type Intent } from '@millring/duties';
 import type { Body } from '../../src/wire/cbor.js';
 import type { Cluster } from './cluster.js';
 import { decodeCloudRequest } from './wire/cloud.js';
@@ -60,7 +60,7 @@
     if (state.revision === this.revisionSeen) return;
     this.revisionSeen = state.revision;
     for (const [key, { value }] of state.items)
-      if (key.startsWith(INTENTS)) this.intents.set(key.slice(INTENTS.length), value as Intent);
+      if (key.startsWith(INTENTS_PREFIX)) this.intents.set(key.slice(INTENTS_PREFIX.length), value as Intent);
     this.checkOpen();
   }
 
@@ -68,7 +68,7 @@
   private checkOpen(): void {
     const seen = new Set<string>();
     for (const [key, { value }] of this.cluster.state.items) {
-      const intent = key.startsWith(INTENTS) ? (value as Intent) : null;
+      const intent = key.startsWith(INTENTS_PREFIX) ? (value as Intent) : null;
       if (intent?.outcome !== null) continue;
       for (const subject of subjectsOf(intent)) {
         if (seen.has(subject)) this.cluster.rules.break('opened_twice', subject);
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -7,7 +7,7 @@
   type DutySettings,
   type IntentAction,
   IntentLog,
-  type Opened,
+  type IntentResult,
 } from '@millring/duties';
 import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
@@ -146,9 +146,9 @@
       environment: { ...world, wallMs: () => 1e12 + this.clock.time },
       store: this.storeOf(world),
       view: follower.view,
-      active: () => true,
+      isActive: () => true,
       newId: () => `i-${this.nextIntent++}`,
-      guards: () => [{ key: DECIDER_KEY, version: this.state.items.get(DECIDER_KEY)!.version }],
+      preconditions: () => [{ key: DECIDER_KEY, version: this.state.items.get(DECIDER_KEY)!.version }],
     });
   }
 
@@ -157,16 +157,16 @@
     this.state.plant(DECIDER_KEY, {});
   }
 
-  open(duty: Duty, action: IntentAction): Promise<Opened> {
+  open(duty: Duty, action: IntentAction): Promise<IntentResult> {
     return this.log.open(duty, action);
   }
 
   /** Some machines of the provider are given back. */
-  delete(duty: 'return' | 'reclaim', ...machines: string[]): Promise<Opened> {
+  delete(duty: 'return' | 'reclaim', ...machines: string[]): Promise<IntentResult> {
     return this.open(duty, { kind: 'delete', machines });
   }
 
-  rent(count: number): Promise<Opened> {
+  rent(count: number): Promise<IntentResult> {
     return this.open('rent', { kind: 'rent', type: 't16', zone: 'a', spot: false, count });
   }
 
@@ -274,15 +274,15 @@
 
 /** Rents some machines, to be given back. */
 export async function withMachines(group: DutyGroup, count: number): Promise<string[]> {
-  let opened: Opened | null = null;
+  let opened: IntentResult | null = null;
   void group.rent(count).then((result) => (opened = result));
   await group.until('machines are rented', () => opened !== null);
   return [...group.provider.machines];
 }
 
 /** What the intent came to. */
-export async function resolved(group: DutyGroup, opened: Promise<Opened>): Promise<Opened> {
-  let result: Opened | null = null;
+export async function resolved(group: DutyGroup, opened: Promise<IntentResult>): Promise<IntentResult> {
+  let result: IntentResult | null = null;
   void opened.then((r) => (result = r));
   await group.until('the intent is followed to its end', () => result !== null);
   return result ?? assert.fail();
--- a/test/sim/duty-rules.ts
+++ b/test/sim/duty-rules.ts
@@ -3,7 +3,7 @@
 import type { DutyGroup } from './duty-group.js';
 import type { ProviderCall } from './fenced-provider.js';
 
-const INTENTS = 'duties/intents/';
+const INTENTS_PREFIX = 'duties/intents/';
 
 export class DutyRules {
   readonly broken: string[] = [];
@@ -49,7 +49,7 @@
     this.revisionSeen = state.revision;
     for (const duty of DUTIES) this.checkToken(duty);
     for (const [key, { value }] of state.items)
-      if (key.startsWith(INTENTS)) this.checkIntent(value as Intent);
+      if (key.startsWith(INTENTS_PREFIX)) this.checkIntent(value as Intent);
   }
 
   /** Tokens only rise, also when nobody holds the duty. */
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -98,7 +98,7 @@
 export class FencedProviderClient implements MachineProvider {
   constructor(private readonly options: FencedProviderClientOptions) {}
 
-  mayCall(): boolean {
+  tryAcquireCall(): boolean {
     return true;
   }
 
