--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -172,9 +172,9 @@
 
   private openIntentLog(): IntentLog {
     return this.deps.duties.intentLog({
-      active: () => !this.lifecycle.hasEnded(),
-      leaderGuard: () => this.deps.termPrecondition(),
-      requestName: () => this.lifecycle.nextRequestName(this.deps.settings.node),
+      isActive: () => !this.lifecycle.hasEnded(),
+      leaderPrecondition: () => this.deps.termPrecondition(),
+      nextRequestName: () => this.lifecycle.nextRequestName(this.deps.settings.node),
     });
   }
 
--- a/src/leadership/leader-term-dependencies.ts
+++ b/src/leadership/leader-term-dependencies.ts
@@ -26,7 +26,7 @@
   cancellationsAreFresh(): boolean;
   /** For records in compressed segments, see `CompletionWriter`. */
   segmentPrecondition(): Precondition | null;
-  duties: Pick<ControllerDuties, 'areKnown' | 'usesIntents' | 'intentLog'>;
+  duties: Pick<ControllerDuties, 'mayIntentsExist' | 'usesIntents' | 'intentLog'>;
   /** Gives up the leadership. */
   resign(reason: string): void;
 }
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -2,7 +2,7 @@
 import type { Conversion } from '@millring/rollout';
 import { COMPACT_FINISHED_TASKS, FENCED_DUTIES } from '../build.js';
 import type { Progress } from '../jobs/job-table.js';
-import { conversionTo } from '../rollout/conversions.js';
+import { combinedConversion } from '../rollout/conversions.js';
 import { sleep } from '../runtime.js';
 import type { Heartbeat } from '../wire/model.js';
 import type { HeartbeatReply } from './heartbeat-handler.js';
@@ -59,7 +59,10 @@
     const { store, duties, runtime } = this.deps;
     const { epoch, baseToken } = this.lifecycle;
     const beganAt = runtime.clock.now();
-    const stored = await readStoredState(store, duties.areKnown() ? this.components.intents : null);
+    const stored = await readStoredState(
+      store,
+      duties.mayIntentsExist() ? this.components.intents : null,
+    );
     if (!stored || !this.lifecycle.isRecovering()) return null;
     logStoredState(stored, beganAt, { epoch, token: baseToken }, runtime);
     this.restore(stored);
@@ -104,7 +107,7 @@
   conversion(targetLevel: number): Conversion {
     if (!this.lifecycle.isServing()) return CONVERSION_UNKNOWN;
     const { completionWriter, intents } = this.components;
-    return conversionTo(targetLevel, {
+    return combinedConversion(targetLevel, {
       [COMPACT_FINISHED_TASKS]: () => completionWriter.conversion(),
       [FENCED_DUTIES]: () => intentConversion(intents),
     });
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -9,7 +9,7 @@
 
 /** How far the conversion is that leaves no intent open: while one is, a leader that can't follow intents must not lead. */
 export function intentConversion(log: IntentLog): Conversion {
-  const remaining = log.pending();
+  const remaining = log.pendingCount();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -27,7 +27,7 @@
   const machines = await store.scan(MACHINES);
   const jobs = machines && (await store.scan(LIVE));
   const finished = jobs && (await store.scan(FINISHED));
-  const openIntents = finished && (intents ? await intents.read() : []);
+  const openIntents = finished && (intents ? await intents.readAll() : []);
   if (!machines || !jobs || !finished || !openIntents) return null;
   const { revision } = jobs;
   return {
