--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -2,7 +2,7 @@
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { Placement } from '../placement/placement.js';
 import type { Clock } from '../runtime.js';
-import { commandsForHeartbeat } from '../workers/command-sender.js';
+import { commandsForHeartbeat } from '../workers/commands.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { Heartbeat, MachineType, WorkerCommand } from '../wire/model.js';
@@ -18,7 +18,7 @@
   table: MachineTable;
   types: readonly MachineType[];
   leaseMs: number;
-  autoscaler: Pick<Autoscaler, 'isGone'>;
+  autoscaler: Pick<Autoscaler, 'isDeleted'>;
   placement: Pick<Placement, 'heartbeatApplied'>;
   recovery: FailoverRecovery;
   contact: WorkerContact;
@@ -46,7 +46,7 @@
     const { clock, lifecycle, autoscaler } = this.deps;
     if (!this.deps.holdsLease()) return null;
     const now = clock.now();
-    if (!lifecycle.isServing() || autoscaler.isGone(heartbeat.machine))
+    if (!lifecycle.isServing() || autoscaler.isDeleted(heartbeat.machine))
       return { token: lifecycle.baseToken, commands: [] };
     const machine = this.findOrAddMachine(heartbeat, now);
     // A late copy tells nothing, and its reply renews nothing: neither may look as if it did.
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -9,7 +9,7 @@
 import { allocateSockets } from '../socket-allocation.js';
 import { CommandSender } from '../workers/command-sender.js';
 import type { Machine } from '../workers/machine.js';
-import { MachineRecordStore } from '../workers/machine-records.js';
+import { MachineRecordStore } from '../workers/machine-record-store.js';
 import { MachineTable } from '../workers/machine-table.js';
 import { ControlLoop, TICK_MS } from './control-loop.js';
 import { CycleScheduler } from './cycle-scheduler.js';
@@ -172,9 +172,9 @@
 
   private openIntentLog(): IntentLog {
     return this.deps.duties.intentLog({
-      active: () => !this.lifecycle.hasEnded(),
-      leaderGuard: () => this.deps.termPrecondition(),
-      requestName: () => this.lifecycle.nextRequestName(this.deps.settings.node),
+      isActive: () => !this.lifecycle.hasEnded(),
+      leaderPrecondition: () => this.deps.termPrecondition(),
+      nextRequestName: () => this.lifecycle.nextRequestName(this.deps.settings.node),
     });
   }
 
@@ -187,8 +187,8 @@
       grants: this.grants,
       leaseExtensionMs: this.leaseExtensionMs,
       demand: () => this.demand(),
-      isBehind: () => this.eventLoopLag.isLagging(clock.now()) || this.sender.isCongested(),
-      machineGone: (machine) => {
+      isLagging: () => this.eventLoopLag.isLagging(clock.now()) || this.sender.isCongested(),
+      machineDeleted: (machine) => {
         this.forgetMachine(machine);
       },
     });
@@ -216,7 +216,7 @@
       attemptBase: this.lifecycle.baseToken,
       recoveryComplete: () => this.recovery.isComplete(),
       wallMs: () => this.deps.wallMs(),
-      isSilent: (machine) => this.autoscaler.isSilent(machine, runtime.clock.now()),
+      isSilent: (machine) => this.autoscaler.isUnreachable(machine, runtime.clock.now()),
     });
   }
 
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -3,7 +3,7 @@
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { CommandSender } from '../workers/command-sender.js';
 import type { Machine } from '../workers/machine.js';
-import type { MachineRecordStore } from '../workers/machine-records.js';
+import type { MachineRecordStore } from '../workers/machine-record-store.js';
 import type { MachineTable } from '../workers/machine-table.js';
 
 /** What the monitor looks at. */
@@ -12,7 +12,7 @@
   sender: CommandSender;
   machineRecords: MachineRecordStore;
   log: Log;
-  autoscaler: Pick<Autoscaler, 'isOverdue' | 'isSilent' | 'isLost'>;
+  autoscaler: Pick<Autoscaler, 'isHeartbeatOverdue' | 'isUnreachable' | 'isInPartitionedZone'>;
   /** For how long followers may extend leases after they have asked. */
   leaseExtensionMs: number;
   /** Until then followers may have extended leases. */
@@ -46,7 +46,10 @@
   private mustExpire(machine: Machine, now: number): boolean {
     const { autoscaler, leaseExtensionMs } = this.deps;
     if (machine.leaseExpired) return false;
-    if (autoscaler.isLost(machine) || autoscaler.isSilent(machine, now - leaseExtensionMs / 4))
+    if (
+      autoscaler.isInPartitionedZone(machine) ||
+      autoscaler.isUnreachable(machine, now - leaseExtensionMs / 4)
+    )
       return true;
     // Nor while the recovery awaits one that does not answer: each grant would delay the recovery of all old jobs.
     return machine.awaitingReconciliation && !machine.isReconciled() && machine.commandFailures > 0;
@@ -58,7 +61,7 @@
     for (const machine of table.all()) {
       if (!machine.stored && !machine.reported) continue;
       const unanswered = !machine.isReconciled() || machine.commandFailures > 0;
-      if (!unanswered && !autoscaler.isOverdue(machine, now)) continue;
+      if (!unanswered && !autoscaler.isHeartbeatOverdue(machine, now)) continue;
       if (sender.isWorthProbing(machine, now)) sender.flush(machine, true);
     }
   }
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -51,7 +51,7 @@
     void term.run();
     rollout.coordinate({
       isLeader,
-      active: isCurrent,
+      isActive: isCurrent,
       leaderPrecondition: () => leadership.termPrecondition(),
       conversion: (targetLevel) => term.conversion(targetLevel),
     });
@@ -80,7 +80,7 @@
       termPrecondition: () => leadership.termPrecondition(),
       isCancelled: (id) => cancellations.has(id),
       cancellationsAreFresh: () => cancellations.ageMs() < CANCELLATIONS_MAX_AGE_MS,
-      segmentPrecondition: () => rollout.writeGuard(COMPACT_FINISHED_TASKS),
+      segmentPrecondition: () => rollout.writePrecondition(COMPACT_FINISHED_TASKS),
       duties,
       resign: (reason) => void leadership.resign(reason),
     };
--- a/src/machine-type-catalogue.ts
+++ b/src/machine-type-catalogue.ts
@@ -3,7 +3,7 @@
 import { type Runtime, sleep } from './runtime.js';
 import type { StateStore } from './state-store/client.js';
 import type { Body } from './wire/cbor.js';
-import { catalogBody, readTypes } from './wire/cloud.js';
+import { catalogBody, readMachineTypes } from './wire/cloud.js';
 import type { MachineType } from './wire/model.js';
 
 /** Key of the stored copy. */
@@ -32,10 +32,10 @@
     while (this.known === null) {
       const stored = await this.store.get(MACHINE_TYPES_KEY);
       if (stored.kind === 'found') {
-        this.known = readTypes(stored.entry.value as Body);
+        this.known = readMachineTypes(stored.entry.value as Body);
         if (this.known) return;
       }
-      const offered = await this.cloud.types();
+      const offered = await this.cloud.listMachineTypes();
       if (offered) {
         this.known = offered;
         const copy = { put: MACHINE_TYPES_KEY, value: catalogBody(offered) };
--- a/src/node.ts
+++ b/src/node.ts
@@ -22,7 +22,7 @@
 import { type Clock, type Runtime, sleep } from './runtime.js';
 import type { OperatorSettings } from './settings/operator.js';
 import type { PlatformSettings } from './settings/platform.js';
-import { type StateStore, stateStoreOf } from './state-store/client.js';
+import { type StateStore, createStateStore } from './state-store/client.js';
 import type { Body } from './wire/cbor.js';
 
 /** Of the requests to the state service that all nodes may make: for reading jobs that users ask about. */
@@ -79,7 +79,7 @@
     const { runtime, settings } = deps;
     /** Tells this process apart from all others of this controller. */
     const processId = `${deps.wallMs()}-${runtime.random()}`;
-    this.store = stateStoreOf(runtime, settings);
+    this.store = createStateStore(runtime, settings);
     this.cancellations = this.createCancellations();
     this.attestations = this.createAttestations(processId);
     this.jobCache = this.createJobCache();
@@ -197,7 +197,7 @@
       broadcast: (message) => {
         this.deps.broadcast(message);
       },
-      excluded: () => void this.leadership.resign('the stored state cannot be read'),
+      onExcluded: () => void this.leadership.resign('the stored state cannot be read'),
     });
   }
 
--- a/src/peers/peer-message-handler.ts
+++ b/src/peers/peer-message-handler.ts
@@ -23,7 +23,7 @@
   cancellations: Cancellations;
   attestations: Attestations;
   leaseExtender: LeaseExtender;
-  rollout: Pick<ControllerRollout, 'heardBuild' | 'heardProcess'>;
+  rollout: Pick<ControllerRollout, 'recordBuild' | 'recordProcess'>;
   /** The term in which this node leads, though the leadership may be suspended. */
   term(): LeaderTerm | null;
   /** The leader tells how far jobs are. */
@@ -54,7 +54,7 @@
         cancellations.record(message.id);
         return;
       case 'build':
-        rollout.heardBuild(message);
+        rollout.recordBuild(message);
         return;
       case 'attest':
         this.handleAttestation(message);
@@ -80,7 +80,7 @@
     const { cancellations, attestations, rollout } = this.deps;
     for (const id of message.cancelled) cancellations.record(id);
     attestations.recordAttestation(message);
-    rollout.heardProcess(message.from, message.life);
+    rollout.recordProcess(message.from, message.life);
     cancellations.advanceWatermark(attestations.completeUntil(cancellations.watermark()));
   }
 }
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,12 +1,12 @@
 /** The scenarios by seed: seeds that are `SCENARIOS.length` apart play the same one with other random numbers. */
 import { BUILD } from '../../src/build.js';
 import { type Cluster, LEASE_MS } from '../sim/cluster.js';
-import type { CloudType } from '../sim/cloud.js';
 import { ROLLOUT, SETTINGS as DUTIES, plantLevel } from '../sim/cloud-watch.js';
 import type { ClusterConfig } from '../sim/cluster-config.js';
-import { BATCH, DESK, GANG } from '../sim/jobs.js';
+import { BATCH, SERVICE, GANG } from '../sim/jobs.js';
 import { OLD, SETTINGS as AUTOMATIC_ROLLOUT, operatorOf } from '../sim/roll.js';
 import { copiesTo, leaderOr } from '../sim/scenarios.js';
+import type { CloudType } from '../sim/wire/cloud.js';
 import * as faults from './faults.js';
 import type { Scenario } from './scenario.js';
 import {
@@ -54,13 +54,13 @@
 function machineType(name: string, cpus: number, gpus: number): CloudType {
   return {
     name,
-    vcpus: cpus,
+    cpus,
     gpus,
-    ram_gb: 4 * cpus,
-    fetch_gb_per_s: 0.5,
+    memoryGb: 4 * cpus,
+    fetchGbPerS: 0.5,
     price: 0.06 * cpus + gpus,
-    spot_price: 0.02 * cpus + 0.4 * gpus,
-    boot_s: 5,
+    spotPrice: 0.02 * cpus + 0.4 * gpus,
+    bootS: 5,
   };
 }
 
@@ -84,16 +84,16 @@
 };
 
 function unevenJobs(cluster: Cluster, second: number): void {
-  if (second % 6 === 0) submit(cluster, { ...BATCH, vcpus: 4, sacks: cluster.random.int(4, 16) });
-  if (second % 10 === 3) submit(cluster, { ...BATCH, gpus: 1, sacks: 3, stone_kinds: ['gpu-16'] });
-  if (second % 15 === 5) submit(cluster, { ...DESK, vcpus: 4, sacks: 2 });
-  if (second % 15 === 8) submit(cluster, { ...GANG, vcpus: 8, sacks: 3 });
+  if (second % 6 === 0) submit(cluster, { ...BATCH, cpus: 4, tasks: cluster.random.int(4, 16) });
+  if (second % 10 === 3) submit(cluster, { ...BATCH, gpus: 1, tasks: 3, machineTypes: ['gpu-16'] });
+  if (second % 15 === 5) submit(cluster, { ...SERVICE, cpus: 4, tasks: 2 });
+  if (second % 15 === 8) submit(cluster, { ...GANG, cpus: 8, tasks: 3 });
 }
 
 /** Jobs of one zone, tied to it or not. */
 function zoneJobs(cluster: Cluster, second: number): void {
-  const yard = cluster.random.pick(['a', 'b', 'c', null]);
-  if (second % 5 === 1) submit(cluster, { ...BATCH, one_zone: true, sacks: 6, yard });
+  const zone = cluster.random.pick(['a', 'b', 'c', null]);
+  if (second % 5 === 1) submit(cluster, { ...BATCH, oneZone: true, tasks: 6, zone });
 }
 
 /** Controllers are replaced by newer builds, now and then by older ones, until all are new. */
@@ -146,9 +146,9 @@
 };
 
 function largeFleetJobs(cluster: Cluster, second: number): void {
-  if (second % 10 === 0) submit(cluster, { ...BATCH, sacks: 120, vcpus: 8, grind_s: 8 });
-  if (second % 10 === 5) submit(cluster, { ...DESK, sacks: 6 });
-  if (second % 20 === 7) submit(cluster, { ...GANG, one_zone: false, sacks: 20, vcpus: 8 });
+  if (second % 10 === 0) submit(cluster, { ...BATCH, tasks: 120, cpus: 8, durationS: 8 });
+  if (second % 10 === 5) submit(cluster, { ...SERVICE, tasks: 6 });
+  if (second % 20 === 7) submit(cluster, { ...GANG, oneZone: false, tasks: 20, cpus: 8 });
 }
 
 const SCENARIOS: Scenario[] = [
