--- a/src/controller-process.ts
+++ b/src/controller-process.ts
@@ -1,11 +1,11 @@
 /** Runs a controller node on real sockets, until the process is ended. */
-import { createHttpServer } from './http-server.js';
+import { createHttpServer } from './http/http-server.js';
 import { ControllerNode } from './node.js';
 import { PeerNetwork } from './peers/peer-network.js';
 import { createLog, createProcessRuntime } from './process-runtime.js';
 import type { Log, Runtime } from './runtime.js';
 import type { Settings } from './settings-files.js';
-import { allocateSockets } from './socket-allocation.js';
+import { allocateSockets } from './http/socket-allocation.js';
 
 const DEFAULT_LOG_LEVEL = 'info';
 
--- a/src/accept-queue.ts
+++ b/src/http/accept-queue.ts
@@ -6,7 +6,7 @@
  * dropped unread. Whoever still waits in it sees that at once and comes again, to a short queue.
  */
 import type { Server, Socket } from 'node:net';
-import type { Log } from './runtime.js';
+import type { Log } from '../runtime.js';
 
 /** So many more connections whose peer had gone than others: most of the queue has been given up. */
 const MAX_GONE_BALANCE = 12;
--- a/src/http-client.ts
+++ b/src/http/http-client.ts
@@ -4,8 +4,8 @@
  */
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 import type { Socket } from 'node:net';
-import type { Http, HttpMethod, Reply } from './runtime.js';
-import { type Body, decodeMap, encode } from './wire/cbor.js';
+import type { Http, HttpMethod, Reply } from '../runtime.js';
+import { type Body, decodeMap, encode } from '../wire/cbor.js';
 
 const NO_REPLY: Reply = { status: 0, body: {} };
 const STATUS_OK = 200;
--- a/src/http-server.ts
+++ b/src/http/http-server.ts
@@ -2,13 +2,13 @@
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import type { Socket } from 'node:net';
 import { AcceptQueue } from './accept-queue.js';
-import type { Answer } from './jobs/api.js';
-import type { ControllerNode } from './node.js';
-import type { Log } from './runtime.js';
+import type { Answer } from '../jobs/api.js';
+import type { ControllerNode } from '../node.js';
+import type { Log } from '../runtime.js';
 import { allocateSockets } from './socket-allocation.js';
 import { INTERNAL_FAILURE, MAX_BODY_BYTES, createUserApp } from './user-app.js';
-import { type Body, decodeMap, encode } from './wire/cbor.js';
-import { workerPaths } from './wire/workers.js';
+import { type Body, decodeMap, encode } from '../wire/cbor.js';
+import { workerPaths } from '../wire/workers.js';
 
 /** Whoever is silent for so long has most likely gone without a word: workers and users speak every few seconds. */
 const IDLE_TIMEOUT_MS = 25_000;
--- a/src/user-app.ts
+++ b/src/http/user-app.ts
@@ -1,9 +1,9 @@
 /** The HTTP routes for users and health checks. */
 import express, { type NextFunction, type Request, type Response } from 'express';
-import type { Health } from './health.js';
-import type { Answer, JobsApi } from './jobs/api.js';
-import { type Body, decodeMap, encode } from './wire/cbor.js';
-import { userPaths } from './wire/users.js';
+import type { Health } from '../health.js';
+import type { Answer, JobsApi } from '../jobs/api.js';
+import { type Body, decodeMap, encode } from '../wire/cbor.js';
+import { userPaths } from '../wire/users.js';
 
 /** Larger bodies are refused. */
 export const MAX_BODY_BYTES = 64 * 1024;
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -6,7 +6,7 @@
 import { CompletionWriter } from '../jobs/completion-writer.js';
 import { type Job, JobTable } from '../jobs/job-table.js';
 import { Placement } from '../placement/placement.js';
-import { allocateSockets } from '../socket-allocation.js';
+import { allocateSockets } from '../http/socket-allocation.js';
 import { CommandSender } from '../workers/command-sender.js';
 import type { Machine } from '../workers/machine.js';
 import { MachineRecordStore } from '../workers/machine-record-store.js';
--- a/src/process-runtime.ts
+++ b/src/process-runtime.ts
@@ -1,10 +1,10 @@
 /** The runtime of a real process: its clock, random numbers, HTTP client and log. */
 import { performance } from 'node:perf_hooks';
 import pino from 'pino';
-import { HttpClient } from './http-client.js';
+import { HttpClient } from './http/http-client.js';
 import type { Clock, Log, Runtime } from './runtime.js';
 import type { PlatformSettings } from './settings/platform.js';
-import { allocateSockets } from './socket-allocation.js';
+import { allocateSockets } from './http/socket-allocation.js';
 
 const STDERR_FD = 2;
 
--- a/src/state-machine.ts
+++ b/src/state-machine.ts
@@ -11,19 +11,6 @@
   }
 }
 
-/**
- * Throws an `IllegalTransitionError` unless the table lists the transition. For objects that keep their state
- * themselves, since there are too many of them for a `StateMachine` each.
- */
-export function assertTransition<State extends string>(
-  machine: string,
-  transitions: Transitions<State>,
-  from: State,
-  to: State,
-): void {
-  if (!transitions[from].includes(to)) throw new IllegalTransitionError(machine, from, to);
-}
-
 /** Is told of changes of state. */
 export interface TransitionListener<State extends string> {
   /** Before the state changes: for log lines. */
@@ -49,7 +36,8 @@
   transitionTo(next: State, reason: string): void {
     const from = this.current;
     if (next === from) return;
-    assertTransition(this.name, this.transitions, from, next);
+    if (!this.transitions[from].includes(next))
+      throw new IllegalTransitionError(this.name, from, next);
     this.listener.beforeTransition(from, next, reason);
     this.current = next;
     this.listener.afterTransition?.(from, next);
--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -4,166 +4,167 @@
 import { Attestations } from '../src/peers/attestations.js';
 import type { AttestationMessage } from '../src/peers/peer-messages.js';
 
-interface Bed {
-  at: { a: number; b: number; c: number };
+interface Nodes {
+  /** What the clocks of the three processes read. */
+  clocks: { a: number; b: number; c: number };
   a: Attestations;
   b: Attestations;
   c: Attestations;
-  pass(ms: number): void;
-  /** b and c hear a, and vouch; a hears them. */
-  round(claims?: { claim?: number; claiming?: boolean }): void;
+  advance(ms: number): void;
+  /** b and c receive an attestation of a, and a one of each of them. */
+  exchange(byB?: { highestSeenEpoch?: number; isCandidate?: boolean }): void;
 }
 
 /** Three nodes, whose clocks have nothing in common. */
-function bed(): Bed {
-  const at = { a: 100_000, b: 5000, c: 900_000 };
-  const of = (self: 'a' | 'b' | 'c'): Attestations =>
+function threeNodes(): Nodes {
+  const clocks = { a: 100_000, b: 5000, c: 900_000 };
+  const create = (self: 'a' | 'b' | 'c'): Attestations =>
     new Attestations(
       self,
       `${self}-1`,
-      ['a', 'b', 'c'].filter((n) => n !== self),
-      () => at[self],
+      ['a', 'b', 'c'].filter((name) => name !== self),
+      () => clocks[self],
     );
-  const setup: Bed = {
-    at,
-    a: of('a'),
-    b: of('b'),
-    c: of('c'),
-    pass: (ms) => {
-      at.a += ms;
-      at.b += ms;
-      at.c += ms;
+  const nodes: Nodes = {
+    clocks,
+    a: create('a'),
+    b: create('b'),
+    c: create('c'),
+    advance: (ms) => {
+      clocks.a += ms;
+      clocks.b += ms;
+      clocks.c += ms;
     },
-    round: ({ claim = 7, claiming = false } = {}) => {
-      const ask = setup.a.attest(7, false);
-      setup.b.recordAttestation(ask);
-      setup.c.recordAttestation(ask);
-      setup.pass(10);
-      setup.a.recordAttestation(setup.b.attest(claim, claiming));
-      setup.a.recordAttestation(setup.c.attest(7, false));
+    exchange: ({ highestSeenEpoch = 7, isCandidate = false } = {}) => {
+      const asked = nodes.a.attest(7, false);
+      nodes.b.recordAttestation(asked);
+      nodes.c.recordAttestation(asked);
+      nodes.advance(10);
+      nodes.a.recordAttestation(nodes.b.attest(highestSeenEpoch, isCandidate));
+      nodes.a.recordAttestation(nodes.c.attest(7, false));
     },
   };
-  return setup;
+  return nodes;
 }
 
 test('statements of all nodes prove everything up to the earliest echo, and not a moment more', () => {
-  const setup = bed();
-  setup.pass(2000);
-  const known = setup.at.a;
-  setup.pass(1000);
-  const asked = setup.at.a;
-  setup.round();
-  assert.equal(setup.a.completeUntil(known), asked);
+  const nodes = threeNodes();
+  nodes.advance(2000);
+  const known = nodes.clocks.a;
+  nodes.advance(1000);
+  const asked = nodes.clocks.a;
+  nodes.exchange();
+  assert.equal(nodes.a.completeUntil(known), asked);
   // One of the two is not heard any more.
-  setup.pass(1000);
-  setup.c.recordAttestation(setup.a.attest(7, false));
-  setup.a.recordAttestation(setup.c.attest(7, false));
-  assert.equal(setup.a.completeUntil(known), asked);
+  nodes.advance(1000);
+  nodes.c.recordAttestation(nodes.a.attest(7, false));
+  nodes.a.recordAttestation(nodes.c.attest(7, false));
+  assert.equal(nodes.a.completeUntil(known), asked);
 });
 
 test('a statement without an echo, or with one meant for an earlier process, proves nothing', () => {
-  const setup = bed();
-  setup.pass(2000);
-  const known = setup.at.a - 100;
-  setup.a.recordAttestation(setup.b.attest(7, false));
-  setup.a.recordAttestation(setup.c.attest(7, false));
-  assert.equal(setup.a.completeUntil(known), known);
-  setup.round();
-  const before = setup.b.attest(7, false);
+  const nodes = threeNodes();
+  nodes.advance(2000);
+  const known = nodes.clocks.a - 100;
+  nodes.a.recordAttestation(nodes.b.attest(7, false));
+  nodes.a.recordAttestation(nodes.c.attest(7, false));
+  assert.equal(nodes.a.completeUntil(known), known);
+  nodes.exchange();
+  const before = nodes.b.attest(7, false);
   // a starts again, and its clock happens to read the same.
-  const again = new Attestations('a', 'a-2', ['b', 'c'], () => setup.at.a);
-  setup.pass(500);
+  const again = new Attestations('a', 'a-2', ['b', 'c'], () => nodes.clocks.a);
+  nodes.advance(500);
   again.recordAttestation(before);
-  again.recordAttestation(setup.c.attest(7, false));
+  again.recordAttestation(nodes.c.attest(7, false));
   assert.equal(again.completeUntil(known), known);
 });
 
 test('a node that started again proves nothing of the time before, however it goes on', () => {
-  const setup = bed();
-  setup.pass(5000);
-  setup.round();
-  const known = setup.at.a - 10;
-  setup.pass(300);
-  setup.b.recordConfirmation('run-1');
+  const nodes = threeNodes();
+  nodes.advance(5000);
+  nodes.exchange();
+  const known = nodes.clocks.a - 10;
+  nodes.advance(300);
+  nodes.b.recordConfirmation('run-1');
   const [second, startedAt] = [
-    new Attestations('b', 'b-2', ['a', 'c'], () => setup.at.b),
-    setup.at.a,
+    new Attestations('b', 'b-2', ['a', 'c'], () => nodes.clocks.b),
+    nodes.clocks.a,
   ];
-  setup.pass(200);
-  setup.b = second;
-  setup.round();
-  setup.pass(400);
-  setup.round();
+  nodes.advance(200);
+  nodes.b = second;
+  nodes.exchange();
+  nodes.advance(400);
+  nodes.exchange();
   assert.equal(
-    setup.a.completeUntil(known),
+    nodes.a.completeUntil(known),
     known,
     'its former life may have confirmed what nobody knows',
   );
   // Once something else has told of the time before its start, it counts again.
   const read = startedAt + 150;
-  const asked = setup.at.a;
-  setup.round();
-  assert.equal(setup.a.completeUntil(read), asked);
+  const asked = nodes.clocks.a;
+  nodes.exchange();
+  assert.equal(nodes.a.completeUntil(read), asked);
 });
 
 test('what was confirmed is told for as long as statements cover it', () => {
-  const setup = bed();
-  setup.b.recordConfirmation('run-1');
-  setup.pass(59_000);
-  assert.deepEqual(setup.b.attest(7, false).cancelled, ['run-1']);
-  setup.pass(2000);
-  assert.deepEqual(setup.b.attest(7, false).cancelled, []);
-  const from = setup.at.a - 61_000;
-  setup.round();
-  assert.equal(setup.a.completeUntil(from), from, 'older than that it vouches for nothing');
+  const nodes = threeNodes();
+  nodes.b.recordConfirmation('run-1');
+  nodes.advance(59_000);
+  assert.deepEqual(nodes.b.attest(7, false).cancelled, ['run-1']);
+  nodes.advance(2000);
+  assert.deepEqual(nodes.b.attest(7, false).cancelled, []);
+  const from = nodes.clocks.a - 61_000;
+  nodes.exchange();
+  assert.equal(nodes.a.completeUntil(from), from, 'older than that it vouches for nothing');
 });
 
 test('a newer claim, or one on its way, ends the proof that nobody else leads', () => {
-  const setup = bed();
-  setup.pass(2000);
-  const valid = setup.at.a;
-  setup.pass(500);
-  const asked = setup.at.a;
-  setup.round();
-  assert.equal(setup.a.uncontestedUntil(7, valid), asked);
-  setup.pass(500);
-  setup.round({ claiming: true });
-  assert.equal(setup.a.uncontestedUntil(7, valid), asked, 'its claim may have been made');
-  setup.pass(500);
-  setup.round({ claim: 9 });
-  assert.equal(setup.a.uncontestedUntil(7, valid), valid);
+  const nodes = threeNodes();
+  nodes.advance(2000);
+  const valid = nodes.clocks.a;
+  nodes.advance(500);
+  const asked = nodes.clocks.a;
+  nodes.exchange();
+  assert.equal(nodes.a.uncontestedUntil(7, valid), asked);
+  nodes.advance(500);
+  nodes.exchange({ isCandidate: true });
+  assert.equal(nodes.a.uncontestedUntil(7, valid), asked, 'its claim may have been made');
+  nodes.advance(500);
+  nodes.exchange({ highestSeenEpoch: 9 });
+  assert.equal(nodes.a.uncontestedUntil(7, valid), valid);
 });
 
 test('a late statement proves only what it says', () => {
-  const setup = bed();
-  setup.pass(2000);
-  const known = setup.at.a - 50;
-  setup.round();
-  const first = setup.a.completeUntil(known);
-  const late: AttestationMessage = setup.b.attest(7, false);
-  setup.pass(500);
-  setup.round();
-  const second = setup.a.completeUntil(known);
+  const nodes = threeNodes();
+  nodes.advance(2000);
+  const known = nodes.clocks.a - 50;
+  nodes.exchange();
+  const first = nodes.a.completeUntil(known);
+  const late: AttestationMessage = nodes.b.attest(7, false);
+  nodes.advance(500);
+  nodes.exchange();
+  const second = nodes.a.completeUntil(known);
   assert.ok(second > first);
-  setup.pass(4000);
-  setup.c.recordAttestation(setup.a.attest(7, false));
-  setup.a.recordAttestation(setup.c.attest(7, false));
-  setup.a.recordAttestation(late);
-  assert.equal(setup.a.completeUntil(known), second);
+  nodes.advance(4000);
+  nodes.c.recordAttestation(nodes.a.attest(7, false));
+  nodes.a.recordAttestation(nodes.c.attest(7, false));
+  nodes.a.recordAttestation(late);
+  assert.equal(nodes.a.completeUntil(known), second);
 });
 
 test('a late statement of a former life closes no gap', () => {
-  const setup = bed();
-  setup.pass(20_000);
-  setup.round();
-  const known = setup.at.a - 10;
-  const late = setup.b.attest(7, false);
-  setup.pass(300);
-  setup.b.recordConfirmation('run-1');
-  setup.b = new Attestations('b', 'b-2', ['a', 'c'], () => setup.at.b);
-  setup.pass(200);
-  setup.round();
-  setup.a.recordAttestation(late);
-  setup.round();
-  assert.equal(setup.a.completeUntil(known), known);
+  const nodes = threeNodes();
+  nodes.advance(20_000);
+  nodes.exchange();
+  const known = nodes.clocks.a - 10;
+  const late = nodes.b.attest(7, false);
+  nodes.advance(300);
+  nodes.b.recordConfirmation('run-1');
+  nodes.b = new Attestations('b', 'b-2', ['a', 'c'], () => nodes.clocks.b);
+  nodes.advance(200);
+  nodes.exchange();
+  nodes.a.recordAttestation(late);
+  nodes.exchange();
+  assert.equal(nodes.a.completeUntil(known), known);
 });
--- a/test/takeover-work.test.ts
+++ b/test/failover-recovery.test.ts
@@ -1,4 +1,4 @@
-/** What a takeover costs in a large fleet. */
+/** What the recovery after a failover costs with many machines. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FailoverRecovery } from '../src/leadership/failover-recovery.js';
@@ -21,23 +21,23 @@
   zones: ['a'],
 };
 
-/** Machines in the order in which they were stored, and how often one was looked at. */
+/** Machines in the order in which they were stored, and how often one was read. */
 function expectedMachines(): {
   machines: Machine[];
-  takeover: FailoverRecovery;
-  looks: () => number;
+  recovery: FailoverRecovery;
+  reads: () => number;
 } {
   const machines = Array.from(
     { length: MACHINES },
     (_, i) => new Machine(i, `i-${i}`, `i-${i}:1`, TYPE, 'a', false, 100, 0),
   );
   const byId = new Map(machines.map((m) => [m.id, m]));
-  let looks = 0;
+  let reads = 0;
   for (const machine of machines) {
     let awaited = false;
     Object.defineProperty(machine, 'awaitingReconciliation', {
       get: () => {
-        looks++;
+        reads++;
         return awaited;
       },
       set: (value: boolean) => (awaited = value),
@@ -47,40 +47,40 @@
     get: (id: string) => byId.get(id),
     size: () => byId.size,
   } as unknown as MachineTable;
-  const takeover = new FailoverRecovery(table, LEASE_MS, quietLog, () => 0);
-  for (const machine of machines) takeover.expectReconciliation(machine);
-  return { machines, takeover, looks: () => looks };
+  const recovery = new FailoverRecovery(table, LEASE_MS, quietLog, () => 0);
+  for (const machine of machines) recovery.expectReconciliation(machine);
+  return { machines, recovery, reads: () => reads };
 }
 
-// Each report looked at every machine: 16 million looks while a new leader has the least time.
-test('a takeover of 4,000 machines passes each of them once, in whatever order they speak', () => {
+// Each heartbeat once read every machine: 16 million reads while a new leader has the least time.
+test('a recovery with 4,000 machines passes each of them once, in whatever order they are heard', () => {
   for (const backwards of [false, true]) {
-    const { machines, takeover, looks } = expectedMachines();
+    const { machines, recovery, reads } = expectedMachines();
     if (backwards) machines.reverse();
     machines.forEach((machine, i) => {
-      assert.equal(takeover.isComplete(), false, `${i} have spoken`);
+      assert.equal(recovery.isComplete(), false, `${i} have spoken`);
       machine.awaitingReconciliation = false;
-      assert.equal(takeover.check(0), i === MACHINES - 1);
+      assert.equal(recovery.check(0), i === MACHINES - 1);
     });
-    assert.ok(takeover.isComplete());
+    assert.ok(recovery.isComplete());
     // One look a report, one a machine, and one count of all for the log.
-    assert.ok(looks() <= 3 * MACHINES, `${looks()} looks`);
+    assert.ok(reads() <= 3 * MACHINES, `${reads()} reads`);
   }
 });
 
 // On anketsis-pazar a new leader started 1285 tasks of new jobs while 971 others ended with leases that nobody renewed.
-test('while a takeover is behind leases go before new work, for half a lease at most', () => {
-  const { machines, takeover } = expectedMachines();
+test('while a recovering leader is congested, leases go before new work, for half a lease at most', () => {
+  const { machines, recovery } = expectedMachines();
   const began = 5000;
-  takeover.begin(began);
-  assert.equal(takeover.mayPlace(true, began + 100), false);
+  recovery.begin(began);
+  assert.equal(recovery.mayPlace(true, began + 100), false);
   assert.equal(
-    takeover.mayPlace(false, began + 100),
+    recovery.mayPlace(false, began + 100),
     true,
     'nothing waits while the controller keeps up',
   );
-  assert.equal(takeover.mayPlace(true, began + LEASE_MS / 2 + 1), true);
+  assert.equal(recovery.mayPlace(true, began + LEASE_MS / 2 + 1), true);
   for (const machine of machines) machine.awaitingReconciliation = false;
-  assert.ok(takeover.check(began + 200));
-  assert.equal(takeover.mayPlace(true, began + 200), true, 'every machine is known');
+  assert.ok(recovery.check(began + 200));
+  assert.equal(recovery.mayPlace(true, began + 200), true, 'every machine is known');
 });
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -1,7 +1,8 @@
+/** The HTTP client, on real sockets. */
 import assert from 'node:assert/strict';
 import { type Socket, createServer } from 'node:net';
 import { test } from 'node:test';
-import { HttpClient } from '../src/http-client.js';
+import { HttpClient } from '../src/http/http-client.js';
 
 // Giving up must not wait until the request can have a connection: a leader learnt of dead machines, whose
 // connections are never made, seconds late. Here the one connection is taken by a request without an answer.
@@ -10,15 +11,15 @@
   { timeout: 5000 },
   async () => {
     const sockets: Socket[] = [];
-    const server = createServer((s) => sockets.push(s.unref())).unref();
-    await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
+    const server = createServer((socket) => sockets.push(socket.unref())).unref();
+    await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as { port: number };
     const order: string[] = [];
     const http = new HttpClient({ services: [], maxConnectionsToWorkers: 20 });
     const get = (timeoutMs: number, name: string): Promise<void> =>
       http
         .send(`127.0.0.1:${port}`, 'GET', '/', null, timeoutMs)
-        .then((r) => void order.push(`${name} ${r.status}`));
+        .then((reply) => void order.push(`${name} ${reply.status}`));
     await Promise.all([get(600, 'first'), get(60, 'second')]);
     assert.deepEqual(order, ['second 0', 'first 0']);
     for (const socket of sockets) socket.destroy();
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -1,7 +1,7 @@
 /** The main module of a process that shares the duties with others; tests suspend and continue it by signals. */
 import { performance } from 'node:perf_hooks';
 import { DutyMember } from '@millring/duties';
-import { HttpClient } from '../../src/http-client.js';
+import { HttpClient } from '../../src/http/http-client.js';
 import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
 import { SETTINGS } from './duty-group.js';
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -1,7 +1,7 @@
 /** The stand-ins of the simulated cluster, served on loopback in real time to controllers that are real processes. */
 import { type Server, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { HttpClient } from '../../src/http-client.js';
+import { HttpClient } from '../../src/http/http-client.js';
 import { TOKENS_PER_EPOCH } from '../../src/leadership/leader-record.js';
 import { type Body, decodeMap, encode, isMap } from '../../src/wire/cbor.js';
 import { type CloudMachine, CloudService } from './cloud.js';
