--- a/src/build.ts
+++ b/src/build.ts
@@ -14,7 +14,7 @@
     name: COMPACT_FINISHED_TASKS,
     level: 2,
     covers: { records: ['d/JOB/NUMBER with numbers from 1000'], messages: [], decisions: [] },
-    // It takes them for records that tell of no finished task: the tasks are started once more and end at once.
+    // It takes them for records without finished tasks: the tasks are started once more and end at once.
     withoutGate: 'harmless',
     reversible: true,
   },
--- a/src/health.ts
+++ b/src/health.ts
@@ -28,12 +28,12 @@
  * outage for all there is no elsewhere, and nodes that stay healthy serve again at once when it ends.
  */
 export class HealthCheck {
-  /** What the other nodes last told of the state service. */
+  /** Whether the state service serves the other nodes, as they last reported. */
   private readonly peerStatus = new Map<string, { isServed: boolean; receivedAt: number }>();
 
   constructor(private readonly deps: HealthCheckDependencies) {}
 
-  /** Another node tells whether the state service serves it. */
+  /** Another node reports whether the state service serves it. */
   recordPeerStatus(peer: string, isServed: boolean): void {
     this.peerStatus.set(peer, { isServed, receivedAt: this.deps.clock.now() });
   }
--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -123,6 +123,6 @@
   const bytes = parts.length === 1 ? parts[0] : Buffer.concat(parts);
   const body = bytes.length === 0 ? {} : decodeMap(bytes);
   if (body !== null) return { status, body };
-  // A 200 that can't be read tells nothing: the request may have been executed.
+  // A 200 that can't be decoded counts as no reply: the request may have been executed.
   return status === STATUS_OK ? NO_REPLY : { status, body: {} };
 }
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -10,7 +10,7 @@
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 import { workerPaths } from '../wire/workers.js';
 
-/** Whoever is silent for so long has most likely gone without a word: workers and users speak every few seconds. */
+/** Workers and users send a request every few seconds: a connection idle for so long is most likely dead. */
 const IDLE_TIMEOUT_MS = 25_000;
 
 /** Serves the node's users, workers and health checks, on at most its share of `sockets`. */
--- a/src/leadership/failover-recovery.ts
+++ b/src/leadership/failover-recovery.ts
@@ -1,6 +1,6 @@
 /**
  * When a new leader may act on jobs of former leaders: once every machine that was stored before its term has shown
- * the new token, is gone, or is past its lease. Until then their tasks may be where it has not looked yet.
+ * the new token, was deleted, or is past its lease. Until then tasks may run on machines that were not heard yet.
  */
 import type { Log } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -49,7 +49,7 @@
     if (!lifecycle.isServing() || autoscaler.isDeleted(heartbeat.machine))
       return { token: lifecycle.baseToken, commands: [] };
     const machine = this.findOrAddMachine(heartbeat, now);
-    // A late copy tells nothing, and its reply renews nothing: neither may look as if it did.
+    // A duplicate or reordered heartbeat must neither be applied nor count as a renewal of the lease.
     if (!machine || !isNewer(heartbeat, machine, machine.lastHeartbeatSequence)) return null;
     machine.leaseRenewedAt = now;
     if (machine.commandFailures > 0) machine.nextSendAt = Math.min(machine.nextSendAt, now);
@@ -76,7 +76,7 @@
     return table.add(id, endpoint, type, zone, spot, now);
   }
 
-  /** Takes in what the worker tells, unless something newer is known. */
+  /** Updates the machine from the heartbeat, unless a newer one was applied already. */
   apply(machine: Machine, heartbeat: Heartbeat): void {
     const { clock, table, placement, recovery, contact, cycles } = this.deps;
     const now = clock.now();
--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -9,7 +9,7 @@
 const WATCH_MS = 10_000;
 const RETRY_MS = 200;
 
-/** Where the feed reads jobs, and whom it tells. */
+/** Where the feed reads jobs, and what it calls on changes. */
 export interface JobFeedDependencies {
   runtime: Runtime;
   store: StateStore;
@@ -18,13 +18,13 @@
   isServing(): boolean;
   /** A live record, new or changed. */
   recordStored(id: string, value: unknown, version: number): void;
-  /** The live record is gone. */
+  /** The live record was deleted. */
   recordRemoved(job: Job): void;
-  /** All changes of a batch have been told. */
+  /** Called once after the changes of a batch. */
   jobsChanged(): void;
 }
 
-/** Is told which records of finished tasks are stored. */
+/** Called for each stored record of finished tasks. */
 export interface FinishedRecordListener {
   recordFound(job: Job, recordNumber: number): void;
   /** The record's job has ended. */
--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -36,13 +36,13 @@
     if (record.cancelled || this.deps.isCancelled(id)) this.markCancelled(job);
   }
 
-  /** Only a leader removes live records, once all is done: here our own write, whose response was lost. */
+  /** Only the leader removes live records, once the job has ended: this was our own write, whose response was lost. */
   recordRemoved(job: Job): void {
     job.ended = 'yes';
     this.forgetJob(job);
   }
 
-  /** The job has ended. Told by our own write or by the watch, whichever comes first. */
+  /** The job has ended. Called for our own write and by the watch; the second call changes nothing. */
   forgetJob(job: Job): void {
     const { jobs, placement, cycles } = this.deps;
     if (jobs.get(job.spec.id) !== job) return;
--- a/src/leadership/leader-record.ts
+++ b/src/leadership/leader-record.ts
@@ -74,7 +74,7 @@
   if (result.kind === 'committed')
     return { kind: 'won', term: { epoch: result.revision, leaseId } };
   if (result.kind === 'indeterminate') {
-    // The record may have been written without an answer: the lease in it tells.
+    // The record may have been written although no response came: its lease shows whether it is ours.
     const read = await store.get(LEADER_KEY);
     if (read.kind === 'found' && readLeaderRecord(read.entry.value).leaseId === leaseId)
       return { kind: 'won', term: { epoch: read.entry.version, leaseId } };
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -36,9 +36,9 @@
 /**
  * - `follower`: another node leads, or nobody.
  * - `candidate`: a campaign is under way.
- * - `leader`: our lease surely lives.
- * - `suspended`: our lease may have ended, so nothing may be started or answered. If a renewal finds the lease alive,
- *   nobody can have been elected in between, and this node goes on leading where it stopped.
+ * - `leader`: this node's lease is certainly valid.
+ * - `suspended`: the lease may have expired, so nothing may be started or answered. If a renewal finds the lease still
+ *   valid, no other node can have been elected meanwhile, and this node resumes its term.
  */
 export type LeadershipState = 'follower' | 'candidate' | 'leader' | 'suspended';
 
@@ -107,11 +107,11 @@
   /** May this node act as the leader at this moment? The clock is read each time, since timers may be late. */
   isLeader(): boolean {
     if (this.machine.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
-      this.machine.transitionTo('suspended', 'lease may have ended');
+      this.machine.transitionTo('suspended', 'lease may have expired');
     return this.machine.state === 'leader';
   }
 
-  /** Whom workers should report to; null when that is not known. */
+  /** The node to which workers should send heartbeats; null if it is not known. */
   leaderName(): string | null {
     if (this.isLeader()) return this.settings.node;
     return this.machine.state === 'follower' && this.observedLeader !== this.settings.node
@@ -181,7 +181,7 @@
 
   private observeVacancy(): void {
     this.observedLeader = null;
-    this.endTerm('leader record is gone');
+    this.endTerm('leader record was removed');
   }
 
   private async campaignOrWait(revision: number): Promise<void> {
@@ -251,7 +251,7 @@
     void this.renewLoop(term);
   }
 
-  /** Counted by our own clock from when the request was sent, drift taken off. */
+  /** Measured by the local clock from when the request was sent, less the maximal clock drift. */
   private extendValidity(sentAt: number): void {
     const until = sentAt + this.ttlMs / DRIFT - VALIDITY_MARGIN_MS;
     this.validUntilMs = Math.max(this.validUntilMs, until);
@@ -266,7 +266,7 @@
       const sentAt = clock.now();
       const result = await this.store.renewLease(term.leaseId, this.ttlMs, timeoutMs);
       if (this.term !== term) return;
-      if (result === 'expired') this.machine.transitionTo('follower', 'lease has ended');
+      if (result === 'expired') this.machine.transitionTo('follower', 'lease expired');
       else if (result === 'renewed') this.leaseRenewed(sentAt);
     }
   }
@@ -276,6 +276,6 @@
     this.isLeader();
     this.extendValidity(sentAt);
     if (this.machine.state === 'suspended' && this.runtime.clock.now() < this.validUntilMs)
-      this.machine.transitionTo('leader', 'lease is alive');
+      this.machine.transitionTo('leader', 'lease is still valid');
   }
 }
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -19,8 +19,8 @@
 const MAX_EXTENSION_MS = 20_000;
 
 /**
- * For how long followers may extend leases. Tasks must be gone `cancelS` after a cancellation even where their machine's
- * lease is extended, and out of our reach, to the last moment.
+ * For how long followers may extend leases. Tasks must be gone `cancelS` after a cancellation even on an unreachable
+ * machine whose lease is extended up to the limit.
  */
 export function leaseExtensionMs(cancelS: number, leaseS: number): number {
   const spareMs = (cancelS - leaseS - CANCELLATION_MARGIN_S) * 1000;
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -55,7 +55,7 @@
     return machine.awaitingReconciliation && !machine.isReconciled() && machine.commandFailures > 0;
   }
 
-  /** A machine that did not answer gets nothing until it does, so it is probed even once it is heard again. */
+  /** A machine that did not answer is sent no commands until it does, so it is probed even once it is heard again. */
   probe(now: number): void {
     const { table, sender, autoscaler } = this.deps;
     for (const machine of table.all()) {
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -16,7 +16,7 @@
   ended: [],
 };
 
-/** Asked by all parts of the term before they act. */
+/** The state machine of one term. All parts of the term check it before they act. */
 export class TermLifecycle {
   readonly epoch: number;
   /** The least token of the term: that of a machine whose token was never advanced. */
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -1,4 +1,4 @@
-/** Starts and ends a node's terms as leader, as the election tells. */
+/** Starts and ends a node's terms as leader, driven by the election. */
 import { COMPACT_FINISHED_TASKS } from '../build.js';
 import type { ControllerDuties } from '../duties/controller-duties.js';
 import type { Cancellations } from '../jobs/cancellations.js';
--- a/src/node.ts
+++ b/src/node.ts
@@ -42,7 +42,7 @@
   broadcast(message: PeerMessage): void;
 }
 
-/** The outside world of a node. */
+/** The external dependencies of a node. */
 export interface ControllerNodeDependencies {
   runtime: Runtime;
   settings: PlatformSettings;
@@ -72,12 +72,12 @@
   private readonly heartbeats: HeartbeatEndpoint;
   private readonly peerMessages: PeerMessageHandler;
   private readonly statusBroadcasts: StatusBroadcasts;
-  /** As the leader last told, while another node leads. */
+  /** Progress as the leader last reported it, while another node leads. */
   private reportedProgress = new Map<string, Progress>();
 
   constructor(private readonly deps: ControllerNodeDependencies) {
     const { runtime, settings } = deps;
-    /** Tells this process apart from all others of this controller. */
+    /** Distinguishes this process from earlier ones of the same controller. */
     const processId = `${deps.wallMs()}-${runtime.random()}`;
     this.store = createStateStore(runtime, settings);
     this.cancellations = this.createCancellations();
@@ -141,7 +141,7 @@
     }
   }
 
-  /** A user is told: from here on nothing of the job may start, so whoever may lead hears of it first. */
+  /** Called before a cancellation is confirmed to a user: from then on nothing of the job may start on any leader. */
   private beforeConfirm(id: string): void {
     this.attestations.recordConfirmation(id);
     if (this.cancellations.has(id)) return;
--- a/src/peers/peer-message-handler.ts
+++ b/src/peers/peer-message-handler.ts
@@ -26,7 +26,7 @@
   rollout: Pick<ControllerRollout, 'recordBuild' | 'recordProcess'>;
   /** The term in which this node leads, though the leadership may be suspended. */
   term(): LeaderTerm | null;
-  /** The leader tells how far jobs are. */
+  /** The leader's progress counts of live jobs. */
   recordProgress(jobs: [string, Progress][]): void;
   broadcast(message: PeerMessage): void;
 }
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -4,7 +4,7 @@
  */
 import { isMap } from '../wire/cbor.js';
 
-/** From the leader: how far jobs are, for display. */
+/** From the leader: progress counts of live jobs, for display. */
 interface ProgressMessage {
   t: 'progress';
   from: string;
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -8,7 +8,7 @@
 const RECONNECT_DELAY_MS = 1000;
 const INCOMING_IDLE_TIMEOUT_MS = 30_000;
 const OUTGOING_IDLE_TIMEOUT_MS = 5000;
-/** A peer that reads so much slower than we send misses messages. */
+/** With more than this unsent on a connection, further messages to that peer are dropped. */
 const MAX_QUEUED_BYTES = 1024 * 1024;
 
 /** Sends messages to all other controllers, and receives theirs. Messages may be lost. */
--- a/src/peers/status-broadcasts.ts
+++ b/src/peers/status-broadcasts.ts
@@ -1,4 +1,4 @@
-/** What a controller node tells the others regularly. */
+/** The messages that a controller node sends to the others periodically. */
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Leadership } from '../leadership/leadership.js';
 import { REQUEST_INTERVAL_MS } from '../leadership/lease-extension.js';
@@ -10,7 +10,7 @@
 
 const PROGRESS_INTERVAL_MS = 700;
 
-/** What the messages tell of. */
+/** What the messages are made from. */
 export interface StatusBroadcastsDependencies {
   clock: Clock;
   /** Name of this node. */
@@ -23,7 +23,7 @@
   broadcast(message: PeerMessage): void;
 }
 
-/** Sends them for as long as the process runs. */
+/** Sends the messages for as long as the process runs. */
 export class StatusBroadcasts {
   private isProbing = false;
 
--- a/src/runtime.ts
+++ b/src/runtime.ts
@@ -1,4 +1,4 @@
-/** The outside world of the decision code: injected, so that tests can simulate whole clusters. */
+/** Interfaces to time, network, log and randomness: injected, so that tests can simulate whole clusters. */
 import type { Environment } from '@millring/state-access';
 import type { Body } from './wire/cbor.js';
 
--- a/src/state-machine.ts
+++ b/src/state-machine.ts
@@ -11,7 +11,7 @@
   }
 }
 
-/** Is told of changes of state. */
+/** Called on changes of state. */
 export interface TransitionListener<State extends string> {
   /** Before the state changes: for log lines. */
   beforeTransition(from: State, to: State, reason: string): void;
