--- a/src/machine-type-catalogue.ts
+++ b/src/machine-type-catalogue.ts
@@ -1,5 +1,5 @@
 /** The machine types that the cloud offers. */
-import { Cloud } from './autoscaler/cloud.js';
+import type { Cloud } from './autoscaler/cloud.js';
 import { type Runtime, sleep } from './runtime.js';
 import type { StateStore } from './state-store/client.js';
 import type { Body } from './wire/cbor.js';
