--- a/packages/rollout/src/cluster-level.ts
+++ b/packages/rollout/src/cluster-level.ts
@@ -2,7 +2,7 @@
 import { BASE_LEVEL, type Feature } from './levels.js';
 import type { Builds, ClusterLevel, Held, StartedWith } from './records.js';
 
-/** Something that happened, by the controller or operator named in `by`, at a time of day. */
+/** Something that happened, by the controller or operator named in `by`, at a time of day in milliseconds. */
 export type LevelEvent = { by: string; atMs: number } & (
   | { type: 'propose'; startedWith: StartedWith }
   | { type: 'acknowledged' }
@@ -15,12 +15,13 @@
 );
 
 /** An event as it is decided on: who and when are added where it is applied. */
-export type UnstampedEvent = LevelEvent extends infer E
-  ? E extends LevelEvent
-    ? Omit<E, 'by' | 'atMs'>
+export type UnstampedEvent = LevelEvent extends infer Event
+  ? Event extends LevelEvent
+    ? Omit<Event, 'by' | 'atMs'>
     : never
   : never;
 
+/** The changed level, or why the event does not fit the level's state. */
 export type Advance =
   { kind: 'changed'; level: ClusterLevel } | { kind: 'refused'; reason: string };
 
@@ -45,19 +46,15 @@
     case 'abort':
       return abort(level, event.reason, event.builds);
     case 'aborted':
-      if (level.state !== 'aborting')
-        return refused(`nothing is being aborted: the level is ${level.state}`);
-      return fields({ ...settled(level.active), reason: level.reason });
+      return aborted(level);
     case 'lower':
       return lower(level, event.target, event.reason);
     case 'converted':
       return converted(level, event.builds);
     case 'keep':
-      if (level.state !== 'lowering') return refused(NOT_LOWERING);
-      return fields({ ...settled(level.active), reason: event.reason });
+      return keep(level, event.reason);
     case 'release':
-      if (level.state !== 'stable' || level.held === null) return refused('nothing is held');
-      return fields({ held: null });
+      return release(level);
   }
 }
 
@@ -68,7 +65,7 @@
 
 function acknowledged({ state, active }: ClusterLevel): Step {
   if (state === 'preparing') return fields({ state: 'activating' });
-  if (state === 'activating') return fields({ ...settled(active + 1), held: null });
+  if (state === 'activating') return fields({ ...stable(active + 1), held: null });
   return refused(notRaising(state));
 }
 
@@ -79,6 +76,11 @@
   return fields({ state: 'aborting', reason, held });
 }
 
+function aborted({ state, active, reason }: ClusterLevel): Step {
+  if (state !== 'aborting') return refused(`nothing is being aborted: the level is ${state}`);
+  return fields({ ...stable(active), reason });
+}
+
 function lower(level: ClusterLevel, target: number, reason: string): Step {
   const { state, active } = level;
   if (state !== 'stable') return refused(underWay(level));
@@ -89,7 +91,17 @@
 
 function converted({ state, target, reason }: ClusterLevel, builds: Builds): Step {
   if (state !== 'lowering' || target === null) return refused(NOT_LOWERING);
-  return fields({ ...settled(target), reason, held: heldAfterLowering(target, builds) });
+  return fields({ ...stable(target), reason, held: heldAfterLowering(target, builds) });
+}
+
+function keep({ state, active }: ClusterLevel, reason: string): Step {
+  if (state !== 'lowering') return refused(NOT_LOWERING);
+  return fields({ ...stable(active), reason });
+}
+
+function release({ state, held }: ClusterLevel): Step {
+  if (state !== 'stable' || held === null) return refused('nothing is held');
+  return fields({ held: null });
 }
 
 const NOT_LOWERING = 'nothing is being lowered';
@@ -106,16 +118,14 @@
   return { kind: 'refused', reason };
 }
 
-/** Of controllers that are away at the moment, the builds that the change was begun with. */
+/** Of controllers that are missing at the moment, the builds that the change was begun with. */
 function lastKnown(startedWith: StartedWith, announced: Builds): Builds {
   const builds: Builds = {};
   for (const [controller, start] of Object.entries(startedWith)) builds[controller] = start.build;
   return { ...builds, ...announced };
 }
 
-function settled(
-  active: number,
-): Pick<ClusterLevel, 'state' | 'active' | 'target' | 'startedWith'> {
+function stable(active: number): Pick<ClusterLevel, 'state' | 'active' | 'target' | 'startedWith'> {
   return { state: 'stable', active, target: null, startedWith: {} };
 }
 
@@ -129,7 +139,7 @@
 }
 
 /**
- * How a feature stands at a controller that has taken in this level.
+ * How a feature stands at a controller that has taken over this level.
  *
  * - `off`: neither written nor expected.
  * - `tolerated`: not written, but anyone else may write it at any moment.
@@ -139,6 +149,7 @@
  */
 export type FeatureMode = 'off' | 'tolerated' | 'on';
 
+/** How the feature stands at this level, whatever the build can write. */
 export function modeOf(feature: Feature, level: ClusterLevel): FeatureMode {
   const { state, active, target } = level;
   if (state === 'lowering' && target !== null && feature.level > target)
--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -65,7 +65,8 @@
   const { view, settings, registry } = situation;
   if (settings.mode !== 'automatic') return wait('an operator raises the level');
   const { held } = view.level;
-  if (held && buildsDiffer(held.builds, view)) return advanceWith(situation, { type: 'release' }, false);
+  if (held && buildsDiffer(held.builds, view))
+    return advanceWith(situation, { type: 'release' }, false);
   const obstacle = obstacleToPropose(view, registry, settings);
   if (obstacle !== null) return wait(obstacle);
   if (held?.target === view.level.active + 1)
@@ -81,7 +82,9 @@
   const target = view.level.target ?? view.level.active;
   const waitingFor = findUnacknowledged(view);
   const reason =
-    findIncapable(view, target, canRaiseTo) ?? findRestarting(situation) ?? stallReason(situation, waitingFor);
+    findIncapable(view, target, canRaiseTo) ??
+    findRestarting(situation) ??
+    stallReason(situation, waitingFor);
   if (reason !== null)
     return advanceWith(situation, { type: 'abort', reason, builds: buildsOf(view) }, false);
   if (waitingFor !== null) return wait(waitingFor);
@@ -135,7 +138,11 @@
   return null;
 }
 
-function advanceWith({ by, wallMs }: DecisionInput, event: UnstampedEvent, restsOnAll: boolean): Decision {
+function advanceWith(
+  { by, wallMs }: DecisionInput,
+  event: UnstampedEvent,
+  restsOnAll: boolean,
+): Decision {
   return { kind: 'advance', event: { ...event, by, atMs: wallMs }, restsOnAll };
 }
 
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,4 +1,5 @@
 /** Feature levels of a cluster whose controllers are upgraded one at a time. See docs/rollout.md. */
+export { summarizeBuild } from './build-text.js';
 export { type FeatureMode } from './cluster-level.js';
 export { RolloutCoordinator, type CoordinatorDependencies } from './coordinator.js';
 export { type Conversion } from './decide.js';
@@ -15,11 +16,8 @@
   RolloutOperator,
   type StatusResult,
 } from './operator.js';
-export {
-  type ParticipantDependencies,
-  type ParticipantState,
-  RolloutParticipant,
-} from './participant.js';
+export { type ParticipantDependencies, RolloutParticipant } from './participant.js';
+export { type ParticipantState } from './participant-state.js';
 export { type ClusterLevel, LEVEL_KEY } from './records.js';
 export { type RolloutSettings } from './settings.js';
 export { type ClusterView, type ControllerView } from './view.js';
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -7,7 +7,7 @@
 export const BASE_LEVEL = 1;
 
 /** Both ends included. */
-export interface LevelRange {
+interface LevelRange {
   from: number;
   to: number;
 }
@@ -25,6 +25,7 @@
 /** A form or decision that is used only from a level on. */
 export interface Feature {
   name: string;
+  /** The cluster level that turns it on. */
   level: number;
   /** What the feature changes, for operators and reviewers. */
   covers: { records: string[]; messages: string[]; decisions: string[] };
@@ -37,6 +38,7 @@
   reversible: boolean;
 }
 
+/** A mistake in the program: a feature that is registered wrongly, or not at all. */
 export class FeatureRegistryError extends Error {}
 
 /** All features that a build knows. */
@@ -82,7 +84,3 @@
 export function canRaiseTo(build: Build, target: number): boolean {
   return canRead(build, target) && build.writes >= target;
 }
-
-export function describeBuild(build: Build): string {
-  return `build ${build.version}, which reads levels ${build.reads.from} to ${build.reads.to} and writes up to ${build.writes}`;
-}
--- /dev/null
+++ b/packages/rollout/src/pause.ts
@@ -0,0 +1,10 @@
+/** The wait between two attempts to reach the state service. */
+import { type Environment, sleep } from '@millring/state-access';
+
+/** The shortest pause; the longest is twice as long. */
+export const MIN_PAUSE_MS = 300;
+
+/** Waits for a random time, so that controllers do not retry in step. */
+export function pause(environment: Environment): Promise<void> {
+  return sleep(environment, MIN_PAUSE_MS * (1 + environment.random()));
+}
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -1,5 +1,6 @@
 /** What the stored records tell of the cluster: its level, and of each controller whether it has announced itself. */
-import { type Build, canRaiseTo, canRead, describeBuild } from './levels.js';
+import { describeBuild, storedBuildText } from './build-text.js';
+import { canRaiseTo, type canRead } from './levels.js';
 import {
   type Announcement,
   type Builds,
@@ -15,32 +16,42 @@
 } from './records.js';
 import type { Precondition, KeyValue } from '@millring/state-access';
 
+/**
+ * What is known of one controller; part of the commands' JSON output.
+ *
+ * - `announced`: `version` is that of the announcement's record.
+ * - `missing`: it may run any build, since nothing can be inferred from silence.
+ */
 export type ControllerView =
   | { kind: 'announced'; announcement: Announcement; version: number }
-  /** Nothing can be inferred from silence: whoever has not announced might be any build. */
   | { kind: 'missing'; reason: string };
 
 /** A record that was ignored, and why. */
-export interface IgnoredRecord {
+interface IgnoredRecord {
   key: string;
   version: number;
   reason: string;
 }
 
+/** The cluster as the stored records show it. */
 export interface ClusterView {
   level: ClusterLevel;
-  /** 0: no level is stored yet. */
+  /** Of the level's record; 0: no level is stored yet. */
   levelVersion: number;
+  /** All that the settings name, by controller. */
   controllers: Map<string, ControllerView>;
   ignored: IgnoredRecord[];
 }
 
+/** `invalid`: the stored level can't be read, so nothing may be decided. */
 export type ViewResult = { kind: 'valid'; view: ClusterView } | { kind: 'invalid'; reason: string };
 
 /**
- * `controllers` are all that the settings name. `processes` has the process of a controller as last heard from
- * itself, where it was heard: one that was replaced a moment ago may not have stored its announcement yet, or may be
- * a build that never does.
+ * Reads the stored records.
+ *
+ * @param controllers All that the settings name.
+ * @param processes The process of each controller that was heard, as it told last: a process that has just replaced
+ *   another may not have stored its announcement yet, or may be a build that never does.
  */
 export function readView(
   pairs: readonly KeyValue[],
@@ -59,7 +70,7 @@
     const view = readController(controller, announcement, byKey.get(incarnationKey(controller)));
     if (announcement && view.kind === 'missing')
       ignored.push({ key: announcement.key, version: announcement.version, reason: view.reason });
-    return [controller, withProcess(view, processes.get(controller))] as const;
+    return [controller, checkProcess(view, processes.get(controller))] as const;
   });
   return {
     kind: 'valid',
@@ -94,8 +105,12 @@
   return { kind: 'announced', announcement: read.value, version: announcement.version };
 }
 
-function withProcess(view: ControllerView, heard: string | undefined): ControllerView {
-  if (view.kind === 'missing' || heard === undefined || heard === view.announcement.process)
+function checkProcess(view: ControllerView, heardProcess: string | undefined): ControllerView {
+  if (
+    view.kind === 'missing' ||
+    heardProcess === undefined ||
+    heardProcess === view.announcement.process
+  )
     return view;
   return {
     kind: 'missing',
@@ -108,26 +123,26 @@
   return findMissing(view) ?? findIncapable(view, target, canRaiseTo);
 }
 
-/** The first controller that has not announced itself, or null. */
+/** The first controller that has not announced itself, in words; null if all have. */
 function findMissing(view: ClusterView): string | null {
   for (const [controller, state] of view.controllers)
     if (state.kind === 'missing') return `${controller} ${state.reason}`;
   return null;
 }
 
-/** The first controller that is known to run a build which can't follow to `target`, or null. */
+/** The first controller that is known to run a build which is not capable of `target`, in words; null if none is. */
 export function findIncapable(
   view: ClusterView,
   target: number,
-  able: typeof canRaiseTo | typeof canRead,
+  isCapable: typeof canRaiseTo | typeof canRead,
 ): string | null {
   for (const [controller, state] of view.controllers)
-    if (state.kind === 'announced' && !able(state.announcement.build, target))
+    if (state.kind === 'announced' && !isCapable(state.announcement.build, target))
       return `${controller} runs ${describeBuild(state.announcement.build)}`;
   return null;
 }
 
-/** The first controller that has not taken in the latest change, or null. */
+/** The first controller that has not confirmed the latest change, in words; null if all have. */
 export function findUnacknowledged(view: ClusterView): string | null {
   const isBehind = (state: ControllerView): boolean =>
     state.kind === 'announced' && state.announcement.acknowledged !== view.level.change;
@@ -135,24 +150,20 @@
   return findMissing(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
 }
 
-/** The builds of the controllers that have announced themselves. */
+/** The builds of the controllers that have announced themselves, in their stored form. */
 export function buildsOf(view: ClusterView): Builds {
   const builds: Builds = {};
   for (const [controller, state] of view.controllers)
-    if (state.kind === 'announced') builds[controller] = textOf(state.announcement.build);
+    if (state.kind === 'announced') builds[controller] = storedBuildText(state.announcement.build);
   return builds;
 }
 
-function textOf({ version, reads, writes }: Build): string {
-  return `${version} (reads ${reads.from} to ${reads.to}, writes ${writes})`;
-}
-
-/** Whether any controller announces another build than then; one that is away has not changed. */
-export function buildsDiffer(then: Builds, view: ClusterView): boolean {
-  return Object.entries(buildsOf(view)).some(([controller, build]) => then[controller] !== build);
+/** Whether any controller announces another build than in `before`; one that is missing has not changed. */
+export function buildsDiffer(before: Builds, view: ClusterView): boolean {
+  return Object.entries(buildsOf(view)).some(([controller, build]) => before[controller] !== build);
 }
 
-/** A change that rests on every announcement is void once any of them changes. */
+/** For a change that rests on every announcement: it fails once any of them has changed. */
 export function announcementPreconditions(view: ClusterView): Precondition[] {
   return [...view.controllers].map(([controller, state]) => ({
     key: announcementKey(controller),
@@ -167,7 +178,7 @@
     if (state.kind === 'announced')
       started[controller] = {
         incarnation: state.announcement.incarnation,
-        build: textOf(state.announcement.build),
+        build: storedBuildText(state.announcement.build),
       };
   return started;
 }
