--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -1,4 +1,4 @@
-/** Drives the cluster level while this controller leads: reads what is stored, decides, writes under guards. */
+/** Drives the cluster level while this controller leads: reads what is stored, decides, and writes conditionally. */
 import { advance } from './cluster-level.js';
 import { type Conversion, type Decision, decide } from './decide.js';
 import type { FeatureRegistry } from './levels.js';
@@ -12,6 +12,7 @@
 } from '@millring/state-access';
 import { type ClusterView, announcementPreconditions, obstacleToRaise, readView } from './view.js';
 
+/** What the coordinator needs of the leader and of the settings. */
 export interface CoordinatorDependencies {
   environment: Environment;
   store: StateAccess;
@@ -21,13 +22,13 @@
   controllers: readonly string[];
   registry: FeatureRegistry;
   settings: RolloutSettings;
-  /** The level as this controller has taken it in; null while it is not known. */
+  /** The level as this controller has taken it over; null while it is not known. */
   knownLevel(): ClusterLevel | null;
-  /** Entitled to act at this very moment. */
+  /** This controller is surely the leader at this very moment. */
   isLeader(): boolean;
-  /** The claim still stands, though it may be paused. */
+  /** The term has not ended, though the leader may be suspended. */
   isActive(): boolean;
-  /** A write that arrives after the claim has gone changes nothing. */
+  /** Holds only while the term lasts, so that a write that arrives later changes nothing. */
   leaderPrecondition(): Precondition;
   /** The process of each other controller, as last heard from itself. */
   processes(): ReadonlyMap<string, string>;
@@ -35,24 +36,26 @@
   conversion(target: number): Conversion;
 }
 
-/** While nothing is under way. */
-const IDLE_MS = 5000;
-/** During a change, for which every controller waits. */
-const BUSY_MS = 500;
+/** Between two steps while the level is stable. */
+const IDLE_INTERVAL_MS = 5000;
+/** Between two steps during a change. */
+const CHANGE_INTERVAL_MS = 500;
 
+/** For one leader and its term. */
 export class RolloutCoordinator {
   /** Since when, by our steady clock, the present processes have all been able to raise the level. */
-  private able: { processes: string; since: number } | null = null;
+  private capable: { processes: string; since: number } | null = null;
   /** What this leader wrote last: the watch that tells of it may come a moment later. */
   private written: ClusterLevel | null = null;
-  private lastWait = '';
-  private readonly logged = new Set<string>();
+  private lastLoggedWait = '';
+  private readonly loggedSubjects = new Set<string>();
 
   constructor(private readonly deps: CoordinatorDependencies) {}
 
+  /** Takes a step in each interval until the term ends. */
   async run(): Promise<void> {
     while (this.deps.isActive()) {
-      await sleep(this.deps.environment, this.isAtRest() ? IDLE_MS : BUSY_MS);
+      await sleep(this.deps.environment, this.isAtRest() ? IDLE_INTERVAL_MS : CHANGE_INTERVAL_MS);
       if (this.deps.isActive() && this.deps.isLeader() && this.hasWork()) await this.step();
     }
   }
@@ -73,7 +76,7 @@
     return level.state !== 'stable' || this.deps.settings.mode === 'automatic';
   }
 
-  /** One look at the stored records, and at most one change. */
+  /** Reads the stored records once, and makes at most one change. */
   async step(): Promise<void> {
     const { store, controllers } = this.deps;
     const read = await store.scan(ROLLOUT_PREFIX);
@@ -87,7 +90,7 @@
     for (const { key, version, reason } of view.ignored)
       this.logOnce(`${key}@${version}`, { key, reason }, 'announcement ignored');
     const decision = this.decide(view);
-    if (decision.kind === 'wait') this.noteWait(view.level, decision.reason);
+    if (decision.kind === 'wait') this.logWait(view.level, decision.reason);
     else await this.apply(view, decision);
   }
 
@@ -100,7 +103,7 @@
       settings,
       by: self,
       wallMs: environment.wallMs(),
-      ableForMs: this.ableForMs(view),
+      capableForMs: this.capableForMs(view),
       conversion:
         level.state === 'lowering' && level.target !== null
           ? this.deps.conversion(level.target)
@@ -108,9 +111,9 @@
     });
   }
 
-  private ableForMs(view: ClusterView): number {
+  private capableForMs(view: ClusterView): number {
     if (view.level.state !== 'stable' || obstacleToRaise(view, view.level.active + 1) !== null) {
-      this.able = null;
+      this.capable = null;
       return 0;
     }
     const now = this.deps.environment.clock.now();
@@ -119,8 +122,8 @@
         state.kind === 'announced' ? `${name}=${state.announcement.process}` : name,
       )
       .join(' ');
-    if (this.able?.processes !== processes) this.able = { processes, since: now };
-    return now - this.able.since;
+    if (this.capable?.processes !== processes) this.capable = { processes, since: now };
+    return now - this.capable.since;
   }
 
   private async apply(
@@ -133,18 +136,23 @@
       environment.log.error({ event: decision.event.type, reason: next.reason }, 'cluster level');
       return;
     }
-    const guards = [this.deps.leaderPrecondition(), { key: LEVEL_KEY, version: view.levelVersion }];
-    if (decision.restsOnAll) guards.push(...announcementPreconditions(view));
-    const result = await store.compareAndSwap(guards, [{ put: LEVEL_KEY, value: next.level }]);
+    const preconditions = [
+      this.deps.leaderPrecondition(),
+      { key: LEVEL_KEY, version: view.levelVersion },
+    ];
+    if (decision.restsOnAll) preconditions.push(...announcementPreconditions(view));
+    const result = await store.compareAndSwap(preconditions, [
+      { put: LEVEL_KEY, value: next.level },
+    ]);
     if (result.kind !== 'committed') return;
     this.written = next.level;
     logChange(environment, view.level, next.level);
   }
 
-  private noteWait(level: ClusterLevel, reason: string): void {
+  private logWait(level: ClusterLevel, reason: string): void {
     const line = `${level.state} ${reason}`;
-    if (line === this.lastWait) return;
-    this.lastWait = line;
+    if (line === this.lastLoggedWait) return;
+    this.lastLoggedWait = line;
     this.deps.environment.log.info(
       { state: level.state, active: level.active, reason },
       'rollout waits',
@@ -152,8 +160,8 @@
   }
 
   private logOnce(subject: string, fields: object, text: string): void {
-    if (this.logged.has(subject)) return;
-    this.logged.add(subject);
+    if (this.loggedSubjects.has(subject)) return;
+    this.loggedSubjects.add(subject);
     this.deps.environment.log.info(fields, text);
   }
 }
--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -16,34 +16,36 @@
 export type Conversion =
   { kind: 'running'; remaining: number } | { kind: 'done' } | { kind: 'refused'; reason: string };
 
+/** All that a decision depends on. */
 export interface DecisionInput {
   view: ClusterView;
   registry: FeatureRegistry;
   settings: RolloutSettings;
   /** The controller that decides. */
   by: string;
+  /** Time of day in milliseconds. */
   wallMs: number;
   /** For how long the present processes have all been able to raise the level. */
-  ableForMs: number;
+  capableForMs: number;
   conversion: Conversion;
 }
 
+/** What to do next. With `restsOnAll` the change must fail if any announcement has changed meanwhile. */
 export type Decision =
-  | { kind: 'wait'; reason: string }
-  /** `restsOnAll`: void if any announcement has changed meanwhile. */
-  | { kind: 'advance'; event: LevelEvent; restsOnAll: boolean };
+  { kind: 'wait'; reason: string } | { kind: 'advance'; event: LevelEvent; restsOnAll: boolean };
 
-export function decide(situation: DecisionInput): Decision {
-  switch (situation.view.level.state) {
+/** The next step from the level's present state. */
+export function decide(input: DecisionInput): Decision {
+  switch (input.view.level.state) {
     case 'stable':
-      return decideStable(situation);
+      return decideStable(input);
     case 'preparing':
     case 'activating':
-      return decideRaising(situation);
+      return decideRaising(input);
     case 'aborting':
-      return decideAborting(situation);
+      return decideAborting(input);
     case 'lowering':
-      return decideLowering(situation);
+      return decideLowering(input);
   }
 }
 
@@ -61,69 +63,69 @@
   return obstacleToRaise(view, target);
 }
 
-function decideStable(situation: DecisionInput): Decision {
-  const { view, settings, registry } = situation;
+function decideStable(input: DecisionInput): Decision {
+  const { view, settings, registry } = input;
   if (settings.mode !== 'automatic') return wait('an operator raises the level');
   const { held } = view.level;
   if (held && buildsDiffer(held.builds, view))
-    return advanceWith(situation, { type: 'release' }, false);
+    return advanceWith(input, { type: 'release' }, false);
   const obstacle = obstacleToPropose(view, registry, settings);
   if (obstacle !== null) return wait(obstacle);
   if (held?.target === view.level.active + 1)
     return wait(`level ${held.target} was given up with these builds: ${held.reason}`);
-  const leftMs = settings.soak_s * 1000 - situation.ableForMs;
+  const leftMs = settings.soak_s * 1000 - input.capableForMs;
   if (leftMs > 0)
     return wait(`all controllers can raise the level; soaking for ${settings.soak_s} s`);
-  return advanceWith(situation, { type: 'propose', startedWith: startedWith(view) }, true);
+  return advanceWith(input, { type: 'propose', startedWith: startedWith(view) }, true);
 }
 
-function decideRaising(situation: DecisionInput): Decision {
-  const { view } = situation;
+function decideRaising(input: DecisionInput): Decision {
+  const { view } = input;
   const target = view.level.target ?? view.level.active;
   const waitingFor = findUnacknowledged(view);
   const reason =
     findIncapable(view, target, canRaiseTo) ??
-    findRestarting(situation) ??
-    stallReason(situation, waitingFor);
+    findRestarting(input) ??
+    stallReason(input, waitingFor);
   if (reason !== null)
-    return advanceWith(situation, { type: 'abort', reason, builds: buildsOf(view) }, false);
+    return advanceWith(input, { type: 'abort', reason, builds: buildsOf(view) }, false);
   if (waitingFor !== null) return wait(waitingFor);
-  return advanceWith(situation, { type: 'acknowledged' }, true);
+  return advanceWith(input, { type: 'acknowledged' }, true);
 }
 
 /** Nothing was written at the target yet, so nobody who is away can hold this up. */
-function decideAborting(situation: DecisionInput): Decision {
-  const { view } = situation;
-  const late = [...view.controllers].find(
+function decideAborting(input: DecisionInput): Decision {
+  const { view } = input;
+  const unconfirmed = [...view.controllers].find(
     ([, state]) =>
       state.kind === 'announced' && state.announcement.acknowledged !== view.level.change,
   );
-  if (late && sinceChangeMs(situation) < situation.settings.stall_s * 1000)
-    return wait(`${late[0]} has not confirmed yet`);
-  return advanceWith(situation, { type: 'aborted' }, false);
+  if (unconfirmed && sinceChangeMs(input) < input.settings.stall_s * 1000)
+    return wait(`${unconfirmed[0]} has not confirmed yet`);
+  return advanceWith(input, { type: 'aborted' }, false);
 }
 
-function decideLowering(situation: DecisionInput): Decision {
-  const { view, conversion } = situation;
+function decideLowering(input: DecisionInput): Decision {
+  const { view, conversion } = input;
   const target = view.level.target ?? view.level.active;
   const waitingFor = findUnacknowledged(view);
   const reason =
     findIncapable(view, target, canRead) ??
-    (conversion.kind === 'refused' ? conversion.reason : stallReason(situation, waitingFor));
-  if (reason !== null) return advanceWith(situation, { type: 'keep', reason }, false);
+    (conversion.kind === 'refused' ? conversion.reason : stallReason(input, waitingFor));
+  if (reason !== null) return advanceWith(input, { type: 'keep', reason }, false);
   if (waitingFor !== null) return wait(waitingFor);
   if (conversion.kind === 'running')
     return wait(`${conversion.remaining} records are left to convert`);
-  return advanceWith(situation, { type: 'converted', builds: buildsOf(view) }, true);
+  return advanceWith(input, { type: 'converted', builds: buildsOf(view) }, true);
 }
 
 function sinceChangeMs({ view, wallMs }: DecisionInput): number {
   return wallMs - view.level.sinceMs;
 }
 
-function stallReason(situation: DecisionInput, waitingFor: string | null): string | null {
-  const { stall_s } = situation.settings;
-  if (waitingFor === null || sinceChangeMs(situation) < stall_s * 1000) return null;
+function stallReason(input: DecisionInput, waitingFor: string | null): string | null {
+  const { stall_s } = input.settings;
+  if (waitingFor === null || sinceChangeMs(input) < stall_s * 1000) return null;
   return `no progress for ${stall_s} s: ${waitingFor}`;
 }
 
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -1,4 +1,4 @@
-/** What operators do to the cluster level, with or without a leader: guarded writes like any other. */
+/** What operators do to the cluster level, with or without a leader: conditional writes like any other. */
 import { type LevelEvent, type UnstampedEvent, advance } from './cluster-level.js';
 import { obstacleToPropose } from './decide.js';
 import { type FeatureRegistry, canRead } from './levels.js';
@@ -14,34 +14,45 @@
   buildsOf,
 } from './view.js';
 
+/** What an operator's command needs. */
 export interface OperatorDependencies {
   store: StateAccess;
+  /** All controllers that the settings name. */
   controllers: readonly string[];
   registry: FeatureRegistry;
   settings: RolloutSettings;
   /** Who is named in the record as having made the change; differs from run to run. */
   by: string;
+  /** Time of day in milliseconds. */
   wallMs(): number;
 }
 
+/**
+ * What became of a change; part of the commands' JSON output.
+ *
+ * - `done`: stored; the leader goes on with it.
+ * - `refused`: nothing was changed.
+ * - `unreachable`: the state service was not reached, or did not answer; nothing is known of the change.
+ */
 export type OperatorResult =
   | { kind: 'done'; level: ClusterLevel }
   | { kind: 'refused'; reason: string }
-  /** The state service was not reached, or did not answer: nothing is known of the change. */
   | { kind: 'unreachable' };
 
+/** What was read. `obstacle`: why the level can't be raised now, or null. */
 export type StatusResult =
-  /** `obstacle`: why the level can't be raised now, or null. */
   | { kind: 'status'; view: ClusterView; obstacle: string | null }
   | Exclude<OperatorResult, { kind: 'done' }>;
 
 /** What an operator asks for: the event, whether it rests on all announcements, or why it is refused. */
-type Request =
+type ChangeRequest =
   { kind: 'event'; event: LevelEvent; restsOnAll: boolean } | { kind: 'refused'; reason: string };
 
+/** Each change reads the records anew, and fails if they change meanwhile. */
 export class RolloutOperator {
   constructor(private readonly deps: OperatorDependencies) {}
 
+  /** Reads everything anew. */
   async status(): Promise<StatusResult> {
     const { registry, settings } = this.deps;
     const read = await this.deps.store.scan(ROLLOUT_PREFIX);
@@ -89,28 +100,30 @@
     });
   }
 
-  private event(event: UnstampedEvent, restsOnAll: boolean): Request {
+  private event(event: UnstampedEvent, restsOnAll: boolean): ChangeRequest {
     const atMs = this.deps.wallMs();
     return { kind: 'event', event: { ...event, by: this.deps.by, atMs }, restsOnAll };
   }
 
   private async change(
-    request: (view: ClusterView, obstacle: string | null) => Request,
+    request: (view: ClusterView, obstacle: string | null) => ChangeRequest,
   ): Promise<OperatorResult> {
     const status = await this.status();
     if (status.kind !== 'status') return status;
     const { view } = status;
-    const asked = request(view, status.obstacle);
-    if (asked.kind === 'refused') return asked;
-    const next = advance(view.level, asked.event);
+    const requested = request(view, status.obstacle);
+    if (requested.kind === 'refused') return requested;
+    const next = advance(view.level, requested.event);
     if (next.kind === 'refused') return next;
-    const guards = [{ key: LEVEL_KEY, version: view.levelVersion }];
-    if (asked.restsOnAll) guards.push(...announcementPreconditions(view));
-    return this.write(next.level, guards);
+    const preconditions = [{ key: LEVEL_KEY, version: view.levelVersion }];
+    if (requested.restsOnAll) preconditions.push(...announcementPreconditions(view));
+    return this.write(next.level, preconditions);
   }
 
-  private async write(level: ClusterLevel, guards: Precondition[]): Promise<OperatorResult> {
-    const result = await this.deps.store.compareAndSwap(guards, [{ put: LEVEL_KEY, value: level }]);
+  private async write(level: ClusterLevel, preconditions: Precondition[]): Promise<OperatorResult> {
+    const result = await this.deps.store.compareAndSwap(preconditions, [
+      { put: LEVEL_KEY, value: level },
+    ]);
     switch (result.kind) {
       case 'committed':
         return { kind: 'done', level };
@@ -124,7 +137,7 @@
     }
   }
 
-  /** The answer was lost. */
+  /** After a lost response: whether the change is stored. */
   private async outcomeOf(level: ClusterLevel): Promise<OperatorResult> {
     const read = await this.deps.store.get(LEVEL_KEY);
     const stored = read.kind === 'found' ? parseClusterLevel(read.entry.value) : null;
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -1,9 +1,11 @@
-/** The rollout's records in the state service, and the schemas that each is checked by where it enters. */
+/** The rollout's records in the state service, and the schemas that each is checked by where it is read. */
 import { type Parsed, parseRecord } from '@millring/state-access';
 import * as z from 'zod/mini';
 import { BASE_LEVEL } from './levels.js';
 
+/** Of all keys. */
 export const ROLLOUT_PREFIX = 'rollout/';
+/** The one stored cluster level, attached to no lease. */
 export const LEVEL_KEY = `${ROLLOUT_PREFIX}level`;
 const ANNOUNCEMENTS = `${ROLLOUT_PREFIX}controllers/`;
 const INCARNATIONS = `${ROLLOUT_PREFIX}incarnations/`;
@@ -13,10 +15,11 @@
 /** Attached to no lease: it must outlive every process of the controller. */
 export const incarnationKey = (controller: string): string => INCARNATIONS + controller;
 
-const HIGHEST_LEVEL = 10_000;
-const level = z.int().check(z.gte(BASE_LEVEL), z.lte(HIGHEST_LEVEL));
+const MAX_LEVEL = 10_000;
+const MAX_NAME_LENGTH = 200;
+const level = z.int().check(z.gte(BASE_LEVEL), z.lte(MAX_LEVEL));
 const count = z.int().check(z.gte(0));
-const name = z.string().check(z.minLength(1), z.maxLength(200));
+const name = z.string().check(z.minLength(1), z.maxLength(MAX_NAME_LENGTH));
 
 const build = z
   .object({
@@ -65,7 +68,7 @@
     }),
   );
 
-/** A controller process tells what it is and which change of the cluster level it has taken in. */
+/** A controller process tells what it is and which change of the cluster level it has taken over. */
 export type Announcement = z.infer<typeof announcementSchema>;
 
 /** Counts the processes of a controller; only the latest one may announce. */
@@ -111,9 +114,12 @@
   held: null,
 };
 
+/** Checks a stored value. */
 export const parseAnnouncement = (value: unknown): Parsed<Announcement> =>
   parseRecord(announcementSchema, value);
+/** Checks a stored value. */
 export const parseIncarnation = (value: unknown): Parsed<Incarnation> =>
   parseRecord(incarnationSchema, value);
+/** Checks a stored value. */
 export const parseClusterLevel = (value: unknown): Parsed<ClusterLevel> =>
   parseRecord(levelSchema, value);
--- a/packages/rollout/src/settings.ts
+++ b/packages/rollout/src/settings.ts
@@ -1,5 +1,6 @@
 /** The operators' settings of the rollout. */
 
+/** Fields are named as in the operators' settings file. */
 export interface RolloutSettings {
   /**
    * `off`: controllers announce nothing, and the level stays as it is. `manual`: an operator raises it. `automatic`:
--- a/packages/rollout/test/decide.test.ts
+++ b/packages/rollout/test/decide.test.ts
@@ -94,7 +94,7 @@
       settings: SETTINGS,
       by: 'n0',
       wallMs: 1000,
-      ableForMs: 0,
+      capableForMs: 0,
       conversion: { kind: 'done' },
       ...over,
     };
@@ -102,7 +102,7 @@
 
   /** Does what is decided, after which everyone confirms. */
   follow(its: Build[], over: Partial<DecisionInput> = {}): LevelEvent['type'] | 'wait' {
-    const decision = decide(this.situation({ ableForMs: 20_000, ...over }));
+    const decision = decide(this.situation({ capableForMs: 20_000, ...over }));
     if (decision.kind === 'wait') return 'wait';
     const next = advance(this.level, decision.event);
     assert.ok(next.kind === 'changed');
@@ -157,20 +157,20 @@
 
 test('soaking, a hold and its release', () => {
   const records = new Records(all(build(2)));
-  assert.equal(decide(records.situation({ ableForMs: 9000 })).kind, 'wait');
+  assert.equal(decide(records.situation({ capableForMs: 9000 })).kind, 'wait');
   const manual = { ...SETTINGS, mode: 'manual' as const };
-  assert.equal(decide(records.situation({ ableForMs: 1e6, settings: manual })).kind, 'wait');
+  assert.equal(decide(records.situation({ capableForMs: 1e6, settings: manual })).kind, 'wait');
   const builds = { n0: 'v2 (reads 1 to 2, writes 2)' };
   records.level = {
     ...INITIAL_LEVEL,
     held: { target: 2, builds: { ...builds, n1: builds.n0, n2: builds.n0 }, reason: 'r' },
   };
-  assert.equal(decide(records.situation({ ableForMs: 1e6 })).kind, 'wait');
+  assert.equal(decide(records.situation({ capableForMs: 1e6 })).kind, 'wait');
   // One that is away has not changed.
   records.remove(announcementKey('n2'));
-  assert.equal(decide(records.situation({ ableForMs: 1e6 })).kind, 'wait');
+  assert.equal(decide(records.situation({ capableForMs: 1e6 })).kind, 'wait');
   records.announce('n2', build(3));
-  const released = decide(records.situation({ ableForMs: 1e6 }));
+  const released = decide(records.situation({ capableForMs: 1e6 }));
   assert.ok(released.kind === 'advance' && released.event.type === 'release');
 });
 
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -1,5 +1,12 @@
 /** `millring rollout ...`: what operators see of the cluster level and do about it. */
-import { type OperatorResult, RolloutOperator, type StatusResult } from '@millring/rollout';
+import {
+  type ClusterLevel,
+  type ControllerView,
+  type OperatorResult,
+  RolloutOperator,
+  type StatusResult,
+  summarizeBuild,
+} from '@millring/rollout';
 import { FEATURES } from '../build.js';
 import {
   type CommandOutcome,
@@ -12,27 +19,31 @@
 import type { PlatformSettings } from '../settings/platform.js';
 import { stateStoreOf } from '../state-store/client.js';
 
+/** What `millring rollout` can be asked to do. */
 export const ROLLOUT_ACTIONS = ['status', 'activate', 'abort', 'downgrade'] as const;
+/** One of the actions. */
 export type RolloutAction = (typeof ROLLOUT_ACTIONS)[number];
 
+/** A command as read from the command line. */
 export interface RolloutCommand {
   action: RolloutAction;
   json: boolean;
 }
 
+/** Runs one command against the state service; never throws for an unreachable one. */
 export async function runRolloutCommand(
   command: RolloutCommand,
-  world: Runtime,
+  runtime: Runtime,
   settings: PlatformSettings,
   operator: OperatorSettings,
   wallMs: () => number,
 ): Promise<CommandOutcome> {
   const rollout = new RolloutOperator({
-    store: stateStoreOf(world, settings),
+    store: stateStoreOf(runtime, settings),
     controllers: [settings.node, ...settings.peers.map((peer) => peer.name)],
     registry: FEATURES,
     settings: operator.rollout,
-    by: operatorName(world, wallMs),
+    by: operatorName(runtime, wallMs),
     wallMs,
   });
   const result =
@@ -41,16 +52,16 @@
   return { exitCode: exitCodeOf(result.kind), text };
 }
 
-type Result = OperatorResult | StatusResult;
+type CommandResult = OperatorResult | StatusResult;
 
-function asJson(result: Result): string {
+function asJson(result: CommandResult): string {
   if (result.kind !== 'status') return JSON.stringify(result);
   const { view, obstacle } = result;
   const controllers = Object.fromEntries(view.controllers);
   return JSON.stringify({ kind: 'status', level: view.level, obstacle, controllers });
 }
 
-function asText(result: Result): string {
+function asText(result: CommandResult): string {
   switch (result.kind) {
     case 'done':
       return `${describeLevel(result.level)}: the leader goes on with it`;
@@ -63,19 +74,11 @@
   }
 }
 
-function describeLevel({
-  state,
-  active,
-  target,
-}: {
-  state: string;
-  active: number;
-  target: number | null;
-}): string {
+function describeLevel({ state, active, target }: ClusterLevel): string {
   return `level ${active}, ${state}${target === null ? '' : ` -> ${target}`}`;
 }
 
-function statusText({ view, obstacle }: Extract<Result, { kind: 'status' }>): string {
+function statusText({ view, obstacle }: Extract<CommandResult, { kind: 'status' }>): string {
   const { level } = view;
   const lines = [describeLevel(level)];
   if (level.reason !== null) lines.push(`reason: ${level.reason}`);
@@ -83,18 +86,15 @@
     lines.push(`not to be raised now: ${obstacle}`);
   if (level.held !== null)
     lines.push(`level ${level.held.target} waits for an operator: ${level.held.reason}`);
-  for (const [name, state] of view.controllers) {
-    if (state.kind === 'missing') {
-      lines.push(`${name}: ${state.reason}`);
-      continue;
-    }
-    const { build, incarnation, acknowledged } = state.announcement;
-    const { version, reads, writes } = build;
-    const upToDate =
-      acknowledged === level.change || level.state === 'stable' ? '' : ', has not confirmed yet';
-    lines.push(
-      `${name}: build ${version}, reads ${reads.from} to ${reads.to}, writes ${writes}, start ${incarnation}${upToDate}`,
-    );
-  }
+  for (const [name, state] of view.controllers)
+    lines.push(`${name}: ${describeController(state, level)}`);
   return lines.join('\n');
 }
+
+function describeController(state: ControllerView, level: ClusterLevel): string {
+  if (state.kind === 'missing') return state.reason;
+  const { build, incarnation, acknowledged } = state.announcement;
+  const hasConfirmed = acknowledged === level.change || level.state === 'stable';
+  const remark = hasConfirmed ? '' : ', has not confirmed yet';
+  return `build ${summarizeBuild(build)}, start ${incarnation}${remark}`;
+}
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -6,6 +6,7 @@
   type FeatureMode,
   RolloutCoordinator,
   RolloutParticipant,
+  summarizeBuild,
 } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 import type { PeerMessage } from '../peers/peers.js';
@@ -14,9 +15,9 @@
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
 
-/** How often the other controllers are told of this build. */
 const BUILD_BROADCAST_INTERVAL_MS = 5000;
 
+/** What the rollout needs of the controller process. */
 export interface ControllerRolloutDependencies {
   runtime: Runtime;
   settings: PlatformSettings;
@@ -25,25 +26,33 @@
   build: Build;
   /** Tells this process apart from all others of this controller. */
   process: string;
+  /** Time of day in milliseconds. */
   wallMs(): number;
+  /** Sends to all other controllers. */
   broadcast(message: PeerMessage): void;
-  /** The process may not serve any more: whatever it leads must be given up. */
+  /** The process may not serve any more: if it leads, it must resign. */
   onExcluded(): void;
 }
 
-/** What the coordinator needs of the leader's term. */
+/** The term of a leader, which drives the cluster level. */
 export interface CoordinatedTerm {
+  /** This controller is surely the leader at this very moment. */
   isLeader(): boolean;
+  /** The term has not ended, though the leader may be suspended. */
   isActive(): boolean;
+  /** Holds only while the term lasts. */
   leaderPrecondition(): Precondition;
+  /** How far records of features above `target` have been converted back. */
   conversion(target: number): Conversion;
 }
 
+/** One for each controller process, for as long as it lives. */
 export class ControllerRollout {
   private readonly participant: RolloutParticipant;
   /** The process of each other controller, as last heard from itself. */
   private readonly processes = new Map<string, string>();
-  private readonly builds = new Map<string, string>();
+  /** The build of each other controller, in words, as last logged. */
+  private readonly loggedBuilds = new Map<string, string>();
 
   constructor(private readonly deps: ControllerRolloutDependencies) {
     const { store, settings, build, process, operator } = deps;
@@ -61,6 +70,7 @@
     });
   }
 
+  /** Resolves once it is known whether this process takes part, and at which level. */
   async join(): Promise<void> {
     await this.participant.join();
     if (this.deps.operator.rollout.mode !== 'off') this.broadcastBuild();
@@ -71,6 +81,7 @@
     return !this.participant.isOutside();
   }
 
+  /** See `RolloutParticipant.mayServe`. */
   mayServe(): boolean {
     return this.participant.mayServe();
   }
@@ -85,11 +96,12 @@
     return this.participant.writePrecondition(feature);
   }
 
+  /** See `RolloutParticipant.mode`. */
   mode(feature: string): FeatureMode {
     return this.participant.mode(feature);
   }
 
-  /** For the time of one claim. */
+  /** Drives the cluster level until the term ends. */
   coordinate(term: CoordinatedTerm): void {
     if (!this.isParticipating()) return;
     const { settings, store, operator } = this.deps;
@@ -120,17 +132,19 @@
     });
   }
 
-  /** Another controller was heard: builds without the rollout tell their process, too. */
+  /** To be called when another controller was heard: builds without the rollout tell their process as well. */
   recordProcess(controller: string, process: string): void {
     this.processes.set(controller, process);
   }
 
+  /** To be called when another controller has told its build. */
   recordBuild(message: Extract<PeerMessage, { t: 'build' }>): void {
     const { from, process, version, reads, writes } = message;
     this.recordProcess(from, process);
-    const build = `${version}, reads ${reads[0]} to ${reads[1]}, writes ${writes}`;
-    if (this.builds.get(from) === build) return;
-    this.builds.set(from, build);
+    const [lowest, highest] = reads;
+    const build = summarizeBuild({ version, reads: { from: lowest, to: highest }, writes });
+    if (this.loggedBuilds.get(from) === build) return;
+    this.loggedBuilds.set(from, build);
     this.deps.runtime.log.info({ controller: from, build }, 'build of another controller');
   }
 }
--- a/src/rollout/conversions.ts
+++ b/src/rollout/conversions.ts
@@ -1,11 +1,11 @@
-/** How far what features have stored above a level is converted back, while the cluster's level is lowered. */
+/** How far the records of features above a level have been converted back, while the cluster level is lowered. */
 import type { Conversion } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 
-/** Of one feature, by name. */
+/** How far each feature's records have been converted back, by the feature's name. */
 export type Conversions = Record<string, () => Conversion>;
 
-/** Of all features above the target: the first refusal, or else what is left in all. */
+/** Of all features above the target together: the first refusal, or else how many records are left. */
 export function combinedConversion(target: number, conversions: Conversions): Conversion {
   let remaining = 0;
   for (const [feature, conversion] of Object.entries(conversions)) {
