--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -11,7 +11,7 @@
   deletionBody,
   readMachineList,
   readRental,
-  readTypes,
+  readMachineTypes,
   rentalBody,
   cloudPaths,
 } from '../wire/cloud.js';
@@ -67,7 +67,7 @@
   /** The catalog of machine types; null without a valid response. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     const response = await this.send('GET', cloudPaths.types, null);
-    return response.status === 200 ? readTypes(response.body) : null;
+    return response.status === 200 ? readMachineTypes(response.body) : null;
   }
 
   /** All machines, page by page; null if a page can't be had, or `isActive` turns false meanwhile. */
--- a/src/duties/command-line.ts
+++ b/src/duties/command-line.ts
@@ -14,7 +14,7 @@
 } from '../command-outcome.js';
 import type { Runtime } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
-import { stateStoreOf } from '../state-store/client.js';
+import { createStateStore } from '../state-store/client.js';
 
 /** What `millring duties` was asked to do, as read from the command line. */
 export type DutiesCommand =
@@ -28,7 +28,7 @@
   wallMs: () => number,
 ): Promise<CommandOutcome> {
   const operator = new DutyOperator({
-    store: stateStoreOf(runtime, settings),
+    store: createStateStore(runtime, settings),
     by: operatorName(runtime, wallMs),
     wallMs,
   });
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -7,12 +7,13 @@
 /** An intent as it was read. */
 export type StoredIntent = Versioned<Intent>;
 
-/** While any is open, a leader that can't follow intents must not lead. */
+/** How far the conversion is that leaves no intent open: while one is, a leader that can't follow intents must not lead. */
 export function intentConversion(log: IntentLog): Conversion {
   const remaining = log.pendingCount();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
+/** Follows the open intents to their outcome, and lets the autoscaler count what they rent or delete. */
 export function restoreIntents(
   intents: readonly StoredIntent[],
   log: IntentLog,
@@ -22,7 +23,8 @@
     const { action, id } = value;
     if (action.kind === 'delete') {
       const done =
-        value.outcome !== null || log.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
+        value.outcome !== null ||
+        log.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
       autoscaler.restoreDeletion(action.machines, Promise.resolve(done));
     } else if (value.outcome === null) {
       const { type, zone, spot, count } = action;
--- a/src/leadership/restored-machines.ts
+++ b/src/leadership/restored-machines.ts
@@ -1,10 +1,12 @@
 /** Puts the stored machines of former leaders into a new leader's table. */
 import type { KeyValue } from '@millring/state-access';
-import { type MachineRecordStore, readMachinePage } from '../workers/machine-records.js';
+import type { MachineRecordStore } from '../workers/machine-record-store.js';
+import { readMachinePage } from '../workers/machine-records.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { MachineType } from '../wire/model.js';
 import type { FailoverRecovery } from './failover-recovery.js';
 
+/** Where the machines go. */
 export interface RestoredMachinesDependencies {
   table: MachineTable;
   machineRecords: MachineRecordStore;
@@ -13,7 +15,10 @@
   now: number;
 }
 
-/** Each of them has to be reconciled before old jobs are acted on, since it may hold tasks of a former leader. */
+/**
+ * Each machine has to be reconciled before old jobs are acted on, since it may hold tasks of a former leader. Machines
+ * of a type that the cloud does not offer any more are skipped.
+ */
 export function restoreMachines(
   pages: readonly KeyValue[],
   deps: RestoredMachinesDependencies,
--- a/src/node.ts
+++ b/src/node.ts
@@ -13,16 +13,17 @@
   LeaseExtender,
   leaseExtensionMs,
 } from './leadership/lease-extension.js';
-import { type LeadershipTerm, Leadership } from './leadership/leadership.js';
+import type { LeadershipTerm } from './leadership/leader-record.js';
+import { Leadership } from './leadership/leadership.js';
 import { Cancellations } from './jobs/cancellations.js';
 import { Attestations } from './peers/attestations.js';
 import { BUILD, COMPACT_FINISHED_TASKS } from './build.js';
-import type { PeerMessage } from './peers/peers.js';
+import type { PeerMessage } from './peers/peer-messages.js';
 import { ControllerDuties } from './duties/controller-duties.js';
 import { ControllerRollout } from './rollout/controller-rollout.js';
-import { type StateStore, stateStoreOf } from './state-store/client.js';
+import { type StateStore, createStateStore } from './state-store/client.js';
 import type { Body } from './wire/cbor.js';
-import { catalogBody, readTypes } from './wire/cloud.js';
+import { catalogBody, readMachineTypes } from './wire/cloud.js';
 import { readHeartbeat, redirectBody, heartbeatResponse } from './wire/workers.js';
 import type { MachineType, WorkerCommand, Heartbeat } from './wire/model.js';
 
@@ -66,7 +67,7 @@
     build: Build = BUILD,
   ) {
     const process = `${wallMs()}-${runtime.random()}`;
-    this.store = stateStoreOf(runtime, settings);
+    this.store = createStateStore(runtime, settings);
     this.cancellations = new Cancellations(settings.cancelS, settings.leaseS, () =>
       runtime.clock.now(),
     );
@@ -163,7 +164,7 @@
 
   /** A user is told: from here on nothing of the job may start, so whoever may lead hears of it first. */
   private beforeConfirm(id: string): void {
-    this.attestations.confirm(id);
+    this.attestations.recordConfirmation(id);
     if (this.cancellations.has(id)) return;
     this.cancellations.record(id);
     this.broadcast({ t: 'cancelled', from: this.settings.node, id });
@@ -228,7 +229,7 @@
     while (this.types === null) {
       const kept = await this.store.get(MACHINE_TYPES_KEY);
       if (kept.kind === 'found') {
-        this.types = readTypes(kept.entry.value as Body);
+        this.types = readMachineTypes(kept.entry.value as Body);
         if (this.types) return;
       }
       const fresh = await this.cloud.listMachineTypes();
@@ -260,7 +261,7 @@
     this.broadcast({ t: 'served', from: this.settings.node, served });
     const { leadership } = this;
     this.broadcast(
-      this.attestations.statement(leadership.highestSeenEpoch(), leadership.isCandidate()),
+      this.attestations.attest(leadership.highestSeenEpoch(), leadership.isCandidate()),
     );
     if (!this.term) this.broadcast({ t: 'ask', from: this.settings.node, at: clock.now() });
     clock.after(REQUEST_INTERVAL_MS, () => {
@@ -276,7 +277,14 @@
       case 'ask': {
         const grant = this.term?.handleLeaseExtensionRequest(m.from);
         if (grant)
-          this.broadcast({ t: 'grant', from: this.settings.node, to: m.from, at: m.at, ...grant });
+          this.broadcast({
+            t: 'grant',
+            from: this.settings.node,
+            to: m.from,
+            at: m.at,
+            revision: grant.epoch,
+            keep: grant.mayExtend,
+          });
         return;
       }
       case 'served':
@@ -284,7 +292,11 @@
         return;
       case 'grant':
         if (m.to === this.settings.node)
-          this.leaseExtender.recordGrant(m.at, m.revision, m.keep, this.runtime.clock.now());
+          this.leaseExtender.recordGrant(
+            { epoch: m.revision, mayExtend: m.keep },
+            m.at,
+            this.runtime.clock.now(),
+          );
         return;
       case 'cancelled':
         this.cancellations.record(m.id);
@@ -294,10 +306,10 @@
         return;
       case 'attest':
         for (const id of m.cancelled) this.cancellations.record(id);
-        this.attestations.recordStatement(m);
+        this.attestations.recordAttestation(m);
         this.rollout.recordProcess(m.from, m.life);
         this.cancellations.advanceWatermark(
-          this.attestations.completeFrom(this.cancellations.watermark()),
+          this.attestations.completeUntil(this.cancellations.watermark()),
         );
     }
   }
@@ -306,9 +318,9 @@
   private mayExtendLease(r: Heartbeat): boolean {
     const claim = this.leadership.currentTerm();
     if (this.term && claim)
-      return this.term.mayExtendWhilePaused(
+      return this.term.mayExtendWhileSuspended(
         r,
-        this.attestations.unclaimedUntil(claim.epoch, this.leadership.leaseValidUntil()),
+        this.attestations.uncontestedUntil(claim.epoch, this.leadership.leaseValidUntil()),
       );
     return this.leaseExtender.mayRenew(r.token, this.runtime.clock.now());
   }
@@ -323,7 +335,7 @@
     const mayRenew = this.cancellations.isFreshEnoughToRenew();
     if (this.term && this.leadership.isLeader()) {
       const answer = mayRenew ? this.term.handleHeartbeat(report) : null;
-      return answer ? this.renewalResponse(report, answer.token, answer.orders) : UNAVAILABLE;
+      return answer ? this.renewalResponse(report, answer.token, answer.commands) : UNAVAILABLE;
     }
     if (mayRenew && this.mayExtendLease(report))
       return this.renewalResponse(report, report.token, []);
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -17,7 +17,7 @@
 import type { Runtime } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
-import { stateStoreOf } from '../state-store/client.js';
+import { createStateStore } from '../state-store/client.js';
 
 /** What `millring rollout` can be asked to do. */
 export const ROLLOUT_ACTIONS = ['status', 'activate', 'abort', 'downgrade'] as const;
@@ -39,7 +39,7 @@
   wallMs: () => number,
 ): Promise<CommandOutcome> {
   const rollout = new RolloutOperator({
-    store: stateStoreOf(runtime, settings),
+    store: createStateStore(runtime, settings),
     controllers: [settings.node, ...settings.peers.map((peer) => peer.name)],
     registry: FEATURES,
     settings: operator.rollout,
--- a/test/sim/cloud-watch.ts
+++ b/test/sim/cloud-watch.ts
@@ -60,7 +60,8 @@
     if (state.revision === this.revisionSeen) return;
     this.revisionSeen = state.revision;
     for (const [key, { value }] of state.items)
-      if (key.startsWith(INTENTS_PREFIX)) this.intents.set(key.slice(INTENTS_PREFIX.length), value as Intent);
+      if (key.startsWith(INTENTS_PREFIX))
+        this.intents.set(key.slice(INTENTS_PREFIX.length), value as Intent);
     this.checkOpen();
   }
 
