--- a/packages/duties/src/cleaner.ts
+++ b/packages/duties/src/cleaner.ts
@@ -16,7 +16,7 @@
   /** How long the record of a resolved intent stays. */
   retentionMs: number;
   /** Changes in one transaction, at most. */
-  txnOps: number;
+  maxTransactionOps: number;
 }
 
 const REMOVAL_INTERVAL_MS = 1000;
@@ -31,11 +31,11 @@
 
   /** To be called several times a second, by every member: resolved intents are timed from when they are seen. */
   tick(): void {
-    const { environment, holder, retentionMs, txnOps } = this.deps;
+    const { environment, holder, retentionMs, maxTransactionOps } = this.deps;
     const now = environment.clock.now();
     this.trackResolved(now);
     if (this.isRemoving || now < this.notBefore || !holder.isHeld()) return;
-    const due = this.resolved.knownForAtLeast(retentionMs, now).slice(0, txnOps);
+    const due = this.resolved.knownForAtLeast(retentionMs, now).slice(0, maxTransactionOps);
     if (due.length > 0) void this.remove(due);
   }
 
--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -24,7 +24,7 @@
   settings: DutySettings;
   provider: MachineProvider;
   /** Changes in one transaction, at most. */
-  txnOps: number;
+  maxTransactionOps: number;
   /** The cluster's level lets duties be held, and this controller may serve. */
   mayHold(): boolean;
   /** The leader, as far as is known. */
@@ -137,14 +137,14 @@
   }
 
   private createCleaner(): IntentCleaner {
-    const { environment, store, settings, txnOps } = this.deps;
+    const { environment, store, settings, maxTransactionOps } = this.deps;
     return new IntentCleaner({
       environment,
       store,
       view: this.view,
       holder: this.holder('clean-up'),
       retentionMs: settings.retention_s * 1000,
-      txnOps,
+      maxTransactionOps,
     });
   }
 
--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -44,15 +44,15 @@
 
   constructor(private readonly deps: ControllerDutiesDependencies) {
     const { runtime, settings, operator, store, rollout, process } = deps;
-    const callsPerS = (settings.cloudRps * HOLDERS_CALL_SHARE) / settings.nodes;
+    const callsPerS = (settings.cloudCallsPerS * HOLDERS_CALL_SHARE) / settings.controllerCount;
     this.member = new DutyMember({
       environment: packageEnvironment(deps),
       store,
       self: settings.node,
       process,
       settings: holdingSettings(operator.duties),
-      provider: new CloudProvider(new Cloud(runtime, settings.cloud, callsPerS)),
-      txnOps: settings.txnOps,
+      provider: new CloudProvider(new Cloud(runtime, settings.cloudAddress, callsPerS)),
+      maxTransactionOps: settings.maxTransactionOps,
       mayHold: () => this.mayIntentsExist() && rollout.mayServe(),
       leader: () => deps.leader(),
     });
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -34,7 +34,7 @@
 ): Autoscaler {
   const { runtime, settings, operator, types } = deps;
   const { lifecycle, table, grants, leaseExtensionMs } = context;
-  const cloud = new Cloud(runtime, settings.cloud, settings.cloudRps);
+  const cloud = new Cloud(runtime, settings.cloudAddress, settings.cloudCallsPerS);
   return new Autoscaler({
     runtime,
     cloud,
@@ -43,7 +43,7 @@
     operator,
     types,
     saveMoney: moneyCounts(settings, operator),
-    heartbeatIntervalS: settings.reportS,
+    heartbeatIntervalS: settings.heartbeatIntervalS,
     listLagS: settings.listLagS,
     isLeader: () => lifecycle.isLeader(),
     demand: () => context.demand(),
@@ -68,6 +68,6 @@
     log: intents,
     direct: new DirectActions(cloud, () => lifecycle.nextRequestName(settings.node)),
     usesIntents: () => duties.usesIntents(),
-    valueBytes: settings.valueKb * 1024,
+    valueBytes: settings.maxValueKb * 1024,
   });
 }
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -61,7 +61,7 @@
     const now = runtime.clock.now();
     this.leaseMs = settings.leaseS * 1000;
     this.leaseExtensionMs = leaseExtensionMs(settings.cancelS, settings.leaseS);
-    this.contact = new WorkerContact(settings.reportS, now);
+    this.contact = new WorkerContact(settings.heartbeatIntervalS, now);
     this.eventLoopLag = new EventLoopLag(TICK_MS, now, runtime.log);
     this.grants = new LeaseExtensionGrants(this.leaseExtensionMs, now);
     this.table = this.createMachineTable();
@@ -126,7 +126,7 @@
       table: this.table,
       isLeader: () => this.lifecycle.isLeader(),
       timeoutMs: operator.command_timeout_ms,
-      maxInFlight: shareSockets(settings.sockets).requests,
+      maxInFlight: shareSockets(settings.maxSockets).requests,
       applyHeartbeat: (machine, heartbeat) => {
         this.heartbeats.apply(machine, heartbeat);
       },
@@ -140,8 +140,8 @@
       runtime,
       store,
       table: this.table,
-      txnOps: settings.txnOps,
-      valueBytes: settings.valueKb * 1024,
+      txnOps: settings.maxTransactionOps,
+      valueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
       leaderPrecondition: () => this.deps.termPrecondition(),
       machinesStored: () => {
@@ -156,9 +156,9 @@
       runtime,
       store,
       jobs: this.jobs,
-      txnOps: settings.txnOps,
-      writeRps: settings.stateWriteRps,
-      valueBytes: settings.valueKb * 1024,
+      txnOps: settings.maxTransactionOps,
+      writeRps: settings.stateWritesPerS,
+      valueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
       leaderPrecondition: () => this.deps.termPrecondition(),
       segmentPrecondition: () => this.deps.segmentPrecondition(),
--- a/src/main.ts
+++ b/src/main.ts
@@ -15,7 +15,8 @@
 import type { Runtime } from './runtime.js';
 import { shareSockets } from './sockets.js';
 import { type OperatorSettings, readOperatorSettings } from './settings/operator.js';
-import { type PlatformSettings, SettingsError, readPlatformSettings } from './settings/platform.js';
+import { type PlatformSettings, readPlatformSettings } from './settings/platform.js';
+import { SettingsError } from './settings/settings-table.js';
 
 const EXIT_BAD_INPUT = 2;
 
@@ -84,7 +85,10 @@
         };
       },
     },
-    http: outgoing([platform.state, platform.cloud], shareSockets(platform.sockets).toWorkers),
+    http: outgoing(
+      [platform.stateAddress, platform.cloudAddress],
+      shareSockets(platform.maxSockets).toWorkers,
+    ),
     log,
     random: () => Math.random(),
   };
@@ -99,7 +103,7 @@
   const world = realWorld(platform, log);
   const peers = new PeerNetwork(
     world,
-    platform.peerBind,
+    platform.peerBindAddress,
     platform.peers.map((p) => p.address),
   );
   const node = new ControllerNode(
@@ -114,11 +118,11 @@
   peers.messages.subscribe((m) => {
     node.handlePeerMessage(m);
   });
-  const server = httpServer(node, platform.sockets, log);
-  const [host, port] = platform.listen.split(':');
+  const server = httpServer(node, platform.maxSockets, log);
+  const [host, port] = platform.listenAddress.split(':');
   server.on('error', (e) => fail(`listen: ${e.message}`));
-  server.listen(Number(port), host, shareSockets(platform.sockets).backlog, () => {
-    log.info({ listen: platform.listen }, 'listening');
+  server.listen(Number(port), host, shareSockets(platform.maxSockets).backlog, () => {
+    log.info({ listen: platform.listenAddress }, 'listening');
   });
   peers.run();
   node.run();
--- a/src/node.ts
+++ b/src/node.ts
@@ -81,7 +81,7 @@
     this.jobCache = new JobCache(
       runtime,
       this.store,
-      (1000 * settings.nodes) / (settings.stateRps * CACHE_REQUEST_SHARE),
+      (1000 * settings.controllerCount) / (settings.stateRequestsPerS * CACHE_REQUEST_SHARE),
       (id) => {
         this.cancellations.record(id);
       },
@@ -90,7 +90,7 @@
       },
     );
     this.leaseExtender = new LeaseExtender(leaseExtensionMs(settings.cancelS, settings.leaseS));
-    this.cloud = new Cloud(runtime, settings.cloud, settings.cloudRps);
+    this.cloud = new Cloud(runtime, settings.cloudAddress, settings.cloudCallsPerS);
     this.rollout = new ControllerRollout({
       runtime,
       settings,
--- a/src/placement/order.ts
+++ b/src/placement/order.ts
@@ -29,10 +29,10 @@
 export function finishGoals(objectives: Objective[]): FinishGoals {
   const out: FinishGoals = new Map();
   for (const o of objectives)
-    if (o.kind === 'finished' && o.cls !== null && o.withinS !== null)
+    if (o.kind === 'finished' && o.jobClass !== null && o.withinS !== null)
       out.set(
-        o.cls,
-        [...(out.get(o.cls) ?? []), o.withinS].sort((a, b) => a - b),
+        o.jobClass,
+        [...(out.get(o.jobClass) ?? []), o.withinS].sort((a, b) => a - b),
       );
   return out;
 }
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -112,7 +112,7 @@
       log: runtime.log,
       gangWaitS: settings.gangWaitS,
       gangPeerS: settings.gangPeerS,
-      reportS: settings.reportS,
+      reportS: settings.heartbeatIntervalS,
       now,
       nextAttempt: () => this.nextAttempt(),
       usable,
--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -1,25 +1,29 @@
-/**
- * Reads the settings file that the platform hands over (TOML). A missing or invalid field is named in the
- * error.
- */
+/** Reads the settings file that the platform hands over (TOML). */
 import { parse } from 'smol-toml';
+import { SettingsError, SettingsTable } from './settings-table.js';
 
+/** A team and its quota. */
 export interface Team {
   name: string;
+  /** Guaranteed. */
   cpus: number;
   gpus: number;
-  /** Infinity where the file says 0: no limit. */
+  /** The most that the team may use; infinite without a limit. */
   cpusMax: number;
   gpusMax: number;
 }
 
+/** What the platform is measured by. */
 export interface Objective {
+  /** Kinds that are not known are ignored. */
   kind: string;
-  cls: string | null;
+  /** The class of jobs that it is about, if any. */
+  jobClass: string | null;
   withinS: number | null;
 }
 
-export interface Peer {
+/** Another controller. */
+interface Peer {
   name: string;
   zone: string;
   address: string;
@@ -27,138 +31,131 @@
 
 /** The file that the platform hands over. Unknown fields are ignored, since new ones may come. */
 export interface PlatformSettings {
+  /** Name of this controller. */
   node: string;
+  /** The zone of this controller. */
   zone: string;
-  listen: string;
-  peerBind: string;
+  /** Addresses are `HOST:PORT`. */
+  listenAddress: string;
+  peerBindAddress: string;
+  /** The other controllers. */
   peers: Peer[];
-  cloud: string;
-  state: string;
-  nodes: number;
+  cloudAddress: string;
+  stateAddress: string;
+  /** Controllers that share the budgets of requests. */
+  controllerCount: number;
   teams: Team[];
   objectives: Objective[];
-  reportS: number;
+  /** Between two heartbeats of a worker. */
+  heartbeatIntervalS: number;
+  /** Of a worker. */
   leaseS: number;
+  /** Within this time a cancelled job has to be gone. */
   cancelS: number;
   /** How long a gang task waits for the others before it gives up. */
   gangWaitS: number;
   /** Within this time the tasks of a running gang notice that one of them is gone. */
   gangPeerS: number;
-  stateRps: number;
-  stateWriteRps: number;
-  valueKb: number;
-  txnOps: number;
-  cloudRps: number;
+  /** Limits of the state service for all controllers together. */
+  stateRequestsPerS: number;
+  stateWritesPerS: number;
+  /** Size of a stored value, in KiB of JSON. */
+  maxValueKb: number;
+  /** Changes in one transaction. */
+  maxTransactionOps: number;
+  /** Limit of the cloud for all controllers together. */
+  cloudCallsPerS: number;
+  /** The cloud's list of machines may be older than now by this much. */
   listLagS: number;
   /** Sockets that this process may hold. */
-  sockets: number;
+  maxSockets: number;
 }
 
-export class SettingsError extends Error {}
-
-type Table = Record<string, unknown>;
+/** Platforms without gangs may leave these out. */
+const DEFAULT_GANG_WAIT_S = 30;
+const DEFAULT_GANG_PEER_S = 6;
 
-function table(v: unknown, path: string): Table {
-  if (typeof v !== 'object' || v === null || Array.isArray(v))
-    throw new SettingsError(`${path}: table is missing`);
-  return v as Table;
+/** Throws `SettingsError` for a file that can't be used. */
+export function readPlatformSettings(source: string): PlatformSettings {
+  const root = parseToml(source);
+  const outside = root.table('outside');
+  const params = root.table('params');
+  const workers = params.table('workers');
+  const state = params.table('state');
+  const nextState = state.has('next') ? state.table('next') : new SettingsTable({});
+  const cloud = params.table('cloud');
+  const machineLimits = params.table('machine_limits');
+  return {
+    node: root.text('node_name'),
+    zone: root.text('location'),
+    listenAddress: root.address('listen'),
+    peerBindAddress: root.address('peer_bind'),
+    peers: root.tables('others').map(readPeer),
+    cloudAddress: outside.address('cloud'),
+    stateAddress: outside.address('state'),
+    controllerCount: params.number('nodes', 1),
+    teams: params.tables('teams').map(readTeam),
+    objectives: params.tables('objectives').map(readObjective),
+    heartbeatIntervalS: workers.number('report_s', 0.01),
+    leaseS: workers.number('lease_s', 0.1),
+    cancelS: workers.number('cancel_s', 0.1),
+    gangWaitS: workers.optionalNumber('gang_wait_s', 0, DEFAULT_GANG_WAIT_S),
+    gangPeerS: workers.optionalNumber('gang_peer_s', 0, DEFAULT_GANG_PEER_S),
+    stateRequestsPerS: stricterLimit(state, nextState, 'rps', 1),
+    stateWritesPerS: stricterLimit(state, nextState, 'write_rps', 1),
+    maxValueKb: stricterLimit(state, nextState, 'value_kb', 0.5),
+    maxTransactionOps: stricterLimit(state, nextState, 'txn_ops', 2),
+    cloudCallsPerS: cloud.number('rps', 0.1),
+    listLagS: cloud.number('list_lag_s', 0),
+    maxSockets: machineLimits.number('sockets', 1),
+  };
 }
 
-function list(v: unknown, path: string): Table[] {
-  if (v === undefined) return [];
-  if (!Array.isArray(v)) throw new SettingsError(`${path}: must be a list of tables`);
-  return v.map((x, i) => table(x, `${path}[${i}]`));
+function parseToml(source: string): SettingsTable {
+  try {
+    return new SettingsTable(parse(source));
+  } catch (error) {
+    throw new SettingsError(`not TOML: ${(error as Error).message.split('\n')[0]}`);
+  }
 }
 
-function text(t: Table, field: string, path: string): string {
-  const v = t[field];
-  if (typeof v !== 'string' || v === '') throw new SettingsError(`${path}${field}: must be a text`);
-  return v;
+/** Limits that will come do so without notice: whatever is written keeps to the stricter ones from the start. */
+function stricterLimit(
+  present: SettingsTable,
+  next: SettingsTable,
+  field: string,
+  min: number,
+): number {
+  return Math.min(present.number(field, min), next.optionalNumber(field, min, Infinity));
 }
 
-function address(t: Table, field: string, path: string): string {
-  const v = text(t, field, path);
-  const port = Number(/^[^:\s]+:(\d{1,5})$/.exec(v)?.[1]);
-  if (!(port > 0 && port < 65536)) throw new SettingsError(`${path}${field}: must be HOST:PORT`);
-  return v;
+function readPeer(table: SettingsTable): Peer {
+  return {
+    name: table.text('node_name'),
+    zone: table.text('location'),
+    address: table.address('peer_addr'),
+  };
 }
 
-function number(t: Table, field: string, path: string, min: number): number {
-  const v = typeof t[field] === 'bigint' ? Number(t[field]) : t[field];
-  if (typeof v !== 'number' || !Number.isFinite(v) || v < min)
-    throw new SettingsError(`${path}${field}: must be a number of at least ${min}`);
-  return v;
+function readTeam(table: SettingsTable): Team {
+  return {
+    name: table.text('name'),
+    cpus: table.number('cpus', 0),
+    gpus: table.number('gpus', 0),
+    cpusMax: zeroToInfinity(table.number('cpus_max', 0)),
+    gpusMax: zeroToInfinity(table.number('gpus_max', 0)),
+  };
 }
 
-/** Platforms without gangs may leave these out. */
-const DEFAULT_GANG_WAIT_S = 30;
-const DEFAULT_GANG_PEER_S = 6;
-
-function optional(t: Table, field: string, path: string, missing: number): number {
-  return t[field] === undefined ? missing : number(t, field, path, 0);
+/** In the file, 0 means that there is no limit. */
+function zeroToInfinity(limit: number): number {
+  return limit === 0 ? Infinity : limit;
 }
 
-const orNoLimit = (n: number): number => (n === 0 ? Infinity : n);
-
-export function readPlatformSettings(source: string): PlatformSettings {
-  let root: Table;
-  try {
-    root = parse(source);
-  } catch (e) {
-    throw new SettingsError(`not TOML: ${(e as Error).message.split('\n')[0]}`);
-  }
-  const outside = table(root.outside, 'outside');
-  const params = table(root.params, 'params');
-  const workers = table(params.workers, 'params.workers');
-  const state = table(params.state, 'params.state');
-  const next = state.next === undefined ? {} : table(state.next, 'params.state.next');
-  // Limits that will come without notice: whatever is written keeps to the stricter ones from the start.
-  const limit = (field: string, min: number): number =>
-    Math.min(
-      number(state, field, 'params.state.', min),
-      next[field] === undefined ? Infinity : number(next, field, 'params.state.next.', min),
-    );
-  const cloud = table(params.cloud, 'params.cloud');
-  const limits = table(params.machine_limits, 'params.machine_limits');
+function readObjective(table: SettingsTable): Objective {
   return {
-    node: text(root, 'node_name', ''),
-    zone: text(root, 'location', ''),
-    listen: address(root, 'listen', ''),
-    peerBind: address(root, 'peer_bind', ''),
-    peers: list(root.others, 'others').map((t, i) => ({
-      name: text(t, 'node_name', `others[${i}].`),
-      zone: text(t, 'location', `others[${i}].`),
-      address: address(t, 'peer_addr', `others[${i}].`),
-    })),
-    cloud: address(outside, 'cloud', 'outside.'),
-    state: address(outside, 'state', 'outside.'),
-    nodes: number(params, 'nodes', 'params.', 1),
-    teams: list(params.teams, 'params.teams').map((t, i) => {
-      const path = `params.teams[${i}].`;
-      return {
-        name: text(t, 'name', path),
-        cpus: number(t, 'cpus', path, 0),
-        gpus: number(t, 'gpus', path, 0),
-        cpusMax: orNoLimit(number(t, 'cpus_max', path, 0)),
-        gpusMax: orNoLimit(number(t, 'gpus_max', path, 0)),
-      };
-    }),
-    objectives: list(params.objectives, 'params.objectives').map((t, i) => ({
-      kind: text(t, 'kind', `params.objectives[${i}].`),
-      cls: typeof t.class === 'string' ? t.class : null,
-      withinS: typeof t.within_s === 'number' ? t.within_s : null,
-    })),
-    reportS: number(workers, 'report_s', 'params.workers.', 0.01),
-    leaseS: number(workers, 'lease_s', 'params.workers.', 0.1),
-    cancelS: number(workers, 'cancel_s', 'params.workers.', 0.1),
-    gangWaitS: optional(workers, 'gang_wait_s', 'params.workers.', DEFAULT_GANG_WAIT_S),
-    gangPeerS: optional(workers, 'gang_peer_s', 'params.workers.', DEFAULT_GANG_PEER_S),
-    stateRps: limit('rps', 1),
-    stateWriteRps: limit('write_rps', 1),
-    valueKb: limit('value_kb', 0.5),
-    txnOps: limit('txn_ops', 2),
-    cloudRps: number(cloud, 'rps', 'params.cloud.', 0.1),
-    listLagS: number(cloud, 'list_lag_s', 'params.cloud.', 0),
-    sockets: number(limits, 'sockets', 'params.machine_limits.', 1),
+    kind: table.text('kind'),
+    jobClass: table.textOrNull('class'),
+    withinS: table.numberOrNull('within_s'),
   };
 }
--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -55,10 +55,10 @@
 /** A client within the limits that the platform has set. */
 export function createStateStore(runtime: Runtime, settings: PlatformSettings): StateStore {
   return new StateStore(runtime, {
-    address: settings.state,
-    nodes: settings.nodes,
-    rps: settings.stateRps,
-    writeRps: settings.stateWriteRps,
+    address: settings.stateAddress,
+    nodes: settings.controllerCount,
+    rps: settings.stateRequestsPerS,
+    writeRps: settings.stateWritesPerS,
   });
 }
 
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -95,8 +95,8 @@
 
 test('jobs that can still make their goal go before those that cannot, the smallest first', () => {
   const goals = finishGoals([
-    { kind: 'finished', cls: 'batch', withinS: 250 },
-    { kind: 'finished', cls: 'batch', withinS: 90 },
+    { kind: 'finished', jobClass: 'batch', withinS: 250 },
+    { kind: 'finished', jobClass: 'batch', withinS: 90 },
   ]);
   const jobs = [
     new Job(0, spec({ id: 'late', tasks: 1 }), 1, -300_000, true, 0),
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -262,7 +262,7 @@
 
 test('lowering is refused by name where the older form does not fit, and the level stays', async () => {
   const roll = new Roll(13, NEW, LARGE);
-  for (const name of NAMES) roll.cluster.overrides.set(name, { valueKb: 0.5 });
+  for (const name of NAMES) roll.cluster.overrides.set(name, { maxValueKb: 0.5 });
   for (const name of NAMES) roll.cluster.crash(name, 50);
   roll.cluster.state.bounds = { valueBytes: 512, txnOps: 12 };
   await roll.reaches('stable', 2);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -2,7 +2,8 @@
 import { test } from 'node:test';
 import { defaultOperatorSettings, readOperatorSettings } from '../src/settings/operator.js';
 import { moneyCounts } from '../src/settings/money.js';
-import { SettingsError, readPlatformSettings } from '../src/settings/platform.js';
+import { readPlatformSettings } from '../src/settings/platform.js';
+import { SettingsError } from '../src/settings/settings-table.js';
 
 const GOOD = `
 node_name = "n0"
@@ -57,7 +58,12 @@
     const settings = readPlatformSettings(
       GOOD.replace('[params.cloud]', `${next}\n[params.cloud]`),
     );
-    return [settings.stateRps, settings.stateWriteRps, settings.valueKb, settings.txnOps];
+    return [
+      settings.stateRequestsPerS,
+      settings.stateWritesPerS,
+      settings.maxValueKb,
+      settings.maxTransactionOps,
+    ];
   };
   assert.deepEqual(limits(''), [100, 20, 4, 12]);
   assert.deepEqual(
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -146,19 +146,19 @@
   private settings(name: string): PlatformSettings {
     const limit = this.config.teamLimit ?? 80;
     const money: Objective[] = this.config.saveMoney
-      ? [{ kind: 'price', cls: null, withinS: null }]
+      ? [{ kind: 'price', jobClass: null, withinS: null }]
       : [];
     return {
       node: name,
       zone: zoneOf(name),
-      listen: `${name}:80`,
-      peerBind: `${name}:81`,
+      listenAddress: `${name}:80`,
+      peerBindAddress: `${name}:81`,
       peers: this.names
         .filter((n) => n !== name)
         .map((n) => ({ name: n, zone: zoneOf(n), address: `${n}:81` })),
-      cloud: 'cloud:1',
-      state: 'state:1',
-      nodes: this.names.length,
+      cloudAddress: 'cloud:1',
+      stateAddress: 'state:1',
+      controllerCount: this.names.length,
       teams: ['t0', 't1'].map((task) => ({
         name: task,
         cpus: 16,
@@ -167,18 +167,18 @@
         gpusMax: Infinity,
       })),
       objectives: money,
-      reportS: (this.config.reportMs ?? REPORT_MS) / 1000,
+      heartbeatIntervalS: (this.config.reportMs ?? REPORT_MS) / 1000,
       leaseS: (this.config.leaseMs ?? LEASE_MS) / 1000,
       cancelS: (this.config.cancelMs ?? CANCEL_MS) / 1000,
       gangWaitS: GANG_WAIT_MS / 1000,
       gangPeerS: GANG_PEER_MS / 1000,
-      stateRps: this.config.state?.rps ?? 200,
-      stateWriteRps: this.config.state?.writeRps ?? 40,
-      valueKb: 4,
-      txnOps: 12,
-      cloudRps: this.config.cloudRps ?? CLOUD_RPS,
+      stateRequestsPerS: this.config.state?.rps ?? 200,
+      stateWritesPerS: this.config.state?.writeRps ?? 40,
+      maxValueKb: 4,
+      maxTransactionOps: 12,
+      cloudCallsPerS: this.config.cloudRps ?? CLOUD_RPS,
       listLagS: 2,
-      sockets: 1000,
+      maxSockets: 1000,
       ...this.overrides.get(name),
     };
   }
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -122,7 +122,7 @@
       process: `${name}-${this.clock.time}-${this.random.unit()}`,
       settings,
       provider: new FencedProviderClient({ http: world.http, address: PROVIDER }),
-      txnOps: 12,
+      maxTransactionOps: 12,
       mayHold: () => !this.turnedOff.has(name),
       leader: () => this.config.leader ?? null,
     });
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -66,7 +66,7 @@
       address: providerAddress,
       beforeSending,
     }),
-    txnOps: 12,
+    maxTransactionOps: 12,
     mayHold: () => true,
     leader: () => null,
   });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -34,7 +34,7 @@
 }));
 const OLD = OLDER[0];
 
-const STRICT = { valueKb: 1, txnOps: 4, stateWriteRps: 25 };
+const STRICT = { maxValueKb: 1, maxTransactionOps: 4, stateWritesPerS: 25 };
 
 for (const older of OLDER)
   test(`records and messages of ${older.version} are read`, () => {
