--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -110,8 +110,6 @@
 export type IntentAction = Intent['action'];
 /** Requests machines of one kind. */
 export type RentAction = Extract<IntentAction, { kind: 'rent' }>;
-/** Deletes machines. */
-export type DeleteAction = Extract<IntentAction, { kind: 'delete' }>;
 /** What came of an intent, stored once. */
 export type Outcome = NonNullable<Intent['outcome']>;
 
--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -101,7 +101,7 @@
     };
   }
 
-  /** Many ordinary machines that become unreachable at once, in several zones, mean that we are cut off. */
+  /** Many ordinary machines that become unreachable at once, in several zones, mean that this controller is cut off. */
   private isSelfPartitioned(
     machines: readonly Machine[],
     reachable: readonly Machine[],
--- a/src/autoscaler/zone-partitions.ts
+++ b/src/autoscaler/zone-partitions.ts
@@ -51,7 +51,7 @@
     for (const zone of partitioned) this.quarantinedUntil.set(zone, now + QUARANTINE_MS);
   }
 
-  /** Zones most of whose machines are suspected, as long as most machines elsewhere are heard: else we are cut off. */
+  /** Zones most of whose machines are suspected, as long as most machines elsewhere are heard: otherwise this controller is cut off. */
   private findPartitioned(machines: readonly Machine[], now: number): Set<string> {
     const candidates = new Set<string>();
     const elsewhere: ZoneCounts = { machines: 0, suspected: 0 };
