--- a/src/autoscaler/machine-deletion.ts
+++ b/src/autoscaler/machine-deletion.ts
@@ -26,18 +26,14 @@
   }
 
   /** Begins to delete as many of the machines as one request may name, unless the budget of calls is used up. */
-  async delete(
-    machines: readonly Machine[],
-    purpose: DeletionPurpose,
-    reason: string,
-  ): Promise<void> {
+  async delete(machines: readonly Machine[], purpose: DeletionPurpose, why: string): Promise<void> {
     const { actions, runtime } = this.deps;
     const candidates = machines.filter((machine) => !machine.deleting);
     const limit = actions.maxDeletions(candidates.map((machine) => machine.id));
     const batch = candidates.slice(0, limit);
     if (batch.length === 0 || !actions.tryAcquireCall() || !this.deps.isLeader()) return;
     const ids = batch.map((machine) => machine.id);
-    runtime.log.info({ ids, reason }, 'deleting machines');
+    runtime.log.info({ ids, why }, 'deleting machines');
     for (const machine of batch) machine.deleting = true;
     await this.settle(batch, actions.deleteMachines(ids, purpose));
   }
