--- a/src/controller-process.ts
+++ b/src/controller-process.ts
@@ -15,7 +15,7 @@
   const log = createLog(process.env.LOG_LEVEL ?? DEFAULT_LOG_LEVEL, platform.node);
   const runtime = createProcessRuntime(platform, log);
   const peerAddresses = platform.peers.map((peer) => peer.address);
-  const peers = new PeerNetwork(runtime, platform.peerBind, peerAddresses);
+  const peers = new PeerNetwork(runtime, platform.peerBindAddress, peerAddresses);
   const node = createNode(settings, runtime, peers);
   listen(node, settings, log, onListenError);
   peers.run();
@@ -48,10 +48,10 @@
   log: Log,
   onError: (error: Error) => void,
 ): void {
-  const server = createHttpServer(node, platform.sockets, log);
-  const [host, port] = platform.listen.split(':');
+  const server = createHttpServer(node, platform.maxSockets, log);
+  const [host, port] = platform.listenAddress.split(':');
   server.on('error', onError);
-  server.listen(Number(port), host, allocateSockets(platform.sockets).backlog, () => {
-    log.info({ listen: platform.listen }, 'listening');
+  server.listen(Number(port), host, allocateSockets(platform.maxSockets).backlog, () => {
+    log.info({ listen: platform.listenAddress }, 'listening');
   });
 }
--- a/src/node.ts
+++ b/src/node.ts
@@ -84,7 +84,7 @@
     this.attestations = this.createAttestations(processId);
     this.jobCache = this.createJobCache();
     this.leaseExtender = new LeaseExtender(leaseExtensionMs(settings.cancelS, settings.leaseS));
-    const cloud = new Cloud(runtime, settings.cloud, settings.cloudRps);
+    const cloud = new Cloud(runtime, settings.cloudAddress, settings.cloudCallsPerS);
     this.machineTypes = new MachineTypeCatalogue(runtime, this.store, cloud);
     this.rollout = this.createRollout(processId);
     this.duties = this.createDuties(processId);
@@ -170,7 +170,8 @@
 
   private createJobCache(): JobCache {
     const { runtime, settings } = this.deps;
-    const minIntervalMs = (1000 * settings.nodes) / (settings.stateRps * CACHE_REQUEST_SHARE);
+    const minIntervalMs =
+      (1000 * settings.controllerCount) / (settings.stateRequestsPerS * CACHE_REQUEST_SHARE);
     return new JobCache(
       runtime,
       this.store,
--- a/src/process-runtime.ts
+++ b/src/process-runtime.ts
@@ -23,8 +23,8 @@
   return {
     clock: STEADY_CLOCK,
     http: new HttpClient({
-      services: [settings.state, settings.cloud],
-      maxConnectionsToWorkers: allocateSockets(settings.sockets).maxToWorkers,
+      services: [settings.stateAddress, settings.cloudAddress],
+      maxConnectionsToWorkers: allocateSockets(settings.maxSockets).maxToWorkers,
     }),
     log,
     random: () => Math.random(),
--- a/src/settings-files.ts
+++ b/src/settings-files.ts
@@ -1,7 +1,8 @@
 /** Reads the settings files that a command line names. */
 import { readFileSync } from 'node:fs';
 import { type OperatorSettings, readOperatorSettings } from './settings/operator.js';
-import { type PlatformSettings, SettingsError, readPlatformSettings } from './settings/platform.js';
+import { type PlatformSettings, readPlatformSettings } from './settings/platform.js';
+import { SettingsError } from './settings/settings-table.js';
 
 /** What was passed to a command is of no use: the message says what, and in which file. */
 export class BadInputError extends Error {
