--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -158,8 +158,8 @@
   async resign(reason: string): Promise<void> {
     const { term } = this;
     if (!term || this.isCandidate()) return;
-    this.campaignNotBefore =
-      this.runtime.clock.now() + this.withJitter(RESIGNED_BACKOFF_MS, RESIGNED_BACKOFF_JITTER_MS);
+    const backoffEndsAt = this.runtime.clock.now() + RESIGNED_BACKOFF_MS;
+    this.campaignNotBefore = this.withJitter(backoffEndsAt, RESIGNED_BACKOFF_JITTER_MS);
     this.machine.transitionTo('follower', reason);
     await this.store.revokeLease(term.leaseId);
   }
@@ -238,8 +238,8 @@
     }
   }
 
-  private withJitter(baseMs: number, jitterMs: number): number {
-    return baseMs + this.runtime.random() * jitterMs;
+  private withJitter(timeMs: number, jitterMs: number): number {
+    return timeMs + this.runtime.random() * jitterMs;
   }
 
   private beginTerm(term: LeadershipTerm, leaseRequestedAt: number): void {
