--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -7,7 +7,7 @@
 import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
 import { BATCH, SERVICE, GANG } from '../sim/jobs.js';
 import { SeededRandom } from '../sim/random.js';
-import { type JobFacts, jobFacts } from '../sim/rules.js';
+import { type ObservedJob, observedJob } from '../sim/invariants.js';
 import {
   type JobSubmission,
   type UserRequest,
@@ -82,20 +82,20 @@
   }
 
   private recordHistory(): void {
-    const { rules, clock } = this.standIns;
+    const { invariants, clock } = this.standIns;
     const note = (line: string): void => {
       this.history.push(`${Math.round(clock.time)} ${line}`);
       if (this.history.length > HISTORY_LINES) this.history.shift();
     };
-    const start = rules.start.bind(rules);
-    const leave = rules.leave.bind(rules);
-    rules.start = (task, place) => {
+    const start = invariants.taskStarted.bind(invariants);
+    const leave = invariants.taskLeft.bind(invariants);
+    invariants.taskStarted = (task, place) => {
       note(`start ${task} on ${place.machine}`);
       start(task, place);
-      const used = Math.max(...TEAMS.map((team) => rules.usedCpus(team)));
+      const used = Math.max(...TEAMS.map((team) => invariants.usedCpus(team)));
       this.peakShare = Math.max(this.peakShare, used / this.size.teamLimit);
     };
-    rules.leave = (task, machine, done) => {
+    invariants.taskLeft = (task, machine, done) => {
       note(`leave ${task} on ${machine}${done ? ' done' : ''}`);
       leave(task, machine, done);
     };
@@ -108,7 +108,7 @@
     await delay(FAULTS_MS);
     this.submitting = false;
     await delay(CALM_MS);
-    this.standIns.network.copies = null;
+    this.standIns.network.duplicates = null;
     await this.settle();
   }
 
@@ -147,73 +147,75 @@
 
   private async user(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
-    const { rules, clock } = this.standIns;
-    const facts = jobFacts(job, clock.time);
-    rules.jobs.set(id, facts);
+    const { invariants, clock } = this.standIns;
+    const facts = observedJob(job, clock.time);
+    invariants.jobs.set(id, facts);
     while (!(await this.told(id, submitRequest(job)))) await delay(USER_RETRY_MS);
     // Services would hold their team's room for ever.
     const until =
       cancelAfterMs ?? (job.kind === 'service' ? this.random.between(8000, 20_000) : null);
     if (until !== null) void this.cancelLater(id, facts, until);
-    while (facts.toldDoneAt === null && facts.toldCancelledAt === null) {
+    while (facts.reportedDoneAt === null && facts.reportedCancelledAt === null) {
       await delay(this.random.between(200, 900));
       if (this.random.chance(0.1)) await this.told(id, submitRequest(job));
       else await this.told(id, pollRequest(id));
     }
   }
 
-  private async cancelLater(id: string, facts: JobFacts, afterMs: number): Promise<void> {
+  private async cancelLater(id: string, facts: ObservedJob, afterMs: number): Promise<void> {
     await delay(afterMs);
-    facts.cancelAsked = true;
+    facts.cancelRequested = true;
     while (!(await this.told(id, cancelRequest(id)))) await delay(USER_RETRY_MS);
   }
 
   /** Asks a controller; false if the request has to be repeated. */
   private async told(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { rules, clock } = this.standIns;
+    const { invariants, clock } = this.standIns;
     const asked = clock.time - STEP_MARGIN_MS;
     const address = this.deployment.addressOf(this.random.pick(NAMES));
     const reply = await this.standIns.ask(address, method, path, body);
     const refused = reply.status === 400 || reply.status === 422;
-    if (refused) rules.break('forgotten', `${id} got ${reply.status}`);
-    else if (reply.status !== 0) rules.told(id, decodeJobReply(reply), asked);
+    if (refused) invariants.recordViolation('forgotten', `${id} got ${reply.status}`);
+    else if (reply.status !== 0) invariants.recordAnswer(id, decodeJobReply(reply), asked);
     return reply.status === 200 || reply.status === 201;
   }
 
   /** Every job is over, as its user was told, and nothing is left on any machine. */
   private async settle(): Promise<void> {
-    const { rules } = this.standIns;
+    const { invariants } = this.standIns;
     const end = performance.now() + SETTLE_MS;
     const open = (): string[] =>
-      [...rules.jobs]
-        .filter(([, facts]) => facts.toldDoneAt === null && facts.toldCancelledAt === null)
+      [...invariants.jobs]
+        .filter(([, facts]) => facts.reportedDoneAt === null && facts.reportedCancelledAt === null)
         .map(([id]) => id);
-    while (performance.now() < end && rules.broken.length === 0) {
-      if (open().length === 0 && rules.on.size === 0) return;
+    while (performance.now() < end && invariants.violations.length === 0) {
+      if (open().length === 0 && invariants.placesByTask.size === 0) return;
       await delay(200);
     }
-    if (rules.broken.length > 0) return;
-    for (const id of open()) rules.break('not_over', id);
-    for (const task of rules.on.keys()) rules.break('left_over', task);
+    if (invariants.violations.length > 0) return;
+    for (const id of open()) invariants.recordViolation('not_over', id);
+    for (const task of invariants.placesByTask.keys())
+      invariants.recordViolation('left_over', task);
   }
 
   result(schedule: ScheduledFault[]): SoakResult {
-    const { rules } = this.standIns;
-    for (const name of this.deployment.endedByThemselves()) rules.break('ended', name);
+    const { invariants } = this.standIns;
+    for (const name of this.deployment.endedByThemselves())
+      invariants.recordViolation('ended', name);
     const logs = this.deployment.logs();
     // The service goes on after a broken invariant; a test must not.
     for (const { name, text } of logs)
-      if (text.includes(USAGE_FAULT)) rules.break('usage_fault', name);
+      if (text.includes(USAGE_FAULT)) invariants.recordViolation('usage_fault', name);
     return {
       seed: this.seed,
       machines: 4 * this.size.machinesPerPool,
-      jobs: rules.jobs.size,
-      starts: rules.starts,
+      jobs: invariants.jobs.size,
+      starts: invariants.starts,
       terms: logs.reduce((count, { text }) => count + text.split(TERM_BEGAN).length - 1, 0),
       peakShare: this.peakShare,
-      broken: rules.broken,
+      broken: invariants.violations,
       schedule,
-      logs: rules.broken.length > 0 ? logs : [],
+      logs: invariants.violations.length > 0 ? logs : [],
       history: this.history,
     };
   }
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -6,7 +6,7 @@
 import type { CloudPool } from './sim/cloud.js';
 import type { Cluster } from './sim/cluster.js';
 import { BATCH, SERVICE } from './sim/jobs.js';
-import { testDays } from './sim/play.js';
+import { testScenarios } from './sim/run-scenario.js';
 import type { CloudType } from './sim/wire/cloud.js';
 import type { JobSubmission } from './sim/wire/users.js';
 
@@ -42,7 +42,7 @@
   job: Partial<JobSubmission>,
   cancelAfterMs: number | null = null,
 ): void {
-  void cluster.user(cluster.newJob({ cpus: TASK_CPUS, ...job }), cancelAfterMs);
+  void cluster.runUser(cluster.newJob({ cpus: TASK_CPUS, ...job }), cancelAfterMs);
 }
 
 /** At the start all that waits for the first machines; then a stream of arrays, more than there is room for at times. */
@@ -67,9 +67,9 @@
   if (second === 15) cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 20_000 };
   if (second === 18) cluster.cloud.downUntil = cluster.clock.time + 20_000;
   if (second >= 20 && second < 38 && (second - 20) % 6 === 0)
-    cluster.crash(cluster.names[(second - 20) / 6], 2000);
+    cluster.crash(cluster.nodeNames[(second - 20) / 6], 2000);
   if (second === 42)
-    cluster.net.cuts.push({
+    cluster.network.partitions.push({
       a: cluster.inZone('b'),
       b: () => true,
       until: cluster.clock.time + 9000,
@@ -77,7 +77,7 @@
     });
 }
 
-testDays(
+testScenarios(
   'one-task machines, a zone of large ones: slow state service, no cloud, a roll, a zone cut off',
   [41, 42],
   (cluster, second) => {
@@ -96,7 +96,7 @@
   },
 );
 
-testDays(
+testScenarios(
   'teams within and beyond their guarantees, urgent and not, on a full fleet: what starts is not stopped in turn',
   [43],
   (cluster, second) => {
@@ -107,10 +107,13 @@
   },
   { nodes: 3, ordinaryUp: 0, types: TYPES, pools: POOLS.slice(0, 2), teamLimit: 400 },
   ({ cluster }) => {
-    const tasks = [...cluster.rules.jobs.values()].reduce((sum, job) => sum + job.spec.tasks, 0);
+    const tasks = [...cluster.invariants.jobs.values()].reduce(
+      (sum, job) => sum + job.spec.tasks,
+      0,
+    );
     assert.ok(
-      cluster.rules.starts < 1.6 * tasks,
-      `${cluster.rules.starts} starts for ${tasks} tasks`,
+      cluster.invariants.starts < 1.6 * tasks,
+      `${cluster.invariants.starts} starts for ${tasks} tasks`,
     );
   },
 );
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -13,9 +13,9 @@
 import { Cluster, LEASE_MS } from './sim/cluster.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 import type { JobSubmission, SubmittedKind } from './sim/wire/users.js';
-import { expectKept, play } from './sim/play.js';
-import { outsider } from './sim/outsider.js';
-import { jobFacts } from './sim/rules.js';
+import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
+import { clientRuntime } from './sim/client-runtime.js';
+import { observedJob } from './sim/invariants.js';
 
 interface Fixture {
   leader: unknown;
@@ -85,14 +85,14 @@
 test('what this version writes has the fields that older versions write and read', async () => {
   const cluster = new Cluster({ seed: 31, ordinaryUp: 20, capacity: 12 });
   const sent = new Map<string, unknown>();
-  cluster.listen((m) => sent.set(m.t, m));
+  cluster.onPeerMessage((m) => sent.set(m.t, m));
   await cluster.run(5);
-  void cluster.user(cluster.newJob({ ...SERVICE, team: 't0' }), null);
-  void cluster.user(cluster.newJob({ ...BATCH, team: 't1', tasks: 60, durationS: 9 }), null);
-  void cluster.user(cluster.newJob({ ...GANG, team: 't0', tasks: 4, durationS: 60 }), null);
-  void cluster.user(cluster.newJob({ ...BATCH, team: 't0', tasks: 3, durationS: 2 }), null);
+  void cluster.runUser(cluster.newJob({ ...SERVICE, team: 't0' }), null);
+  void cluster.runUser(cluster.newJob({ ...BATCH, team: 't1', tasks: 60, durationS: 9 }), null);
+  void cluster.runUser(cluster.newJob({ ...GANG, team: 't0', tasks: 4, durationS: 60 }), null);
+  void cluster.runUser(cluster.newJob({ ...BATCH, team: 't0', tasks: 3, durationS: 2 }), null);
   const cancelled = cluster.newJob({ ...GANG, team: 't0', tasks: 2, durationS: 40 });
-  void cluster.user(cancelled, 16_000);
+  void cluster.runUser(cancelled, 16_000);
   await cluster.run(20);
   const items = [...cluster.state.items].map(([key, item]): [string, unknown] => [key, item.value]);
   const written = shapesByKind(items);
@@ -129,9 +129,9 @@
   test(`a cluster goes on from the records of ${older.version}: live, cancelled and half finished jobs`, async () => {
     const cluster = new Cluster({ seed: 1, ordinaryUp: 0 });
     // The cloud never gives a name again: a new spot machine must not be taken for a stored ordinary one.
-    cluster.cloud.namesFrom(1000);
-    for (const name of cluster.names) cluster.crash(name, 1000);
-    for (const [key, value] of Object.entries(older.items)) cluster.state.plant(key, value);
+    cluster.cloud.numberMachinesFrom(1000);
+    for (const name of cluster.nodeNames) cluster.crash(name, 1000);
+    for (const [key, value] of Object.entries(older.items)) cluster.state.putDirectly(key, value);
     const live = Object.entries(older.items).filter(([key]) => key.startsWith('j/'));
     const waiting = new Set<string>();
     const kinds: Record<SubmittedKind, Partial<JobSubmission>> = {
@@ -143,15 +143,19 @@
       const { spec, cancelled } = readLive(value)!;
       const id = key.slice(2);
       const job = cluster.newJob(kinds[spec.kind]);
-      const facts = jobFacts({ ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 }, 0);
-      Object.assign(facts, { toldAccepted: true, cancelAsked: cancelled });
-      cluster.rules.jobs.set(id, facts);
+      const facts = observedJob(
+        { ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 },
+        0,
+      );
+      facts.reportedAccepted = true;
+      facts.cancelRequested = cancelled;
+      cluster.invariants.jobs.set(id, facts);
       if (!cancelled) waiting.add(id);
     }
     // The machines of that time are gone; old jobs wait until that is proved.
     await cluster.run(90);
     for (const id of waiting) {
-      const job = cluster.rules.jobs.get(id)!;
+      const job = cluster.invariants.jobs.get(id)!;
       assert.ok(job.firstStartAt !== null, `${id} went on`);
       if (job.spec.kind !== 'service')
         assert.deepEqual(cluster.state.value(endedKey(id)), {
@@ -166,7 +170,7 @@
           'cancelled',
         );
     assert.deepEqual(
-      cluster.rules.broken.filter((b) => !b.includes('not_done')),
+      cluster.invariants.violations.filter((b) => !b.includes('not_done')),
       [],
     );
   });
@@ -179,15 +183,18 @@
   )!;
   const spec = (old as { spec: JobSpec }).spec;
   const id = 'run-000900';
-  cluster.state.plant(liveKey(id), {
+  cluster.state.putDirectly(liveKey(id), {
     ...(old as object),
     spec: { ...spec, id, hue: 3 },
     later: { deep: [1] },
   });
-  cluster.rules.jobs.set(id, jobFacts(cluster.newJob({ ...BATCH, id, team: spec.team }), 0));
+  cluster.invariants.jobs.set(
+    id,
+    observedJob(cluster.newJob({ ...BATCH, id, team: spec.team }), 0),
+  );
   // A machine that hangs keeps the record live for a while.
   for (const machine of cluster.cloud.machines.values())
-    if (machine.worker) cluster.hang(machine.id, LEASE_MS);
+    if (machine.worker) cluster.hangMachine(machine.id, LEASE_MS);
   void cluster.cancel(id);
   await cluster.run(3);
   const now = cluster.state.value(liveKey(id)) as Record<string, unknown> | undefined;
@@ -203,11 +210,11 @@
 
   const page = cluster.state.value('m/page-0') as { machines: { id: string }[] };
   const rack = page.machines.map((m) => ({ ...m, rack: 7 }));
-  cluster.state.plant('m/page-0', { machines: rack, note: 'kept' });
+  cluster.state.putDirectly('m/page-0', { machines: rack, note: 'kept' });
   const before = cluster.state.history('m/page-0').length;
   cluster.crash(cluster.leader()!, 150);
   await cluster.run(8);
-  cluster.cloud.take(
+  cluster.cloud.preempt(
     rack.map((m) => cluster.cloud.machines.get(m.id)).find((m) => m !== undefined)!,
   );
   await cluster.run(12);
@@ -217,14 +224,14 @@
   }[];
   assert.ok(after.length > 0, 'the page was rewritten');
   for (const p of after) assert.deepEqual([p.note, p.machines[0].rack], ['kept', 7]);
-  assert.deepEqual(cluster.rules.broken, []);
+  assert.deepEqual(cluster.invariants.violations, []);
 });
 
 test('pages stored under higher limits come apart, every machine in one of them at any time', async () => {
   const cluster = new Cluster({ seed: 3, ordinaryUp: 45, capacity: 60, teamLimit: 2000 });
-  cluster.net.lossy = 0;
+  cluster.network.lossRate = 0;
   await cluster.run(4);
-  for (let i = 0; i < 25; i++) void cluster.user(cluster.newJob({ ...SERVICE, cpus: 8 }), null);
+  for (let i = 0; i < 25; i++) void cluster.runUser(cluster.newJob({ ...SERVICE, cpus: 8 }), null);
   await cluster.run(12);
   const pagesNow = (): { id: string }[][] =>
     [...cluster.state.items]
@@ -240,14 +247,14 @@
     'stored larger',
   );
   cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
-  for (const name of cluster.names) {
+  for (const name of cluster.nodeNames) {
     cluster.overrides.set(name, STRICT);
     cluster.crash(name, 200);
   }
   await cluster.run(5);
   // One machine of each page goes, so that its page is written.
   const gone = new Set(pagesNow().map((p) => p[0].id));
-  for (const id of gone) cluster.cloud.take(cluster.cloud.machines.get(id)!);
+  for (const id of gone) cluster.cloud.preempt(cluster.cloud.machines.get(id)!);
   for (let second = 0; second < 4000; second++) {
     await cluster.run(0.004);
     const now = new Set(
@@ -262,7 +269,7 @@
   assert.ok([...known].filter((id) => cluster.cloud.machines.has(id)).length > 30);
   for (const page of pagesNow()) assert.ok(JSON.stringify({ machines: page }).length <= 1024);
   assert.equal(cluster.state.tooLarge, 0);
-  assert.deepEqual(cluster.rules.broken, []);
+  assert.deepEqual(cluster.invariants.violations, []);
 });
 
 test('a job whose record was stored larger than values may be now can be cancelled, for all readers', async () => {
@@ -271,39 +278,39 @@
   const spec = readLive(Object.entries(OLD.items).find(([key]) => key.startsWith('j/'))![1])!.spec;
   const id = 'run-000901';
   const types = Array.from({ length: 40 }, (_, i) => `${'kind-'.repeat(8)}${i}`);
-  cluster.state.plant(liveKey(id), {
+  cluster.state.putDirectly(liveKey(id), {
     spec: { ...spec, id, types },
     at: 1e12,
     cancelled: false,
     later: 'x'.repeat(500),
   });
-  cluster.rules.jobs.set(id, {
-    ...jobFacts(cluster.newJob({ ...BATCH, id, team: spec.team }), 0),
-    toldAccepted: true,
+  cluster.invariants.jobs.set(id, {
+    ...observedJob(cluster.newJob({ ...BATCH, id, team: spec.team }), 0),
+    reportedAccepted: true,
   });
   cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
   void cluster.cancel(id);
   await cluster.run(3);
-  assert.notEqual(cluster.rules.jobs.get(id)!.toldCancelledAt, null);
+  assert.notEqual(cluster.invariants.jobs.get(id)!.reportedCancelledAt, null);
   const written = cluster.state.history(liveKey(id)).map((value) => readLive(value));
   assert.ok(written.some((record) => record?.cancelled && record.spec.id === id));
   await cluster.run(15);
   assert.deepEqual(cluster.state.value(endedKey(id)), { state: 'cancelled', tasks: spec.tasks });
-  assert.deepEqual(cluster.rules.broken, []);
+  assert.deepEqual(cluster.invariants.violations, []);
 });
 
 test('the end of a job with many records of finished tasks fits into small transactions', async () => {
   const cluster = new Cluster({ seed: 4, ordinaryUp: 0 });
-  for (const name of cluster.names) cluster.crash(name, 1e9);
-  cluster.net.lossy = 0;
-  cluster.net.repeats = 0;
-  cluster.state.plant('boss', {});
+  for (const name of cluster.nodeNames) cluster.crash(name, 1e9);
+  cluster.network.lossRate = 0;
+  cluster.network.repeatRate = 0;
+  cluster.state.putDirectly('boss', {});
   cluster.state.bounds = { valueBytes: 2048, txnOps: 4 };
-  const world = outsider(cluster);
+  const world = clientRuntime(cluster);
   const store = new StateStore(world, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
   const spec = readLive(Object.entries(OLD.items).find(([key]) => key.startsWith('j/'))![1])!.spec;
   const jobs = new JobTable();
-  cluster.state.plant(liveKey('run-1'), {});
+  cluster.state.putDirectly(liveKey('run-1'), {});
   const version = cluster.state.items.get(liveKey('run-1'))!.version;
   const job = jobs.add(
     { ...spec, id: 'run-1', kind: 'array', tasks: 100_000 },
@@ -329,7 +336,7 @@
   });
   for (let taskNumber = 0; taskNumber < 100_000; taskNumber++) job.finish(taskNumber, 0);
   for (let chunk = 0; chunk < 13; chunk++) {
-    cluster.state.plant(finishedKey('run-1', chunk), 'x');
+    cluster.state.putDirectly(finishedKey('run-1', chunk), 'x');
     completionWriter.noteWritten(job, chunk);
   }
   for (let second = 0; second < 60; second++) {
@@ -345,13 +352,16 @@
 });
 
 test('limits lower than any that were announced: a few refusals, then everything fits', async () => {
-  const outcome = await play({ seed: 5, ordinaryUp: 30, capacity: 12 }, (cluster, second) => {
-    if (second === 20) cluster.state.bounds = { valueBytes: 700, txnOps: 3 };
-    if (second === 25 || second === 40) cluster.crash(cluster.leader() ?? 'n1', 150);
-    const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
-    if (second > 20 && second % 4 === 0 && machine?.worker) cluster.cloud.take(machine);
-  });
-  expectKept(outcome);
+  const outcome = await runScenario(
+    { seed: 5, ordinaryUp: 30, capacity: 12 },
+    (cluster, second) => {
+      if (second === 20) cluster.state.bounds = { valueBytes: 700, txnOps: 3 };
+      if (second === 25 || second === 40) cluster.crash(cluster.leader() ?? 'n1', 150);
+      const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
+      if (second > 20 && second % 4 === 0 && machine?.worker) cluster.cloud.preempt(machine);
+    },
+  );
+  assertInvariantsHeld(outcome);
   assert.ok(outcome.cluster.state.tooLarge < 60, `${outcome.cluster.state.tooLarge} refusals`);
   const before = outcome.cluster.state.tooLarge;
   await outcome.cluster.run(20);
@@ -361,12 +371,12 @@
 for (const seed of [21, 23, 24])
   test(`a roll amid a zone cut, late writes and the return of an old process that leads (${seed})`, async () => {
     let oldLed = false;
-    const outcome = await play(
+    const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
         // The lease of the leader before may last until now; at 22 the old process is replaced.
-        if (second === 21 || second === 22) oldLed ||= cluster.leader() === cluster.names[4];
-        const node = cluster.names[Math.floor(second / 5)];
+        if (second === 21 || second === 22) oldLed ||= cluster.leader() === cluster.nodeNames[4];
+        const node = cluster.nodeNames[Math.floor(second / 5)];
         if (second % 5 === 2 && node) {
           cluster.overrides.set(node, STRICT);
           cluster.crash(node, 800);
@@ -375,7 +385,7 @@
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
         if (second === 8) {
           const inB = cluster.inZone('b');
-          cluster.net.cuts.push({
+          cluster.network.partitions.push({
             a: inB,
             b: (h) => !inB(h),
             until: cluster.clock.time + 9000,
@@ -383,15 +393,16 @@
           });
         }
         // All but the last one, which is still old, are away for a moment: it leads and writes under the old limits.
-        if (second === 18) for (const name of cluster.names.slice(0, 4)) cluster.crash(name, 4000);
-        if (second % 13 === 6) cluster.cancelNow(2, 2000);
+        if (second === 18)
+          for (const name of cluster.nodeNames.slice(0, 4)) cluster.crash(name, 4000);
+        if (second % 13 === 6) cluster.cancelRunning(2, 2000);
         if (second === 30) cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
         if (second > 3 && second % 4 === 0)
-          void cluster.user(cluster.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }), null);
+          void cluster.runUser(cluster.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }), null);
         if (second === 44) cluster.crash(cluster.leader() ?? 'n1', 150);
       },
     );
-    expectKept(outcome);
+    assertInvariantsHeld(outcome);
     assert.equal(outcome.cluster.state.tooLarge, 0, 'nobody writes what is too large');
     assert.ok(oldLed, 'the old process led');
   });
@@ -399,26 +410,27 @@
 for (const seed of [11, 12, 13])
   test(`a roll under load, then lower limits: gangs, cancellations, crashes, some back old (${seed})`, async () => {
     const next: Partial<PlatformSettings> = STRICT;
-    const outcome = await play(
+    const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        const node = cluster.names[Math.floor(second / 5)];
+        const node = cluster.nodeNames[Math.floor(second / 5)];
         if (second % 5 === 2 && node) {
           cluster.overrides.set(node, next);
           cluster.crash(node, 800);
         }
         // One whose turn has not come dies and comes back old.
-        if (second === 9) cluster.crash(cluster.names[4], 150);
-        if (second === 14) cluster.state.outage(6000);
-        if (second % 13 === 6) cluster.cancelNow(2, 2000);
+        if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
+        if (second === 14) cluster.state.beginOutage(6000);
+        if (second % 13 === 6) cluster.cancelRunning(2, 2000);
         if (second === 30) cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
         if (second > 26 && second % 4 === 0)
-          void cluster.user(cluster.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }), null);
+          void cluster.runUser(cluster.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }), null);
         if (second === 40) cluster.crash(cluster.leader() ?? 'n1', 150);
         if (second === 50)
-          for (const name of cluster.names) cluster.crash(name, cluster.random.between(100, 3000));
+          for (const name of cluster.nodeNames)
+            cluster.crash(name, cluster.random.between(100, 3000));
       },
     );
-    expectKept(outcome);
+    assertInvariantsHeld(outcome);
     assert.equal(outcome.cluster.state.tooLarge, 0, 'nobody writes what is too large');
   });
