--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -1,4 +1,4 @@
-/** The fleet's judgement of silence, against a cloud that only notes what it is asked for. */
+/** The autoscaler against a cloud that only records its calls: failure detection, scale-out and scale-in. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cloud } from '../src/autoscaler/cloud.js';
@@ -25,69 +25,54 @@
   zones: ['a', 'b', 'c'],
 };
 const LEASE_S = 20;
-const REPORT_S = 2;
+const HEARTBEAT_INTERVAL_S = 2;
 
-class Bed {
+class AutoscalerHarness {
   now = 0;
   deleted = new Set<string>();
-  rentedIn = new Set<string>();
+  requestedZones = new Set<string>();
   /** Not in the cloud's list any more. */
-  readonly taken = new Set<string>();
-  /** Until when controllers in zones a and b may keep the leases there. */
-  kept = Infinity;
-  behind = false;
+  readonly unlisted = new Set<string>();
+  /** Until when controllers in zones a and b may extend the leases there. */
+  extendableUntil = Infinity;
+  isLagging = false;
   demand = 400;
   readonly table: MachineTable;
-  readonly fleet: Autoscaler;
+  readonly autoscaler: Autoscaler;
 
   constructor(perZone: number) {
-    const world: Runtime = {
-      clock: { now: () => this.now, after: () => () => undefined },
-      http: {
-        send: (_to, _method, path, body) => {
-          const request = decodeCloudRequest(path, body ?? {});
-          if (request.kind === 'delete') for (const id of request.machines) this.deleted.add(id);
-          if (request.kind === 'rent') this.rentedIn.add(request.zone);
-          return Promise.resolve({
-            status: request.kind === 'rent' ? 503 : 200,
-            body: request.kind === 'list' ? this.list() : {},
-          });
-        },
-      },
-      log: quietLog,
-      random: () => 0.5,
-    };
+    const runtime = this.createRuntime();
     const none = (): undefined => undefined;
     this.table = new MachineTable(100, LEASE_S * 1000, none, {
       attemptAdded: none,
       attemptEnded: none,
     });
-    const cloud = new Cloud(world, 'cloud:1', 50);
-    this.fleet = new Autoscaler({
-      runtime: world,
+    const cloud = new Cloud(runtime, 'cloud:1', 50);
+    this.autoscaler = new Autoscaler({
+      runtime,
       cloud,
       actions: new DirectActions(cloud, () => 'r'),
       table: this.table,
       operator: defaultOperatorSettings(),
       types: [TYPE],
       saveMoney: false,
-      reportS: REPORT_S,
+      heartbeatIntervalS: HEARTBEAT_INTERVAL_S,
       listLagS: 2,
       isLeader: () => true,
       demand: () => ({
-        ordinary: this.demand,
-        any: 0,
-        arriving: 0,
+        ordinaryCpus: this.demand,
+        spotEligibleCpus: 0,
+        arrivingCpusPerS: 0,
         bootS: 20,
-        biggestCpus: 8,
-        usable: () => true,
+        largestMachineCpus: 8,
+        isUsable: () => true,
       }),
-      cutZones: () => new Set(),
-      keptUntil: (zone) => (zone === 'c' ? null : this.kept),
-      homeZones: new Set(['a', 'b']),
+      partitionedZones: () => new Set(),
+      leasesExtendableUntil: (zone) => (zone === 'c' ? null : this.extendableUntil),
+      controllerZones: new Set(['a', 'b']),
       leaseS: LEASE_S,
-      behind: () => this.behind,
-      gone: (machine) => {
+      isLagging: () => this.isLagging,
+      machineDeleted: (machine) => {
         this.table.remove(machine, this.now);
       },
     });
@@ -99,8 +84,27 @@
       }
   }
 
+  private createRuntime(): Runtime {
+    return {
+      clock: { now: () => this.now, after: () => () => undefined },
+      http: {
+        send: (_to, _method, path, body) => {
+          const request = decodeCloudRequest(path, body ?? {});
+          if (request.kind === 'delete') for (const id of request.machines) this.deleted.add(id);
+          if (request.kind === 'rent') this.requestedZones.add(request.zone);
+          return Promise.resolve({
+            status: request.kind === 'rent' ? 503 : 200,
+            body: request.kind === 'list' ? this.list() : {},
+          });
+        },
+      },
+      log: quietLog,
+      random: () => 0.5,
+    };
+  }
+
   private list(): Body {
-    const there = [...this.table.all()].filter((m) => !this.taken.has(m.id));
+    const there = [...this.table.all()].filter((m) => !this.unlisted.has(m.id));
     const entries = there.map(({ id, endpoint, zone, spot }): MachineListEntry => ({
       id,
       endpoint,
@@ -114,7 +118,7 @@
   }
 
   private report(machine: Machine): void {
-    const r: Heartbeat = {
+    const heartbeat: Heartbeat = {
       machine: machine.id,
       endpoint: machine.endpoint,
       type: 't',
@@ -127,19 +131,19 @@
       tasks: [],
     };
     machine.lastHeardAt = this.now;
-    this.table.applyHeartbeat(machine, r, this.now);
+    this.table.applyHeartbeat(machine, heartbeat, this.now);
     machine.awaitingReconciliation = false;
     machine.commandFailures = 0;
   }
 
   /** Time goes on; those that are heard report, the others answer no probe either. */
-  async pass(seconds: number, heard: (machine: Machine) => boolean): Promise<void> {
-    for (let t = 0; t < seconds * 2; t++) {
+  async advance(seconds: number, heard: (machine: Machine) => boolean): Promise<void> {
+    for (let i = 0; i < seconds * 2; i++) {
       this.now += 500;
       for (const machine of [...this.table.all()])
         if (heard(machine)) this.report(machine);
-        else if (this.fleet.isOverdue(machine, this.now)) machine.commandFailures++;
-      this.fleet.tick();
+        else if (this.autoscaler.isHeartbeatOverdue(machine, this.now)) machine.commandFailures++;
+      this.autoscaler.tick();
       await new Promise<void>((done) => setImmediate(done));
     }
   }
@@ -147,146 +151,149 @@
 
 const ids = (zone: string): string[] => [...Array(10).keys()].map((i) => `${zone}${i}`);
 
-test('a zone that falls silent as a whole is shunned but kept: only replicas that nobody keeps alive are given up', async () => {
-  const bed = new Bed(10);
-  await bed.pass(5, () => true);
-  for (const machine of bed.table.all())
+test('a zone that falls silent as a whole is quarantined but kept: only machines with replicas whose leases nobody extends are deleted', async () => {
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  for (const machine of harness.table.all())
     machine.serviceTasks = Number(machine.id.slice(1)) < 3 ? 1 : 0;
-  await bed.pass(LEASE_S * 0.7, (m) => m.zone !== 'c');
-  assert.equal(bed.deleted.size, 0, 'it may come back, and its work runs on');
-  bed.rentedIn.clear();
-  await bed.pass(LEASE_S * 0.25, (m) => m.zone !== 'c');
-  assert.deepEqual([...bed.deleted].sort(), ['c0', 'c1', 'c2']);
-  await bed.pass(40, (m) => m.zone !== 'c');
-  assert.equal(bed.deleted.size, 3, 'the other machines are worth more than new ones');
-  await bed.pass(15, () => true);
-  assert.ok(bed.rentedIn.has('a') && !bed.rentedIn.has('c'), 'nothing is rented in it for a while');
+  await harness.advance(LEASE_S * 0.7, (m) => m.zone !== 'c');
+  assert.equal(harness.deleted.size, 0, 'it may come back, and its work runs on');
+  harness.requestedZones.clear();
+  await harness.advance(LEASE_S * 0.25, (m) => m.zone !== 'c');
+  assert.deepEqual([...harness.deleted].sort(), ['c0', 'c1', 'c2']);
+  await harness.advance(40, (m) => m.zone !== 'c');
+  assert.equal(harness.deleted.size, 3, 'the other machines are worth more than new ones');
+  await harness.advance(15, () => true);
+  assert.ok(
+    harness.requestedZones.has('a') && !harness.requestedZones.has('c'),
+    'nothing is requested in it for a while',
+  );
 });
 
-test('the machines of a lost zone that has controllers are kept, and given up in the end', async () => {
-  const bed = new Bed(10);
-  await bed.pass(5, () => true);
-  for (const machine of bed.table.all()) machine.serviceTasks = 1;
-  await bed.pass(90, (m) => m.zone !== 'b');
-  assert.equal(bed.deleted.size, 0);
-  await bed.pass(60, (m) => m.zone !== 'b');
-  assert.deepEqual([...bed.deleted].sort(), ids('b'));
+test('the machines of a partitioned zone that has controllers are kept, and deleted in the end', async () => {
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  for (const machine of harness.table.all()) machine.serviceTasks = 1;
+  await harness.advance(90, (m) => m.zone !== 'b');
+  assert.equal(harness.deleted.size, 0);
+  await harness.advance(60, (m) => m.zone !== 'b');
+  assert.deepEqual([...harness.deleted].sort(), ids('b'));
 });
 
-test('when a lost zone is back, its machines get the time to say so', async () => {
-  const bed = new Bed(10);
-  await bed.pass(5, () => true);
-  await bed.pass(14, (m) => m.zone !== 'b');
+test('when a partition heals, machines of the zone get the time for a heartbeat', async () => {
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  await harness.advance(14, (m) => m.zone !== 'b');
   // Half of them report a second or two later than the others; one does not come back.
-  await bed.pass(2, (m) => m.zone !== 'b' || Number(m.id.slice(1)) < 5);
-  await bed.pass(12, (m) => m.id !== 'b9');
-  assert.deepEqual([...bed.deleted], ['b9']);
+  await harness.advance(2, (m) => m.zone !== 'b' || Number(m.id.slice(1)) < 5);
+  await harness.advance(12, (m) => m.id !== 'b9');
+  assert.deepEqual([...harness.deleted], ['b9']);
 });
 
-test('in a lost zone with controllers, replicas are given up shortly before kept leases end, where they can run elsewhere', async () => {
+test('in a partitioned zone with controllers, machines with replicas are deleted shortly before extended leases end, where the replicas can run elsewhere', async () => {
   for (const zonesLost of ['b', 'bc']) {
-    const bed = new Bed(20);
-    await bed.pass(5, () => true);
-    for (const machine of bed.table.all())
+    const harness = new AutoscalerHarness(20);
+    await harness.advance(5, () => true);
+    for (const machine of harness.table.all())
       machine.serviceTasks = machine.zone === 'b' && Number(machine.id.slice(1)) < 3 ? 1 : 0;
-    bed.kept = bed.now + 15_000;
-    await bed.pass(15 + LEASE_S * 0.75, (m) => !zonesLost.includes(m.zone));
-    assert.equal(bed.deleted.size, 0);
-    await bed.pass(LEASE_S * 0.2, (m) => !zonesLost.includes(m.zone));
-    assert.deepEqual([...bed.deleted].sort(), zonesLost === 'b' ? ['b0', 'b1', 'b2'] : []);
+    harness.extendableUntil = harness.now + 15_000;
+    await harness.advance(15 + LEASE_S * 0.75, (m) => !zonesLost.includes(m.zone));
+    assert.equal(harness.deleted.size, 0);
+    await harness.advance(LEASE_S * 0.2, (m) => !zonesLost.includes(m.zone));
+    assert.deepEqual([...harness.deleted].sort(), zonesLost === 'b' ? ['b0', 'b1', 'b2'] : []);
   }
 });
 
-test('silent machines that the cloud no longer lists are given up at once, however many, and in a lost zone too', async () => {
-  const bed = new Bed(10);
-  await bed.pass(12, () => true);
-  for (const machine of bed.table.all())
-    if (machine.zone === 'b' || machine.id === 'a1') bed.taken.add(machine.id);
-  await bed.pass(6, (m) => !bed.taken.has(m.id));
-  assert.deepEqual([...bed.deleted].sort(), ['a1', ...ids('b')]);
+test('silent machines that the cloud no longer lists are deleted at once, however many, and in a partitioned zone too', async () => {
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(12, () => true);
+  for (const machine of harness.table.all())
+    if (machine.zone === 'b' || machine.id === 'a1') harness.unlisted.add(machine.id);
+  await harness.advance(6, (m) => !harness.unlisted.has(m.id));
+  assert.deepEqual([...harness.deleted].sort(), ['a1', ...ids('b')]);
 });
 
 test('a machine that is heard, but never shows the token it is told, is deleted', async () => {
-  const bed = new Bed(10);
-  await bed.pass(5, () => true);
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
   for (let i = 0; i < 40; i++) {
-    await bed.pass(1, () => true);
-    for (const machine of bed.table.all()) {
-      const token = bed.table.requestTokenAck(machine, bed.now, LEASE_S * 500);
+    await harness.advance(1, () => true);
+    for (const machine of harness.table.all()) {
+      const token = harness.table.requestTokenAck(machine, harness.now, LEASE_S * 500);
       if (machine.id !== 'b4') machine.shownToken = token;
     }
   }
-  assert.deepEqual([...bed.deleted], ['b4']);
+  assert.deepEqual([...harness.deleted], ['b4']);
 });
 
-test('when machines of all zones are silent at once, it is we who are cut off', async () => {
-  const bed = new Bed(10);
-  await bed.pass(5, () => true);
-  await bed.pass(30, (m) => Number(m.id.slice(1)) < 5);
-  assert.equal(bed.deleted.size, 0);
+test('when machines of all zones are silent at once, it is the leader that is partitioned', async () => {
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  await harness.advance(30, (m) => Number(m.id.slice(1)) < 5);
+  assert.equal(harness.deleted.size, 0);
 });
 
-test('while we are behind, silence is not believed at once', async () => {
-  const bed = new Bed(10);
-  await bed.pass(5, () => true);
-  bed.behind = true;
-  await bed.pass(8, (m) => m.id !== 'a3');
-  assert.equal(bed.deleted.size, 0);
-  bed.behind = false;
-  await bed.pass(1.5, (m) => m.id !== 'a3');
-  assert.deepEqual([...bed.deleted], ['a3']);
+test('while the leader lags, silent machines are not deleted at once', async () => {
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(5, () => true);
+  harness.isLagging = true;
+  await harness.advance(8, (m) => m.id !== 'a3');
+  assert.equal(harness.deleted.size, 0);
+  harness.isLagging = false;
+  await harness.advance(1.5, (m) => m.id !== 'a3');
+  assert.deepEqual([...harness.deleted], ['a3']);
 });
 
-test('a takeover waits seconds, not a lease, for the last machines and for a zone nobody keeps', async () => {
-  const bed = new Bed(10);
-  for (const machine of bed.table.all()) machine.commandFailures = 2;
-  bed.behind = true;
-  await bed.pass(6, (m) => m.zone !== 'c' && m.id !== 'a7');
-  assert.deepEqual([...bed.deleted].sort(), ['a7', ...ids('c')]);
+test('a takeover waits seconds, not a lease, for the last machines and for a zone whose leases nobody extends', async () => {
+  const harness = new AutoscalerHarness(10);
+  for (const machine of harness.table.all()) machine.commandFailures = 2;
+  harness.isLagging = true;
+  await harness.advance(6, (m) => m.zone !== 'c' && m.id !== 'a7');
+  assert.deepEqual([...harness.deleted].sort(), ['a7', ...ids('c')]);
 });
 
-test('a takeover deletes nothing in a lost zone that has controllers, where work may be kept alive', async () => {
-  const bed = new Bed(10);
-  for (const machine of bed.table.all()) machine.commandFailures = 2;
-  await bed.pass(30, (m) => m.zone !== 'b' && m.id !== 'a7');
-  assert.deepEqual([...bed.deleted], ['a7']);
+test('a takeover deletes nothing in a partitioned zone that has controllers, which may extend leases', async () => {
+  const harness = new AutoscalerHarness(10);
+  for (const machine of harness.table.all()) machine.commandFailures = 2;
+  await harness.advance(30, (m) => m.zone !== 'b' && m.id !== 'a7');
+  assert.deepEqual([...harness.deleted], ['a7']);
 });
 
-test('a new leader rents nothing in a zone that is cut off, and does not count on what was rented there', async () => {
-  const bed = new Bed(10);
+test('a new leader requests nothing in a partitioned zone, and does not count on what was requested there', async () => {
+  const harness = new AutoscalerHarness(10);
   // Twice that is the target, beside a hundred: with the 240 there would be enough.
-  bed.demand = 140;
-  for (const machine of bed.table.all()) if (machine.zone === 'c') machine.commandFailures = 1;
+  harness.demand = 140;
+  for (const machine of harness.table.all()) if (machine.zone === 'c') machine.commandFailures = 1;
   // On their way when the zone was cut off: 240 CPUs that will not come.
-  for (let i = 0; i < 30; i++) bed.table.add(`new${i}`, '', TYPE, 'c', false, 0).rentedAt = 0;
-  await bed.pass(8, (m) => m.stored && m.zone !== 'c');
-  assert.deepEqual([...bed.rentedIn].sort(), ['a', 'b']);
+  for (let i = 0; i < 30; i++) harness.table.add(`new${i}`, '', TYPE, 'c', false, 0).rentedAt = 0;
+  await harness.advance(8, (m) => m.stored && m.zone !== 'c');
+  assert.deepEqual([...harness.requestedZones].sort(), ['a', 'b']);
 });
 
-test('a new leader looks around before it rents', async () => {
-  const bed = new Bed(10);
-  await bed.pass(2, (m) => m.zone !== 'c' && m.id !== 'a0');
-  assert.equal(bed.rentedIn.size, 0);
-  await bed.pass(2, () => true);
-  assert.ok(bed.rentedIn.size > 0);
+test('a new leader detects partitions before it requests machines', async () => {
+  const harness = new AutoscalerHarness(10);
+  await harness.advance(2, (m) => m.zone !== 'c' && m.id !== 'a0');
+  assert.equal(harness.requestedZones.size, 0);
+  await harness.advance(2, () => true);
+  assert.ok(harness.requestedZones.size > 0);
 });
 
-test('with no work at all machines are returned also where money does not count', async () => {
-  const bed = new Bed(5);
-  await bed.pass(40, () => true);
-  assert.equal(bed.deleted.size, 0, 'spare ones are kept while there is work');
-  bed.demand = 0;
-  bed.rentedIn.clear();
-  await bed.pass(20, () => true);
-  assert.equal(bed.deleted.size, 15);
-  assert.equal(bed.rentedIn.size, 0, 'nor is anything rented');
+test('with no work at all idle machines are deleted also where money does not count', async () => {
+  const harness = new AutoscalerHarness(5);
+  await harness.advance(40, () => true);
+  assert.equal(harness.deleted.size, 0, 'spare ones are kept while there is work');
+  harness.demand = 0;
+  harness.requestedZones.clear();
+  await harness.advance(20, () => true);
+  assert.equal(harness.deleted.size, 15);
+  assert.equal(harness.requestedZones.size, 0, 'nor is anything requested');
 });
 
 test('a task that was found running is not timed: its start is not known', () => {
-  const bed = new Bed(1);
-  const machine = bed.table.get('a0')!;
+  const harness = new AutoscalerHarness(1);
+  const machine = harness.table.get('a0')!;
   const task = { job: 'run-1', taskNumber: 0, attempt: 1, cause: null };
-  const r = {
+  const heartbeat = {
     machine: 'a0',
     endpoint: 'a0:1',
     type: 't',
@@ -296,20 +303,20 @@
     token: 100,
     preemptionNoticeS: null,
   };
-  bed.table.applyHeartbeat(
+  harness.table.applyHeartbeat(
     machine,
-    { ...r, sequence: 1, tasks: [{ ...task, state: 'running' }] },
+    { ...heartbeat, sequence: 1, tasks: [{ ...task, state: 'running' }] },
     1000,
   );
   assert.equal([...machine.attempts.values()][0].runningSince, 0);
-  bed.table.applyHeartbeat(
+  harness.table.applyHeartbeat(
     machine,
-    { ...r, sequence: 2, tasks: [{ ...task, taskNumber: 1, state: 'fetching' }] },
+    { ...heartbeat, sequence: 2, tasks: [{ ...task, taskNumber: 1, state: 'fetching' }] },
     2000,
   );
-  bed.table.applyHeartbeat(
+  harness.table.applyHeartbeat(
     machine,
-    { ...r, sequence: 3, tasks: [{ ...task, taskNumber: 1, state: 'running' }] },
+    { ...heartbeat, sequence: 3, tasks: [{ ...task, taskNumber: 1, state: 'running' }] },
     3000,
   );
   assert.equal([...machine.attempts.values()][0].runningSince, 3000);
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -22,7 +22,7 @@
   reportingMachine,
 } from './sim/wire/workers.js';
 import { StateStore } from '../src/state-store/client.js';
-import { MachineRecordStore } from '../src/workers/machine-records.js';
+import { MachineRecordStore } from '../src/workers/machine-record-store.js';
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { JobCache } from '../src/jobs/job-cache.js';
@@ -451,7 +451,7 @@
     nodes: 5,
     ordinaryUp: 10,
     log: (_node, text, fields) => {
-      if (text === 'every machine is known') known.push(cluster.clock.time);
+      if (text === 'recovery complete') known.push(cluster.clock.time);
       if (text === 'leader term' && (fields as { to: string }).to === 'serving')
         serving = cluster.clock.time;
     },
