--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -43,7 +43,7 @@
 test('malformed, impossible, unknown and repeated submissions', async () => {
   const cluster = quiet(5);
   await cluster.run(3);
-  const job = cluster.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
+  const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
   const status = async (over: Partial<JobSubmission>): Promise<number> =>
     (await asked(cluster, submitRequest({ ...job, ...over }))).status;
   const statusOfRaw = async (
@@ -113,7 +113,7 @@
 test('a field that is missing or invalid gets 400, at every node and again on repetition', async () => {
   const cluster = quiet(8);
   await cluster.run(3);
-  const job = cluster.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
+  const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
   const bad: Body[] = [];
   for (const field of Object.keys(INVALID) as (keyof JobSubmission)[]) {
     assert.notEqual(job[field], undefined, field);
@@ -146,7 +146,13 @@
     { spread: true, tasks: 2, oneZone: true },
   ];
   for (const over of never) {
-    const job = cluster.newJob({ kind: 'array', tasks: 3, spread: false, oneZone: false, ...over });
+    const job = cluster.users.newJob({
+      kind: 'array',
+      tasks: 3,
+      spread: false,
+      oneZone: false,
+      ...over,
+    });
     for (const node of [...cluster.nodeNames, 'n2'])
       assert.equal(
         (await asked(cluster, submitRequest(job), node)).status,
@@ -157,7 +163,7 @@
   }
   const oneZone = new Cluster({ seed: 10, zones: ['a'] });
   await oneZone.run(3);
-  const apart = oneZone.newJob({ kind: 'service', spread: true, oneZone: false, tasks: 2 });
+  const apart = oneZone.users.newJob({ kind: 'service', spread: true, oneZone: false, tasks: 2 });
   assert.equal((await asked(oneZone, submitRequest(apart))).status, 422);
 });
 
@@ -166,7 +172,7 @@
   await cluster.run(3);
   cluster.state.beginOutage(5000);
   const before = cluster.clock.time;
-  const reply = await asked(cluster, submitRequest(cluster.newJob()));
+  const reply = await asked(cluster, submitRequest(cluster.users.newJob()));
   assert.equal(reply.status, 503);
   assert.equal((await asked(cluster, pollRequest('run-000009'))).status, 503);
   assert.ok(cluster.clock.time - before < 1000);
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -74,7 +74,7 @@
     const list = await listWithin(setup, 12_000);
     assert.equal(new Set(list?.map((m) => m.id)).size, MACHINES, `round ${round} at ${began}`);
   }
-  assert.equal(setup.service.received.exceedsRate, 0);
+  assert.equal(setup.service.received.tooMany, 0);
   assert.ok(rentals >= 40, `${rentals} rentals in 48 s`);
   const pages = MACHINES / 500;
   assert.ok(
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -1,6 +1,7 @@
 /** Seeded random runs of whole clusters; the rules of PROTOCOL are checked after each step. */
 import { test } from 'node:test';
-import { type Cluster, zoneOf } from './sim/cluster.js';
+import { type Cluster } from './sim/cluster.js';
+import { zoneOf } from './sim/cluster-config.js';
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
 import { duplicateHeartbeats, leaderOrRandomNode } from './sim/faults.js';
 
--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -1,5 +1,6 @@
 /** Faults of machines, controllers, network and services, for the digest's scenarios. */
-import { type Cluster, LEASE_MS, zoneOf } from '../sim/cluster.js';
+import { type Cluster } from '../sim/cluster.js';
+import { LEASE_MS, zoneOf } from '../sim/cluster-config.js';
 import type { CloudMachine } from '../sim/cloud.js';
 import { hangMachines, leaderOrRandomNode, otherNode, pickMachines } from '../sim/faults.js';
 
@@ -68,16 +69,16 @@
 }
 
 export function blockMachineConnections(cluster: Cluster): void {
-  cluster.blockConnections(pickMachines(cluster, 0.3), cluster.random.between(3000, 15_000));
+  cluster.faults.blockConnections(pickMachines(cluster, 0.3), cluster.random.between(3000, 15_000));
 }
 
 export function holdCommands(cluster: Cluster): void {
-  cluster.holdCommands(pickMachines(cluster, 0.4), cluster.random.between(1000, 6000));
+  cluster.faults.holdCommands(pickMachines(cluster, 0.4), cluster.random.between(1000, 6000));
 }
 
 /** Machines can't be reached, or don't hear what is sent to them. */
 export function partitionMachines(cluster: Cluster, oneWay: boolean): void {
-  const chosen = cluster.hostsOf(pickMachines(cluster, 0.3));
+  const chosen = cluster.faults.hostsOf(pickMachines(cluster, 0.3));
   const until = cluster.clock.time + cluster.random.between(4000, 14_000);
   const everybody = (): boolean => true;
   if (oneWay)
@@ -88,7 +89,7 @@
 /** Machines and controllers of a zone are apart from all others. */
 export function partitionZone(cluster: Cluster, zone: string): void {
   const inside = (host: string): boolean =>
-    cluster.inZone(zone)(host) ||
+    cluster.faults.inZone(zone)(host) ||
     (cluster.isNode(host) && zoneOf(host.slice(0, host.indexOf(':'))) === zone);
   cluster.network.partitions.push({
     a: inside,
@@ -101,9 +102,9 @@
 /** The leader loses the state service and its peers, and jobs are cancelled through another controller. */
 export function isolateLeader(cluster: Cluster): void {
   const leader = leaderOrRandomNode(cluster);
-  cluster.isolate(leader, cluster.random.between(5000, 15_000), 'reset');
+  cluster.faults.isolate(leader, cluster.random.between(5000, 15_000), 'reset');
   cluster.clock.after(4000, () => {
-    cluster.cancelRunning(2, 4000, otherNode(cluster, leader));
+    cluster.faults.cancelRunning(2, 4000, otherNode(cluster, leader));
   });
 }
 
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,8 +1,8 @@
 /** The scenarios by seed: seeds that are `SCENARIOS.length` apart play the same one with other random numbers. */
 import { BUILD } from '../../src/build.js';
-import { type Cluster, LEASE_MS } from '../sim/cluster.js';
+import { type Cluster } from '../sim/cluster.js';
+import { type ClusterConfig, LEASE_MS } from '../sim/cluster-config.js';
 import { ROLLOUT, SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
-import type { ClusterConfig } from '../sim/cluster-config.js';
 import { BATCH, SERVICE, GANG } from '../sim/jobs.js';
 import { OLD, SETTINGS as AUTOMATIC_ROLLOUT, operatorOf } from '../sim/rolling-upgrade.js';
 import { duplicateHeartbeats, leaderOrRandomNode } from '../sim/faults.js';
@@ -40,7 +40,7 @@
 
 function cancel(count: number, hangMs: number): (cluster: Cluster) => void {
   return (cluster) => {
-    cluster.cancelRunning(count, hangMs);
+    cluster.faults.cancelRunning(count, hangMs);
   };
 }
 
@@ -341,7 +341,7 @@
       }),
       every(12, 7, faults.freezeLeader),
       every(15, 11, (cluster) => {
-        cluster.isolate(cluster.random.pick(cluster.nodeNames), 4000, 'reset');
+        cluster.faults.isolate(cluster.random.pick(cluster.nodeNames), 4000, 'reset');
       }),
     ),
   },
--- a/test/digest/workload.ts
+++ b/test/digest/workload.ts
@@ -18,7 +18,7 @@
 }
 
 export function submit(cluster: Cluster, over: Partial<JobSubmission>): void {
-  void cluster.runUser(cluster.newJob(over), maybeCancelAfterMs(cluster));
+  void cluster.users.run(cluster.users.newJob(over), maybeCancelAfterMs(cluster));
 }
 
 /** Arrays and services of all shapes, some of them cancelled. */
@@ -51,21 +51,24 @@
 /** A fleet that arrays fill, while gangs wait for room in it. */
 export function gangsBehindArrays(cluster: Cluster, second: number): void {
   if (second % 4 === 0) submit(cluster, { ...BATCH, tasks: 14, durationS: 12 });
-  if (second % 25 === 8) void cluster.runUser(cluster.newJob({ ...GANG, tasks: 6, cpus: 4 }), null);
+  if (second % 25 === 8)
+    void cluster.users.run(cluster.users.newJob({ ...GANG, tasks: 6, cpus: 4 }), null);
 }
 
 /** A gang that fits under its team's limit only without the arrays that run on and on. */
 export function gangBehindTeamLimit(cluster: Cluster, second: number): void {
   const team = 't0';
-  if (second === 0) void cluster.runUser(cluster.newJob({ ...longArray, team, tasks: 6 }), null);
-  if (second === 8) void cluster.runUser(cluster.newJob({ ...GANG, team, tasks: 12 }), null);
+  if (second === 0)
+    void cluster.users.run(cluster.users.newJob({ ...longArray, team, tasks: 6 }), null);
+  if (second === 8)
+    void cluster.users.run(cluster.users.newJob({ ...GANG, team, tasks: 12 }), null);
   if (second > 8 && second % 12 === 0) submit(cluster, { ...BATCH, team, tasks: 2, durationS: 2 });
 }
 
 /** An array so large that the records of its finished tasks are split. */
 export function largeArray(cluster: Cluster): void {
-  const job = cluster.newJob({ ...BATCH, tasks: 2400, durationS: 0.5, team: 't0' });
-  void cluster.runUser(job, null);
+  const job = cluster.users.newJob({ ...BATCH, tasks: 2400, durationS: 0.5, team: 't0' });
+  void cluster.users.run(job, null);
 }
 
 /** Tasks of equal length all over the fleet, so that slow machines stand out. */
@@ -81,7 +84,7 @@
     void cluster.network.send('user', to, method, path, body, USER_TIMEOUT_MS);
   };
   const submitOnce = (over: Partial<JobSubmission>): void => {
-    ask(submitRequest(cluster.newJob({ ...BATCH, ...over })));
+    ask(submitRequest(cluster.users.newJob({ ...BATCH, ...over })));
   };
   if (second % 10 === 2) submitOnce({ tasks: 0 });
   if (second % 10 === 4) submitOnce({ team: 'nobody' });
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -65,7 +65,7 @@
   for (let round = 0; round < 2; round++) {
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
     await cluster.run(6);
-    for (let i = 0; i < 6; i++) void cluster.runUser(cluster.newJob(), null);
+    for (let i = 0; i < 6; i++) void cluster.users.run(cluster.users.newJob(), null);
     for (let second = 0; second < 20; second++) {
       await cluster.run(1);
       assert.deepEqual(
@@ -97,7 +97,8 @@
   const watch = new CloudInvariants(cluster);
   cluster.state.putDirectly('duties/holds/rent', { by: 'operator', sinceMs: 0 });
   await cluster.run(3);
-  for (let i = 0; i < 4; i++) void cluster.runUser(cluster.newJob({ ...BATCH, tasks: 8 }), null);
+  for (let i = 0; i < 4; i++)
+    void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 8 }), null);
   await cluster.run(5);
   for (let round = 0; round < 3; round++) {
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
@@ -144,7 +145,7 @@
   49,
   (cluster, second) => {
     for (let i = 0; i < 3; i++)
-      void cluster.runUser(cluster.newJob({ ...BATCH, tasks: 40, durationS: 10 }), null);
+      void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 40, durationS: 10 }), null);
     const machines = [...cluster.cloud.machines.values()].filter(
       ({ state }) => state === 'running',
     );
@@ -174,7 +175,7 @@
         );
         if (machines.length > 0) random.pick(machines).worker?.kill();
       }
-      if (second % 15 === 7) cluster.isolate(random.pick(cluster.nodeNames), 4000, 'reset');
+      if (second % 15 === 7) cluster.faults.isolate(random.pick(cluster.nodeNames), 4000, 'reset');
       if (second % 20 === 10)
         cluster.state.lateWrites = {
           share: 0.2,
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -33,7 +33,10 @@
   await roll.finish();
   const rented = roll.cluster.cloud.machines.size;
   for (let i = 0; i < 10; i++)
-    void roll.cluster.runUser(roll.cluster.newJob({ ...BATCH, tasks: 12, durationS: 8 }), null);
+    void roll.cluster.users.run(
+      roll.cluster.users.newJob({ ...BATCH, tasks: 12, durationS: 8 }),
+      null,
+    );
   await roll.until('the leader rents', () => roll.cluster.cloud.machines.size > rented);
   assert.equal(
     state.changesUnder('duties/intents/'),
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -16,7 +16,10 @@
     spread: false,
     oneZone: false,
   };
-  void cluster.runUser(cluster.newJob({ ...array, tasks: 10, durationS: 90, spot: false }), null);
+  void cluster.users.run(
+    cluster.users.newJob({ ...array, tasks: 10, durationS: 90, spot: false }),
+    null,
+  );
   await cluster.run(12);
   assert.equal(cluster.invariants.starts, 10);
   const busy = new Set(
@@ -40,8 +43,8 @@
   const cluster = await unreachable(3);
   await cluster.run(3);
   for (const team of ['t0', 't1'])
-    void cluster.runUser(
-      cluster.newJob({
+    void cluster.users.run(
+      cluster.users.newJob({
         team,
         kind: 'service',
         jobClass: 'desk',
@@ -82,8 +85,8 @@
 test('a lone machine that stays silent is deleted, and its tasks run elsewhere', async () => {
   const cluster = new Cluster({ seed: 8, ordinaryUp: 6 });
   await cluster.run(4);
-  void cluster.runUser(
-    cluster.newJob({
+  void cluster.users.run(
+    cluster.users.newJob({
       kind: 'service',
       jobClass: 'desk',
       tasks: 3,
--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -1,8 +1,8 @@
 /** Meetings of troubles: two or three at once, each brought about by itself. docs/safety.md has a row for each. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CANCEL_MS, Cluster, LEASE_MS, zoneOf } from './sim/cluster.js';
-import type { ClusterConfig } from './sim/cluster-config.js';
+import { Cluster } from './sim/cluster.js';
+import { type ClusterConfig, CANCEL_MS, LEASE_MS, zoneOf } from './sim/cluster-config.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 import { testScenarios } from './sim/run-scenario.js';
 import {
@@ -28,7 +28,7 @@
     // Its machines stand still at the end of their leases, and go on.
     for (const place of cluster.invariants.placesByTask.get(`${first}/0`) ?? [])
       cluster.clock.after(CANCEL_MS / 2, () => {
-        cluster.hangMachine(place.machine, LEASE_MS);
+        cluster.faults.hangMachine(place.machine, LEASE_MS);
       });
     await cluster.run(CANCEL_MS / 1000 + 10);
     assert.equal(runningTasksOf(cluster, first), 0);
@@ -58,7 +58,7 @@
     // Reports come, and are answered or not; then machines stand still for nearly a lease.
     await cluster.run(1.8);
     for (const machine of cluster.cloud.machines.values())
-      if (machine.worker) cluster.hangMachine(machine.id, LEASE_MS - 500);
+      if (machine.worker) cluster.faults.hangMachine(machine.id, LEASE_MS - 500);
     await cluster.run(60);
     assert.deepEqual(cluster.invariants.violations, []);
     assert.equal(cluster.invariants.placesByTask.size, 9, 'all others run again');
@@ -69,15 +69,15 @@
   const old = cluster.leader()!;
   // One array fills its team's limit, the other waits behind it.
   const array = { ...BATCH, team: 't0', tasks: 15, imageGb: 0 };
-  void cluster.runUser(cluster.newJob({ ...array, durationS: 15 }), null);
+  void cluster.users.run(cluster.users.newJob({ ...array, durationS: 15 }), null);
   await cluster.run(6);
-  const waiting = cluster.newJob({ ...array, durationS: 5 });
-  void cluster.runUser(waiting, null);
+  const waiting = cluster.users.newJob({ ...array, durationS: 5 });
+  void cluster.users.run(waiting, null);
   await cluster.run(1);
   partitionControllers(cluster);
   cluster.state.rejectHost(`${old}:80`, 6500);
   await cluster.run(0.2);
-  void cluster.cancel(waiting.id, otherNode(cluster, old));
+  void cluster.users.cancel(waiting.id, otherNode(cluster, old));
   await cluster.run(1.8);
   const job = cluster.invariants.jobs.get(waiting.id)!;
   assert.notEqual(job.reportedCancelledAt, null, 'confirmed before the outage');
@@ -96,7 +96,7 @@
   cluster.crash(old, 60_000);
   await cluster.run(0.3);
   const first = jobIds(cluster)[0];
-  void cluster.cancel(first, otherNode(cluster, old));
+  void cluster.users.cancel(first, otherNode(cluster, old));
   await cluster.run(1.5);
   assert.notEqual(
     cluster.invariants.jobs.get(first)!.reportedCancelledAt,
@@ -143,7 +143,7 @@
     cluster.state.rejectHost(`${old}:80`, 14_000);
     await cluster.run(0.2);
     const first = jobIds(cluster)[0];
-    void cluster.cancel(first, told);
+    void cluster.users.cancel(first, told);
     await cluster.run(1.75);
     assert.notEqual(
       cluster.invariants.jobs.get(first)!.reportedCancelledAt,
@@ -166,7 +166,10 @@
 ): void {
   const eachSecond = (cluster: Cluster, second: number): void => {
     if (second % 6 === 3)
-      void cluster.runUser(cluster.newJob({ ...GANG, tasks: cluster.random.int(2, 5) }), null);
+      void cluster.users.run(
+        cluster.users.newJob({ ...GANG, tasks: cluster.random.int(2, 5) }),
+        null,
+      );
     troubles(cluster, second);
   };
   testScenarios(name, seeds, eachSecond, config);
@@ -178,7 +181,7 @@
   (cluster, second) => {
     duplicateHeartbeats(cluster, 0.25);
     if (second % 10 === 4) hangMachines(cluster, 0.3, 9500);
-    if (second % 16 === 9) cluster.cancelRunning(2, 0);
+    if (second % 16 === 9) cluster.faults.cancelRunning(2, 0);
   },
 );
 
@@ -189,7 +192,7 @@
     if (second % 5 === 2)
       cluster.crash(leaderOrRandomNode(cluster), cluster.random.pick([150, 2000]));
     if (second === 20) cluster.state.beginOutage(12_000);
-    if (second % 15 === 12) cluster.cancelRunning(2, 4000);
+    if (second % 15 === 12) cluster.faults.cancelRunning(2, 4000);
   },
 );
 
@@ -199,9 +202,9 @@
   (cluster, second) => {
     if (second % 30 !== 8) return;
     const old = leaderOrRandomNode(cluster);
-    cluster.isolate(old, 26_000, second < 30 ? 'hold' : 'reset');
+    cluster.faults.isolate(old, 26_000, second < 30 ? 'hold' : 'reset');
     cluster.clock.after(5000, () => {
-      cluster.cancelRunning(4, 7500, otherNode(cluster, old));
+      cluster.faults.cancelRunning(4, 7500, otherNode(cluster, old));
     });
   },
 );
@@ -216,7 +219,7 @@
     if (second === 40)
       for (const name of cluster.nodeNames)
         cluster.crash(name, LEASE_MS + cluster.random.between(1000, 4000));
-    if (second === 11 || second === 39) cluster.cancelRunning(3, 3000);
+    if (second === 11 || second === 39) cluster.faults.cancelRunning(3, 3000);
   },
 );
 
@@ -224,10 +227,10 @@
   'machines that reach no controller, while commands reach them',
   [141, 142],
   (cluster, second) => {
-    if (second === 10) cluster.blockConnections(() => true, LEASE_MS + 3000);
-    if (second === 35) cluster.blockConnections(pickMachines(cluster, 0.4), 20_000);
+    if (second === 10) cluster.faults.blockConnections(() => true, LEASE_MS + 3000);
+    if (second === 35) cluster.faults.blockConnections(pickMachines(cluster, 0.4), 20_000);
     if (second === 37) cluster.crash(leaderOrRandomNode(cluster), 150);
-    if (second === 12 || second === 40) cluster.cancelRunning(3, 3000);
+    if (second === 12 || second === 40) cluster.faults.cancelRunning(3, 3000);
   },
 );
 
@@ -237,9 +240,9 @@
   (cluster, second) => {
     cluster.network.delayFactor = second < 50 ? 20 : 1;
     if (second % 3 === 0 && second < 30)
-      void cluster.runUser(cluster.newJob({ ...BATCH, tasks: 20, durationS: 4 }), null);
+      void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 20, durationS: 4 }), null);
     if (second % 10 === 5)
-      void cluster.runUser(cluster.newJob(SERVICE), cluster.random.between(5000, 15_000));
+      void cluster.users.run(cluster.users.newJob(SERVICE), cluster.random.between(5000, 15_000));
     if (second === 25) cluster.crash(leaderOrRandomNode(cluster), 150);
   },
   { capacity: 3, ordinaryUp: 4, teamLimit: 40 },
@@ -251,7 +254,7 @@
   (cluster, second) => {
     if (second !== 10 && second !== 38) return;
     const inside = (h: string): boolean =>
-      cluster.inZone('b')(h) || (cluster.isNode(h) && zoneOf(h.slice(0, 2)) === 'b');
+      cluster.faults.inZone('b')(h) || (cluster.isNode(h) && zoneOf(h.slice(0, 2)) === 'b');
     const until = cluster.clock.time + 16_000;
     cluster.network.partitions.push({
       a: inside,
@@ -260,7 +263,7 @@
       mode: second === 10 ? 'hold' : 'reset',
     });
     cluster.clock.after(2000, () => {
-      cluster.cancelRunning(3, 5000, 'n0');
+      cluster.faults.cancelRunning(3, 5000, 'n0');
     });
     cluster.clock.after(4000, () => {
       cluster.crash(leaderOrRandomNode(cluster), 150);
@@ -277,7 +280,7 @@
       cluster.state.rejectHost(`${leaderOrRandomNode(cluster)}:80`, 6000);
     if (second === 14) cluster.state.beginOutage(8000);
     if (second === 32) cluster.state.beginOutage(CANCEL_MS + 3000);
-    if (second % 9 === 4) cluster.cancelRunning(1, 3000);
+    if (second % 9 === 4) cluster.faults.cancelRunning(1, 3000);
   },
 );
 
@@ -288,7 +291,7 @@
     cluster.state.lateWrites = { share: 0.15, until: cluster.clock.time + 1000 };
     if (second % 18 === 9)
       cluster.crash(leaderOrRandomNode(cluster), cluster.random.pick([150, 3000]));
-    if (second % 12 === 7) cluster.cancelRunning(2, 2000);
+    if (second % 12 === 7) cluster.faults.cancelRunning(2, 2000);
   },
 );
 
@@ -297,9 +300,9 @@
   [191, 192, 193],
   (cluster, second) => {
     if (second % 6 === 2)
-      cluster.holdCommands(pickMachines(cluster, 0.4), cluster.random.between(1000, 6000));
+      cluster.faults.holdCommands(pickMachines(cluster, 0.4), cluster.random.between(1000, 6000));
     if (second % 7 === 5) hangMachines(cluster, 0.2, 5000);
-    if (second % 10 === 4) cluster.cancelRunning(2, 0);
+    if (second % 10 === 4) cluster.faults.cancelRunning(2, 0);
     if (second === 33) cluster.crash(leaderOrRandomNode(cluster), 150);
   },
 );
@@ -308,7 +311,7 @@
   'a leader ends while machines can not be reached, or do not hear the new one',
   [201, 202],
   (cluster, second) => {
-    const host = cluster.hostsOf(pickMachines(cluster, 0.3));
+    const host = cluster.faults.hostsOf(pickMachines(cluster, 0.3));
     const until = cluster.clock.time + cluster.random.between(6000, 14_000);
     if (second === 10)
       cluster.network.partitions.push({ a: host, b: () => true, until, mode: 'hold' });
@@ -321,7 +324,7 @@
         oneWay: true,
       });
     if (second === 11 || second === 37) cluster.crash(leaderOrRandomNode(cluster), 3000);
-    if (second === 14 || second === 40) cluster.cancelRunning(3, 0);
+    if (second === 14 || second === 40) cluster.faults.cancelRunning(3, 0);
   },
 );
 
@@ -330,21 +333,21 @@
   [211, 212],
   (cluster, second) => {
     const lone = cluster.nodeNames[0];
-    if (second === 8 || second === 14) cluster.blockConnections(() => true, 4500);
+    if (second === 8 || second === 14) cluster.faults.blockConnections(() => true, 4500);
     if (second === 24)
       for (const name of cluster.nodeNames) cluster.crash(name, name === lone ? 150 : 15_000);
     if (second === 48)
       for (const name of cluster.nodeNames)
         cluster.crash(name, name === lone ? 800 : cluster.random.between(2000, 6000));
-    if (second === 23 || second === 47) cluster.cancelRunning(2, 2000);
+    if (second === 23 || second === 47) cluster.faults.cancelRunning(2, 2000);
   },
 );
 
 faultCombination('jobs of one zone lose machines', [221, 222], (cluster, second) => {
   const array = { ...BATCH, oneZone: true, tasks: 6, durationS: 6 };
   if (second % 6 === 1)
-    void cluster.runUser(
-      cluster.newJob({ ...array, zone: cluster.random.pick(['a', 'b', null]) }),
+    void cluster.users.run(
+      cluster.users.newJob({ ...array, zone: cluster.random.pick(['a', 'b', null]) }),
       null,
     );
   if (second % 9 === 4) {
@@ -368,7 +371,7 @@
     });
     cluster.clock.after(4000, () => (cluster.network.duplicates = null));
     cluster.clock.after(6000, () => {
-      cluster.cancelRunning(2, 0);
+      cluster.faults.cancelRunning(2, 0);
     });
   },
 );
@@ -376,18 +379,21 @@
 test('a start is on its way when its job is called off: it meets a raised token', async () => {
   const cluster = await clusterWithServices({ seed: 241, teamLimit: 1000 });
   // So that all machines have the image, and a start is one at once.
-  void cluster.runUser(cluster.newJob({ ...BATCH, tasks: 80, durationS: 1, image: 'img-0' }), null);
+  void cluster.users.run(
+    cluster.users.newJob({ ...BATCH, tasks: 80, durationS: 1, image: 'img-0' }),
+    null,
+  );
   await cluster.run(20);
   for (const lateMs of [1600, 1900, 2200, 3500]) {
-    cluster.holdCommands(() => true, lateMs);
-    const submission = cluster.newJob({
+    cluster.faults.holdCommands(() => true, lateMs);
+    const submission = cluster.users.newJob({
       ...BATCH,
       tasks: 4,
       durationS: 30,
       image: 'img-0',
       imageGb: 0,
     });
-    void cluster.runUser(submission, 150);
+    void cluster.users.run(submission, 150);
     await cluster.run(8);
     const job = cluster.invariants.jobs.get(submission.id)!;
     assert.notEqual(job.reportedCancelledAt, null);
@@ -402,8 +408,8 @@
     cluster.nextMachineSlowness = 8;
     cluster.cloud.add('t16', 'a', false, true);
     for (let i = 0; i < 12; i++)
-      void cluster.runUser(
-        cluster.newJob({ ...BATCH, tasks: cluster.random.int(2, 3), durationS: 3 }),
+      void cluster.users.run(
+        cluster.users.newJob({ ...BATCH, tasks: cluster.random.int(2, 3), durationS: 3 }),
         null,
       );
     for (let second = 0; second < 40; second++) {
@@ -423,22 +429,22 @@
   const cluster = await clusterWithServices({ seed: 261 }, 1);
   const outcomes = new Map<string, number>();
   for (let i = 0; i < 60; i++) {
-    const submission = cluster.newJob({
+    const submission = cluster.users.newJob({
       ...BATCH,
       tasks: cluster.random.int(1, 3),
       durationS: 1,
       imageGb: 0,
     });
     const { id } = submission;
-    void cluster.runUser(submission, null);
+    void cluster.users.run(submission, null);
     await cluster.run(0.2);
     const job = cluster.invariants.jobs.get(id)!;
     for (let t = 0; t < 400 && job.finishedTasks.size < job.spec.tasks; t++)
       await cluster.run(0.02);
-    cluster.clock.after(cluster.random.between(0, 250), () => void cluster.cancel(id));
+    cluster.clock.after(cluster.random.between(0, 250), () => void cluster.users.cancel(id));
     for (let k = 0; k < 4; k++) {
-      cluster.clock.after(cluster.random.between(0, 400), () => void cluster.poll(id));
-      cluster.clock.after(cluster.random.between(0, 400), () => void cluster.resubmit(id));
+      cluster.clock.after(cluster.random.between(0, 400), () => void cluster.users.poll(id));
+      cluster.clock.after(cluster.random.between(0, 400), () => void cluster.users.resubmit(id));
     }
     await cluster.run(1);
     const how =
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,7 +1,8 @@
 /** One trouble each, looked at closely: what the seeded runs in cluster.test.ts would only show as a broken rule. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { CANCEL_MS, Cluster, LEASE_MS, zoneOf } from './sim/cluster.js';
+import { Cluster } from './sim/cluster.js';
+import { CANCEL_MS, LEASE_MS, zoneOf } from './sim/cluster-config.js';
 import { defaultOperatorSettings } from '../src/settings/operator.js';
 import { leaseExtensionMs } from '../src/leadership/lease-extension.js';
 import { BATCH, SERVICE } from './sim/jobs.js';
@@ -47,7 +48,7 @@
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(4);
-  void cluster.runUser(cluster.newJob(SERVICE), null);
+  void cluster.users.run(cluster.users.newJob(SERVICE), null);
   await cluster.run(12);
   assert.equal(cluster.invariants.placesByTask.size, 3);
   return cluster;
@@ -86,7 +87,7 @@
 test('a machine that hears nothing does not hold up a takeover', async () => {
   const cluster = await clusterWithService(12);
   const deaf = [...cluster.invariants.placesByTask.values()][0][0].machine;
-  void cluster.runUser(cluster.newJob({ ...BATCH, tasks: 30, durationS: 6 }), null);
+  void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 30, durationS: 6 }), null);
   await cluster.run(1);
   dropRequestsTo(cluster, deaf, Infinity);
   cluster.crash(cluster.leader()!, 200);
@@ -210,8 +211,8 @@
   cluster.state.putDirectly('d/run-700000/0', { odd: true });
   cluster.crash(cluster.leader()!, 200);
   await cluster.run(5);
-  const other = cluster.newJob({ ...BATCH, tasks: 4, durationS: 2 });
-  void cluster.runUser(other, null);
+  const other = cluster.users.newJob({ ...BATCH, tasks: 4, durationS: 2 });
+  void cluster.users.run(other, null);
   await cluster.run(25);
   assert.notEqual(cluster.invariants.jobs.get(other.id)!.reportedDoneAt, null, 'others run');
   for (const i of poison.keys()) {
@@ -228,11 +229,11 @@
   await cluster.run(4);
   const small = (count: number): void => {
     for (let i = 0; i < count; i++)
-      void cluster.runUser(cluster.newJob({ ...BATCH, tasks: 4, durationS: 20 }), null);
+      void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 4, durationS: 20 }), null);
   };
   small(40);
-  const large = cluster.newJob({ ...BATCH, tasks: 200, durationS: 20 });
-  void cluster.runUser(large, null);
+  const large = cluster.users.newJob({ ...BATCH, tasks: 200, durationS: 20 });
+  void cluster.users.run(large, null);
   for (let second = 0; second < 100; second++) {
     small(second % 2);
     await cluster.run(1);
@@ -248,7 +249,7 @@
   await cluster.run(4);
   const ids: string[] = [];
   for (let i = 0; i < 10; i++) {
-    const job = cluster.newJob({ ...SERVICE, tasks: 1 });
+    const job = cluster.users.newJob({ ...SERVICE, tasks: 1 });
     cluster.invariants.jobs.set(job.id, observedJob(job, cluster.clock.time));
     assert.equal((await requestFrom(cluster, 'n0', submitRequest(job))).status, 201);
     ids.push(job.id);
@@ -417,13 +418,13 @@
   cluster.network.repeatRate = 0;
   await cluster.run(4);
   await leaderFromZoneA(cluster);
-  for (let i = 0; i < 4; i++) void cluster.runUser(cluster.newJob(SERVICE), null);
+  for (let i = 0; i < 4; i++) void cluster.users.run(cluster.users.newJob(SERVICE), null);
   await cluster.run(14);
   assert.equal(cluster.invariants.placesByTask.size, 12);
   const { starts } = cluster.invariants;
   const leader = cluster.leader()!;
   const inZone = (zone: string) => (h: string) =>
-    cluster.inZone(zone)(h) || (/^n\d:80$/.test(h) && zoneOf(h.slice(0, 2)) === zone);
+    cluster.faults.inZone(zone)(h) || (/^n\d:80$/.test(h) && zoneOf(h.slice(0, 2)) === zone);
   const until = cluster.clock.time + leaseMs + 2500;
   cluster.network.partitions.push({
     a: (h) => h === `${leader}:80`,
@@ -461,7 +462,8 @@
   await cluster.run(12);
   // So that zone b with its two controllers is the one to lose.
   await leaderFromZoneA(cluster);
-  const inB = (h: string): boolean => cluster.inZone('b')(h) || h === 'n1:80' || h === 'n3:80';
+  const inB = (h: string): boolean =>
+    cluster.faults.inZone('b')(h) || h === 'n1:80' || h === 'n3:80';
   cluster.network.partitions.push({ a: inB, b: (h) => !inB(h), until: Infinity, mode: 'hold' });
   await cluster.run(1);
   cluster.crash(cluster.leader()!, 200);
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -1,8 +1,8 @@
 /** Gangs: all tasks at once or none, under troubles too. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Cluster, LEASE_MS } from './sim/cluster.js';
-import type { ClusterConfig } from './sim/cluster-config.js';
+import { Cluster } from './sim/cluster.js';
+import { type ClusterConfig, LEASE_MS } from './sim/cluster-config.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 import { type ScenarioOutcome, testScenarios } from './sim/run-scenario.js';
 import { duplicateHeartbeats, leaderOrRandomNode, pickMachines } from './sim/faults.js';
@@ -18,8 +18,8 @@
 }
 
 function submit(cluster: Cluster, over: Partial<JobSubmission>): ObservedJob {
-  const job = cluster.newJob(over);
-  void cluster.runUser(job, null);
+  const job = cluster.users.newJob(over);
+  void cluster.users.run(job, null);
   return cluster.invariants.jobs.get(job.id)!;
 }
 
@@ -313,7 +313,7 @@
     const cancelAfterMs = (): number | null =>
       cluster.random.chance(0.2) ? cluster.random.between(0, 12_000) : null;
     if (second % 3 === 0)
-      void cluster.runUser(cluster.newJob({ ...GANG, ...over }), cancelAfterMs());
+      void cluster.users.run(cluster.users.newJob({ ...GANG, ...over }), cancelAfterMs());
     troubles(cluster, second);
   };
   testScenarios(`gangs: ${name}`, seeds, eachSecond, {}, allGangsServed);
@@ -336,7 +336,8 @@
 gangDay('machines hang, die and are taken', [21, 22, 23], (cluster, second) => {
   const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
   if (!machine?.worker) return;
-  if (second % 6 === 2) cluster.hangMachine(machine.id, cluster.random.between(1000, 11_000));
+  if (second % 6 === 2)
+    cluster.faults.hangMachine(machine.id, cluster.random.between(1000, 11_000));
   if (second % 8 === 5) cluster.cloud.preempt(machine);
   if (second % 10 === 7 && machine.spot) {
     machine.worker.preemptionDeadline = cluster.clock.time + 6000;
@@ -360,15 +361,15 @@
     });
   if (second === 15) cluster.state.rejectHost(`${cluster.leader() ?? 'n0'}:80`, 9000);
   if (second === 30) cluster.state.beginOutage(LEASE_MS + 4000);
-  if (second === 45) cluster.isolate(cluster.leader() ?? 'n1', 12_000, mode);
-  if (second % 12 === 8) cluster.cancelRunning(2, 3000);
+  if (second === 45) cluster.faults.isolate(cluster.leader() ?? 'n1', 12_000, mode);
+  if (second % 12 === 8) cluster.faults.cancelRunning(2, 3000);
 });
 
 gangDay('late copies of reports, held commands, late transactions', [41, 42], (cluster, second) => {
   duplicateHeartbeats(cluster, 0.15);
   cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 1000 };
   if (second % 9 === 2) {
-    cluster.holdCommands(pickMachines(cluster, 0.3), cluster.random.between(1000, 5000));
+    cluster.faults.holdCommands(pickMachines(cluster, 0.3), cluster.random.between(1000, 5000));
   }
   if (second % 20 === 12) cluster.crash(cluster.leader() ?? 'n2', 150);
 });
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -94,7 +94,7 @@
     checkpointEveryS: 1,
     checkpointS: 3,
   };
-  void cluster.runUser(cluster.newJob(saving), null);
+  void cluster.users.run(cluster.users.newJob(saving), null);
   await cluster.run(12);
   const [[task, [{ machine }]]] = [...cluster.invariants.placesByTask];
   const worker = cluster.cloud.machines.get(machine)!.worker!;
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -32,7 +32,7 @@
 }
 
 function submit(cluster: Cluster, count: number, job: Partial<JobSubmission>): void {
-  for (let i = 0; i < count; i++) void cluster.runUser(cluster.newJob(job), null);
+  for (let i = 0; i < count; i++) void cluster.users.run(cluster.users.newJob(job), null);
 }
 
 /** Arrays that fill nearly all of the fleet, one task a machine, and services beside them. */
@@ -48,10 +48,10 @@
 /** Rules kept, nothing asked beyond the limits of others, and placing in proportion to what there was to place. */
 function expectProportionate(cluster: Cluster, work: PlacementWork, seconds: number): void {
   assert.deepEqual(cluster.invariants.violations, []);
-  assert.equal(cluster.cloud.received.exceedsRate, 0);
+  assert.equal(cluster.cloud.received.tooMany, 0);
   const { received } = cluster.state;
   assert.ok(received.requests < 90 * seconds, `${received.requests} requests in ${seconds} s`);
-  assert.ok(received.exceedsRate < 60, `${received.exceedsRate} requests over the limits`);
+  assert.ok(received.tooMany < 60, `${received.tooMany} requests over the limits`);
   assert.ok(
     work.candidatesExamined < 100 * work.starts,
     `${work.candidatesExamined} candidates examined for ${work.starts} starts`,
@@ -69,19 +69,19 @@
     `${cluster.invariants.placesByTask.size} tasks run`,
   );
   cluster.crash(cluster.leader()!, 3000);
-  cluster.cancelRunning(3, 12_000);
+  cluster.faults.cancelRunning(3, 12_000);
   await cluster.run(10);
   cluster.network.partitions.push({
-    a: cluster.inZone('d'),
+    a: cluster.faults.inZone('d'),
     b: () => true,
     until: cluster.clock.time + 18_000,
     mode: 'hold',
   });
   await cluster.run(8);
-  cluster.cancelRunning(3, 12_000);
+  cluster.faults.cancelRunning(3, 12_000);
   for (const name of cluster.nodeNames) cluster.crash(name, 4000);
   await cluster.run(20);
-  cluster.cancelRunning(3, 12_000);
+  cluster.faults.cancelRunning(3, 12_000);
   cluster.state.beginOutage(1.2 * LEASE_MS);
   await cluster.run(45);
   cluster.faultsEndedAt = cluster.clock.time;
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -30,7 +30,10 @@
   const watch = mode === 'on' ? new CloudInvariants(cluster) : null;
   await cluster.run(14);
   for (let i = 0; i < 16; i++)
-    void cluster.runUser(cluster.newJob({ ...BATCH, tasks: 125, cpus: CPUS, durationS: 30 }), null);
+    void cluster.users.run(
+      cluster.users.newJob({ ...BATCH, tasks: 125, cpus: CPUS, durationS: 30 }),
+      null,
+    );
   for (let round = 0; round < 6; round++) {
     await cluster.run(10);
     const duty = DUTIES[round % DUTIES.length];
@@ -48,8 +51,8 @@
   const { received } = cluster.state;
   console.log(
     `${mode}: ${cluster.invariants.violations.length} rules broken, ${cluster.cloud.machines.size} machines left after ${seconds} s, ` +
-      `cloud: ${cluster.cloud.received.calls} calls, ${cluster.cloud.received.exceedsRate} over the rate; ` +
-      `state: ${received.requests} requests, ${received.changes} changes, ${received.exceedsRate} over the limits; ` +
+      `cloud: ${cluster.cloud.received.calls} calls, ${cluster.cloud.received.tooMany} over the rate; ` +
+      `state: ${received.requests} requests, ${received.changes} changes, ${received.tooMany} over the limits; ` +
       `deletions ${watch?.deletions ?? '-'}, intents ${watch?.intents.size ?? '-'}`,
   );
   for (const line of cluster.invariants.violations.slice(0, 5)) console.log(line);
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -7,7 +7,8 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Cluster, LEASE_MS } from './sim/cluster.js';
+import { Cluster } from './sim/cluster.js';
+import { LEASE_MS } from './sim/cluster-config.js';
 import { BATCH } from './sim/jobs.js';
 import { startsTasks } from './sim/wire/workers.js';
 
@@ -39,10 +40,13 @@
     cluster.network.repeatRate = 0;
     await cluster.run(10);
     // Long enough that every worker's lease ends; commands still reach them.
-    cluster.blockConnections(() => true, LEASE_MS + 50);
+    cluster.faults.blockConnections(() => true, LEASE_MS + 50);
     await cluster.run(7);
     delayStarts(cluster, cluster.clock.time + START_DELAY_MS);
-    void cluster.runUser(cluster.newJob({ ...BATCH, team: 't0', tasks: 30, durationS: 60 }), null);
+    void cluster.users.run(
+      cluster.users.newJob({ ...BATCH, team: 't0', tasks: 30, durationS: 60 }),
+      null,
+    );
     await cluster.run(15);
     assert.ok(cluster.invariants.placesByTask.size > 0, 'tasks run');
     assert.deepEqual(cluster.invariants.violations, []);
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -61,7 +61,7 @@
     await roll.cluster.run(6);
     const node = roll.cluster.node(name);
     assert.match(node.unhealthyReason() ?? '', /level is 2, and this is build 0\.0\.9/);
-    const body = encodeSubmission(roll.cluster.newJob(BATCH));
+    const body = encodeSubmission(roll.cluster.users.newJob(BATCH));
     assert.equal((await node.api.submit(body)).status, 503);
     assert.equal((await node.api.poll('run-000001')).status, 503);
     assert.equal((await node.api.cancel('run-000001')).status, 503);
@@ -275,8 +275,8 @@
   for (const name of NAMES) roll.cluster.crash(name, 50);
   roll.cluster.state.bounds = { valueBytes: 512, txnOps: 12 };
   await roll.reaches('stable', 2);
-  const job = roll.cluster.newJob({ ...BATCH, tasks: 9000, durationS: 0.5, team: 't0' });
-  void roll.cluster.runUser(job, null);
+  const job = roll.cluster.users.newJob({ ...BATCH, tasks: 9000, durationS: 0.5, team: 't0' });
+  void roll.cluster.users.run(job, null);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
   assert.equal((await roll.ask('downgrade')).kind, 'done');
   await roll.until('kept', () => roll.level.state === 'stable');
@@ -354,7 +354,8 @@
         if (second % 19 === 11)
           cluster.state.lateWrites = { share: 0.3, until: cluster.clock.time + 2000 };
         if (second % 13 === 7) cluster.freeze(name, cluster.random.between(500, 6000));
-        if (second % 21 === 15) cluster.isolate(name, cluster.random.between(1000, 5000), 'reset');
+        if (second % 21 === 15)
+          cluster.faults.isolate(name, cluster.random.between(1000, 5000), 'reset');
         if (second === 50) for (const each of NAMES) cluster.builds.set(each, NEW);
         if (second === 52)
           for (const each of NAMES) cluster.crash(each, cluster.random.between(50, 2000));
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -6,8 +6,8 @@
 import { logPlacementWork } from './sim/faults.js';
 
 const submitService = (cluster: Cluster): void =>
-  void cluster.runUser(
-    cluster.newJob({
+  void cluster.users.run(
+    cluster.users.newJob({
       kind: 'service',
       jobClass: 'desk',
       priority: 'production',
@@ -23,8 +23,8 @@
   );
 
 const submitArray = (cluster: Cluster): void =>
-  void cluster.runUser(
-    cluster.newJob({
+  void cluster.users.run(
+    cluster.users.newJob({
       kind: 'array',
       jobClass: 'batch',
       priority: 'normal',
@@ -80,7 +80,7 @@
     `${received.changes} changes for ${submitted} jobs`,
   );
   assert.ok(received.requests < 90 * 100, `${received.requests} requests`);
-  assert.ok(received.exceedsRate < 20, `${received.exceedsRate} requests over the limits`);
+  assert.ok(received.tooMany < 20, `${received.tooMany} requests over the limits`);
 });
 
 test('more than a thousand machines: waves of deaths and hangs, a zone cut off, a frozen leader, all crashing in an outage', async () => {
@@ -119,7 +119,7 @@
     if (second === 20) {
       const until = cluster.clock.time + 18_000;
       cluster.network.partitions.push({
-        a: cluster.inZone('d'),
+        a: cluster.faults.inZone('d'),
         b: () => true,
         until,
         mode: 'hold',
@@ -141,7 +141,7 @@
   assert.ok(cluster.invariants.starts > 6000, `${cluster.invariants.starts} starts`);
   const { received } = cluster.state;
   assert.ok(received.requests < 90 * 125, `${received.requests} requests`);
-  assert.ok(received.exceedsRate < 40, `${received.exceedsRate} requests over the limits`);
+  assert.ok(received.tooMany < 40, `${received.tooMany} requests over the limits`);
   assert.ok(
     most.candidatesExamined < 1500 * most.starts,
     `${most.candidatesExamined} candidates examined for ${most.starts} starts`,
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -2,6 +2,7 @@
 import type { Body } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
+import { RateLimit } from './rate-limit.js';
 import {
   type CloudType,
   type MachineListEntry,
@@ -45,6 +46,8 @@
   },
 ];
 
+/** Bursts of so many seconds' worth of calls are allowed. */
+const BURST_S = 2;
 /** A page of the list holds at most so many machines. */
 const PAGE = 500;
 
@@ -56,9 +59,8 @@
   private next = 1;
   downUntil = 0;
   /** Calls that came, and those beyond the rate, which get 429. */
-  readonly received = { calls: 0, exceedsRate: 0 };
-  private level: number;
-  private levelAt = 0;
+  readonly received = { calls: 0, tooMany: 0 };
+  private readonly rateLimit: RateLimit | null;
 
   constructor(
     private readonly clock: VirtualClock,
@@ -66,28 +68,22 @@
     private readonly pools: CloudPool[],
     private readonly boot: (machine: CloudMachine) => Worker,
     private readonly endpointOf: (id: string) => string = (id) => `w-${id}:9000`,
-    private readonly rps = Infinity,
+    rps = Infinity,
     private readonly types = TYPES,
   ) {
-    this.level = 2 * rps;
+    this.rateLimit = rps === Infinity ? null : new RateLimit(rps, BURST_S * rps);
     this.snapshotLoop();
   }
 
-  /** Bursts of two seconds' worth are allowed. */
-  private tooMany(): boolean {
+  private exceedsRate(): boolean {
     this.received.calls++;
-    if (this.rps === Infinity) return false;
-    this.level = Math.min(
-      2 * this.rps,
-      this.level + ((this.clock.time - this.levelAt) / 1000) * this.rps,
-    );
-    this.levelAt = this.clock.time;
-    if (this.level < 1) {
-      this.received.exceedsRate++;
-      return true;
+    if (!this.rateLimit) return false;
+    if (this.rateLimit.has(1, this.clock.time)) {
+      this.rateLimit.take(1);
+      return false;
     }
-    this.level--;
-    return false;
+    this.received.tooMany++;
+    return true;
   }
 
   /** Names are never used twice: those of machines that tests only tell of are passed over. */
@@ -152,7 +148,7 @@
   }
 
   handle(path: string, body: Body): Reply {
-    if (this.tooMany()) return { status: 429, body: {} };
+    if (this.exceedsRate()) return { status: 429, body: {} };
     if (this.clock.time < this.downUntil) return { status: 503, body: { error: 'trouble' } };
     const request = decodeCloudRequest(path, body);
     switch (request.kind) {
--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -1,9 +1,25 @@
 /** How large a simulated deployment is, and what it runs. */
 import type { DutySettings } from '@millring/duties';
 import type { Build, RolloutSettings } from '@millring/rollout';
-import type { CloudPool } from './cloud.js';
+import { type CloudPool, TYPES } from './cloud.js';
+import { POLL_MS } from './worker.js';
 import type { CloudType } from './wire/cloud.js';
 
+/** The teams of users. */
+export const TEAMS = ['t0', 't1'];
+export const REPORT_MS = 1000;
+export const LEASE_MS = 8000;
+export const CANCEL_MS = 22_000;
+const CLOUD_RPS = 5;
+const TEAM_LIMIT_CPUS = 80;
+const NODES = 3;
+const CAPACITY = 4;
+const ORDINARY_UP = 4;
+
+/** Nodes with an even number are in zone `a`, the others in zone `b`. */
+export const zoneOf = (node: string): string => (Number(node.slice(1)) % 2 ? 'b' : 'a');
+
+/** What differs from the deployment that most tests use. */
 export interface ClusterConfig {
   seed: number;
   saveMoney?: boolean;
@@ -33,3 +49,43 @@
   builds?: Record<string, Build>;
   log?: (node: string, text: string, fields: object) => void;
 }
+
+/** A configuration in which everything that has a default is set. */
+export type CompleteClusterConfig = ClusterConfig &
+  Required<
+    Pick<
+      ClusterConfig,
+      | 'builds'
+      | 'cancelMs'
+      | 'cloudRps'
+      | 'leaseMs'
+      | 'nodes'
+      | 'ordinaryUp'
+      | 'pollMs'
+      | 'pools'
+      | 'reportMs'
+      | 'teamLimit'
+      | 'types'
+      | 'zones'
+    >
+  >;
+
+export function completeConfig(config: ClusterConfig): CompleteClusterConfig {
+  const zones = config.zones ?? ['a', 'b'];
+  const count = config.capacity ?? CAPACITY;
+  return {
+    builds: {},
+    cancelMs: CANCEL_MS,
+    cloudRps: CLOUD_RPS,
+    leaseMs: LEASE_MS,
+    nodes: NODES,
+    ordinaryUp: ORDINARY_UP,
+    pollMs: POLL_MS,
+    pools: zones.map((zone) => ({ type: 't16', zone, count })),
+    reportMs: REPORT_MS,
+    teamLimit: TEAM_LIMIT_CPUS,
+    types: TYPES,
+    zones,
+    ...config,
+  };
+}
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -3,43 +3,32 @@
 import { BUILD } from '../../src/build.js';
 import { ControllerNode } from '../../src/node.js';
 import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
-import type { Log, Reply } from '../../src/runtime.js';
+import type { Log } from '../../src/runtime.js';
 import { defaultOperatorSettings } from '../../src/settings/operator.js';
-import type { Objective, PlatformSettings } from '../../src/settings/platform.js';
+import type { PlatformSettings } from '../../src/settings/platform.js';
 import type { PeerMessage } from '../../src/peers/peer-messages.js';
-import type { Body } from '../../src/wire/cbor.js';
-import { CloudService, type CloudMachine, TYPES } from './cloud.js';
-import type { ClusterConfig } from './cluster-config.js';
+import { CloudService, type CloudMachine } from './cloud.js';
+import {
+  type ClusterConfig,
+  type CompleteClusterConfig,
+  TEAMS,
+  completeConfig,
+} from './cluster-config.js';
+import { ClusterFaults } from './cluster-faults.js';
 import { VirtualClock } from './clock.js';
-import { GANG_PEER_MS, GANG_WAIT_MS, GangCoordinator } from './gang-coordinator.js';
-import { randomJob } from './jobs.js';
+import { GangCoordinator } from './gang-coordinator.js';
 import { Network } from './network.js';
+import { serveNode } from './node-requests.js';
+import { nodeSettings } from './node-settings.js';
 import { type SimulatedProcess, simulatedRuntime } from './simulated-runtime.js';
 import { SeededRandom } from './random.js';
-import { type MachineRoom, Invariants, observedJob } from './invariants.js';
+import { type MachineRoom, Invariants } from './invariants.js';
 import { StateService } from './state-service.js';
-import {
-  type JobReply,
-  type JobSubmission,
-  type UserRequest,
-  cancelRequest,
-  decodeJobReply,
-  pollRequest,
-  submitRequest,
-  userOperation,
-} from './wire/users.js';
-import { HEARTBEAT_PATH } from './wire/workers.js';
-import { POLL_MS, Worker } from './worker.js';
+import { Users } from './users.js';
+import { Worker } from './worker.js';
 import { quietLog } from './quiet-log.js';
 import { withoutGate } from './without-gate.js';
 
-export const zoneOf = (node: string): string => (Number(node.slice(1)) % 2 ? 'b' : 'a');
-export const REPORT_MS = 1000;
-export const LEASE_MS = 8000;
-export const CANCEL_MS = 22_000;
-const CLOUD_RPS = 5;
-const USER_TIMEOUT_MS = 5000;
-
 interface NodeProcess extends SimulatedProcess {
   node: ControllerNode;
 }
@@ -52,61 +41,66 @@
   readonly cloud: CloudService;
   readonly invariants: Invariants;
   readonly gangs: GangCoordinator;
+  readonly users: Users;
+  readonly faults: ClusterFaults;
   readonly nodeNames: string[];
   private readonly processes = new Map<string, NodeProcess>();
-  private nextJob = 1;
   nextMachineFaulty = false;
   nextMachineSlowness = 1;
   /** Further checks after each step. */
   readonly checks: (() => void)[] = [];
   /** Nodes that run, from their next start on, as a build from before levels would: see `withoutGate`. */
   readonly ungated = new Set<string>();
-  /** When all troubles were over. */
+  /** When the last fault was over. */
   faultsEndedAt: number | null = null;
 
-  constructor(private readonly config: ClusterConfig) {
-    this.nodeNames = Array.from({ length: config.nodes ?? 3 }, (_, i) => `n${i}`);
-    this.builds = new Map(Object.entries(config.builds ?? {}));
+  private readonly config: CompleteClusterConfig;
+
+  constructor(given: ClusterConfig) {
+    const config = completeConfig(given);
+    this.config = config;
+    this.nodeNames = Array.from({ length: config.nodes }, (_, i) => `n${i}`);
+    this.builds = new Map(Object.entries(config.builds));
     this.random = new SeededRandom(config.seed);
     this.network = new Network(this.clock, this.random);
     this.gangs = new GangCoordinator(this.clock, this.random);
-    const limit = config.teamLimit ?? 80;
     this.invariants = new Invariants(
       () => this.clock.time,
-      config.cancelMs ?? CANCEL_MS,
-      new Map([
-        ['t0', limit],
-        ['t1', limit],
-      ]),
+      config.cancelMs,
+      new Map(TEAMS.map((team) => [team, config.teamLimit])),
     );
     this.state = new StateService(this.clock, this.random, config.state ?? null);
-    const cap = config.capacity ?? 4;
-    const zones = config.zones ?? ['a', 'b'];
-    const pools = config.pools ?? zones.map((zone) => ({ type: 't16', zone, count: cap }));
-    this.cloud = new CloudService(
-      this.clock,
-      this.random,
-      pools,
-      (m) => this.bootWorker(m),
-      (id) => `w-${id}:9000`,
-      config.cloudRps ?? CLOUD_RPS,
-      config.types,
-    );
+    this.cloud = this.createCloud();
+    this.users = new Users(this);
+    this.faults = new ClusterFaults(this);
     this.network.hosts.set('state:1', {
-      handler: (m, p, b, from) => this.state.handle(m, p, b, from),
+      handler: (...request) => this.state.handle(...request),
       hangsUntil: 0,
     });
     this.network.hosts.set('cloud:1', {
-      handler: (_m, p, b) => this.cloud.handle(p, b),
+      handler: (_method, path, body) => this.cloud.handle(path, body),
       hangsUntil: 0,
     });
     for (const name of this.nodeNames) this.startNode(name);
-    for (let i = 0; i < (config.ordinaryUp ?? 4); i++)
-      this.cloud.add('t16', zones[(i + 1) % zones.length], false, true);
+    for (let i = 0; i < config.ordinaryUp; i++)
+      this.cloud.add('t16', config.zones[(i + 1) % config.zones.length], false, true);
+  }
+
+  private createCloud(): CloudService {
+    const { pools, cloudRps, types } = this.config;
+    return new CloudService(
+      this.clock,
+      this.random,
+      pools,
+      (machine) => this.bootWorker(machine),
+      (id) => `w-${id}:9000`,
+      cloudRps,
+      types,
+    );
   }
 
   private cpusOf(machine: CloudMachine): number {
-    return (this.config.types ?? TYPES).find((type) => type.name === machine.type)!.cpus;
+    return this.config.types.find((type) => type.name === machine.type)!.cpus;
   }
 
   private bootWorker(machine: CloudMachine): Worker {
@@ -117,9 +111,9 @@
       cpus: this.cpusOf(machine),
       zone: machine.zone,
       spot: machine.spot,
-      reportMs: this.config.reportMs ?? REPORT_MS,
-      leaseMs: this.config.leaseMs ?? LEASE_MS,
-      pollMs: this.config.pollMs ?? POLL_MS,
+      reportMs: this.config.reportMs,
+      leaseMs: this.config.leaseMs,
+      pollMs: this.config.pollMs,
       nodes: this.nodeNames.map((name) => ({ name, address: `${name}:80` })),
       slow: this.nextMachineSlowness,
       faulty: this.nextMachineFaulty,
@@ -143,46 +137,6 @@
     return this.ungatedNow.has(name);
   }
 
-  private settings(name: string): PlatformSettings {
-    const limit = this.config.teamLimit ?? 80;
-    const money: Objective[] = this.config.saveMoney
-      ? [{ kind: 'price', cls: null, withinS: null }]
-      : [];
-    return {
-      node: name,
-      zone: zoneOf(name),
-      listen: `${name}:80`,
-      peerBind: `${name}:81`,
-      peers: this.nodeNames
-        .filter((n) => n !== name)
-        .map((n) => ({ name: n, zone: zoneOf(n), address: `${n}:81` })),
-      cloud: 'cloud:1',
-      state: 'state:1',
-      nodes: this.nodeNames.length,
-      teams: ['t0', 't1'].map((task) => ({
-        name: task,
-        cpus: 16,
-        gpus: 0,
-        cpusMax: limit,
-        gpusMax: Infinity,
-      })),
-      objectives: money,
-      reportS: (this.config.reportMs ?? REPORT_MS) / 1000,
-      leaseS: (this.config.leaseMs ?? LEASE_MS) / 1000,
-      cancelS: (this.config.cancelMs ?? CANCEL_MS) / 1000,
-      gangWaitS: GANG_WAIT_MS / 1000,
-      gangPeerS: GANG_PEER_MS / 1000,
-      stateRps: this.config.state?.rps ?? 200,
-      stateWriteRps: this.config.state?.writeRps ?? 40,
-      valueKb: 4,
-      txnOps: 12,
-      cloudRps: this.config.cloudRps ?? CLOUD_RPS,
-      listLagS: 2,
-      sockets: 1000,
-      ...this.overrides.get(name),
-    };
-  }
-
   /** How far a node's time of day is off. */
   readonly wallSkewMs = new Map<string, number>();
 
@@ -205,12 +159,12 @@
   }
 
   startNode(name: string): void {
-    const life: Partial<NodeProcess> & SimulatedProcess = { alive: true, frozenUntil: 0 };
-    const world = simulatedRuntime(`${name}:80`, life, {
+    const process: Partial<NodeProcess> & SimulatedProcess = { alive: true, frozenUntil: 0 };
+    const runtime = simulatedRuntime(`${name}:80`, process, {
       clock: this.clock,
       net: this.network,
       random: this.random,
-      own: this.clock.host(this.random.between(1, 1.0005), () => life.alive),
+      own: this.clock.host(this.random.between(1, 1.0005), () => process.alive),
       log: this.logOf(name),
       seen: this.ungated.has(name) ? withoutGate : undefined,
     });
@@ -229,8 +183,8 @@
     if (this.ungated.has(name)) this.ungatedNow.add(name);
     else this.ungatedNow.delete(name);
     const node = new ControllerNode(
-      world,
-      this.settings(name),
+      runtime,
+      { ...nodeSettings(name, this.nodeNames, this.config), ...this.overrides.get(name) },
       {
         ...operator,
         duties: { ...operator.duties, ...this.config.duties },
@@ -242,39 +196,19 @@
       tell,
       build,
     );
-    life.node = node;
-    this.processes.set(name, life as NodeProcess);
+    process.node = node;
+    this.processes.set(name, process as NodeProcess);
     this.network.hosts.set(`${name}:80`, {
-      handler: (m, p, b) => this.serve(node, m, p, b),
+      handler: (method, path, body) => serveNode(node, method, path, body),
       hangsUntil: 0,
     });
     node.run();
   }
 
-  private async serve(
-    node: ControllerNode,
-    method: string,
-    path: string,
-    body: Body,
-  ): Promise<Reply> {
-    if (path === HEARTBEAT_PATH) return node.handleHeartbeat(body);
-    const operation = userOperation(method, path);
-    switch (operation?.kind) {
-      case 'submit':
-        return node.api.submit(body);
-      case 'poll':
-        return node.api.poll(operation.id);
-      case 'cancel':
-        return node.api.cancel(operation.id);
-      default:
-        throw new Error(`unknown request to a controller: ${method} ${path}`);
-    }
-  }
-
   crash(name: string, downMs: number): void {
-    const life = this.processes.get(name)!;
-    if (!life.alive) return;
-    life.alive = false;
+    const process = this.processes.get(name)!;
+    if (!process.alive) return;
+    process.alive = false;
     this.network.hosts.get(`${name}:80`)!.handler = null;
     this.clock.after(downMs, () => {
       this.startNode(name);
@@ -289,76 +223,7 @@
   }
 
   isNode(host: string): boolean {
-    return this.nodeNames.some((n) => host === `${n}:80`);
-  }
-
-  hostsOf(machines: (id: string) => boolean): (host: string) => boolean {
-    return (host) => {
-      const id = /^w-(.*):9000$/.exec(host)?.[1];
-      return id !== undefined && machines(id);
-    };
-  }
-
-  /** Commands to these machines and their answers are held for a while, and arrive after it. */
-  holdCommands(machines: (id: string) => boolean, ms: number): void {
-    const chosen = this.hostsOf(machines);
-    const until = this.clock.time + ms;
-    this.network.partitions.push({
-      a: (h) => this.isNode(h),
-      b: chosen,
-      until,
-      mode: 'hold',
-      connectionsOnly: true,
-    });
-  }
-
-  /** The machines can't open connections to any controller, while direct commands reach them. */
-  blockConnections(machines: (id: string) => boolean, ms: number): void {
-    const chosen = this.hostsOf(machines);
-    const until = this.clock.time + ms;
-    this.network.partitions.push({
-      a: chosen,
-      b: (h) => this.isNode(h),
-      until,
-      mode: 'reset',
-      connectionsOnly: true,
-    });
-  }
-
-  /** What runs now, by job. */
-  runningJobs(): string[] {
-    const ids = [...this.invariants.placesByTask.keys()].map((t) => t.slice(0, t.lastIndexOf('/')));
-    return [...new Set(ids)].filter((id) => !this.invariants.jobs.get(id)!.cancelRequested);
-  }
-
-  /** Users call off jobs that run, all at once; their machines stand still for as long. */
-  cancelRunning(count: number, hangMs: number, via?: string): void {
-    for (const id of this.runningJobs().slice(0, count)) {
-      void this.cancel(id, via);
-      for (const [task, places] of this.invariants.placesByTask)
-        if (task.startsWith(`${id}/`))
-          for (const place of places) this.hangMachine(place.machine, hangMs);
-    }
-  }
-
-  /** The machine stands still, and goes on within its lease. */
-  hangMachine(machine: string, ms: number): void {
-    this.network.hosts.get(`w-${machine}:9000`)!.hangsUntil = this.clock.time + ms;
-  }
-
-  /** The node loses the state service and the other controllers, not its workers or users. */
-  isolate(name: string, ms: number, mode: 'hold' | 'reset'): void {
-    this.network.partitions.push({
-      a: (h) => h === `${name}:80`,
-      b: (h) => h === 'state:1' || this.isNode(h),
-      until: this.clock.time + ms,
-      mode,
-    });
-  }
-
-  /** Everything that ends at a machine of the zone. */
-  inZone(zone: string): (host: string) => boolean {
-    return this.hostsOf((id) => this.cloud.machines.get(id)?.zone === zone);
+    return this.nodeNames.some((name) => host === `${name}:80`);
   }
 
   node(name: string): ControllerNode {
@@ -373,92 +238,18 @@
     return this.processes.get(name)!.node.healthy();
   }
 
+  private leads(name: string): boolean {
+    const { alive, node } = this.processes.get(name)!;
+    return alive && node.leadership.isLeader();
+  }
+
   leader(): string | undefined {
-    return this.nodeNames.find(
-      (n) => this.processes.get(n)!.alive && this.processes.get(n)!.node.leadership.isLeader(),
-    );
+    return this.nodeNames.find((name) => this.leads(name));
   }
 
   /** How many nodes think that they lead: never more than one. */
   leaders(): number {
-    return this.nodeNames.filter(
-      (n) => this.processes.get(n)!.alive && this.processes.get(n)!.node.leadership.isLeader(),
-    ).length;
-  }
-
-  // Users.
-
-  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
-    return { ...randomJob(this.nextJob++, this.random), ...over };
-  }
-
-  private async request({ method, path, body }: UserRequest, via?: string): Promise<JobReply> {
-    const node = via ?? this.random.pick(this.nodeNames);
-    return decodeJobReply(
-      await this.network.send('user', `${node}:80`, method, path, body, USER_TIMEOUT_MS),
-    );
-  }
-
-  /** Asks, through `via` or any node, until there is an answer that stands. */
-  private async retryUntilAnswered(
-    id: string,
-    request: UserRequest,
-    via?: string,
-  ): Promise<JobReply> {
-    for (let i = 0; ; i++) {
-      const asked = this.clock.time;
-      const reply = await this.request(request, via);
-      if (reply.job) {
-        this.invariants.recordAnswer(id, reply, asked);
-        return reply;
-      }
-      if (reply.status === 400 || reply.status === 422 || i > 60) return reply;
-      await this.later(1000);
-    }
-  }
-
-  /** The user calls the job off. */
-  async cancel(id: string, via?: string): Promise<void> {
-    this.invariants.jobs.get(id)!.cancelRequested = true;
-    await this.retryUntilAnswered(id, cancelRequest(id), via);
-  }
-
-  private later(ms: number): Promise<void> {
-    return new Promise((done) => this.clock.after(ms, done));
-  }
-
-  async poll(id: string): Promise<JobReply> {
-    const asked = this.clock.time;
-    const reply = await this.request(pollRequest(id));
-    this.invariants.recordAnswer(id, reply, asked);
-    return reply;
-  }
-
-  /** The same submission once more. */
-  async resubmit(id: string): Promise<JobReply> {
-    const asked = this.clock.time;
-    const reply = await this.request(submitRequest(this.invariants.jobs.get(id)!.spec));
-    this.invariants.recordAnswer(id, reply, asked);
-    if (reply.status === 400 || reply.status === 422)
-      this.invariants.recordViolation('forgotten', id);
-    return reply;
-  }
-
-  /** Submits with retries, polls until the end; cancels after a while if asked to. */
-  async runUser(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
-    const { id } = job;
-    const facts = observedJob(job, this.clock.time);
-    this.invariants.jobs.set(id, facts);
-    const first = await this.retryUntilAnswered(id, submitRequest(job));
-    if (first.status === 422 && facts.reportedAccepted)
-      this.invariants.recordViolation('forgotten', id);
-    if (!facts.reportedAccepted) return;
-    if (cancelAfterMs !== null) this.clock.after(cancelAfterMs, () => void this.cancel(id));
-    for (;;) {
-      await this.later(this.random.between(2000, 5000));
-      await this.poll(id);
-      if (this.random.chance(0.03)) void this.retryUntilAnswered(id, submitRequest(job));
-    }
+    return this.nodeNames.filter((name) => this.leads(name)).length;
   }
 
   private fetching(): string[] {
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -86,50 +86,54 @@
     return { ...SETTINGS, ...this.config.settings };
   }
 
-  private world(name: string, life: SimulatedProcess, rate: number): Runtime {
+  private runtime(name: string, process: SimulatedProcess, rate: number): Runtime {
     const note = (fields: object, text: string): void => {
       this.lines.push({ name, text, fields });
     };
-    return simulatedRuntime(`${name}:80`, life, {
+    return simulatedRuntime(`${name}:80`, process, {
       clock: this.clock,
       net: this.net,
       random: this.random,
-      own: this.clock.host(rate, () => life.alive),
+      own: this.clock.host(rate, () => process.alive),
       log: { ...quietLog, info: note, error: note },
     });
   }
 
   start(name: string): void {
-    const life: SimulatedProcess = { alive: true, frozenUntil: 0 };
-    const member = this.createMember(name, life, this.settings());
-    this.processes.set(name, Object.assign(life, { member }));
+    const process: SimulatedProcess = { alive: true, frozenUntil: 0 };
+    const member = this.createMember(name, process, this.settings());
+    this.processes.set(name, Object.assign(process, { member }));
     member.run();
   }
 
-  private createMember(name: string, life: SimulatedProcess, settings: DutySettings): DutyMember {
-    const world = this.world(name, life, this.random.between(1, DRIFT_AT_MOST));
+  private createMember(
+    name: string,
+    process: SimulatedProcess,
+    settings: DutySettings,
+  ): DutyMember {
+    const runtime = this.runtime(name, process, this.random.between(1, DRIFT_AT_MOST));
     // Clocks of day differ by days.
     const offMs = this.random.between(-DAY_MS, DAY_MS);
     return new DutyMember({
       environment: {
-        clock: world.clock,
-        log: world.log,
-        random: () => world.random(),
+        clock: runtime.clock,
+        log: runtime.log,
+        random: () => runtime.random(),
         wallMs: () => 1e12 + this.clock.time + offMs,
       },
-      store: this.storeOf(world),
+      store: this.storeOf(runtime),
       self: name,
       process: `${name}-${this.clock.time}-${this.random.unit()}`,
       settings,
-      provider: new FencedProviderClient({ http: world.http, address: PROVIDER }),
+      provider: new FencedProviderClient({ http: runtime.http, address: PROVIDER }),
       txnOps: 12,
       mayHold: () => !this.turnedOff.has(name),
       leader: () => this.config.leader ?? null,
     });
   }
 
-  private storeOf(world: Runtime): StateStore {
-    return new StateStore(world, {
+  private storeOf(runtime: Runtime): StateStore {
+    return new StateStore(runtime, {
       address: STATE,
       nodes: this.names.length,
       rps: 200,
@@ -138,13 +142,13 @@
   }
 
   private createLog(): IntentLog {
-    const life: SimulatedProcess = { alive: true, frozenUntil: 0 };
-    const world = this.world(DECIDER_KEY, life, 1);
-    const follower = this.createMember(DECIDER_KEY, life, { ...this.settings(), held_here: [] });
+    const process: SimulatedProcess = { alive: true, frozenUntil: 0 };
+    const runtime = this.runtime(DECIDER_KEY, process, 1);
+    const follower = this.createMember(DECIDER_KEY, process, { ...this.settings(), held_here: [] });
     follower.run();
     return new IntentLog({
-      environment: { ...world, wallMs: () => 1e12 + this.clock.time },
-      store: this.storeOf(world),
+      environment: { ...runtime, wallMs: () => 1e12 + this.clock.time },
+      store: this.storeOf(runtime),
       view: follower.view,
       isActive: () => true,
       newId: () => `i-${this.nextIntent++}`,
@@ -185,9 +189,9 @@
   }
 
   crash(name: string, downMs: number): void {
-    const life = this.processes.get(name)!;
-    if (!life.alive) return;
-    life.alive = false;
+    const process = this.processes.get(name)!;
+    if (!process.alive) return;
+    process.alive = false;
     this.clock.after(downMs, () => {
       this.start(name);
     });
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,7 +1,7 @@
 /** Troubles and beginnings that several tests bring about, all by the cluster's seeded random. */
 import assert from 'node:assert/strict';
-import { Cluster, LEASE_MS } from './cluster.js';
-import type { ClusterConfig } from './cluster-config.js';
+import { Cluster } from './cluster.js';
+import { type ClusterConfig, LEASE_MS } from './cluster-config.js';
 import { SERVICE } from './jobs.js';
 import { HEARTBEAT_PATH } from './wire/workers.js';
 
@@ -11,7 +11,7 @@
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(4);
-  for (let i = 0; i < jobs; i++) void cluster.runUser(cluster.newJob(SERVICE), null);
+  for (let i = 0; i < jobs; i++) void cluster.users.run(cluster.users.newJob(SERVICE), null);
   await cluster.run(14);
   assert.equal(cluster.invariants.placesByTask.size, 3 * jobs);
   return cluster;
@@ -58,7 +58,7 @@
   cluster.state.rejectHost(`${old}:80`, refusedMs);
   await cluster.run(0.2);
   const first = jobIds(cluster)[0];
-  void cluster.cancel(first, otherNode(cluster, old));
+  void cluster.users.cancel(first, otherNode(cluster, old));
   await cluster.run(1.8);
   assert.notEqual(
     cluster.invariants.jobs.get(first)!.reportedCancelledAt,
@@ -87,5 +87,5 @@
 
 export function hangMachines(cluster: Cluster, share: number, ms: number): void {
   for (const machine of cluster.cloud.machines.values())
-    if (machine.worker && cluster.random.chance(share)) cluster.hangMachine(machine.id, ms);
+    if (machine.worker && cluster.random.chance(share)) cluster.faults.hangMachine(machine.id, ms);
 }
--- /dev/null
+++ b/test/sim/node-requests.ts
@@ -0,0 +1,26 @@
+/** Hands requests that reach a simulated controller to its API, as the HTTP server does for a real one. */
+import type { ControllerNode } from '../../src/node.js';
+import type { Reply } from '../../src/runtime.js';
+import type { Body } from '../../src/wire/cbor.js';
+import { userOperation } from './wire/users.js';
+import { HEARTBEAT_PATH } from './wire/workers.js';
+
+export async function serveNode(
+  node: ControllerNode,
+  method: string,
+  path: string,
+  body: Body,
+): Promise<Reply> {
+  if (path === HEARTBEAT_PATH) return node.handleHeartbeat(body);
+  const operation = userOperation(method, path);
+  switch (operation?.kind) {
+    case 'submit':
+      return node.api.submit(body);
+    case 'poll':
+      return node.api.poll(operation.id);
+    case 'cancel':
+      return node.api.cancel(operation.id);
+    default:
+      throw new Error(`unknown request to a controller: ${method} ${path}`);
+  }
+}
--- /dev/null
+++ b/test/sim/node-settings.ts
@@ -0,0 +1,44 @@
+/** The platform settings of a simulated controller. */
+import type { Objective, PlatformSettings } from '../../src/settings/platform.js';
+import { type CompleteClusterConfig, TEAMS, zoneOf } from './cluster-config.js';
+import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
+
+export function nodeSettings(
+  name: string,
+  nodeNames: string[],
+  config: CompleteClusterConfig,
+): PlatformSettings {
+  const money: Objective[] = config.saveMoney ? [{ kind: 'price', cls: null, withinS: null }] : [];
+  return {
+    node: name,
+    zone: zoneOf(name),
+    listen: `${name}:80`,
+    peerBind: `${name}:81`,
+    peers: nodeNames
+      .filter((other) => other !== name)
+      .map((peer) => ({ name: peer, zone: zoneOf(peer), address: `${peer}:81` })),
+    cloud: 'cloud:1',
+    state: 'state:1',
+    nodes: nodeNames.length,
+    teams: TEAMS.map((team) => ({
+      name: team,
+      cpus: 16,
+      gpus: 0,
+      cpusMax: config.teamLimit,
+      gpusMax: Infinity,
+    })),
+    objectives: money,
+    reportS: config.reportMs / 1000,
+    leaseS: config.leaseMs / 1000,
+    cancelS: config.cancelMs / 1000,
+    gangWaitS: GANG_WAIT_MS / 1000,
+    gangPeerS: GANG_PEER_MS / 1000,
+    stateRps: config.state?.rps ?? 200,
+    stateWriteRps: config.state?.writeRps ?? 40,
+    valueKb: 4,
+    txnOps: 12,
+    cloudRps: config.cloudRps,
+    listLagS: 2,
+    sockets: 1000,
+  };
+}
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -114,8 +114,8 @@
 
   /** An array so large that its finished tasks are stored in segments under the new level. */
   submitLarge(durationS = 0.5): string {
-    const job = this.cluster.newJob({ ...BATCH, tasks: 2400, durationS, team: 't0' });
-    void this.cluster.runUser(job, null);
+    const job = this.cluster.users.newJob({ ...BATCH, tasks: 2400, durationS, team: 't0' });
+    void this.cluster.users.run(job, null);
     return job.id;
   }
 
@@ -135,5 +135,5 @@
 
 export function withJobs(roll: RollingUpgrade, count = 4): void {
   for (let i = 0; i < count; i++)
-    void roll.cluster.runUser(roll.cluster.newJob({ ...BATCH, tasks: 6 }), null);
+    void roll.cluster.users.run(roll.cluster.users.newJob({ ...BATCH, tasks: 6 }), null);
 }
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -21,44 +21,44 @@
   seen?: ((path: string, reply: Reply) => Reply) | undefined;
 }
 
-/** Runs the callback once the process goes on, if it still lives then. */
-function whenResumed(life: SimulatedProcess, clock: VirtualClock, callback: () => void): void {
-  const left = life.frozenUntil - clock.time;
+/** Runs the callback once the process goes on, unless it has ended by then. */
+function whenResumed(process: SimulatedProcess, clock: VirtualClock, callback: () => void): void {
+  const left = process.frozenUntil - clock.time;
   if (left > 0)
     clock.after(left, () => {
-      whenResumed(life, clock, callback);
+      whenResumed(process, clock, callback);
     });
-  else if (life.alive) callback();
+  else if (process.alive) callback();
 }
 
 export function simulatedRuntime(
   host: string,
-  life: SimulatedProcess,
-  around: SimulatedSurroundings,
+  process: SimulatedProcess,
+  surroundings: SimulatedSurroundings,
 ): Runtime {
-  const { clock, net, own, seen } = around;
-  const thawed = (callback: () => void): void => {
-    whenResumed(life, clock, callback);
+  const { clock, net, own, seen } = surroundings;
+  const whenThisResumes = (callback: () => void): void => {
+    whenResumed(process, clock, callback);
   };
   return {
     clock: {
       now: () => own.now(),
       after: (ms, callback) =>
         own.after(ms, () => {
-          thawed(callback);
+          whenThisResumes(callback);
         }),
     },
     http: {
       send: (to, method, path, body, timeoutMs) =>
         new Promise((done) => {
           void net.send(host, to, method, path, body, timeoutMs).then((reply) => {
-            thawed(() => {
+            whenThisResumes(() => {
               done(seen ? seen(path, reply) : reply);
             });
           });
         }),
     },
-    log: around.log,
-    random: () => around.random.unit(),
+    log: surroundings.log,
+    random: () => surroundings.random.unit(),
   };
 }
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -2,6 +2,7 @@
 import { type Body, isMap } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
+import { RateLimit } from './rate-limit.js';
 import {
   type ReadRequest,
   type RecordEvent,
@@ -50,14 +51,19 @@
   private downUntil = 0;
   private readonly refusedUntil = new Map<string, number>();
   /** What was asked of it, and how often more than the limits allow. */
-  readonly received = { requests: 0, changes: 0, exceedsRate: 0 };
-  private level: { requests: number; changes: number; at: number } | null = null;
+  readonly received = { requests: 0, changes: 0, tooMany: 0 };
+  private readonly limits: { requests: RateLimit; writes: RateLimit } | null;
 
   constructor(
     private readonly clock: VirtualClock,
     private readonly random: SeededRandom,
-    private readonly limits: { rps: number; writeRps: number } | null = null,
+    limits: { rps: number; writeRps: number } | null = null,
   ) {
+    // Both limits allow bursts of one second's worth.
+    this.limits = limits && {
+      requests: new RateLimit(limits.rps, limits.rps),
+      writes: new RateLimit(limits.writeRps, limits.writeRps),
+    };
     this.expireLoop();
   }
 
@@ -80,24 +86,19 @@
   /** Until then, whatever is read is answered so much later. */
   slowReads: { byMs: number; until: number } | null = null;
 
-  /** Both limits allow bursts of one second's worth. */
-  private tooMany(changes: number): boolean {
+  private exceedsRate(changes: number): boolean {
     this.received.requests++;
     this.received.changes += changes;
     if (!this.limits) return false;
-    const { rps, writeRps } = this.limits;
+    const { requests, writes } = this.limits;
     const now = this.clock.time;
-    const level = (this.level ??= { requests: rps, changes: writeRps, at: now });
-    const second = (now - level.at) / 1000;
-    level.requests = Math.min(rps, level.requests + second * rps);
-    level.changes = Math.min(writeRps, level.changes + second * writeRps);
-    level.at = now;
-    if (level.requests < 1 || level.changes < changes) {
-      this.received.exceedsRate++;
+    const isRequestAllowed = requests.has(1, now);
+    if (!writes.has(changes, now) || !isRequestAllowed) {
+      this.received.tooMany++;
       return true;
     }
-    level.requests--;
-    level.changes -= changes;
+    requests.take(1);
+    writes.take(changes);
     return false;
   }
 
@@ -143,7 +144,7 @@
 
   private async answer(method: string, path: string, body: Body, from: string): Promise<Reply> {
     const request = decodeStateRequest(method, path, body);
-    if (this.tooMany(request.kind === 'transaction' ? request.mutations.length : 0))
+    if (this.exceedsRate(request.kind === 'transaction' ? request.mutations.length : 0))
       return { status: 429, body: {} };
     if (request.kind === 'watch') return this.watch(request, from);
     if (this.isUnavailable(from)) return { status: 503, body: {} };
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -42,7 +42,7 @@
   job: Partial<JobSubmission>,
   cancelAfterMs: number | null = null,
 ): void {
-  void cluster.runUser(cluster.newJob({ cpus: TASK_CPUS, ...job }), cancelAfterMs);
+  void cluster.users.run(cluster.users.newJob({ cpus: TASK_CPUS, ...job }), cancelAfterMs);
 }
 
 /** At the start all that waits for the first machines; then a stream of arrays, more than there is room for at times. */
@@ -70,7 +70,7 @@
     cluster.crash(cluster.nodeNames[(second - 20) / 6], 2000);
   if (second === 42)
     cluster.network.partitions.push({
-      a: cluster.inZone('b'),
+      a: cluster.faults.inZone('b'),
       b: () => true,
       until: cluster.clock.time + 9000,
       mode: 'hold',
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -11,7 +11,8 @@
 import { StateStore } from '../src/state-store/client.js';
 import { readMachinePage } from '../src/workers/machine-records.js';
 import type { JobSpec } from '../src/wire/model.js';
-import { Cluster, LEASE_MS } from './sim/cluster.js';
+import { Cluster } from './sim/cluster.js';
+import { LEASE_MS } from './sim/cluster-config.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 import type { JobSubmission, SubmittedKind } from './sim/wire/users.js';
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
@@ -88,12 +89,21 @@
   const sent = new Map<string, unknown>();
   cluster.onPeerMessage((m) => sent.set(m.t, m));
   await cluster.run(5);
-  void cluster.runUser(cluster.newJob({ ...SERVICE, team: 't0' }), null);
-  void cluster.runUser(cluster.newJob({ ...BATCH, team: 't1', tasks: 60, durationS: 9 }), null);
-  void cluster.runUser(cluster.newJob({ ...GANG, team: 't0', tasks: 4, durationS: 60 }), null);
-  void cluster.runUser(cluster.newJob({ ...BATCH, team: 't0', tasks: 3, durationS: 2 }), null);
-  const cancelled = cluster.newJob({ ...GANG, team: 't0', tasks: 2, durationS: 40 });
-  void cluster.runUser(cancelled, 16_000);
+  void cluster.users.run(cluster.users.newJob({ ...SERVICE, team: 't0' }), null);
+  void cluster.users.run(
+    cluster.users.newJob({ ...BATCH, team: 't1', tasks: 60, durationS: 9 }),
+    null,
+  );
+  void cluster.users.run(
+    cluster.users.newJob({ ...GANG, team: 't0', tasks: 4, durationS: 60 }),
+    null,
+  );
+  void cluster.users.run(
+    cluster.users.newJob({ ...BATCH, team: 't0', tasks: 3, durationS: 2 }),
+    null,
+  );
+  const cancelled = cluster.users.newJob({ ...GANG, team: 't0', tasks: 2, durationS: 40 });
+  void cluster.users.run(cancelled, 16_000);
   await cluster.run(20);
   const items = [...cluster.state.items].map(([key, item]): [string, unknown] => [key, item.value]);
   const written = shapesByKind(items);
@@ -143,7 +153,7 @@
     for (const [key, value] of live) {
       const { spec, cancelled } = readLive(value)!;
       const id = key.slice(2);
-      const job = cluster.newJob(kinds[spec.kind]);
+      const job = cluster.users.newJob(kinds[spec.kind]);
       const facts = observedJob(
         { ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 },
         0,
@@ -191,12 +201,12 @@
   });
   cluster.invariants.jobs.set(
     id,
-    observedJob(cluster.newJob({ ...BATCH, id, team: spec.team }), 0),
+    observedJob(cluster.users.newJob({ ...BATCH, id, team: spec.team }), 0),
   );
   // A machine that hangs keeps the record live for a while.
   for (const machine of cluster.cloud.machines.values())
-    if (machine.worker) cluster.hangMachine(machine.id, LEASE_MS);
-  void cluster.cancel(id);
+    if (machine.worker) cluster.faults.hangMachine(machine.id, LEASE_MS);
+  void cluster.users.cancel(id);
   await cluster.run(3);
   const now = cluster.state.value(liveKey(id)) as Record<string, unknown> | undefined;
   if (now)
@@ -232,7 +242,8 @@
   const cluster = new Cluster({ seed: 3, ordinaryUp: 45, capacity: 60, teamLimit: 2000 });
   cluster.network.lossRate = 0;
   await cluster.run(4);
-  for (let i = 0; i < 25; i++) void cluster.runUser(cluster.newJob({ ...SERVICE, cpus: 8 }), null);
+  for (let i = 0; i < 25; i++)
+    void cluster.users.run(cluster.users.newJob({ ...SERVICE, cpus: 8 }), null);
   await cluster.run(12);
   const pagesNow = (): { id: string }[][] =>
     [...cluster.state.items]
@@ -286,11 +297,11 @@
     later: 'x'.repeat(500),
   });
   cluster.invariants.jobs.set(id, {
-    ...observedJob(cluster.newJob({ ...BATCH, id, team: spec.team }), 0),
+    ...observedJob(cluster.users.newJob({ ...BATCH, id, team: spec.team }), 0),
     reportedAccepted: true,
   });
   cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
-  void cluster.cancel(id);
+  void cluster.users.cancel(id);
   await cluster.run(3);
   assert.notEqual(cluster.invariants.jobs.get(id)!.reportedCancelledAt, null);
   const written = cluster.state.history(liveKey(id)).map((value) => readLive(value));
@@ -385,7 +396,7 @@
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
         if (second === 8) {
-          const inB = cluster.inZone('b');
+          const inB = cluster.faults.inZone('b');
           cluster.network.partitions.push({
             a: inB,
             b: (h) => !inB(h),
@@ -396,10 +407,13 @@
         // All but the last one, which is still old, are away for a moment: it leads and writes under the old limits.
         if (second === 18)
           for (const name of cluster.nodeNames.slice(0, 4)) cluster.crash(name, 4000);
-        if (second % 13 === 6) cluster.cancelRunning(2, 2000);
+        if (second % 13 === 6) cluster.faults.cancelRunning(2, 2000);
         if (second === 30) cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
         if (second > 3 && second % 4 === 0)
-          void cluster.runUser(cluster.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }), null);
+          void cluster.users.run(
+            cluster.users.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }),
+            null,
+          );
         if (second === 44) cluster.crash(cluster.leader() ?? 'n1', 150);
       },
     );
@@ -422,10 +436,13 @@
         // One whose turn has not come dies and comes back old.
         if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
         if (second === 14) cluster.state.beginOutage(6000);
-        if (second % 13 === 6) cluster.cancelRunning(2, 2000);
+        if (second % 13 === 6) cluster.faults.cancelRunning(2, 2000);
         if (second === 30) cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
         if (second > 26 && second % 4 === 0)
-          void cluster.runUser(cluster.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }), null);
+          void cluster.users.run(
+            cluster.users.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }),
+            null,
+          );
         if (second === 40) cluster.crash(cluster.leader() ?? 'n1', 150);
         if (second === 50)
           for (const name of cluster.nodeNames)
