--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -4,7 +4,7 @@
 import { readHeartbeat } from '../src/wire/workers.js';
 import { decodeMap, encode, toNumber, toWireInteger } from '../src/wire/cbor.js';
 import { Cluster } from './sim/cluster.js';
-import { observedJob } from './sim/invariants.js';
+import { observedJob } from './sim/observed-job.js';
 import type { Reply } from '../src/runtime.js';
 import type { Body } from '../src/wire/cbor.js';
 import {
--- a/test/demo.ts
+++ b/test/demo.ts
@@ -3,7 +3,7 @@
  * to a controller that was started with `docs/example/settings.toml`, and prints the answers until it is done.
  */
 import { LoopbackStandIns } from './sim/loopback.js';
-import { observedJob } from './sim/invariants.js';
+import { observedJob } from './sim/observed-job.js';
 import {
   type JobStatus,
   type JobSubmission,
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -7,7 +7,7 @@
 import { leaseExtensionMs } from '../src/leadership/lease-extension.js';
 import { BATCH, SERVICE } from './sim/jobs.js';
 import { clientRuntime } from './sim/client-runtime.js';
-import { observedJob } from './sim/invariants.js';
+import { observedJob } from './sim/observed-job.js';
 import {
   type JobReply,
   type UserRequest,
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -6,7 +6,7 @@
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 import { type ScenarioOutcome, testScenarios } from './sim/run-scenario.js';
 import { duplicateHeartbeats, leaderOrRandomNode, pickMachines } from './sim/faults.js';
-import type { ObservedJob } from './sim/invariants.js';
+import type { ObservedJob } from './sim/observed-job.js';
 import type { JobSubmission } from './sim/wire/users.js';
 
 async function quiet(config: ClusterConfig): Promise<Cluster> {
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -3,7 +3,8 @@
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
 import { BATCH } from './sim/jobs.js';
-import { Invariants, observedJob } from './sim/invariants.js';
+import { Invariants } from './sim/invariants.js';
+import { observedJob } from './sim/observed-job.js';
 import type { JobSubmission } from './sim/wire/users.js';
 
 const LIMIT = 4;
@@ -102,7 +103,7 @@
   let saved = 0;
   for (let i = 0; i < 100; i++) {
     await cluster.run(0.1);
-    if (!worker.isSaving(task)) continue;
+    if (!worker.tasks.isSaving(task)) continue;
     saved++;
     assert.ok(cluster.invariants.usedCpus('t0') >= 2, 'it counts while it saves');
   }
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -21,8 +21,9 @@
 import { serveNode } from './node-requests.js';
 import { nodeSettings } from './node-settings.js';
 import { type SimulatedProcess, simulatedRuntime } from './simulated-runtime.js';
+import type { MachineRoom } from './places.js';
 import { SeededRandom } from './random.js';
-import { type MachineRoom, Invariants } from './invariants.js';
+import { Invariants } from './invariants.js';
 import { StateService } from './state-service.js';
 import { Users } from './users.js';
 import { Worker } from './worker.js';
@@ -253,7 +254,9 @@
   }
 
   private fetching(): string[] {
-    return [...this.cloud.machines.values()].flatMap((m) => m.worker?.fetching() ?? []);
+    return [...this.cloud.machines.values()].flatMap(
+      (machine) => machine.worker?.tasks.fetching() ?? [],
+    );
   }
 
   /** The machines that are up, and what is free on each. */
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -11,7 +11,7 @@
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
 import { LoopbackStandIns, freePort } from './loopback.js';
 import { type ControllerAddresses, settingsFile } from './platform-settings.js';
-import { observedJob } from './invariants.js';
+import { observedJob } from './observed-job.js';
 import {
   type JobSubmission,
   type UserRequest,
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -1,6 +1,6 @@
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
-import type { ObservedJob } from './invariants.js';
+import type { ObservedJob } from './observed-job.js';
 import type { ReportedExitCause } from './wire/workers.js';
 
 export const GANG_WAIT_MS = 6000;
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -1,60 +1,15 @@
-import type { JobReply, JobState, JobSubmission } from './wire/users.js';
+/** What must hold whatever fails, looked at from outside the service; `docs/safety.md` argues each of these. */
+import type { ObservedJob } from './observed-job.js';
+import { type MachineRoom, type Place, fits, mismatches } from './places.js';
+import { unservedJobs } from './service-level.js';
+import type { JobReply, JobState } from './wire/users.js';
 
-export interface ObservedJob {
-  spec: JobSubmission;
-  reportedAccepted: boolean;
-  submitted: boolean;
-  cancelRequested: boolean;
-  reportedCancelledAt: number | null;
-  reportedDoneAt: number | null;
-  finishedTasks: Set<number>;
-  submittedAt: number;
-  /** When a question about it was last answered, or it was accepted. */
-  answeredAt: number;
-  firstStartAt: number | null;
-  /** Since when a task of it waits, and none starts, although a machine that fits has room, as last looked at. */
-  waitingSince: number | null;
-  /** Of a gang: progress that is safe, in milliseconds. */
-  progressMs: number;
-}
-
-export function observedJob(spec: JobSubmission, now: number): ObservedJob {
-  return {
-    spec,
-    reportedAccepted: false,
-    submitted: true,
-    cancelRequested: false,
-    reportedCancelledAt: null,
-    reportedDoneAt: null,
-    finishedTasks: new Set(),
-    submittedAt: now,
-    answeredAt: now,
-    firstStartAt: null,
-    waitingSince: null,
-    progressMs: 0,
-  };
-}
-
-/** Once all troubles are over, no accepted job may go without an answer for longer. */
+/** Once all faults are over, no accepted job may go without an answer for longer. */
 const FORGOTTEN_MS = 75_000;
 /** Nor may one wait for longer beside a machine that fits and has room. */
 const WAITING_MS = 90_000;
-/** The largest jobs of a class begin within this time. */
-const LARGEST_BEGIN_MS = 240_000;
-
-interface Place {
-  machine: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-}
 
-/** A machine with what is free on it. */
-export interface MachineRoom extends Place {
-  freeCpus: number;
-}
-
-/** PROTOCOL's rules, looked at from outside the service: what runs where, and what users were told. */
+/** PROTOCOL's rules as invariants: what runs where, and what users were told. */
 export class Invariants {
   readonly violations: string[] = [];
   readonly jobs = new Map<string, ObservedJob>();
@@ -114,8 +69,8 @@
     const there = this.placesByTask.get(task) ?? [];
     if (there.length > 0)
       this.recordViolation('ran_twice', `${task} on ${place.machine} and ${there[0].machine}`);
-    this.checkPlace(task, spec, place);
-    this.checkZones(task, spec, place, [...this.placesOfJob(id)]);
+    for (const mismatch of mismatches(spec, place, [...this.placesOfJob(id)]))
+      this.recordViolation('wrong_place', `${task}${mismatch}`);
     if (job.reportedCancelledAt !== null)
       this.startsAfterCancellationMs.push(this.now() - job.reportedCancelledAt);
     job.firstStartAt ??= this.now();
@@ -128,25 +83,6 @@
       this.recordViolation('quota', `${spec.team} by ${task}`);
   }
 
-  private checkPlace(task: string, spec: JobSubmission, place: Place): void {
-    const types = spec.machineTypes;
-    if (types && !types.includes(place.type))
-      this.recordViolation('wrong_place', `${task} on type ${place.type}`);
-    if (spec.zone && spec.zone !== place.zone)
-      this.recordViolation('wrong_place', `${task} in zone ${place.zone}`);
-    if (place.spot && !spec.spot) this.recordViolation('wrong_place', `${task} on a spot machine`);
-  }
-
-  /** Given where the job's other tasks are. */
-  private checkZones(task: string, spec: JobSubmission, place: Place, others: Place[]): void {
-    if (spec.oneZone && others.some((p) => p.zone !== place.zone))
-      this.recordViolation('wrong_place', `${task} not in one zone`);
-    if (!spec.spread) return;
-    const same = others.filter((p) => p.zone === place.zone).length + 1;
-    if (same > Math.ceil(spec.tasks / 2))
-      this.recordViolation('wrong_place', `${task}: ${same} in ${place.zone}`);
-  }
-
   taskLeft(task: string, machine: string, done: boolean): void {
     const there = this.placesByTask.get(task) ?? [];
     const left = there.filter((p) => p.machine !== machine);
@@ -173,15 +109,19 @@
     job.reportedAccepted = true;
     job.answeredAt = this.now();
     this.checkFinalStateKept(id, job, answered.state, asked);
-    if (answered.state === 'cancelled') {
-      if (!job.cancelRequested) this.recordViolation('went_back', `${id} cancelled by nobody`);
-      job.reportedCancelledAt ??= this.now();
-      this.cancelled.set(id, job);
-    }
-    if (answered.state === 'done') {
-      job.reportedDoneAt ??= this.now();
-      if (job.finishedTasks.size < job.spec.tasks) this.recordViolation('not_done', id);
-    }
+    if (answered.state === 'cancelled') this.reportedCancelled(id, job);
+    if (answered.state === 'done') this.reportedDone(id, job);
+  }
+
+  private reportedCancelled(id: string, job: ObservedJob): void {
+    if (!job.cancelRequested) this.recordViolation('went_back', `${id} cancelled by nobody`);
+    job.reportedCancelledAt ??= this.now();
+    this.cancelled.set(id, job);
+  }
+
+  private reportedDone(id: string, job: ObservedJob): void {
+    job.reportedDoneAt ??= this.now();
+    if (job.finishedTasks.size < job.spec.tasks) this.recordViolation('not_done', id);
   }
 
   /** A job that was called done or cancelled before the question stays so. */
@@ -196,7 +136,7 @@
       this.recordViolation('went_back', `${id} was cancelled`);
   }
 
-  /** All troubles are over since `from`: nobody's job may go without an answer. */
+  /** All faults are over since `from`: nobody's job may go without an answer. */
   checkAnswered(from: number): void {
     for (const [id, job] of this.jobs) {
       if (
@@ -210,32 +150,20 @@
     }
   }
 
-  private fits(job: ObservedJob, id: string, room: MachineRoom): boolean {
-    const { spec } = job;
-    const types = spec.machineTypes;
-    if (types && !types.includes(room.type)) return false;
-    if ((spec.zone && spec.zone !== room.zone) || (room.spot && !spec.spot)) return false;
-    const others = [...this.placesOfJob(id)];
-    if (spec.oneZone && others.some((p) => p.zone !== room.zone)) return false;
-    const same = others.filter((p) => p.zone === room.zone).length;
-    if (spec.spread && same + 1 > Math.ceil(spec.tasks / 2)) return false;
-    return room.freeCpus >= spec.cpus;
-  }
-
   /** Room for one task, or for a whole gang of which nothing is anywhere. */
   private hasRoom(job: ObservedJob, id: string, rooms: MachineRoom[]): boolean {
-    const fitting = rooms.filter((r) => this.fits(job, id, r));
+    const fitting = rooms.filter((room) => fits(job.spec, [...this.placesOfJob(id)], room));
     if (job.spec.kind !== 'gang') return fitting.length > 0;
     if ((this.placedTasksByJob.get(id)?.size ?? 0) > 0) return false;
-    const zones = job.spec.oneZone ? [...new Set(fitting.map((r) => r.zone))] : [null];
+    const zones = job.spec.oneZone ? [...new Set(fitting.map((room) => room.zone))] : [null];
     return zones.some((zone) => {
-      const there = fitting.filter((r) => zone === null || r.zone === zone);
-      const count = there.reduce((sum, r) => sum + Math.floor(r.freeCpus / job.spec.cpus), 0);
+      const there = fitting.filter((room) => zone === null || room.zone === zone);
+      const count = there.reduce((sum, room) => sum + Math.floor(room.freeCpus / job.spec.cpus), 0);
       return count >= job.spec.tasks;
     });
   }
 
-  /** All troubles are over: no job is left waiting beside room, with its team under its limit. */
+  /** All faults are over: no job is left waiting beside room, with its team under its limit. */
   checkWaiting(rooms: MachineRoom[], fetching: string[]): void {
     const used = new Map(this.usedCpusByTeam);
     for (const task of fetching) {
@@ -273,32 +201,8 @@
 
   /** Of each class, each team and the largest jobs of each class at least half are served, and these begin in time. */
   checkServed(): void {
-    const groups = new Map<string, ObservedJob[]>();
-    const add = (key: string, j: ObservedJob): void =>
-      void groups.set(key, [...(groups.get(key) ?? []), j]);
-    const accepted = [...this.jobs.values()].filter(
-      (j) => j.reportedAccepted && !j.cancelRequested,
-    );
-    for (const job of accepted) {
-      add(`class ${job.spec.jobClass}`, job);
-      add(`team ${job.spec.team}`, job);
-    }
-    for (const [key, list] of [...groups]) {
-      if (!key.startsWith('class')) continue;
-      const bySize = [...list].sort((a, b) => b.spec.tasks - a.spec.tasks);
-      const largest = bySize.slice(0, Math.ceil(list.length / 10));
-      groups.set(`largest of ${key}`, largest);
-      for (const job of largest)
-        if ((job.firstStartAt ?? this.now()) - job.submittedAt > LARGEST_BEGIN_MS)
-          this.recordViolation('unserved', `${job.spec.id}, among the largest, begins late`);
-    }
-    for (const [key, list] of groups) {
-      const served = list.filter((j) =>
-        j.spec.kind === 'service' ? j.firstStartAt !== null : j.reportedDoneAt !== null,
-      );
-      if (served.length * 2 < list.length)
-        this.recordViolation('unserved', `${key}: ${served.length} of ${list.length}`);
-    }
+    for (const unserved of unservedJobs(this.jobs.values(), this.now()))
+      this.recordViolation('unserved', unserved);
   }
 
   /** After each step. */
--- /dev/null
+++ b/test/sim/observed-job.ts
@@ -0,0 +1,37 @@
+/** A job as its users and machines see it, from outside the service. */
+import type { JobSubmission } from './wire/users.js';
+
+export interface ObservedJob {
+  spec: JobSubmission;
+  reportedAccepted: boolean;
+  submitted: boolean;
+  cancelRequested: boolean;
+  reportedCancelledAt: number | null;
+  reportedDoneAt: number | null;
+  finishedTasks: Set<number>;
+  submittedAt: number;
+  /** When a question about it was last answered, or it was accepted. */
+  answeredAt: number;
+  firstStartAt: number | null;
+  /** Since when a task of it waits, and none starts, although a machine that fits has room, as last looked at. */
+  waitingSince: number | null;
+  /** Of a gang: progress that is safe, in milliseconds. */
+  progressMs: number;
+}
+
+export function observedJob(spec: JobSubmission, now: number): ObservedJob {
+  return {
+    spec,
+    reportedAccepted: false,
+    submitted: true,
+    cancelRequested: false,
+    reportedCancelledAt: null,
+    reportedDoneAt: null,
+    finishedTasks: new Set(),
+    submittedAt: now,
+    answeredAt: now,
+    firstStartAt: null,
+    waitingSince: null,
+    progressMs: 0,
+  };
+}
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -1,6 +1,7 @@
 /** Users of a simulated deployment: they submit, ask and cancel, and note what they are told. */
 import type { VirtualClock } from './clock.js';
-import { type Invariants, observedJob } from './invariants.js';
+import type { Invariants } from './invariants.js';
+import { observedJob } from './observed-job.js';
 import { randomJob } from './jobs.js';
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -7,7 +7,7 @@
 import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
 import { BATCH, SERVICE, GANG } from '../sim/jobs.js';
 import { SeededRandom } from '../sim/random.js';
-import { type ObservedJob, observedJob } from '../sim/invariants.js';
+import { type ObservedJob, observedJob } from '../sim/observed-job.js';
 import {
   type JobSubmission,
   type UserRequest,
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -17,7 +17,7 @@
 import type { JobSubmission, SubmittedKind } from './sim/wire/users.js';
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
 import { clientRuntime } from './sim/client-runtime.js';
-import { observedJob } from './sim/invariants.js';
+import { observedJob } from './sim/observed-job.js';
 
 interface Fixture {
   leader: unknown;
