--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -1,6 +1,6 @@
 /** A holder of a duty as a real process on loopback, suspended past its lease and continued. */
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
+import { type TestContext, test } from 'node:test';
 import type { Duty } from '@millring/duties';
 import { ControllerProcesses } from './sim/controller-processes.js';
 import { DUTY, DutyProcesses } from './sim/duty-processes.js';
@@ -11,18 +11,16 @@
 /** Longer than such a machine may take to suspend a process that has just passed the check. */
 const BEFORE_SENDING_MS = 4000;
 
-async function withProcesses(
+/** Processes of which one holds the duty; they end with the test. */
+async function startProcesses(
+  context: TestContext,
   beforeSendingMs: number,
-  run: (processes: DutyProcesses, old: string, token: number) => Promise<void>,
-): Promise<void> {
+): Promise<{ processes: DutyProcesses; old: string; token: number }> {
   const processes = new DutyProcesses();
-  try {
-    await processes.start(beforeSendingMs, LEASE_S);
-    const { controller, token } = processes.recorded()!;
-    await run(processes, controller, token);
-  } finally {
-    await processes.stop();
-  }
+  context.after(() => processes.stop());
+  await processes.start(beforeSendingMs, LEASE_S);
+  const { controller, token } = processes.recorded()!;
+  return { processes, old: controller, token };
 }
 
 /** The old holder found out, and every action that it tried was refused. */
@@ -37,58 +35,52 @@
   assert.ok(stale.every((call) => !call.executed));
 }
 
-test('suspended before the check: the successor acts, and the old holder begins nothing', async () => {
-  await withProcesses(0, async (processes, old, token) => {
-    processes.signal(old, 'SIGSTOP');
-    processes.plantDeletion('i-1', 'm-1');
-    await processes.untilReplaced(old, token);
-    await processes.until('the intent is done', () => processes.isDone('i-1'));
-    processes.signal(old, 'SIGCONT');
-    processes.plantDeletion('i-2', 'm-2');
-    await processes.until('the next intent is done', () => processes.isDone('i-2'));
-    await expectFenced(processes, old, token);
-    assert.equal(processes.checks(old), 0);
-  });
+test('suspended before the check: the successor acts, and the old holder begins nothing', async (context) => {
+  const { processes, old, token } = await startProcesses(context, 0);
+  processes.signal(old, 'SIGSTOP');
+  processes.plantDeletion('i-1', 'm-1');
+  await processes.untilReplaced(old, token);
+  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  processes.signal(old, 'SIGCONT');
+  processes.plantDeletion('i-2', 'm-2');
+  await processes.until('the next intent is done', () => processes.isDone('i-2'));
+  await expectFenced(processes, old, token);
+  assert.equal(processes.checks(old), 0);
 });
 
-test('suspended between check and send: the request that it sends on waking is refused', async () => {
-  await withProcesses(BEFORE_SENDING_MS, async (processes, old, token) => {
-    processes.plantDeletion('i-1', 'm-1');
-    await processes.until('the check is passed', () => processes.checks(old) > 0);
-    processes.signal(old, 'SIGSTOP');
-    assert.equal(processes.provider.calls.length, 0);
-    await processes.untilReplaced(old, token);
-    await processes.until('the intent is done', () => processes.isDone('i-1'));
-    assert.ok((processes.intent('i-1')?.token ?? 0) > token);
-    processes.signal(old, 'SIGCONT');
-    await processes.until(
-      'the old holder has tried',
-      () => processes.provider.refused().length > 0,
-    );
-    await expectFenced(processes, old, token);
-  });
+test('suspended between check and send: the request that it sends on waking is refused', async (context) => {
+  const { processes, old, token } = await startProcesses(context, BEFORE_SENDING_MS);
+  processes.plantDeletion('i-1', 'm-1');
+  await processes.until('the check is passed', () => processes.checks(old) > 0);
+  processes.signal(old, 'SIGSTOP');
+  assert.equal(processes.provider.calls.length, 0);
+  await processes.untilReplaced(old, token);
+  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  assert.ok((processes.intent('i-1')?.token ?? 0) > token);
+  processes.signal(old, 'SIGCONT');
+  await processes.until('the old holder has tried', () => processes.provider.refused().length > 0);
+  await expectFenced(processes, old, token);
 });
 
-test('suspended with the request in flight: executed late, it is refused, and nothing is written', async () => {
-  await withProcesses(0, async (processes, old, token) => {
-    let release: () => void = () => undefined;
-    const held = new Promise<void>((done) => (release = done));
-    let arrived = 0;
-    processes.provider.delay = () => (arrived++ === 0 ? held : Promise.resolve());
-    processes.plantDeletion('i-1', 'm-1');
-    await processes.until('the request has arrived', () => arrived > 0);
-    processes.signal(old, 'SIGSTOP');
-    await processes.untilReplaced(old, token);
-    await processes.until('the intent is done', () => processes.isDone('i-1'));
-    release();
-    await processes.until(
-      'the late request is refused',
-      () => processes.provider.refused().length > 0,
-    );
-    processes.signal(old, 'SIGCONT');
-    await expectFenced(processes, old, token);
-    assert.ok((processes.intent('i-1')?.token ?? 0) > token);
-  });
+test('suspended with the request in flight: executed late, it is refused, and nothing is written', async (context) => {
+  const { processes, old, token } = await startProcesses(context, 0);
+  let release: () => void = () => undefined;
+  const held = new Promise<void>((done) => (release = done));
+  let arrived = 0;
+  processes.provider.delay = () => (arrived++ === 0 ? held : Promise.resolve());
+  processes.plantDeletion('i-1', 'm-1');
+  await processes.until('the request has arrived', () => arrived > 0);
+  processes.signal(old, 'SIGSTOP');
+  await processes.untilReplaced(old, token);
+  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  release();
+  await processes.until(
+    'the late request is refused',
+    () => processes.provider.refused().length > 0,
+  );
+  processes.signal(old, 'SIGCONT');
+  await expectFenced(processes, old, token);
+  assert.ok((processes.intent('i-1')?.token ?? 0) > token);
 });
 
 /** Long enough that a machine without a free moment gives nothing up. */
@@ -115,47 +107,44 @@
   return (JSON.parse(answer.stdout) as StatusAnswer).duties;
 }
 
-test('three controllers with the duties on: a holder is suspended under submissions, operators hold and release', async () => {
+test('three controllers with the duties on: a holder is suspended under submissions, operators hold and release', async (context) => {
   const deployment = new ControllerProcesses();
-  try {
-    await deployment.start('latest', ROLLOUT, ON);
-    void deployment.stream(300);
-    await deployment.until('the level is raised', () => deployment.level.active === LEVEL);
-    const find = async (from: string): Promise<StatusAnswer['duties'][number]> =>
-      (await statusOf(deployment, from)).find(({ duty }) => duty === 'rent') ?? assert.fail();
-    await deployment.until('the duty is held', async () => (await find('n0')).holder !== null);
-    const before = await find('n0');
-    const old = before.holder?.controller ?? assert.fail();
-    deployment.signal(old, 'SIGSTOP');
-    const from = NAMES.find((name) => name !== old) ?? assert.fail();
-    await deployment.until('a successor holds the duty', async () => {
-      const now = await find(from);
-      return now.token > before.token && now.holder !== null && now.holder.controller !== old;
-    });
-    deployment.signal(old, 'SIGCONT');
-    await deployment.untilHealthy(old);
+  context.after(() => deployment.stop());
+  await deployment.start('latest', ROLLOUT, ON);
+  void deployment.users.stream(300);
+  await deployment.until('the level is raised', () => deployment.level.active === LEVEL);
+  const find = async (from: string): Promise<StatusAnswer['duties'][number]> =>
+    (await statusOf(deployment, from)).find(({ duty }) => duty === 'rent') ?? assert.fail();
+  await deployment.until('the duty is held', async () => (await find('n0')).holder !== null);
+  const before = await find('n0');
+  const old = before.holder?.controller ?? assert.fail();
+  deployment.signal(old, 'SIGSTOP');
+  const from = NAMES.find((name) => name !== old) ?? assert.fail();
+  await deployment.until('a successor holds the duty', async () => {
+    const now = await find(from);
+    return now.token > before.token && now.holder !== null && now.holder.controller !== old;
+  });
+  deployment.signal(old, 'SIGCONT');
+  await deployment.untilHealthy(old);
 
-    const hold = await deployment.duties(from, 'hold', 'return');
-    assert.deepEqual([hold.code, hold.stdout], [0, 'return is on hold\n']);
-    const again = await deployment.duties(from, 'hold', 'return');
-    assert.deepEqual([again.code, again.stderr], [3, 'refused: return is on hold already\n']);
-    assert.match(
-      (await deployment.duties(from, 'status')).stdout,
-      /^return: on hold by operator-\S+, token \d+/m,
+  const hold = await deployment.duties(from, 'hold', 'return');
+  assert.deepEqual([hold.code, hold.stdout], [0, 'return is on hold\n']);
+  const again = await deployment.duties(from, 'hold', 'return');
+  assert.deepEqual([again.code, again.stderr], [3, 'refused: return is on hold already\n']);
+  assert.match(
+    (await deployment.duties(from, 'status')).stdout,
+    /^return: on hold by operator-\S+, token \d+/m,
+  );
+  const release = await deployment.duties(from, 'release', 'return');
+  assert.deepEqual([release.code, release.stdout], [0, 'return may be held again\n']);
+  for (const args of [[], ['dance'], ['hold'], ['hold', 'dance'], ['status', '--loud']]) {
+    const bad = await deployment.duties(from, ...args);
+    assert.deepEqual(
+      [bad.code, bad.stdout, bad.stderr.split('\n').length],
+      [2, '', 2],
+      args.join(' '),
     );
-    const release = await deployment.duties(from, 'release', 'return');
-    assert.deepEqual([release.code, release.stdout], [0, 'return may be held again\n']);
-    for (const args of [[], ['dance'], ['hold'], ['hold', 'dance'], ['status', '--loud']]) {
-      const bad = await deployment.duties(from, ...args);
-      assert.deepEqual(
-        [bad.code, bad.stdout, bad.stderr.split('\n').length],
-        [2, '', 2],
-        args.join(' '),
-      );
-    }
-    await deployment.endStream();
-    deployment.checkHistory();
-  } finally {
-    await deployment.stop();
   }
+  await deployment.users.endStream();
+  deployment.users.checkHistory();
 });
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -1,8 +1,8 @@
-/** The checker of the quota rule, with planted breaches: what it does not see no run of the cluster can find. */
+/** The checker of the quota invariant, with planted breaches: what it does not see no run of the cluster can find. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
-import { BATCH } from './sim/jobs.js';
+import { BATCH, PLAIN_ARRAY } from './sim/jobs.js';
 import { Invariants } from './sim/invariants.js';
 import { observedJob } from './sim/observed-job.js';
 import type { JobSubmission } from './sim/wire/users.js';
@@ -12,39 +12,25 @@
 const WAITING_LIMIT_MS = 90_000;
 
 interface Planted {
-  rules: Invariants;
+  invariants: Invariants;
   clock: { now: number };
 }
 
 const JOB: JobSubmission = {
+  ...PLAIN_ARRAY,
   id: 'run-1',
-  jobClass: 'batch',
   team: 't0',
-  kind: 'array',
-  priority: 'normal',
   tasks: 5,
-  cpus: 2,
-  gpus: 0,
   memoryGb: 1,
-  image: 'img-1',
   imageGb: 0,
-  machineTypes: null,
-  zone: null,
-  oneZone: false,
-  spread: false,
-  spot: true,
-  durationS: 1,
-  checkpointEveryS: 0,
-  checkpointS: 0,
-  deadlineS: null,
 };
 
 function withJob(over: Partial<JobSubmission> = {}): Planted {
   const clock = { now: 0 };
-  const rules = new Invariants(() => clock.now, CANCEL_MS, new Map([['t0', LIMIT]]));
+  const invariants = new Invariants(() => clock.now, CANCEL_MS, new Map([['t0', LIMIT]]));
   const facts = observedJob({ ...JOB, ...over }, 0);
-  rules.jobs.set(JOB.id, { ...facts, reportedAccepted: true });
-  return { rules, clock };
+  invariants.jobs.set(JOB.id, { ...facts, reportedAccepted: true });
+  return { invariants, clock };
 }
 
 const place = (machine: string): Parameters<Invariants['taskStarted']>[1] => ({
@@ -55,33 +41,33 @@
 });
 
 test('a task beyond the limit is a breach at the moment it has its image', () => {
-  const { rules } = withJob();
-  rules.taskStarted('run-1/0', place('m1'));
-  rules.taskStarted('run-1/1', place('m1'));
-  assert.deepEqual(rules.violations, []);
-  rules.taskStarted('run-1/2', place('m2'));
-  assert.deepEqual(rules.violations, ['0 quota: t0 by run-1/2']);
+  const { invariants } = withJob();
+  invariants.taskStarted('run-1/0', place('m1'));
+  invariants.taskStarted('run-1/1', place('m1'));
+  assert.deepEqual(invariants.violations, []);
+  invariants.taskStarted('run-1/2', place('m2'));
+  assert.deepEqual(invariants.violations, ['0 quota: t0 by run-1/2']);
 });
 
 test('a second copy of a task counts beside the first, and until it has left its own machine', () => {
-  const { rules } = withJob();
-  rules.taskStarted('run-1/0', place('m1'));
-  rules.taskStarted('run-1/0', place('m2'));
-  assert.equal(rules.usedCpus('t0'), 4);
-  rules.taskLeft('run-1/0', 'm1', false);
-  assert.equal(rules.usedCpus('t0'), 2);
-  rules.taskStarted('run-1/1', place('m1'));
-  rules.taskStarted('run-1/2', place('m1'));
-  assert.ok(rules.violations.some((broken) => broken.includes('quota')));
+  const { invariants } = withJob();
+  invariants.taskStarted('run-1/0', place('m1'));
+  invariants.taskStarted('run-1/0', place('m2'));
+  assert.equal(invariants.usedCpus('t0'), 4);
+  invariants.taskLeft('run-1/0', 'm1', false);
+  assert.equal(invariants.usedCpus('t0'), 2);
+  invariants.taskStarted('run-1/1', place('m1'));
+  invariants.taskStarted('run-1/2', place('m1'));
+  assert.ok(invariants.violations.some((broken) => broken.includes('quota')));
 });
 
 test('an end makes room once, however often it is told', () => {
-  const { rules } = withJob();
-  rules.taskStarted('run-1/0', place('m1'));
-  rules.taskStarted('run-1/1', place('m1'));
-  rules.taskLeft('run-1/0', 'm1', true);
-  rules.taskLeft('run-1/0', 'm1', true);
-  assert.equal(rules.usedCpus('t0'), 2);
+  const { invariants } = withJob();
+  invariants.taskStarted('run-1/0', place('m1'));
+  invariants.taskStarted('run-1/1', place('m1'));
+  invariants.taskLeft('run-1/0', 'm1', true);
+  invariants.taskLeft('run-1/0', 'm1', true);
+  assert.equal(invariants.usedCpus('t0'), 2);
 });
 
 test('a task that saves counts until it exits', async () => {
@@ -117,10 +103,10 @@
     [3, false],
     [2, true],
   ] as const) {
-    const { rules, clock } = withJob({ kind: 'gang', tasks });
-    rules.checkWaiting(rooms, []);
+    const { invariants, clock } = withJob({ kind: 'gang', tasks });
+    invariants.checkWaiting(rooms, []);
     clock.now = WAITING_LIMIT_MS + 1;
-    rules.checkWaiting(rooms, []);
-    assert.equal(rules.violations.length > 0, waits, `${tasks} tasks`);
+    invariants.checkWaiting(rooms, []);
+    assert.equal(invariants.violations.length > 0, waits, `${tasks} tasks`);
   }
 });
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -39,19 +39,19 @@
   during: () => Promise<void>,
 ): Promise<Figures> {
   const { state } = deployment.standIns;
-  const accepted = deployment.latenciesMs.length;
-  const { refused } = deployment;
+  const accepted = deployment.users.latenciesMs.length;
+  const { refused } = deployment.users;
   const { requests, changes } = state.received;
   const rolloutChanges = state.changesUnder('rollout/');
   const began = performance.now();
   await during();
   const seconds = (performance.now() - began) / 1000;
   const latencies = histogram({ lowestDiscernibleValue: 1, highestTrackableValue: 600_000 });
-  for (const ms of deployment.latenciesMs.slice(accepted))
+  for (const ms of deployment.users.latenciesMs.slice(accepted))
     latencies.recordValue(Math.max(1, Math.round(ms)));
   return {
-    submissions: deployment.latenciesMs.length - accepted,
-    refused: deployment.refused - refused,
+    submissions: deployment.users.latenciesMs.length - accepted,
+    refused: deployment.users.refused - refused,
     p50Ms: latencies.getValueAtPercentile(50),
     p99Ms: latencies.getValueAtPercentile(99),
     rolloutChangesPerS: (state.changesUnder('rollout/') - rolloutChanges) / seconds,
@@ -71,7 +71,7 @@
 async function roll(): Promise<void> {
   const deployment = new ControllerProcesses();
   await deployment.start('old', ROLLOUT);
-  void deployment.stream(EVERY_MS);
+  void deployment.users.stream(EVERY_MS);
   await delay(BETWEEN_MS);
   print('no roll', await measure(deployment, () => delay(QUIET_MS)));
   let activationMs = 0;
@@ -87,8 +87,8 @@
   });
   print('roll', figures);
   print('from the last healthy controller to activation', { ms: activationMs });
-  await deployment.endStream();
-  deployment.checkHistory();
+  await deployment.users.endStream();
+  deployment.users.checkHistory();
   await deployment.stop();
 }
 
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -1,6 +1,6 @@
 /** Three controller processes on loopback, replaced one at a time by another build while jobs keep coming. */
 import assert from 'node:assert/strict';
-import { test } from 'node:test';
+import { afterEach, beforeEach, test } from 'node:test';
 import { ControllerProcesses } from './sim/controller-processes.js';
 import { segmentsIn } from './sim/rollout-invariants.js';
 
@@ -14,104 +14,93 @@
 } as const;
 const EVERY_MS = 200;
 
-async function withDeployment(
-  start: Parameters<ControllerProcesses['start']>,
-  run: (deployment: ControllerProcesses) => Promise<void>,
-): Promise<void> {
-  const deployment = new ControllerProcesses();
-  try {
-    await deployment.start(...start);
-    await run(deployment);
-  } finally {
-    await deployment.stop();
-  }
-}
+let deployment: ControllerProcesses;
+
+beforeEach(() => {
+  deployment = new ControllerProcesses();
+});
+
+afterEach(() => deployment.stop());
 
 /** Replaces a controller and lets some jobs end. */
-async function replaceUnderLoad(
-  deployment: ControllerProcesses,
-  name: string,
-  build: 'old' | 'new',
-): Promise<void> {
+async function replaceUnderLoad(name: string, build: 'old' | 'new'): Promise<void> {
   await deployment.replace(name, build);
   await deployment.untilHealthy(name);
-  const accepted = deployment.latenciesMs.length;
+  const accepted = deployment.users.latenciesMs.length;
   await deployment.until(
     'more jobs are accepted',
-    () => deployment.latenciesMs.length >= accepted + 5,
+    () => deployment.users.latenciesMs.length >= accepted + 5,
   );
-  deployment.checkHistory();
+  deployment.users.checkHistory();
 }
 
 test('a whole roll: the level rises after the last controller; one that goes back serves nothing until it is lowered', async () => {
-  await withDeployment(['old', AUTOMATIC], async (deployment) => {
-    void deployment.stream(EVERY_MS);
-    for (const name of NAMES) {
-      assert.equal(deployment.level.active, 1);
-      await replaceUnderLoad(deployment, name, 'new');
-    }
-    await deployment.until('the level is raised', () => deployment.level.active === 2);
-    const status = await deployment.rollout('n0', 'status', '--json');
-    assert.equal(status.code, 0);
-    const { controllers } = JSON.parse(status.stdout) as {
-      controllers: Record<string, { kind: string }>;
-    };
-    assert.deepEqual(
-      Object.entries(controllers).map(([name, { kind }]) => [name, kind]),
-      NAMES.map((name) => [name, 'announced']),
-    );
+  await deployment.start('old', AUTOMATIC);
+  void deployment.users.stream(EVERY_MS);
+  for (const name of NAMES) {
+    assert.equal(deployment.level.active, 1);
+    await replaceUnderLoad(name, 'new');
+  }
+  await deployment.until('the level is raised', () => deployment.level.active === 2);
+  const status = await deployment.rollout('n0', 'status', '--json');
+  assert.equal(status.code, 0);
+  const { controllers } = JSON.parse(status.stdout) as {
+    controllers: Record<string, { kind: string }>;
+  };
+  assert.deepEqual(
+    Object.entries(controllers).map(([name, { kind }]) => [name, kind]),
+    NAMES.map((name) => [name, 'announced']),
+  );
 
-    const large = deployment.user(
-      deployment.newJob({ tasks: 2100, cpus: 0.25, memoryGb: 0.1, durationS: 8 }),
-    );
-    await deployment.until(
-      'segments are stored',
-      () => segmentsIn(deployment.standIns.state).length > 0,
-    );
-    await deployment.replace('n1', 'old');
-    // A process that hasn't read the level yet refuses for that reason first; it is never healthy in between.
-    await deployment.until('n1 is excluded by the level', async () => {
-      const { status, text } = await deployment.health('n1');
-      assert.ok(status === 0 || status === 503, `n1 answered ${status}: ${text}`);
-      return text.includes("the cluster's level is 2");
-    });
-    const text = await deployment.rollout('n0', 'downgrade');
-    assert.deepEqual(
-      [text.code, text.stdout],
-      [0, 'level 2, lowering -> 1: the leader goes on with it\n'],
-    );
-    await deployment.until('the level is lowered', () => deployment.level.active === 1);
-    assert.deepEqual(segmentsIn(deployment.standIns.state), []);
-    await deployment.untilHealthy('n1');
-    await large;
-    await deployment.endStream();
-    deployment.checkHistory();
+  const large = deployment.users.run(
+    deployment.users.newJob({ tasks: 2100, cpus: 0.25, memoryGb: 0.1, durationS: 8 }),
+  );
+  await deployment.until(
+    'segments are stored',
+    () => segmentsIn(deployment.standIns.state).length > 0,
+  );
+  await deployment.replace('n1', 'old');
+  // A process that hasn't read the level yet refuses for that reason first; it is never healthy in between.
+  await deployment.until('n1 is excluded by the level', async () => {
+    const { status, text } = await deployment.health('n1');
+    assert.ok(status === 0 || status === 503, `n1 answered ${status}: ${text}`);
+    return text.includes("the cluster's level is 2");
   });
+  const text = await deployment.rollout('n0', 'downgrade');
+  assert.deepEqual(
+    [text.code, text.stdout],
+    [0, 'level 2, lowering -> 1: the leader goes on with it\n'],
+  );
+  await deployment.until('the level is lowered', () => deployment.level.active === 1);
+  assert.deepEqual(segmentsIn(deployment.standIns.state), []);
+  await deployment.untilHealthy('n1');
+  await large;
+  await deployment.users.endStream();
+  deployment.users.checkHistory();
 });
 
 test('an abandoned roll: nothing is raised, commands are refused with a reason, and everything goes back', async () => {
-  await withDeployment(['old', { ...AUTOMATIC, mode: 'manual' }], async (deployment) => {
-    void deployment.stream(EVERY_MS);
-    for (const name of ['n0', 'n1']) await replaceUnderLoad(deployment, name, 'new');
-    const refused = await deployment.rollout('n0', 'activate');
-    assert.deepEqual([refused.code, refused.stdout], [3, '']);
-    assert.match(refused.stderr, /^refused: n2 runs build 0\.0\.9, .*\n$/);
-    const nothing = await deployment.rollout('n2', 'abort', '--json');
+  await deployment.start('old', { ...AUTOMATIC, mode: 'manual' });
+  void deployment.users.stream(EVERY_MS);
+  for (const name of ['n0', 'n1']) await replaceUnderLoad(name, 'new');
+  const refused = await deployment.rollout('n0', 'activate');
+  assert.deepEqual([refused.code, refused.stdout], [3, '']);
+  assert.match(refused.stderr, /^refused: n2 runs build 0\.0\.9, .*\n$/);
+  const nothing = await deployment.rollout('n2', 'abort', '--json');
+  assert.deepEqual(
+    [nothing.code, JSON.parse(nothing.stdout)],
+    [3, { kind: 'refused', reason: 'nothing is being raised: the level is stable' }],
+  );
+  for (const args of [['dance'], [], ['status', '--loud']]) {
+    const bad = await deployment.rollout('n0', ...args);
     assert.deepEqual(
-      [nothing.code, JSON.parse(nothing.stdout)],
-      [3, { kind: 'refused', reason: 'nothing is being raised: the level is stable' }],
+      [bad.code, bad.stdout, bad.stderr.split('\n').length],
+      [2, '', 2],
+      args.join(' '),
     );
-    for (const args of [['dance'], [], ['status', '--loud']]) {
-      const bad = await deployment.rollout('n0', ...args);
-      assert.deepEqual(
-        [bad.code, bad.stdout, bad.stderr.split('\n').length],
-        [2, '', 2],
-        args.join(' '),
-      );
-    }
-    for (const name of ['n0', 'n1']) await replaceUnderLoad(deployment, name, 'old');
-    assert.deepEqual(deployment.level, { state: 'stable', active: 1 });
-    await deployment.endStream();
-    deployment.checkHistory();
-  });
+  }
+  for (const name of ['n0', 'n1']) await replaceUnderLoad(name, 'old');
+  assert.deepEqual(deployment.level, { state: 'stable', active: 1 });
+  await deployment.users.endStream();
+  deployment.users.checkHistory();
 });
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -1,45 +1,27 @@
 /** Controllers as real processes on loopback, of builds that differ in the levels that they declare. */
 import assert from 'node:assert/strict';
 import { type ChildProcess, execFile, spawn } from 'node:child_process';
-import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
+import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
-import { setTimeout as delay } from 'node:timers/promises';
 import type { DutySettings } from '@millring/duties';
 import type { RolloutSettings } from '@millring/rollout';
-import { bundleController } from './controller-program.js';
+import { type BuildName, bundleBuilds } from './controller-builds.js';
+import { killAndWait } from './child-process.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
-import { LoopbackStandIns, freePort } from './loopback.js';
+import { LoopbackStandIns } from './loopback.js';
+import { freePort } from './loopback-server.js';
 import { type ControllerAddresses, settingsFile } from './platform-settings.js';
-import { observedJob } from './observed-job.js';
-import {
-  type JobSubmission,
-  type UserRequest,
-  decodeJobReply,
-  pollRequest,
-  submitRequest,
-} from './wire/users.js';
+import { ProcessUsers } from './process-users.js';
+import { waitUntil } from './wait-until.js';
 
 const NAMES = ['n0', 'n1', 'n2'];
-/** No test asks how fast anything is: whoever waits for longer than this has a fault, not a slow machine. */
-const PATIENCE_MS = 180_000;
 const TEAM = 'research';
 const TEAM_LIMIT = 200;
 const REPORT_S = 0.5;
 /** Longer than a busy machine may stand still, so that no worker loses its lease for that. */
 const LEASE_S = 30;
 const CANCEL_S = 60;
-const DECLARED = 'export const BUILD: Build =';
-
-export type BuildName = 'old' | 'new' | 'latest';
-
-/** What the builds declare of themselves, whatever this program declares. */
-const DECLARATIONS: Record<BuildName, string> = {
-  old: "{ version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 }",
-  new: '{ version: manifest.version, reads: { from: 1, to: 2 }, writes: 2 }',
-  latest: '{ version: manifest.version, reads: { from: 1, to: 3 }, writes: 3 }',
-};
-
 export interface CommandResult {
   code: number;
   stdout: string;
@@ -50,38 +32,12 @@
   process: ChildProcess | null;
 }
 
-/** The program as a single file that declares the levels of the named build. */
-async function bundleAs(name: BuildName, directory: string): Promise<string> {
-  const outfile = join(directory, `${name}.cjs`);
-  const source = readFileSync('src/build.ts', 'utf8');
-  assert.ok(source.includes(DECLARED));
-  const declared = `${DECLARED} ${DECLARATIONS[name]};\nconst _REPLACED: Build =`;
-  await bundleController(outfile, [
-    {
-      name: 'build',
-      setup: (setup) => {
-        setup.onLoad({ filter: /src[/\\]build\.ts$/ }, () => ({
-          contents: source.replace(DECLARED, declared),
-          loader: 'ts',
-        }));
-      },
-    },
-  ]);
-  return outfile;
-}
-
 export class ControllerProcesses {
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-'));
-  private readonly bundles = new Map<BuildName, string>();
+  private bundles = new Map<BuildName, string>();
   private readonly controllers: Controller[] = [];
-  private nextJob = 1;
-  private openUsers = 0;
-  private streaming = false;
-  /** Of each accepted submission, from its first attempt on, in milliseconds. */
-  readonly latenciesMs: number[] = [];
-  /** Attempts that were not accepted. */
-  refused = 0;
   standIns!: LoopbackStandIns;
+  users!: ProcessUsers;
 
   /** `rollout` and `duties`: as in the operators' file. */
   async start(
@@ -89,8 +45,7 @@
     rollout: Partial<RolloutSettings>,
     duties: Partial<DutySettings> = {},
   ): Promise<void> {
-    for (const name of ['old', 'new', 'latest'] as const)
-      this.bundles.set(name, await bundleAs(name, this.directory));
+    this.bundles = await bundleBuilds(this.directory);
     for (const name of NAMES)
       this.controllers.push({
         name,
@@ -109,6 +64,7 @@
       limits: new Map([[TEAM, TEAM_LIMIT]]),
     });
     await this.standIns.start();
+    this.users = new ProcessUsers(this.standIns, this.controllers, TEAM);
     writeFileSync(join(this.directory, 'operator.json'), JSON.stringify({ rollout, duties }));
     for (const controller of this.controllers) {
       writeFileSync(this.configOf(controller.name), this.settingsOf(controller));
@@ -161,32 +117,19 @@
   /** Ends the process without a signal that it could answer, and starts the other build. */
   async replace(name: string, build: BuildName): Promise<void> {
     const controller = this.named(name);
-    await this.end(controller);
+    if (controller.process) await killAndWait(controller.process);
     this.spawn(controller, build);
   }
 
-  private async end(controller: Controller): Promise<void> {
-    const { process: child } = controller;
-    if (!child || child.exitCode !== null) return;
-    const ended = new Promise((done) => child.once('exit', done));
-    child.kill('SIGKILL');
-    await ended;
-  }
-
   async stop(): Promise<void> {
-    this.streaming = false;
-    for (const controller of this.controllers) await this.end(controller);
+    this.users.stop();
+    for (const { process: child } of this.controllers) if (child) await killAndWait(child);
     this.standIns.stop();
     rmSync(this.directory, { recursive: true });
   }
 
-  async until(what: string, holds: () => Promise<boolean> | boolean): Promise<void> {
-    const end = performance.now() + PATIENCE_MS;
-    while (performance.now() < end) {
-      if (await holds()) return;
-      await delay(50);
-    }
-    assert.fail(`in vain: ${what}`);
+  until(what: string, holds: () => Promise<boolean> | boolean): Promise<void> {
+    return waitUntil(what, holds);
   }
 
   async health(name: string): Promise<{ status: number; text: string }> {
@@ -233,89 +176,4 @@
       { state: string; active: number } | undefined;
     return stored ?? { state: 'stable', active: 1 };
   }
-
-  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
-    return {
-      id: `run-${String(this.nextJob++).padStart(6, '0')}`,
-      jobClass: 'batch',
-      team: TEAM,
-      kind: 'array',
-      priority: 'normal',
-      tasks: 4,
-      cpus: 2,
-      gpus: 0,
-      memoryGb: 2,
-      image: 'img-1',
-      imageGb: 0.2,
-      machineTypes: null,
-      zone: null,
-      oneZone: false,
-      spread: false,
-      spot: true,
-      durationS: 1,
-      checkpointEveryS: 0,
-      checkpointS: 0,
-      deadlineS: null,
-      ...over,
-    };
-  }
-
-  /** As PROTOCOL has it: a submission is repeated until it is accepted, then its user asks until the job is over. */
-  async user(job: JobSubmission): Promise<void> {
-    this.openUsers++;
-    const { id } = job;
-    const { invariants, clock } = this.standIns;
-    invariants.jobs.set(id, observedJob(job, clock.time));
-    const began = performance.now();
-    while (!(await this.told(id, submitRequest(job)))) this.refused++;
-    this.latenciesMs.push(performance.now() - began);
-    await this.until(`${id} is done`, async () => {
-      await this.told(id, pollRequest(id));
-      await delay(300);
-      return invariants.jobs.get(id)!.reportedDoneAt !== null;
-    });
-    this.openUsers--;
-  }
-
-  /** Asks any controller that accepts connections; false if the request has to be repeated. */
-  private async told(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { invariants, clock } = this.standIns;
-    const asked = clock.time;
-    const start = Math.floor(Math.random() * NAMES.length);
-    for (let i = 0; i < NAMES.length; i++) {
-      const { address } = this.controllers[(start + i) % NAMES.length];
-      const reply = await this.standIns.ask(address, method, path, body);
-      if (reply.status === 0) continue;
-      const decoded = decodeJobReply(reply);
-      invariants.recordAnswer(id, decoded, asked);
-      if (decoded.job) return true;
-      break;
-    }
-    await delay(200);
-    return false;
-  }
-
-  /** Jobs keep coming until `endStream`. */
-  async stream(everyMs: number): Promise<void> {
-    this.streaming = true;
-    while (this.streaming) {
-      void this.user(this.newJob({ tasks: 1 + (this.nextJob % 6) }));
-      await delay(everyMs);
-    }
-  }
-
-  /** Every job that was begun has ended, as its user was told. */
-  async endStream(): Promise<void> {
-    this.streaming = false;
-    await this.until('all jobs are done', () => this.openUsers === 0);
-  }
-
-  /** Each accepted job ended once; no task ran in two places, or again after it was done. */
-  checkHistory(): void {
-    const { invariants } = this.standIns;
-    assert.deepEqual(invariants.violations, []);
-    assert.deepEqual(invariants.startsAfterFinish, []);
-    for (const [id, job] of invariants.jobs)
-      if (job.reportedDoneAt !== null) assert.equal(job.finishedTasks.size, job.spec.tasks, id);
-  }
 }
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -1,16 +1,17 @@
 /** Processes that share the duties, on loopback with their stand-ins. */
-import assert from 'node:assert/strict';
 import { type ChildProcess, fork } from 'node:child_process';
 import type { Server } from 'node:http';
-import { setTimeout as delay } from 'node:timers/promises';
 import { fileURLToPath } from 'node:url';
 import { type Duty, type Intent, intentKey } from '@millring/duties';
+import { killAndWait } from './child-process.js';
 import { VirtualClock } from './clock.js';
 import type { DutyProcessMessage, DutyProcessOptions } from './duty-process.js';
 import { FencedProvider } from './fenced-provider.js';
-import { end, followSteadyClock, serveOnLoopback } from './loopback.js';
+import { closeServer, serveOnLoopback } from './loopback-server.js';
+import { followSteadyClock } from './steady-clock.js';
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
+import { waitUntil } from './wait-until.js';
 
 const MAIN = fileURLToPath(new URL('./duty-process.js', import.meta.url));
 const NAMES = ['n0', 'n1', 'n2'];
@@ -102,13 +103,8 @@
     ).length;
   }
 
-  async until(what: string, holds: () => boolean): Promise<void> {
-    const giveUpAt = performance.now() + PATIENCE_MS;
-    while (performance.now() < giveUpAt) {
-      if (holds()) return;
-      await delay(20);
-    }
-    assert.fail(`in vain: ${what}`);
+  until(what: string, holds: () => boolean): Promise<void> {
+    return waitUntil(what, holds, { everyMs: 20, patienceMs: PATIENCE_MS });
   }
 
   /** Another process has taken the duty; its name. */
@@ -120,13 +116,8 @@
   }
 
   async stop(): Promise<void> {
-    for (const child of this.children.values()) {
-      if (child.exitCode !== null || child.signalCode !== null) continue;
-      const ended = new Promise((done) => child.once('exit', done));
-      child.kill('SIGKILL');
-      await ended;
-    }
+    for (const child of this.children.values()) await killAndWait(child);
     this.stopped = true;
-    for (const server of this.servers) end(server);
+    for (const server of this.servers) closeServer(server);
   }
 }
--- a/test/sim/jobs.ts
+++ b/test/sim/jobs.ts
@@ -1,3 +1,4 @@
+/** Jobs that tests submit. */
 import type { SeededRandom } from './random.js';
 import type { JobSubmission } from './wire/users.js';
 
@@ -37,11 +38,35 @@
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
 
+/** What no test looks at, of an array that may run anywhere. */
+export const PLAIN_ARRAY = {
+  jobClass: 'batch',
+  kind: 'array',
+  priority: 'normal',
+  cpus: 2,
+  gpus: 0,
+  image: 'img-1',
+  machineTypes: null,
+  zone: null,
+  oneZone: false,
+  spread: false,
+  spot: true,
+  durationS: 1,
+  checkpointEveryS: 0,
+  checkpointS: 0,
+  deadlineS: null,
+} satisfies Partial<JobSubmission>;
+
+/** The name of a user's job, as the bench counts them. */
+export function jobId(number: number): string {
+  return `run-${String(number).padStart(6, '0')}`;
+}
+
 /** A service or an array, as it comes. */
 export function randomJob(number: number, random: SeededRandom): JobSubmission {
   const isService = random.chance(0.4);
   return {
-    id: `run-${String(number).padStart(6, '0')}`,
+    id: jobId(number),
     jobClass: isService ? 'desk' : 'batch',
     team: random.pick(['t0', 't1']),
     kind: isService ? 'service' : 'array',
--- /dev/null
+++ b/test/sim/loopback-server.ts
@@ -0,0 +1,71 @@
+/** HTTP servers of stand-ins on loopback, and ports for them. */
+import { type Server, createServer } from 'node:http';
+import type { AddressInfo } from 'node:net';
+import { decodeMap, encode } from '../../src/wire/cbor.js';
+import type { Handler } from './network.js';
+
+const HOST = '127.0.0.1';
+/** Below the ports that systems give to connections: those could take the port of a controller while it is replaced. */
+const FIRST_PORT = 20_000;
+const PORTS = 10_000;
+const usedPorts = new Set<number>();
+
+/** A port that nobody uses at the moment, never the same twice. */
+export async function freePort(): Promise<number> {
+  for (;;) {
+    const port = FIRST_PORT + Math.floor(Math.random() * PORTS);
+    if (usedPorts.has(port) || !(await isFree(port))) continue;
+    usedPorts.add(port);
+    return port;
+  }
+}
+
+async function isFree(port: number): Promise<boolean> {
+  const server = createServer();
+  try {
+    await listening(server, port);
+  } catch {
+    return false;
+  }
+  await new Promise((done) => server.close(done));
+  return true;
+}
+
+function listening(server: Server, port: number): Promise<number> {
+  return new Promise((done, failed) => {
+    server.on('error', failed);
+    server.listen(port, HOST, () => {
+      done((server.address() as AddressInfo).port);
+    });
+  });
+}
+
+/** Serves a stand-in at a port, 0 for any that is free. */
+export async function serveOnLoopback(
+  handler: Handler,
+  port = 0,
+): Promise<{ server: Server; address: string }> {
+  const server = createServer((request, response) => {
+    const parts: Buffer[] = [];
+    request.on('data', (part: Buffer) => parts.push(part));
+    request.on('end', () => {
+      const body = decodeMap(Buffer.concat(parts)) ?? {};
+      const reply = handler(request.method ?? 'GET', request.url ?? '/', body, 'controller');
+      void Promise.resolve(reply).then(({ status, body: answer }) => {
+        // Status 0: the simulated network brought no answer.
+        if (status === 0) {
+          request.destroy();
+          return;
+        }
+        response.writeHead(status, { 'content-type': 'application/cbor' }).end(encode(answer));
+      });
+    });
+  });
+  return { server, address: `${HOST}:${await listening(server, port)}` };
+}
+
+/** Ends a server and its connections. */
+export function closeServer(server: Server): void {
+  server.close();
+  server.closeAllConnections();
+}
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -1,21 +1,20 @@
 /** The stand-ins of the simulated cluster, served on loopback in real time to controllers that are real processes. */
-import { type Server, createServer } from 'node:http';
-import type { AddressInfo } from 'node:net';
+import type { Server } from 'node:http';
 import { outgoing } from '../../src/outgoing.js';
 import { TOKENS_PER_EPOCH } from '../../src/leadership/leader-record.js';
-import { type Body, decodeMap, encode, isMap } from '../../src/wire/cbor.js';
+import { type Body, isMap } from '../../src/wire/cbor.js';
 import { type CloudMachine, CloudService } from './cloud.js';
 import { VirtualClock } from './clock.js';
+import { followSteadyClock } from './steady-clock.js';
 import { GangCoordinator } from './gang-coordinator.js';
 import { type Handler, Network } from './network.js';
 import { SeededRandom } from './random.js';
 import { Invariants } from './invariants.js';
+import { closeServer, serveOnLoopback } from './loopback-server.js';
 import { StateService } from './state-service.js';
 import { decodeCommandRequest, startsTasks } from './wire/workers.js';
 import { POLL_MS, Worker } from './worker.js';
 
-const HOST = '127.0.0.1';
-const STEP_MS = 10;
 const CPUS = 16;
 const TIMEOUT_MS = 5000;
 /** Hosts of the simulated network. */
@@ -41,84 +40,6 @@
   cloudPort?: number;
 }
 
-/** Below the ports that systems give to connections: those could take the port of a controller while it is replaced. */
-const FIRST_PORT = 20_000;
-const PORTS = 10_000;
-const given = new Set<number>();
-
-/** A port that nobody uses at the moment, never the same twice. */
-export async function freePort(): Promise<number> {
-  for (;;) {
-    const port = FIRST_PORT + Math.floor(Math.random() * PORTS);
-    if (given.has(port) || !(await isFree(port))) continue;
-    given.add(port);
-    return port;
-  }
-}
-
-async function isFree(port: number): Promise<boolean> {
-  const server = createServer();
-  try {
-    await listening(server, port);
-  } catch {
-    return false;
-  }
-  await new Promise((done) => server.close(done));
-  return true;
-}
-
-function listening(server: Server, port: number): Promise<number> {
-  return new Promise((done, failed) => {
-    server.on('error', failed);
-    server.listen(port, HOST, () => {
-      done((server.address() as AddressInfo).port);
-    });
-  });
-}
-
-/** Serves a stand-in at a port, 0 for any that is free. */
-export async function serveOnLoopback(
-  handler: Handler,
-  port = 0,
-): Promise<{ server: Server; address: string }> {
-  const server = createServer((request, response) => {
-    const parts: Buffer[] = [];
-    request.on('data', (part: Buffer) => parts.push(part));
-    request.on('end', () => {
-      const body = decodeMap(Buffer.concat(parts)) ?? {};
-      const reply = handler(request.method ?? 'GET', request.url ?? '/', body, 'controller');
-      void Promise.resolve(reply).then(({ status, body: answer }) => {
-        // Status 0: the simulated network brought no answer.
-        if (status === 0) {
-          request.destroy();
-          return;
-        }
-        response.writeHead(status, { 'content-type': 'application/cbor' }).end(encode(answer));
-      });
-    });
-  });
-  return { server, address: `${HOST}:${await listening(server, port)}` };
-}
-
-/** Ends a server and its connections. */
-export function end(server: Server): void {
-  server.close();
-  server.closeAllConnections();
-}
-
-/** Virtual time follows the steady clock until `stopped`. */
-export async function followSteadyClock(
-  clock: VirtualClock,
-  stopped: () => boolean,
-  check: () => void = () => undefined,
-): Promise<void> {
-  const startedAt = performance.now();
-  while (!stopped()) {
-    await clock.runUntil(performance.now() - startedAt, check);
-    await new Promise((done) => setTimeout(done, STEP_MS));
-  }
-}
-
 export class LoopbackStandIns {
   readonly clock = new VirtualClock();
   readonly invariants: Invariants;
@@ -281,7 +202,7 @@
 
   stop(): void {
     this.stopped = true;
-    for (const server of this.servers) end(server);
+    for (const server of this.servers) closeServer(server);
   }
 
   private toMachine(address: string, request: Parameters<Handler>): ReturnType<Handler> {
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -4,8 +4,10 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import type { LinkMode } from './fault-schedule.js';
+import { killAndWait } from '../sim/child-process.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from '../sim/gang-coordinator.js';
-import { LoopbackStandIns, freePort } from '../sim/loopback.js';
+import { LoopbackStandIns } from '../sim/loopback.js';
+import { freePort } from '../sim/loopback-server.js';
 import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
 
@@ -141,7 +143,7 @@
     const child = controller.process;
     if (!child) return;
     controller.process = null;
-    await ended(child);
+    await killAndWait(child);
     setTimeout(() => {
       if (!this.stopping) this.spawn(controller);
     }, downMs);
@@ -178,16 +180,9 @@
 
   async stop(): Promise<void> {
     this.stopping = true;
-    for (const { process: child } of this.controllers) if (child) await ended(child);
+    for (const { process: child } of this.controllers) if (child) await killAndWait(child);
     for (const relay of this.relays.values()) relay.close();
     this.standIns.stop();
     rmSync(this.directory, { recursive: true });
   }
 }
-
-async function ended(child: ChildProcess): Promise<void> {
-  if (child.exitCode !== null || child.signalCode !== null) return;
-  const exit = new Promise((done) => child.once('exit', done));
-  child.kill('SIGKILL');
-  await exit;
-}
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -1,11 +1,11 @@
 /**
  * One run of the soak test: jobs come at all controllers while faults happen by the schedule of a seed; afterwards
- * everything has to end. All rules are checked on the stand-ins' own histories. The faults, their times and the jobs
+ * everything has to end. All invariants are checked on the stand-ins' own histories. The faults, their times and the jobs
  * are drawn from the seed; what meets what is decided by real time as well, so that a run does not repeat exactly.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
-import { BATCH, SERVICE, GANG } from '../sim/jobs.js';
+import { BATCH, GANG, SERVICE, jobId } from '../sim/jobs.js';
 import { SeededRandom } from '../sim/random.js';
 import { type ObservedJob, observedJob } from '../sim/observed-job.js';
 import {
@@ -29,7 +29,7 @@
   terms: number;
   /** The highest use that any team had, as a share of its limit. */
   peakShare: number;
-  broken: string[];
+  violations: string[];
   schedule: ScheduledFault[];
   /** Only of a run that broke something. */
   logs: { name: string; text: string }[];
@@ -55,7 +55,7 @@
 /** In the log line of a controller that begins to serve as the leader. */
 const TERM_BEGAN = '"to":"serving"';
 
-export function sizeOf(seed: number): SoakSize {
+function sizeOf(seed: number): SoakSize {
   return seed % LARGE_EVERY === 0 ? LARGE : SMALL;
 }
 
@@ -101,7 +101,7 @@
     };
   }
 
-  async play(schedule: ScheduledFault[]): Promise<void> {
+  async run(schedule: ScheduledFault[]): Promise<void> {
     await delay(BEGIN_MS);
     void this.submit();
     for (const { atMs, fault } of schedule) setTimeout(() => void this.injector.bring(fault), atMs);
@@ -117,7 +117,7 @@
   private async submit(): Promise<void> {
     while (this.submitting) {
       const job = this.newJob();
-      void this.user(job, this.random.chance(0.3) ? this.random.between(0, 12_000) : null);
+      void this.runUser(job, this.random.chance(0.3) ? this.random.between(0, 12_000) : null);
       await delay(this.random.between(150, 700));
     }
   }
@@ -127,7 +127,7 @@
     const scale = this.size.teamLimit / SMALL.teamLimit;
     const arrayTasks = profile === BATCH ? this.random.int(1, Math.round(15 * scale)) : null;
     const job = {
-      id: `run-${String(this.nextJob++).padStart(6, '0')}`,
+      id: jobId(this.nextJob++),
       team: this.random.pick(TEAMS),
       cpus: 2,
       gpus: 0,
@@ -145,31 +145,31 @@
     return { ...job, tasks: arrayTasks ?? serviceTasks ?? GANG.tasks };
   }
 
-  private async user(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
+  private async runUser(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
     const { invariants, clock } = this.standIns;
     const facts = observedJob(job, clock.time);
     invariants.jobs.set(id, facts);
-    while (!(await this.told(id, submitRequest(job)))) await delay(USER_RETRY_MS);
+    while (!(await this.request(id, submitRequest(job)))) await delay(USER_RETRY_MS);
     // Services would hold their team's room for ever.
     const until =
       cancelAfterMs ?? (job.kind === 'service' ? this.random.between(8000, 20_000) : null);
     if (until !== null) void this.cancelLater(id, facts, until);
     while (facts.reportedDoneAt === null && facts.reportedCancelledAt === null) {
       await delay(this.random.between(200, 900));
-      if (this.random.chance(0.1)) await this.told(id, submitRequest(job));
-      else await this.told(id, pollRequest(id));
+      if (this.random.chance(0.1)) await this.request(id, submitRequest(job));
+      else await this.request(id, pollRequest(id));
     }
   }
 
   private async cancelLater(id: string, facts: ObservedJob, afterMs: number): Promise<void> {
     await delay(afterMs);
     facts.cancelRequested = true;
-    while (!(await this.told(id, cancelRequest(id)))) await delay(USER_RETRY_MS);
+    while (!(await this.request(id, cancelRequest(id)))) await delay(USER_RETRY_MS);
   }
 
   /** Asks a controller; false if the request has to be repeated. */
-  private async told(id: string, { method, path, body }: UserRequest): Promise<boolean> {
+  private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
     const { invariants, clock } = this.standIns;
     const asked = clock.time - STEP_MARGIN_MS;
     const address = this.deployment.addressOf(this.random.pick(NAMES));
@@ -213,7 +213,7 @@
       starts: invariants.starts,
       terms: logs.reduce((count, { text }) => count + text.split(TERM_BEGAN).length - 1, 0),
       peakShare: this.peakShare,
-      broken: invariants.violations,
+      violations: invariants.violations,
       schedule,
       logs: invariants.violations.length > 0 ? logs : [],
       history: this.history,
@@ -232,7 +232,7 @@
       leaseMs: size.leaseS * 1000,
     });
     const run = new SoakRun(seed, size, deployment);
-    await run.play(schedule);
+    await run.run(schedule);
     return run.result(schedule);
   } finally {
     await deployment.stop();
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -41,7 +41,7 @@
 
 /** What is needed to trace a failure: the faults, what the controllers wrote, and what the machines did. */
 function printFailure(result: SoakResult): void {
-  console.log(`seed ${result.seed} broke: ${result.broken.slice(0, 10).join('; ')}`);
+  console.log(`seed ${result.seed} broke: ${result.violations.slice(0, 10).join('; ')}`);
   console.log('faults:');
   for (const { atMs, fault } of result.schedule)
     console.log(`  ${Math.round(atMs)} ${JSON.stringify(fault)}`);
@@ -54,13 +54,13 @@
 }
 
 function print(result: SoakResult): void {
-  const { seed, machines, jobs, starts, terms, peakShare, broken } = result;
-  const outcome = broken.length === 0 ? 'ok' : 'BROKEN';
+  const { seed, machines, jobs, starts, terms, peakShare, violations } = result;
+  const outcome = violations.length === 0 ? 'ok' : 'BROKEN';
   const peak = Math.round(100 * peakShare);
   console.log(
     `seed ${seed}: ${outcome}, ${machines} machines, ${jobs} jobs, ${starts} starts, ${terms} leader terms, highest use ${peak} %`,
   );
-  if (broken.length > 0) printFailure(result);
+  if (violations.length > 0) printFailure(result);
 }
 
 async function runAll({ seeds, jobs }: SoakOptions): Promise<void> {
@@ -74,7 +74,7 @@
     while (next <= seeds.to) {
       const result = await runSoak(program, next++);
       print(result);
-      if (result.broken.length === 0) passed++;
+      if (result.violations.length === 0) passed++;
       else failed++;
     }
   };
