--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -1,23 +1,29 @@
+/** The time of the simulated deployments. */
 import type { Clock } from '../../src/runtime.js';
 
-interface Event {
+interface TimedEvent {
   at: number;
   order: number;
-  fn: () => void;
-  off: boolean;
+  callback: () => void;
+  isCancelled: boolean;
 }
 
 /** Virtual time: events run in order, and everything that they cause at once is done before the next. */
 export class VirtualClock {
-  private heap: Event[] = [];
+  private heap: TimedEvent[] = [];
   private order = 0;
   time = 0;
 
-  after(ms: number, fn: () => void): () => void {
-    const event: Event = { at: this.time + Math.max(0, ms), order: this.order++, fn, off: false };
+  after(ms: number, callback: () => void): () => void {
+    const event: TimedEvent = {
+      at: this.time + Math.max(0, ms),
+      order: this.order++,
+      callback,
+      isCancelled: false,
+    };
     this.push(event);
     return () => {
-      event.off = true;
+      event.isCancelled = true;
     };
   }
 
@@ -25,53 +31,53 @@
   host(rate: number, alive: () => boolean): Clock {
     return {
       now: () => this.time * rate,
-      after: (ms, fn) =>
+      after: (ms, callback) =>
         this.after(ms / rate, () => {
-          if (alive()) fn();
+          if (alive()) callback();
         }),
     };
   }
 
-  private less(a: Event, b: Event): boolean {
-    return a.at < b.at || (a.at === b.at && a.order < b.order);
+  private isBefore(one: TimedEvent, other: TimedEvent): boolean {
+    return one.at < other.at || (one.at === other.at && one.order < other.order);
   }
 
-  private push(event: Event): void {
+  private push(event: TimedEvent): void {
     const heap = this.heap;
     heap.push(event);
     for (let i = heap.length - 1; i > 0;) {
-      const p = (i - 1) >> 1;
-      if (!this.less(heap[i], heap[p])) break;
-      [heap[i], heap[p]] = [heap[p], heap[i]];
-      i = p;
+      const parent = (i - 1) >> 1;
+      if (!this.isBefore(heap[i], heap[parent])) break;
+      [heap[i], heap[parent]] = [heap[parent], heap[i]];
+      i = parent;
     }
   }
 
-  private pop(): Event | undefined {
+  private pop(): TimedEvent | undefined {
     const heap = this.heap;
     const top = heap[0];
     const last = heap.pop();
     if (heap.length > 0 && last) {
       heap[0] = last;
       for (let i = 0; ;) {
-        let second = i;
-        for (const c of [2 * i + 1, 2 * i + 2])
-          if (c < heap.length && this.less(heap[c], heap[second])) second = c;
-        if (second === i) break;
-        [heap[i], heap[second]] = [heap[second], heap[i]];
-        i = second;
+        let earliest = i;
+        for (const child of [2 * i + 1, 2 * i + 2])
+          if (child < heap.length && this.isBefore(heap[child], heap[earliest])) earliest = child;
+        if (earliest === i) break;
+        [heap[i], heap[earliest]] = [heap[earliest], heap[i]];
+        i = earliest;
       }
     }
     return top;
   }
 
-  /** `check` looks at the rules after each step. */
+  /** `check` looks at the invariants after each step. */
   async runUntil(end: number, check: () => void): Promise<void> {
     while (this.heap.length > 0 && this.heap[0].at <= end) {
       const event = this.pop()!;
-      if (event.off) continue;
+      if (event.isCancelled) continue;
       this.time = event.at;
-      event.fn();
+      event.callback();
       await new Promise<void>((done) => setImmediate(done));
       check();
     }
--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -7,7 +7,7 @@
 
 /** The teams of users. */
 export const TEAMS = ['t0', 't1'];
-export const REPORT_MS = 1000;
+const REPORT_MS = 1000;
 export const LEASE_MS = 8000;
 export const CANCEL_MS = 22_000;
 const CLOUD_RPS = 5;
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -12,7 +12,7 @@
 import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
 import { VirtualClock } from './clock.js';
-import { DutyInvariants } from './duty-invariants.js';
+import { DutyInvariants, type ObservedDutyGroup } from './duty-invariants.js';
 import { FencedProvider, FencedProviderClient } from './fenced-provider.js';
 import { Network } from './network.js';
 import { type SimulatedProcess, simulatedRuntime } from './simulated-runtime.js';
@@ -50,7 +50,7 @@
   leader?: string;
 }
 
-export class DutyGroup {
+export class DutyGroup implements ObservedDutyGroup {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
   readonly net: Network;
@@ -227,11 +227,17 @@
     this.state.rejectHost(`${name}:80`, ms);
   }
 
-  /** Whoever believes to hold the duty now. */
+  private isHolder(name: string, duty: Duty): boolean {
+    return this.isUp(name) && !this.isFrozen(name) && this.member(name).holder(duty).isHeld();
+  }
+
+  /** Controllers that run and believe to hold the duty now. */
+  holders(duty: Duty): string[] {
+    return this.names.filter((name) => this.isHolder(name, duty));
+  }
+
   holder(duty: Duty): string | undefined {
-    return this.names.find(
-      (name) => this.isUp(name) && !this.isFrozen(name) && this.member(name).holder(duty).isHeld(),
-    );
+    return this.names.find((name) => this.isHolder(name, duty));
   }
 
   /** What the records say. */
--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -1,10 +1,22 @@
 /** What must hold of the duties after each step, whatever fails: looked at from outside the controllers. */
 import { DUTIES, type Duty, type Intent, type Outcome } from '@millring/duties';
-import type { DutyGroup } from './duty-group.js';
-import type { ProviderCall } from './fenced-provider.js';
+import type { VirtualClock } from './clock.js';
+import type { FencedProvider, ProviderCall } from './fenced-provider.js';
+import type { StateService } from './state-service.js';
 
 const INTENTS_PREFIX = 'duties/intents/';
 
+/** What the invariants look at. */
+export interface ObservedDutyGroup {
+  readonly clock: VirtualClock;
+  readonly state: StateService;
+  readonly provider: FencedProvider;
+  /** Controllers that run and believe to hold the duty now. */
+  holders(duty: Duty): string[];
+  /** What the records say. */
+  recorded(duty: Duty): { controller: string; token: number } | undefined;
+}
+
 export class DutyInvariants {
   readonly violations: string[] = [];
   private readonly tokens = new Map<Duty, number>();
@@ -15,7 +27,7 @@
   operatorActed = false;
   private revisionSeen = 0;
 
-  constructor(private readonly group: DutyGroup) {}
+  constructor(private readonly group: ObservedDutyGroup) {}
 
   private recordViolation(rule: string, detail: string): void {
     this.violations.push(`${Math.round(this.group.clock.time)} ${rule}: ${detail}`);
@@ -32,10 +44,7 @@
   private checkHolders(): void {
     const { group } = this;
     for (const duty of DUTIES) {
-      const holders = group.names.filter(
-        (name) =>
-          group.isUp(name) && !group.isFrozen(name) && group.member(name).holder(duty).isHeld(),
-      );
+      const holders = group.holders(duty);
       if (holders.length > 1) this.recordViolation('two_holders', `${duty}: ${holders.join(', ')}`);
       const recorded = group.recorded(duty)?.controller;
       if (holders.length === 1 && holders[0] !== recorded && !this.operatorActed)
@@ -65,21 +74,23 @@
 
   /** Once resolved, an intent stays as it is; it is resolved under a token that was given. */
   private checkIntent(intent: Intent): void {
-    const before = this.intents.get(intent.id);
-    const isNew = before?.outcome === undefined || before.outcome === null;
-    if (
-      isNew &&
-      intent.outcome !== null &&
-      intent.token !== this.group.recorded(intent.duty)?.token
-    )
-      this.recordViolation('resolved_by_replaced', intent.id);
-    if (before?.outcome && !sameOutcome(before.outcome, intent.outcome))
-      this.recordViolation('outcome_changed', intent.id);
+    const before = this.intents.get(intent.id)?.outcome ?? null;
+    if (before !== null) this.checkOutcomeKept(intent, before);
+    else if (intent.outcome !== null) this.checkResolvedByHolder(intent);
     if (intent.token !== null && intent.token > (this.tokens.get(intent.duty) ?? 0))
       this.recordViolation('unknown_token', intent.id);
     this.intents.set(intent.id, structuredClone(intent));
   }
 
+  private checkResolvedByHolder({ id, duty, token }: Intent): void {
+    if (token !== this.group.recorded(duty)?.token)
+      this.recordViolation('resolved_by_replaced', id);
+  }
+
+  private checkOutcomeKept({ id, outcome }: Intent, before: Outcome): void {
+    if (!isSameOutcome(before, outcome)) this.recordViolation('outcome_changed', id);
+  }
+
   /** The provider executes only what an intent asked for before, and tokens never fall. */
   private checkCall(call: ProviderCall): void {
     if (!call.executed) return;
@@ -96,9 +107,9 @@
   }
 }
 
-function sameOutcome(a: Outcome, b: Outcome | null): boolean {
+function isSameOutcome(before: Outcome, now: Outcome | null): boolean {
   // A late copy of the first write may open the intent once more; doing it again changes nothing.
-  return b === null || JSON.stringify(a) === JSON.stringify(b);
+  return now === null || JSON.stringify(before) === JSON.stringify(now);
 }
 
 function isFor({ id, duty, action }: Intent, call: ProviderCall): boolean {
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,4 +1,4 @@
-/** Troubles and beginnings that several tests bring about, all by the cluster's seeded random. */
+/** Faults, and clusters to begin with, that several tests use; what is random comes from the cluster's seed. */
 import assert from 'node:assert/strict';
 import { Cluster } from './cluster.js';
 import { type ClusterConfig, LEASE_MS } from './cluster-config.js';
@@ -17,7 +17,7 @@
   return cluster;
 }
 
-/** What placing cost, as the leaders' rounds tell. */
+/** What placing cost, as the leaders' logs tell of each round. */
 export interface PlacementWork {
   cycles: number;
   candidatesExamined: number;
@@ -28,14 +28,14 @@
 export function logPlacementWork(work: PlacementWork): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
-    for (const k of ['cycles', 'candidatesExamined', 'starts'] as const)
-      work[k] += (fields as PlacementWork)[k];
+    for (const figure of ['cycles', 'candidatesExamined', 'starts'] as const)
+      work[figure] += (fields as PlacementWork)[figure];
   };
 }
 
 export const jobIds = (cluster: Cluster): string[] => [...cluster.invariants.jobs.keys()];
 export const otherNode = (cluster: Cluster, than: string): string =>
-  cluster.nodeNames.find((n) => n !== than)!;
+  cluster.nodeNames.find((name) => name !== than)!;
 export const leaderOrRandomNode = (cluster: Cluster): string =>
   cluster.leader() ?? cluster.random.pick(cluster.nodeNames);
 
@@ -45,17 +45,17 @@
 
 /** Nothing travels between controllers. */
 export function partitionControllers(cluster: Cluster): void {
-  const isNode = (h: string): boolean => cluster.isNode(h);
+  const isNode = (host: string): boolean => cluster.isNode(host);
   cluster.network.partitions.push({ a: isNode, b: isNode, until: Infinity, mode: 'reset' });
 }
 
-/** The state service refuses the leader alone, and another controller confirms a cancellation; 2 s pass. */
+/** The state service rejects the leader alone, and another controller confirms a cancellation; 2 s pass. */
 export async function cancelDuringRejection(
   cluster: Cluster,
-  refusedMs: number,
+  rejectedMs: number,
 ): Promise<{ first: string; old: string }> {
   const old = cluster.leader()!;
-  cluster.state.rejectHost(`${old}:80`, refusedMs);
+  cluster.state.rejectHost(`${old}:80`, rejectedMs);
   await cluster.run(0.2);
   const first = jobIds(cluster)[0];
   void cluster.users.cancel(first, otherNode(cluster, old));
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -1,3 +1,4 @@
+/** The network between the simulated hosts, with its faults. */
 import type { Reply } from '../../src/runtime.js';
 import { type Body, decodeMap, encode } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
@@ -28,7 +29,24 @@
   connectionsOnly?: boolean;
 }
 
-/** Late copies of requests: how likely, how late at most, and where else they may turn up. */
+function cutsForward(
+  { a, b, connectionsOnly }: Partition,
+  from: string,
+  to: string,
+  answer: boolean,
+): boolean {
+  return a(from) && b(to) && !(connectionsOnly && answer);
+}
+
+function cutsBackward(
+  { a, b, oneWay, connectionsOnly }: Partition,
+  from: string,
+  to: string,
+): boolean {
+  return !oneWay && !connectionsOnly && a(to) && b(from);
+}
+
+/** Late duplicates of requests: how likely, how late at most, and where else they may turn up. */
 export interface Duplication {
   path: string;
   chance: number;
@@ -36,7 +54,7 @@
   to: () => string;
 }
 
-export interface ObservedRequest {
+interface ObservedRequest {
   from: string;
   to: string;
   method: string;
@@ -45,7 +63,7 @@
   body: Uint8Array;
 }
 
-export interface ObservedReply {
+interface ObservedReply {
   /** Who replies. */
   from: string;
   /** Who had asked. */
@@ -62,11 +80,22 @@
   replied(reply: ObservedReply): void;
 }
 
-/** Requests are delayed, lost, held by cuts and delivered late, and now and then repeated. */
+/** A request as it travels. */
+interface Message {
+  from: string;
+  to: string;
+  method: string;
+  path: string;
+  body: Body;
+}
+
+/** Requests are delayed, lost, held by partitions and delivered late, and now and then repeated. */
 export class Network {
   readonly hosts = new Map<string, Host>();
   partitions: Partition[] = [];
+  /** How likely a message is lost. */
   lossRate = 0.002;
+  /** How likely a request comes once more. */
   repeatRate = 0.003;
   duplicates: Duplication | null = null;
   /** How much longer everything takes. */
@@ -78,13 +107,12 @@
     private readonly random: SeededRandom,
   ) {}
 
-  private partitionBetween(a: string, b: string, answer: boolean): Partition | undefined {
+  private partitionBetween(from: string, to: string, answer: boolean): Partition | undefined {
     const now = this.clock.time;
     return this.partitions.find(
-      (c) =>
-        c.until > now &&
-        ((c.a(a) && c.b(b) && !(c.connectionsOnly && answer)) ||
-          (!c.oneWay && !c.connectionsOnly && c.a(b) && c.b(a))),
+      (partition) =>
+        partition.until > now &&
+        (cutsForward(partition, from, to, answer) || cutsBackward(partition, from, to)),
     );
   }
 
@@ -103,23 +131,17 @@
     broken: () => void,
     answer = false,
   ): void {
-    const cut = this.partitionBetween(from, to, answer);
-    if (cut?.mode === 'reset') {
+    const partition = this.partitionBetween(from, to, answer);
+    if (partition?.mode === 'reset') {
       this.clock.after(this.delay(), broken);
-    } else if (cut) {
-      this.clock.after(cut.until - this.clock.time + this.delay(), arrive);
+    } else if (partition) {
+      this.clock.after(partition.until - this.clock.time + this.delay(), arrive);
     } else if (!this.random.chance(this.lossRate)) {
       this.clock.after(this.delay(), arrive);
     }
   }
 
-  private async deliver(
-    from: string,
-    to: string,
-    method: string,
-    path: string,
-    body: Body,
-  ): Promise<Reply | null> {
+  private async deliver({ from, to, method, path, body }: Message): Promise<Reply | null> {
     const host = this.hosts.get(to);
     if (!host?.handler) return null;
     if (host.hangsUntil > this.clock.time)
@@ -128,16 +150,11 @@
   }
 
   /** A request that comes once more: nobody waits for its reply. */
-  private async deliverCopy(
-    from: string,
-    to: string,
-    method: string,
-    path: string,
-    body: Body,
-  ): Promise<void> {
-    const reply = await this.deliver(from, to, method, path, body);
-    if (reply && this.observer)
-      this.observer.replied({ ...reply, from: to, to: from, path, body: encode(reply.body) });
+  private async deliverDuplicate(message: Message): Promise<void> {
+    const reply = await this.deliver(message);
+    if (!reply || !this.observer) return;
+    const { from, to, path } = message;
+    this.observer.replied({ ...reply, from: to, to: from, path, body: encode(reply.body) });
   }
 
   /** A message without an answer, as between controllers: delayed, held or lost like the rest. */
@@ -157,55 +174,52 @@
     const bytes = body === null ? new Uint8Array() : encode(body);
     const sent = body === null ? {} : decodeMap(bytes)!;
     this.observer?.requested({ from, to, method, path, body: bytes });
+    const message: Message = { from, to, method, path, body: sent };
     return new Promise((resolve) => {
       let open = true;
       const settle = (reply: Reply): void => {
         if (open) resolve(reply);
         open = false;
       };
-      const none = (): void => {
+      const settleWithout = (): void => {
         settle({ status: 0, body: {} });
       };
-      this.clock.after(timeoutMs, none);
+      this.clock.after(timeoutMs, settleWithout);
       const arrive = (): void => {
-        void this.deliver(from, to, method, path, sent).then((reply) => {
-          if (!reply) {
-            this.clock.after(1, none);
-            return;
-          }
-          const replyBytes = encode(reply.body);
-          const back = decodeMap(replyBytes)!;
-          this.observer?.replied({
-            from: to,
-            to: from,
-            path,
-            status: reply.status,
-            body: replyBytes,
-          });
-          this.carry(
-            to,
-            from,
-            () => {
-              settle({ status: reply.status, body: back });
-            },
-            none,
-            true,
-          );
+        void this.deliver(message).then((reply) => {
+          if (reply) this.carryReply(message, reply, settle, settleWithout);
+          else this.clock.after(1, settleWithout);
         });
       };
-      this.carry(from, to, arrive, none);
-      if (this.duplicates?.path === path && this.random.chance(this.duplicates.chance)) {
-        const copyTo = this.duplicates.to();
-        this.clock.after(
-          this.random.between(500, this.duplicates.upToMs),
-          () => void this.deliverCopy(from, copyTo, method, path, sent),
-        );
-      }
-      if (method === 'POST' && this.random.chance(this.repeatRate))
-        this.clock.after(
-          this.random.between(50, 15_000),
-          () => void this.deliverCopy(from, to, method, path, sent),
-        );
+      this.carry(from, to, arrive, settleWithout);
+      this.scheduleDuplicates(message);
     });
   }
+
+  private carryReply(
+    { from, to, path }: Message,
+    { status, body }: Reply,
+    arrive: (reply: Reply) => void,
+    broken: () => void,
+  ): void {
+    const bytes = encode(body);
+    const received = decodeMap(bytes)!;
+    this.observer?.replied({ from: to, to: from, path, status, body: bytes });
+    const settle = (): void => {
+      arrive({ status, body: received });
+    };
+    this.carry(to, from, settle, broken, true);
+  }
+
+  private scheduleDuplicates(message: Message): void {
+    if (this.duplicates?.path === message.path && this.random.chance(this.duplicates.chance)) {
+      const to = this.duplicates.to();
+      this.clock.after(
+        this.random.between(500, this.duplicates.upToMs),
+        () => void this.deliverDuplicate({ ...message, to }),
+      );
+    }
+    if (message.method === 'POST' && this.random.chance(this.repeatRate))
+      this.clock.after(this.random.between(50, 15_000), () => void this.deliverDuplicate(message));
+  }
 }
--- a/test/sim/random.ts
+++ b/test/sim/random.ts
@@ -1,3 +1,4 @@
+/** Random numbers of simulated runs. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
@@ -9,20 +10,22 @@
     this.rng = xoroshiro128plus(seed);
   }
 
+  /** A whole number from `from` to `to`, both included. */
   int(from: number, to: number): number {
     return uniformInt(this.rng, from, to);
   }
 
+  /** From 0 on, below 1. */
   unit(): number {
     return this.int(0, 2 ** 30 - 1) / 2 ** 30;
   }
 
-  between(a: number, b: number): number {
-    return a + (b - a) * this.unit();
+  between(from: number, to: number): number {
+    return from + (to - from) * this.unit();
   }
 
-  chance(p: number): boolean {
-    return this.unit() < p;
+  chance(probability: number): boolean {
+    return this.unit() < probability;
   }
 
   pick<T>(list: T[]): T {
--- a/test/sim/wire/state.ts
+++ b/test/sim/wire/state.ts
@@ -10,7 +10,7 @@
 }
 
 /** Holds if the key has this version; 0: the key does not exist. */
-export interface VersionPrecondition {
+interface VersionPrecondition {
   key: string;
   version: number;
 }
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -4,7 +4,7 @@
 import { integerField, textField, wordField } from './fields.js';
 
 export type SubmittedKind = 'array' | 'service' | 'gang';
-export type SubmittedPriority = 'production' | 'high' | 'normal' | 'idle';
+type SubmittedPriority = 'production' | 'high' | 'normal' | 'idle';
 export type JobState = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** A job as its user asks for it. */
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -92,10 +92,12 @@
       this.deployment.cutPeers(this.nameOf(fault.controller), fault.mode, fault.forMs);
     } else if (fault.kind === 'cut-reports' || fault.kind === 'cut-commands') {
       const address = this.deployment.addressOf(this.nameOf(fault.controller));
-      const controller: HostFilter = (host) => host === address;
-      const isReports = fault.kind === 'cut-reports';
-      const [a, b] = isReports ? [this.isMachine, controller] : [controller, this.isMachine];
-      network.partitions.push({ a, b, until, mode: fault.mode, oneWay: true });
+      const isThisController: HostFilter = (host) => host === address;
+      const ends =
+        fault.kind === 'cut-reports'
+          ? { a: this.isMachine, b: isThisController }
+          : { a: isThisController, b: this.isMachine };
+      network.partitions.push({ ...ends, until, mode: fault.mode, oneWay: true });
     } else if (fault.kind === 'cut-machines') {
       network.partitions.push({
         a: this.someMachines(fault.share),
@@ -104,9 +106,9 @@
         mode: fault.mode,
       });
     } else if (fault.kind === 'mute-machines') {
-      const a = this.someMachines(fault.share);
+      const machines = this.someMachines(fault.share);
       network.partitions.push({
-        a,
+        a: machines,
         b: this.isController,
         until,
         mode: 'reset',
