--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -3,7 +3,8 @@
 import { test } from 'node:test';
 import { DutyOperator } from '@millring/duties';
 import { StateStore } from '../src/state-store/client.js';
-import { type DutyGroup, resolved, settledGroup, withMachines } from './sim/duty-group.js';
+import type { DutyGroup } from './sim/duty-group.js';
+import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
 import { quietLog } from './sim/quiet-log.js';
 
 // Guards: records that can't be read are neither acted on nor replaced.
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -2,7 +2,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Duty, type IntentResult } from '@millring/duties';
-import { DutyGroup, resolved, settledGroup, withMachines } from './sim/duty-group.js';
+import { DutyGroup } from './sim/duty-group.js';
+import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
 
 /** The old holder noticed that it lost the duty, and counts as any other since. */
 function assertFoundOut(group: DutyGroup, old: string, duty: Duty): void {
--- a/test/sim/client-runtime.ts
+++ b/test/sim/client-runtime.ts
@@ -1,8 +1,8 @@
+/** The runtime of programs beside the controllers, such as operators' commands. */
 import type { Runtime } from '../../src/runtime.js';
 import type { Cluster } from './cluster.js';
 import { quietLog } from './quiet-log.js';
 
-/** The world of a client beside the controllers. */
 export function clientRuntime(cluster: Cluster): Runtime {
   return {
     clock: cluster.clock.host(1, () => true),
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,3 +1,4 @@
+/** Stand-in for the cloud that rents machines. */
 import type { Reply } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -273,32 +273,3 @@
     );
   }
 }
-
-/** All duties are held. */
-export async function settledGroup(
-  seed: number,
-  config: Partial<DutyGroupConfig> = {},
-): Promise<DutyGroup> {
-  const group = new DutyGroup({ seed, ...config });
-  await group.settled();
-  return group;
-}
-
-/** Rents some machines, to be given back. */
-export async function withMachines(group: DutyGroup, count: number): Promise<string[]> {
-  let opened: IntentResult | null = null;
-  void group.rent(count).then((result) => (opened = result));
-  await group.until('machines are rented', () => opened !== null);
-  return [...group.provider.machines];
-}
-
-/** What the intent came to. */
-export async function resolved(
-  group: DutyGroup,
-  opened: Promise<IntentResult>,
-): Promise<IntentResult> {
-  let result: IntentResult | null = null;
-  void opened.then((r) => (result = r));
-  await group.until('the intent is followed to its end', () => result !== null);
-  return result ?? assert.fail();
-}
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -1,3 +1,4 @@
+/** Stand-in for what the tasks of a gang tell each other. */
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
 import type { ObservedJob } from './observed-job.js';
--- a/test/sim/job-spec.ts
+++ b/test/sim/job-spec.ts
@@ -1,3 +1,4 @@
+/** Job specifications for tests that need no user. */
 import type { JobSpec } from '../../src/wire/model.js';
 
 /** An array as the controllers keep it, for tests of single parts. */
--- /dev/null
+++ b/test/sim/lease-table.ts
@@ -0,0 +1,43 @@
+/** The leases that the state service has granted. */
+import type { VirtualClock } from './clock.js';
+
+interface Lease {
+  ttlMs: number;
+  endsAt: number;
+}
+
+export class LeaseTable {
+  private readonly leases = new Map<number, Lease>();
+  private nextId = 1;
+
+  constructor(private readonly clock: VirtualClock) {}
+
+  grant(ttlMs: number): number {
+    const id = this.nextId++;
+    this.leases.set(id, { ttlMs, endsAt: this.clock.time + ttlMs });
+    return id;
+  }
+
+  has(id: number): boolean {
+    return this.leases.has(id);
+  }
+
+  renew(id: number): void {
+    const lease = this.leases.get(id);
+    if (lease) lease.endsAt = this.clock.time + lease.ttlMs;
+  }
+
+  /** After an outage no lease ends at once. */
+  renewAll(): void {
+    for (const id of this.leases.keys()) this.renew(id);
+  }
+
+  revoke(id: number): void {
+    this.leases.delete(id);
+  }
+
+  expired(): number[] {
+    const isExpired = ([, { endsAt }]: [number, Lease]): boolean => endsAt <= this.clock.time;
+    return [...this.leases].filter(isExpired).map(([id]) => id);
+  }
+}
--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -1,8 +1,12 @@
+/** Runs of a simulated deployment under faults, and what must hold after them. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './cluster.js';
 import type { ClusterConfig } from './cluster-config.js';
 
+/** Brings about the faults of a second; seconds count from 0. */
+type EachSecond = (cluster: Cluster, second: number) => void;
+
 export interface ScenarioOutcome {
   cluster: Cluster;
   /** Arrays and gangs not cancelled, and how many of them their users were told are done. */
@@ -11,20 +15,20 @@
 }
 
 function report(cluster: Cluster): ScenarioOutcome {
-  const ending = [...cluster.invariants.jobs.values()].filter(
-    (j) => j.spec.kind !== 'service' && !j.cancelRequested,
+  const counted = [...cluster.invariants.jobs.values()].filter(
+    (job) => job.spec.kind !== 'service' && !job.cancelRequested,
   );
   return {
     cluster,
-    countedJobs: ending.length,
-    doneJobs: ending.filter((j) => j.reportedDoneAt !== null).length,
+    countedJobs: counted.length,
+    doneJobs: counted.filter((job) => job.reportedDoneAt !== null).length,
   };
 }
 
-/** Jobs arrive for a while with troubles among them; then the cluster is left alone to finish. */
+/** Jobs arrive for a while with faults among them; then the cluster is left alone to finish. */
 export async function runScenario(
   config: ClusterConfig,
-  troubles: (cluster: Cluster, second: number) => void,
+  eachSecond: EachSecond,
   prepare: (cluster: Cluster) => void = () => undefined,
 ): Promise<ScenarioOutcome> {
   const cluster = new Cluster(config);
@@ -36,7 +40,7 @@
         cluster.users.newJob(),
         cluster.random.chance(0.15) ? cluster.random.between(0, 20_000) : null,
       );
-    troubles(cluster, second);
+    eachSecond(cluster, second);
     await cluster.run(1);
   }
   cluster.faultsEndedAt = cluster.clock.time + 20_000;
@@ -44,6 +48,7 @@
   return report(cluster);
 }
 
+/** Also that everything is done, unless `finished` is false. */
 export function assertInvariantsHeld(outcome: ScenarioOutcome, finished = true): void {
   if (finished) outcome.cluster.invariants.checkServed();
   assert.deepEqual(outcome.cluster.invariants.violations, []);
@@ -52,9 +57,7 @@
     assert.equal(outcome.doneJobs, outcome.countedJobs, 'all arrays and gangs are done');
 }
 
-type EachSecond = (cluster: Cluster, second: number) => void;
-
-/** A test for each seed: a day with troubles, after which all rules were kept and all jobs are served. */
+/** A test for each seed: a run under faults, after which no invariant was violated and all jobs are served. */
 export function testScenarios(
   name: string,
   seeds: number[],
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -1,11 +1,14 @@
+/** Stand-in for the state service. */
 import type { Reply } from '../../src/runtime.js';
 import { type Body, isMap } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
+import { EventHistory } from './event-history.js';
+import { LeaseTable } from './lease-table.js';
 import type { SeededRandom } from './random.js';
 import { RateLimit } from './rate-limit.js';
+import { type TransactionBounds, exceedsBounds } from './transaction-bounds.js';
 import {
   type ReadRequest,
-  type RecordEvent,
   type RecordMutation,
   type StateRequest,
   type Transaction,
@@ -35,18 +38,14 @@
   keys?: string;
 }
 
-/** Changes that watches can still ask for. */
-const KEPT_EVENTS = 10_000;
-
 const ok = (body: Body): Reply => ({ status: 200, body });
 
 /** Stand-in for the state service, after PROTOCOL. */
 export class StateService {
   readonly items = new Map<string, Item>();
   revision = 1;
-  private readonly leases = new Map<number, { ttl: number; ends: number }>();
-  private nextLease = 1;
-  private events: RecordEvent[] = [];
+  private readonly leases: LeaseTable;
+  private readonly events = new EventHistory();
   private readonly waiters = new Set<() => void>();
   private downUntil = 0;
   private readonly refusedUntil = new Map<string, number>();
@@ -64,13 +63,14 @@
       requests: new RateLimit(limits.rps, limits.rps),
       writes: new RateLimit(limits.writeRps, limits.writeRps),
     };
+    this.leases = new LeaseTable(clock);
     this.expireLoop();
   }
 
   beginOutage(forMs: number): void {
     this.downUntil = this.clock.time + forMs;
     this.clock.after(forMs, () => {
-      for (const lease of this.leases.values()) lease.ends = this.clock.time + lease.ttl;
+      this.leases.renewAll();
     });
   }
 
@@ -81,7 +81,7 @@
   /** Until then, that share of transactions gets no answer and is carried out late, after newer ones. */
   lateWrites: LateWrites | null = null;
   /** Larger values and transactions get 400; how many did. */
-  bounds: { valueBytes: number; txnOps: number } | null = null;
+  bounds: TransactionBounds | null = null;
   tooLarge = 0;
   /** Until then, whatever is read is answered so much later. */
   slowReads: { byMs: number; until: number } | null = null;
@@ -112,14 +112,14 @@
 
   private expireLoop(): void {
     if (this.clock.time >= this.downUntil)
-      for (const [id, lease] of this.leases) if (lease.ends <= this.clock.time) this.endLease(id);
+      for (const id of this.leases.expired()) this.endLease(id);
     this.clock.after(20, () => {
       this.expireLoop();
     });
   }
 
   private endLease(id: number): void {
-    this.leases.delete(id);
+    this.leases.revoke(id);
     const gone = [...this.items].filter(([, item]) => item.lease === id).map(([key]) => key);
     if (gone.length === 0) return;
     this.revision++;
@@ -128,7 +128,7 @@
   }
 
   private removeKey(key: string): void {
-    if (this.items.delete(key)) this.events.push({ kind: 'delete', key, version: this.revision });
+    if (this.items.delete(key)) this.events.add({ kind: 'delete', key, version: this.revision });
   }
 
   private notify(): void {
@@ -180,16 +180,13 @@
   }
 
   private grantLease(ttlMs: number): Reply {
-    const id = this.nextLease++;
-    this.leases.set(id, { ttl: ttlMs, ends: this.clock.time + ttlMs });
-    return ok(encodeLease(id));
+    return ok(encodeLease(this.leases.grant(ttlMs)));
   }
 
   private changeLease(kind: 'renew-lease' | 'revoke-lease', id: number): Reply {
-    const lease = this.leases.get(id);
-    if (!lease) return { status: 404, body: {} };
+    if (!this.leases.has(id)) return { status: 404, body: {} };
     if (kind === 'revoke-lease') this.endLease(id);
-    else lease.ends = this.clock.time + lease.ttl;
+    else this.leases.renew(id);
     return ok(encodeLease(id));
   }
 
@@ -218,7 +215,7 @@
   }
 
   private transact({ preconditions, mutations }: Transaction): Reply {
-    if (this.isTooLarge(mutations)) {
+    if (this.bounds && exceedsBounds(this.bounds, mutations)) {
       this.tooLarge++;
       return { status: 400, body: { error: 'too large' } };
     }
@@ -231,19 +228,11 @@
     if (failed.length > 0) return { status: 409, body: encodeConflict(failed, this.revision) };
     if (mutations.length > 0) this.revision++;
     for (const mutation of mutations) this.apply(mutation);
-    if (this.events.length > KEPT_EVENTS) this.events = this.events.slice(-KEPT_EVENTS);
+    this.events.compact();
     this.notify();
     return ok(encodeRevision(this.revision));
   }
 
-  private isTooLarge(mutations: RecordMutation[]): boolean {
-    if (!this.bounds) return false;
-    const { valueBytes, txnOps } = this.bounds;
-    const bytesOf = (mutation: RecordMutation): number =>
-      mutation.kind === 'put' ? JSON.stringify(mutation.value ?? 0).length : 1;
-    return mutations.length > txnOps || mutations.some((one) => bytesOf(one) > valueBytes);
-  }
-
   private apply(mutation: RecordMutation): void {
     if (mutation.kind === 'delete') {
       this.removeKey(mutation.key);
@@ -251,18 +240,15 @@
     }
     const { key, value, lease } = mutation;
     this.items.set(key, { value, version: this.revision, lease });
-    this.events.push({ kind: 'put', key, value, version: this.revision });
+    this.events.add({ kind: 'put', key, value, version: this.revision });
   }
 
   private watch(request: WatchRequest, from: string): Promise<Reply> | Reply {
     const { prefix, afterRevision, waitMs } = request;
-    if (this.events.length >= KEPT_EVENTS && afterRevision < this.events[0].version)
-      return { status: 410, body: {} };
+    if (this.events.isCompacted(afterRevision)) return { status: 410, body: {} };
     const look = (): Reply | null => {
       if (this.isUnavailable(from)) return null;
-      const events = this.events.filter(
-        ({ key, version }) => version > afterRevision && key.startsWith(prefix),
-      );
+      const events = this.events.after(prefix, afterRevision);
       return events.length > 0 ? ok(encodeEvents(events, this.revision)) : null;
     };
     const now = look();
@@ -298,14 +284,12 @@
 
   /** All that was ever put under the key, as far as changes are kept. */
   history(key: string): unknown[] {
-    return this.events.flatMap((event) =>
-      event.kind === 'put' && event.key === key ? [event.value] : [],
-    );
+    return this.events.valuesOf(key);
   }
 
   /** Changes to keys with the prefix, as far as changes are kept. */
   changesUnder(prefix: string): number {
-    return this.events.filter(({ key }) => key.startsWith(prefix)).length;
+    return this.events.after(prefix, 0).length;
   }
 
   /** A record as a test may look at it. */
--- /dev/null
+++ b/test/sim/transaction-bounds.ts
@@ -0,0 +1,16 @@
+/** How large transactions and their values may be. */
+import type { RecordMutation } from './wire/state.js';
+
+export interface TransactionBounds {
+  valueBytes: number;
+  txnOps: number;
+}
+
+export function exceedsBounds(bounds: TransactionBounds, mutations: RecordMutation[]): boolean {
+  const bytesOf = (mutation: RecordMutation): number =>
+    mutation.kind === 'put' ? JSON.stringify(mutation.value ?? 0).length : 1;
+  return (
+    mutations.length > bounds.txnOps ||
+    mutations.some((mutation) => bytesOf(mutation) > bounds.valueBytes)
+  );
+}
--- a/test/sim/without-gate.ts
+++ b/test/sim/without-gate.ts
@@ -1,3 +1,4 @@
+/** How builds from before cluster levels see the stored records. */
 import type { Reply } from '../../src/runtime.js';
 import { decodeReadRequest, encodeRevision, mapPageValues } from './wire/state.js';
 
