--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -126,7 +126,7 @@
       process: `${name}-${this.clock.time}-${this.random.unit()}`,
       settings,
       provider: new FencedProviderClient({ http: runtime.http, address: PROVIDER }),
-      txnOps: 12,
+      maxTransactionOps: 12,
       mayHold: () => !this.turnedOff.has(name),
       leader: () => this.config.leader ?? null,
     });
--- a/test/sim/node-settings.ts
+++ b/test/sim/node-settings.ts
@@ -8,18 +8,20 @@
   nodeNames: string[],
   config: CompleteClusterConfig,
 ): PlatformSettings {
-  const money: Objective[] = config.saveMoney ? [{ kind: 'price', cls: null, withinS: null }] : [];
+  const money: Objective[] = config.saveMoney
+    ? [{ kind: 'price', jobClass: null, withinS: null }]
+    : [];
   return {
     node: name,
     zone: zoneOf(name),
-    listen: `${name}:80`,
-    peerBind: `${name}:81`,
+    listenAddress: `${name}:80`,
+    peerBindAddress: `${name}:81`,
     peers: nodeNames
       .filter((other) => other !== name)
       .map((peer) => ({ name: peer, zone: zoneOf(peer), address: `${peer}:81` })),
-    cloud: 'cloud:1',
-    state: 'state:1',
-    nodes: nodeNames.length,
+    cloudAddress: 'cloud:1',
+    stateAddress: 'state:1',
+    controllerCount: nodeNames.length,
     teams: TEAMS.map((team) => ({
       name: team,
       cpus: 16,
@@ -28,17 +30,17 @@
       gpusMax: Infinity,
     })),
     objectives: money,
-    reportS: config.reportMs / 1000,
+    heartbeatIntervalS: config.reportMs / 1000,
     leaseS: config.leaseMs / 1000,
     cancelS: config.cancelMs / 1000,
     gangWaitS: GANG_WAIT_MS / 1000,
     gangPeerS: GANG_PEER_MS / 1000,
-    stateRps: config.state?.rps ?? 200,
-    stateWriteRps: config.state?.writeRps ?? 40,
-    valueKb: 4,
-    txnOps: 12,
-    cloudRps: config.cloudRps,
+    stateRequestsPerS: config.state?.rps ?? 200,
+    stateWritesPerS: config.state?.writeRps ?? 40,
+    maxValueKb: 4,
+    maxTransactionOps: 12,
+    cloudCallsPerS: config.cloudRps,
     listLagS: 2,
-    sockets: 1000,
+    maxSockets: 1000,
   };
 }
