--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -191,10 +191,10 @@
     void cluster.users.run(submission, null);
     await cluster.run(0.2);
     const job = cluster.invariants.jobs.get(id)!;
-    for (let t = 0; t < 400 && job.finishedTasks.size < job.spec.tasks; t++)
+    for (let step = 0; step < 400 && job.finishedTasks.size < job.spec.tasks; step++)
       await cluster.run(0.02);
     cluster.clock.after(cluster.random.between(0, 250), () => void cluster.users.cancel(id));
-    for (let k = 0; k < 4; k++) {
+    for (let repetition = 0; repetition < 4; repetition++) {
       cluster.clock.after(cluster.random.between(0, 400), () => void cluster.users.poll(id));
       cluster.clock.after(cluster.random.between(0, 400), () => void cluster.users.resubmit(id));
     }
--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -1,4 +1,6 @@
 /** Faults of machines, controllers, network and services, for the digest's scenarios. */
+import { BUILD } from '../../src/build.js';
+import { OLD, operatorOf } from '../sim/rolling-upgrade.js';
 import { type Cluster } from '../sim/cluster.js';
 import { LEASE_MS } from '../sim/cluster-config.js';
 import type { CloudMachine } from '../sim/cloud.js';
@@ -110,3 +112,37 @@
   const lateness = { share: 0.2, until: cluster.clock.time + 2000 };
   cluster.state.lateWrites = keys === undefined ? lateness : { ...lateness, keys };
 }
+
+/** Controllers are replaced by newer builds, now and then by older ones, until all are new. */
+export function replaceBuilds(cluster: Cluster, second: number): void {
+  const name = cluster.random.pick(cluster.nodeNames);
+  if (second >= 20 && second < 20 + cluster.nodeNames.length)
+    cluster.builds.set(cluster.nodeNames[second - 20], BUILD);
+  else if (second < 20) cluster.builds.set(name, cluster.random.chance(0.7) ? BUILD : OLD);
+  if (second % 4 === 1) cluster.crash(name, cluster.random.between(50, 2000));
+  if (second === 26) crashAll(cluster);
+}
+
+/** An operator lowers the level again. */
+export function lowerLevel(cluster: Cluster): void {
+  void operatorOf(cluster).downgrade();
+}
+
+export function slowStateService(cluster: Cluster): void {
+  cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 10_000 };
+}
+
+export function stateOutage(cluster: Cluster): void {
+  cluster.state.beginOutage(cluster.random.between(3000, LEASE_MS + 4000));
+}
+
+export function refuseLeader(cluster: Cluster): void {
+  cluster.state.rejectHost(`${leaderOrRandomNode(cluster)}:80`, 6000);
+}
+
+/** Machines that come up next run tasks slowly, or fail them. */
+export function poorMachines(cluster: Cluster, second: number): void {
+  if (second % 8 === 1) cluster.nextMachineSlowness = 4;
+  if (second % 16 === 5) cluster.nextMachineFaulty = true;
+  if (second % 8 === 2) cluster.cloud.add('t16', 'a', false, true);
+}
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,12 +1,9 @@
 /** The scenarios by seed: seeds that are `SCENARIOS.length` apart play the same one with other random numbers. */
-import { BUILD } from '../../src/build.js';
 import { type Cluster } from '../sim/cluster.js';
-import { type ClusterConfig, LEASE_MS } from '../sim/cluster-config.js';
-import { ROLLOUT, SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
-import { BATCH, SERVICE, GANG } from '../sim/jobs.js';
-import { OLD, SETTINGS as AUTOMATIC_ROLLOUT, operatorOf } from '../sim/rolling-upgrade.js';
-import { duplicateHeartbeats, leaderOrRandomNode } from '../sim/faults.js';
-import type { CloudType } from '../sim/wire/cloud.js';
+import { SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
+import { OLD, SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
+import { duplicateHeartbeats } from '../sim/faults.js';
+import { THREE_ZONES, largeFleet, unevenMachines, wide, withDuties } from './deployments.js';
 import * as faults from './faults.js';
 import type { Scenario } from './scenario.js';
 import {
@@ -16,15 +13,15 @@
   gangs,
   gangsBehindArrays,
   invalidRequests,
+  largeFleetJobs,
+  unevenJobs,
+  zoneJobs,
   largeArray,
   mixedJobs,
-  submit,
 } from './workload.js';
 
 type EachSecond = Scenario['eachSecond'];
 
-const THREE_ZONES = ['a', 'b', 'c'];
-
 function combine(...parts: EachSecond[]): EachSecond {
   return (cluster, second) => {
     for (const part of parts) part(cluster, second);
@@ -44,113 +41,6 @@
   };
 }
 
-const withDuties: Partial<ClusterConfig> = {
-  ordinaryUp: 0,
-  saveMoney: true,
-  rollout: ROLLOUT,
-  duties: DUTIES,
-};
-
-function machineType(name: string, cpus: number, gpus: number): CloudType {
-  return {
-    name,
-    cpus,
-    gpus,
-    memoryGb: 4 * cpus,
-    fetchGbPerS: 0.5,
-    price: 0.06 * cpus + gpus,
-    spotPrice: 0.02 * cpus + 0.4 * gpus,
-    bootS: 5,
-  };
-}
-
-const unevenMachines: Partial<ClusterConfig> = {
-  ordinaryUp: 0,
-  teamLimit: 400,
-  saveMoney: true,
-  types: [
-    machineType('small-4', 4, 0),
-    machineType('medium-16', 16, 0),
-    machineType('large-64', 64, 0),
-    machineType('gpu-16', 16, 4),
-  ],
-  pools: [
-    { type: 'small-4', zone: 'a', count: 8 },
-    { type: 'small-4', zone: 'b', count: 12 },
-    { type: 'medium-16', zone: 'a', count: 3 },
-    { type: 'large-64', zone: 'c', count: 1 },
-    { type: 'gpu-16', zone: 'b', count: 2 },
-  ],
-};
-
-function unevenJobs(cluster: Cluster, second: number): void {
-  if (second % 6 === 0) submit(cluster, { ...BATCH, cpus: 4, tasks: cluster.random.int(4, 16) });
-  if (second % 10 === 3) submit(cluster, { ...BATCH, gpus: 1, tasks: 3, machineTypes: ['gpu-16'] });
-  if (second % 15 === 5) submit(cluster, { ...SERVICE, cpus: 4, tasks: 2 });
-  if (second % 15 === 8) submit(cluster, { ...GANG, cpus: 8, tasks: 3 });
-}
-
-/** Jobs of one zone, tied to it or not. */
-function zoneJobs(cluster: Cluster, second: number): void {
-  const zone = cluster.random.pick(['a', 'b', 'c', null]);
-  if (second % 5 === 1) submit(cluster, { ...BATCH, oneZone: true, tasks: 6, zone });
-}
-
-/** Controllers are replaced by newer builds, now and then by older ones, until all are new. */
-function replaceBuilds(cluster: Cluster, second: number): void {
-  const name = cluster.random.pick(cluster.nodeNames);
-  if (second >= 20 && second < 20 + cluster.nodeNames.length)
-    cluster.builds.set(cluster.nodeNames[second - 20], BUILD);
-  else if (second < 20) cluster.builds.set(name, cluster.random.chance(0.7) ? BUILD : OLD);
-  if (second % 4 === 1) cluster.crash(name, cluster.random.between(50, 2000));
-  if (second === 26) faults.crashAll(cluster);
-}
-
-/** An operator lowers the level again. */
-function lowerLevel(cluster: Cluster): void {
-  void operatorOf(cluster).downgrade();
-}
-
-/** Room for arrays of thousands of tasks. */
-const wide: Partial<ClusterConfig> = { ordinaryUp: 24, capacity: 24, teamLimit: 400 };
-
-function slowStateService(cluster: Cluster): void {
-  cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 10_000 };
-}
-
-function stateOutage(cluster: Cluster): void {
-  cluster.state.beginOutage(cluster.random.between(3000, LEASE_MS + 4000));
-}
-
-function refuseLeader(cluster: Cluster): void {
-  cluster.state.rejectHost(`${leaderOrRandomNode(cluster)}:80`, 6000);
-}
-
-/** Machines that come up next run tasks slowly, or fail them. */
-function poorMachines(cluster: Cluster, second: number): void {
-  if (second % 8 === 1) cluster.nextMachineSlowness = 4;
-  if (second % 16 === 5) cluster.nextMachineFaulty = true;
-  if (second % 8 === 2) cluster.cloud.add('t16', 'a', false, true);
-}
-
-const largeFleet: Partial<ClusterConfig> = {
-  ordinaryUp: 110,
-  capacity: 10,
-  zones: THREE_ZONES,
-  teamLimit: 10_000,
-  reportMs: 4000,
-  leaseMs: 20_000,
-  cancelMs: 45_000,
-  pollMs: 400,
-  state: { rps: 200, writeRps: 40 },
-};
-
-function largeFleetJobs(cluster: Cluster, second: number): void {
-  if (second % 10 === 0) submit(cluster, { ...BATCH, tasks: 120, cpus: 8, durationS: 8 });
-  if (second % 10 === 5) submit(cluster, { ...SERVICE, tasks: 6 });
-  if (second % 20 === 7) submit(cluster, { ...GANG, oneZone: false, tasks: 20, cpus: 8 });
-}
-
 const SCENARIOS: Scenario[] = [
   { eachSecond: combine(mixedJobs, invalidRequests, every(12, 7, faults.crashLeader)) },
   {
@@ -184,9 +74,9 @@
     config: { nodes: 5 },
     eachSecond: combine(
       mixedJobs,
-      every(20, 6, slowStateService),
-      every(18, 10, refuseLeader),
-      every(20, 14, stateOutage),
+      every(20, 6, faults.slowStateService),
+      every(18, 10, faults.refuseLeader),
+      every(20, 14, faults.stateOutage),
       every(9, 4, cancel(1, 3000)),
     ),
   },
@@ -228,10 +118,10 @@
     },
     eachSecond: combine(
       mixedJobs,
-      replaceBuilds,
+      faults.replaceBuilds,
       every(50, 5, largeArray),
-      every(19, 13, stateOutage),
-      every(60, 50, lowerLevel),
+      every(19, 13, faults.stateOutage),
+      every(60, 50, faults.lowerLevel),
     ),
   },
   {
@@ -312,7 +202,7 @@
     prepare: (cluster) => {
       cluster.nextMachineSlowness = 6;
     },
-    eachSecond: combine(evenArrays, poorMachines, every(40, 32, faults.crashLeader)),
+    eachSecond: combine(evenArrays, faults.poorMachines, every(40, 32, faults.crashLeader)),
   },
   {
     config: {
@@ -327,7 +217,7 @@
       every(25, 18, largeArray),
       every(15, 9, faults.crashLeader),
       every(12, 5, faults.killMachine),
-      every(60, 50, lowerLevel),
+      every(60, 50, faults.lowerLevel),
     ),
   },
   {
--- a/test/digest/workload.ts
+++ b/test/digest/workload.ts
@@ -17,7 +17,7 @@
   return cluster.random.chance(0.15) ? cluster.random.between(0, 15_000) : null;
 }
 
-export function submit(cluster: Cluster, over: Partial<JobSubmission>): void {
+function submit(cluster: Cluster, over: Partial<JobSubmission>): void {
   void cluster.users.run(cluster.users.newJob(over), maybeCancelAfterMs(cluster));
 }
 
@@ -92,3 +92,22 @@
   if (second % 10 === 7) ask(pollRequest('run-999999'));
   if (second % 10 === 8) ask(cancelRequest('run-999999'));
 }
+
+export function unevenJobs(cluster: Cluster, second: number): void {
+  if (second % 6 === 0) submit(cluster, { ...BATCH, cpus: 4, tasks: cluster.random.int(4, 16) });
+  if (second % 10 === 3) submit(cluster, { ...BATCH, gpus: 1, tasks: 3, machineTypes: ['gpu-16'] });
+  if (second % 15 === 5) submit(cluster, { ...SERVICE, cpus: 4, tasks: 2 });
+  if (second % 15 === 8) submit(cluster, { ...GANG, cpus: 8, tasks: 3 });
+}
+
+/** Jobs of one zone, tied to it or not. */
+export function zoneJobs(cluster: Cluster, second: number): void {
+  const zone = cluster.random.pick(['a', 'b', 'c', null]);
+  if (second % 5 === 1) submit(cluster, { ...BATCH, oneZone: true, tasks: 6, zone });
+}
+
+export function largeFleetJobs(cluster: Cluster, second: number): void {
+  if (second % 10 === 0) submit(cluster, { ...BATCH, tasks: 120, cpus: 8, durationS: 8 });
+  if (second % 10 === 5) submit(cluster, { ...SERVICE, tasks: 6 });
+  if (second % 20 === 7) submit(cluster, { ...GANG, oneZone: false, tasks: 20, cpus: 8 });
+}
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -88,6 +88,27 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
+/** A writer of ends by itself, which leads all the time. */
+function completionWriterOf(cluster: Cluster, jobs: JobTable): CompletionWriter {
+  const runtime = clientRuntime(cluster);
+  const store = new StateStore(runtime, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
+  return new CompletionWriter({
+    runtime,
+    store,
+    jobs,
+    txnOps: 4,
+    writeRps: 50,
+    valueBytes: 2048,
+    isLeader: () => true,
+    leaderPrecondition: () => ({ key: 'boss', version: cluster.state.items.get('boss')!.version }),
+    segmentPrecondition: () => null,
+    hasNoAttempts: () => true,
+    jobEnded: (endedJob) => {
+      jobs.remove(endedJob);
+    },
+  });
+}
+
 test('the end of a job with many records of finished tasks fits into small transactions', async () => {
   const cluster = new Cluster({ seed: 4, ordinaryUp: 0 });
   for (const name of cluster.nodeNames) cluster.crash(name, 1e9);
@@ -95,8 +116,6 @@
   cluster.network.repeatRate = 0;
   cluster.state.putDirectly('boss', {});
   cluster.state.bounds = { valueBytes: 2048, txnOps: 4 };
-  const runtime = clientRuntime(cluster);
-  const store = new StateStore(runtime, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
   const spec = readLive(Object.entries(OLD.items).find(([key]) => key.startsWith('j/'))![1])!.spec;
   const jobs = new JobTable();
   cluster.state.putDirectly(liveKey('run-1'), {});
@@ -108,21 +127,7 @@
     true,
     0,
   );
-  const completionWriter = new CompletionWriter({
-    runtime,
-    store,
-    jobs,
-    txnOps: 4,
-    writeRps: 50,
-    valueBytes: 2048,
-    isLeader: () => true,
-    leaderPrecondition: () => ({ key: 'boss', version: cluster.state.items.get('boss')!.version }),
-    segmentPrecondition: () => null,
-    hasNoAttempts: () => true,
-    jobEnded: (endedJob) => {
-      jobs.remove(endedJob);
-    },
-  });
+  const completionWriter = completionWriterOf(cluster, jobs);
   for (let taskNumber = 0; taskNumber < 100_000; taskNumber++) job.finish(taskNumber, 0);
   for (let chunk = 0; chunk < 13; chunk++) {
     cluster.state.putDirectly(finishedKey('run-1', chunk), 'x');
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -112,6 +112,27 @@
   );
 });
 
+/** Lets the invariants know of jobs that were stored before; the ids of those that are not cancelled. */
+function observeStoredJobs(cluster: Cluster, live: [string, unknown][]): Set<string> {
+  const waiting = new Set<string>();
+  const kinds: Record<SubmittedKind, Partial<JobSubmission>> = {
+    array: BATCH,
+    service: { ...BATCH, kind: 'service' },
+    gang: GANG,
+  };
+  for (const [key, value] of live) {
+    const { spec, cancelled } = readLive(value)!;
+    const id = key.slice(2);
+    const job = cluster.users.newJob(kinds[spec.kind]);
+    const facts = observedJob({ ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 }, 0);
+    facts.reportedAccepted = true;
+    facts.cancelRequested = cancelled;
+    cluster.invariants.jobs.set(id, facts);
+    if (!cancelled) waiting.add(id);
+  }
+  return waiting;
+}
+
 for (const older of OLDER)
   test(`a cluster goes on from the records of ${older.version}: live, cancelled and half finished jobs`, async () => {
     const cluster = new Cluster({ seed: 1, ordinaryUp: 0 });
@@ -120,25 +141,7 @@
     for (const name of cluster.nodeNames) cluster.crash(name, 1000);
     for (const [key, value] of Object.entries(older.items)) cluster.state.putDirectly(key, value);
     const live = Object.entries(older.items).filter(([key]) => key.startsWith('j/'));
-    const waiting = new Set<string>();
-    const kinds: Record<SubmittedKind, Partial<JobSubmission>> = {
-      array: BATCH,
-      service: { ...BATCH, kind: 'service' },
-      gang: GANG,
-    };
-    for (const [key, value] of live) {
-      const { spec, cancelled } = readLive(value)!;
-      const id = key.slice(2);
-      const job = cluster.users.newJob(kinds[spec.kind]);
-      const facts = observedJob(
-        { ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 },
-        0,
-      );
-      facts.reportedAccepted = true;
-      facts.cancelRequested = cancelled;
-      cluster.invariants.jobs.set(id, facts);
-      if (!cancelled) waiting.add(id);
-    }
+    const waiting = observeStoredJobs(cluster, live);
     // The machines of that time are gone; old jobs wait until that is proved.
     await cluster.run(90);
     for (const id of waiting) {
@@ -210,6 +213,6 @@
     machines: { rack?: number }[];
   }[];
   assert.ok(after.length > 0, 'the page was rewritten');
-  for (const p of after) assert.deepEqual([p.note, p.machines[0].rack], ['kept', 7]);
+  for (const { note, machines } of after) assert.deepEqual([note, machines[0].rack], ['kept', 7]);
   assert.deepEqual(cluster.invariants.violations, []);
 });
