--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -8,8 +8,34 @@
 const CPUS = 16;
 const ZONES = ['a', 'b', 'c', 'd'];
 
+/** The holder of a duty, or any node if there is none, crashes or freezes. */
+function disturbHolder(cluster: Cluster, round: number): void {
+  const duty = DUTIES[round % DUTIES.length];
+  const holder = cluster.state.value(`duties/holders/${duty}`) as
+    { controller: string } | undefined;
+  const name = holder?.controller ?? cluster.nodeNames[round % cluster.nodeNames.length];
+  if (round % 2 === 0) cluster.crash(name, 3000);
+  else cluster.freeze(name, 6000);
+}
+
+function print(
+  mode: string,
+  cluster: Cluster,
+  seconds: number,
+  watch: CloudInvariants | null,
+): void {
+  const { received } = cluster.state;
+  console.log(
+    `${mode}: ${cluster.invariants.violations.length} invariants violated, ${cluster.cloud.machines.size} machines left after ${seconds} s, ` +
+      `cloud: ${cluster.cloud.received.calls} calls, ${cluster.cloud.received.tooMany} over the rate; ` +
+      `state: ${received.requests} requests, ${received.changes} changes, ${received.tooMany} over the limits; ` +
+      `deletions ${watch?.deletions ?? '-'}, intents ${watch?.intents.size ?? '-'}`,
+  );
+  for (const line of cluster.invariants.violations.slice(0, 5)) console.log(line);
+}
+
 /** Work for half of the fleet, while holders die or freeze; then nothing, until all machines are given back. */
-async function fleetDay(mode: 'on' | 'off'): Promise<void> {
+async function measureFleet(mode: 'on' | 'off'): Promise<void> {
   const cluster = new Cluster({
     seed: 7,
     nodes: 3,
@@ -36,28 +62,16 @@
     );
   for (let round = 0; round < 6; round++) {
     await cluster.run(10);
-    const duty = DUTIES[round % DUTIES.length];
-    const holder = cluster.state.value(`duties/holders/${duty}`) as
-      { controller: string } | undefined;
-    const name = holder?.controller ?? cluster.nodeNames[round % cluster.nodeNames.length];
-    if (round % 2 === 0) cluster.crash(name, 3000);
-    else cluster.freeze(name, 6000);
+    disturbHolder(cluster, round);
   }
   let seconds = 0;
   while (cluster.cloud.machines.size > 0 && seconds < 400) {
     await cluster.run(5);
     seconds += 5;
   }
-  const { received } = cluster.state;
-  console.log(
-    `${mode}: ${cluster.invariants.violations.length} rules broken, ${cluster.cloud.machines.size} machines left after ${seconds} s, ` +
-      `cloud: ${cluster.cloud.received.calls} calls, ${cluster.cloud.received.tooMany} over the rate; ` +
-      `state: ${received.requests} requests, ${received.changes} changes, ${received.tooMany} over the limits; ` +
-      `deletions ${watch?.deletions ?? '-'}, intents ${watch?.intents.size ?? '-'}`,
-  );
-  for (const line of cluster.invariants.violations.slice(0, 5)) console.log(line);
+  print(mode, cluster, seconds, watch);
 }
 
-await fleetDay('off');
-await fleetDay('on');
+await measureFleet('off');
+await measureFleet('on');
 process.exit(0);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,4 +1,4 @@
-/** A deployment of hundreds of machines under five controllers: the rules, and how much work it takes. */
+/** A deployment of hundreds of machines under five controllers: the invariants, and how much work it takes. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CloudMachine } from './sim/cloud.js';
@@ -38,6 +38,14 @@
     null,
   );
 
+function crashAndPreempt(cluster: Cluster, second: number): void {
+  if (second === 25) for (const name of cluster.nodeNames.slice(0, 2)) cluster.crash(name, 3000);
+  if (second === 35)
+    for (const machine of [...cluster.cloud.machines.values()])
+      if (machine.spot && cluster.random.chance(0.4)) cluster.cloud.preempt(machine);
+  if (second === 45) cluster.crash(cluster.leader()!, 200);
+}
+
 test('hundreds of machines: invariants hold, and work is in proportion to events', async () => {
   const work = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
@@ -57,11 +65,7 @@
   for (let second = 0; second < 55; second++) {
     for (let i = 0; i < (second < 10 ? 6 : 1); i++, submitted++) submitService(cluster);
     for (let i = 0; i < (second < 10 ? 3 : 1); i++, submitted++) submitArray(cluster);
-    if (second === 25) for (const name of cluster.nodeNames.slice(0, 2)) cluster.crash(name, 3000);
-    if (second === 35)
-      for (const machine of [...cluster.cloud.machines.values()])
-        if (machine.spot && cluster.random.chance(0.4)) cluster.cloud.preempt(machine);
-    if (second === 45) cluster.crash(cluster.leader()!, 200);
+    crashAndPreempt(cluster, second);
     await cluster.run(1);
   }
   await cluster.run(35);
@@ -83,6 +87,38 @@
   assert.ok(received.tooMany < 20, `${received.tooMany} requests over the limits`);
 });
 
+function pickUp(cluster: Cluster, count: number): CloudMachine[] {
+  const up = [...cluster.cloud.machines.values()].filter(({ worker }) => worker !== null);
+  return Array.from({ length: count }, () => cluster.random.pick(up));
+}
+
+function hang(cluster: Cluster, count: number, ms: number): void {
+  for (const { id } of pickUp(cluster, count)) cluster.faults.hangMachine(id, ms);
+}
+
+function killAndPartition(cluster: Cluster, second: number): void {
+  if (second === 12) for (const machine of pickUp(cluster, 60)) machine.worker?.kill();
+  if (second === 14) cluster.crash(cluster.leader()!, 200);
+  if (second === 20) {
+    const until = cluster.clock.time + 18_000;
+    cluster.network.partitions.push({
+      a: cluster.faults.inZone('d'),
+      b: () => true,
+      until,
+      mode: 'hold',
+    });
+  }
+}
+
+function freezeAndCrash(cluster: Cluster, second: number): void {
+  if (second === 24) hang(cluster, 70, 10_000);
+  if (second === 30) cluster.freeze(cluster.leader()!, 14_000);
+  if (second === 42) hang(cluster, 60, 22_000);
+  if (second === 50) cluster.state.beginOutage(5000);
+  if (second === 52)
+    for (const name of cluster.nodeNames) cluster.crash(name, cluster.random.pick([200, 4000]));
+}
+
 test('more than a thousand machines: waves of deaths and hangs, a zone cut off, a frozen leader, all crashing in an outage', async () => {
   let most = { candidatesExamined: 0, starts: 1 };
   const cluster = new Cluster({
@@ -96,41 +132,18 @@
     leaseMs: 15_000,
     state: { rps: 250, writeRps: 30 },
     log: (_node, text, fields) => {
-      const w = fields as typeof most;
-      if (text === 'round' && w.candidatesExamined > most.candidatesExamined) most = w;
+      const round = fields as typeof most;
+      if (text === 'round' && round.candidatesExamined > most.candidatesExamined) most = round;
     },
   });
-  const some = (count: number): CloudMachine[] => {
-    const up = [...cluster.cloud.machines.values()].filter((m) => m.worker !== null);
-    return Array.from({ length: count }, () => cluster.random.pick(up));
-  };
-  const hang = (count: number, ms: number): void => {
-    for (const machine of some(count))
-      cluster.network.hosts.get(`w-${machine.id}:9000`)!.hangsUntil = cluster.clock.time + ms;
-  };
   await cluster.run(8);
   let machines = 0;
   for (let second = 0; second < 70; second++) {
     machines = Math.max(machines, cluster.cloud.machines.size);
     if (second % 2 === 0) submitService(cluster);
     for (let i = 0; i < (second < 5 ? 8 : 1); i++) submitArray(cluster);
-    if (second === 12) for (const machine of some(60)) machine.worker?.kill();
-    if (second === 14) cluster.crash(cluster.leader()!, 200);
-    if (second === 20) {
-      const until = cluster.clock.time + 18_000;
-      cluster.network.partitions.push({
-        a: cluster.faults.inZone('d'),
-        b: () => true,
-        until,
-        mode: 'hold',
-      });
-    }
-    if (second === 24) hang(70, 10_000);
-    if (second === 30) cluster.freeze(cluster.leader()!, 14_000);
-    if (second === 42) hang(60, 22_000);
-    if (second === 50) cluster.state.beginOutage(5000);
-    if (second === 52)
-      for (const name of cluster.nodeNames) cluster.crash(name, cluster.random.pick([200, 4000]));
+    killAndPartition(cluster, second);
+    freezeAndCrash(cluster, second);
     await cluster.run(1);
   }
   cluster.faultsEndedAt = cluster.clock.time + 20_000;
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -13,7 +13,11 @@
 import { clientRuntime } from './sim/client-runtime.js';
 import { observedJob } from './sim/observed-job.js';
 
-const STRICT = { maxValueKb: 1, maxTransactionOps: 4, stateWritesPerS: 25 };
+const STRICT = {
+  maxValueKb: 1,
+  maxTransactionOps: 4,
+  stateWritesPerS: 25,
+} satisfies Partial<PlatformSettings>;
 
 test('pages stored under higher limits come apart, every machine in one of them at any time', async () => {
   const cluster = new Cluster({ seed: 3, ordinaryUp: 45, capacity: 60, teamLimit: 2000 });
@@ -162,6 +166,35 @@
   assert.equal(outcome.cluster.state.tooLarge, before);
 });
 
+/** One node after the other is replaced by one with stricter limits. */
+function replaceByStricter(cluster: Cluster, second: number): void {
+  const node = cluster.nodeNames[Math.floor(second / 5)];
+  if (second % 5 !== 2 || !node) return;
+  cluster.overrides.set(node, STRICT);
+  cluster.crash(node, 800);
+}
+
+function partitionMachinesOf(cluster: Cluster, zone: string, forMs: number): void {
+  const isInside = cluster.faults.inZone(zone);
+  cluster.network.partitions.push({
+    a: isInside,
+    b: (host) => !isInside(host),
+    until: cluster.clock.time + forMs,
+    mode: 'hold',
+  });
+}
+
+function cancelAndLowerBounds(cluster: Cluster, second: number): void {
+  if (second % 13 === 6) cluster.faults.cancelRunning(2, 2000);
+  if (second === 30) cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
+}
+
+function submitGangs(cluster: Cluster, second: number): void {
+  if (second % 4 !== 0) return;
+  const gang = cluster.users.newJob({ ...GANG, tasks: cluster.random.int(2, 6) });
+  void cluster.users.run(gang, null);
+}
+
 for (const seed of [21, 23, 24])
   test(`a roll amid a zone cut, late writes and the return of an old process that leads (${seed})`, async () => {
     let oldLed = false;
@@ -170,32 +203,15 @@
       (cluster, second) => {
         // The lease of the leader before may last until now; at 22 the old process is replaced.
         if (second === 21 || second === 22) oldLed ||= cluster.leader() === cluster.nodeNames[4];
-        const node = cluster.nodeNames[Math.floor(second / 5)];
-        if (second % 5 === 2 && node) {
-          cluster.overrides.set(node, STRICT);
-          cluster.crash(node, 800);
-        }
+        replaceByStricter(cluster, second);
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
-        if (second === 8) {
-          const inB = cluster.faults.inZone('b');
-          cluster.network.partitions.push({
-            a: inB,
-            b: (host) => !inB(host),
-            until: cluster.clock.time + 9000,
-            mode: 'hold',
-          });
-        }
+        if (second === 8) partitionMachinesOf(cluster, 'b', 9000);
         // All but the last one, which is still old, are away for a moment: it leads and writes under the old limits.
         if (second === 18)
           for (const name of cluster.nodeNames.slice(0, 4)) cluster.crash(name, 4000);
-        if (second % 13 === 6) cluster.faults.cancelRunning(2, 2000);
-        if (second === 30) cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
-        if (second > 3 && second % 4 === 0)
-          void cluster.users.run(
-            cluster.users.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }),
-            null,
-          );
+        cancelAndLowerBounds(cluster, second);
+        if (second > 3) submitGangs(cluster, second);
         if (second === 44) cluster.crash(cluster.leader() ?? 'n1', 150);
       },
     );
@@ -206,25 +222,15 @@
 
 for (const seed of [11, 12, 13])
   test(`a roll under load, then lower limits: gangs, cancellations, crashes, some back old (${seed})`, async () => {
-    const next: Partial<PlatformSettings> = STRICT;
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        const node = cluster.nodeNames[Math.floor(second / 5)];
-        if (second % 5 === 2 && node) {
-          cluster.overrides.set(node, next);
-          cluster.crash(node, 800);
-        }
+        replaceByStricter(cluster, second);
         // One whose turn has not come dies and comes back old.
         if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
         if (second === 14) cluster.state.beginOutage(6000);
-        if (second % 13 === 6) cluster.faults.cancelRunning(2, 2000);
-        if (second === 30) cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
-        if (second > 26 && second % 4 === 0)
-          void cluster.users.run(
-            cluster.users.newJob({ ...GANG, tasks: cluster.random.int(2, 6) }),
-            null,
-          );
+        cancelAndLowerBounds(cluster, second);
+        if (second > 26) submitGangs(cluster, second);
         if (second === 40) cluster.crash(cluster.leader() ?? 'n1', 150);
         if (second === 50)
           for (const name of cluster.nodeNames)
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -165,19 +165,25 @@
     );
   });
 
-test('what only another version knows stays in a record that is rewritten', async () => {
-  const cluster = new Cluster({ seed: 2 });
-  await cluster.run(4);
+/** Stores a live job as a later version would, with fields that this one does not know. */
+function putRecordOfLaterVersion(cluster: Cluster, id: string): JobSpec {
   const [, old] = Object.entries(OLD.items).find(
     ([key, value]) => key.startsWith('j/') && !readLive(value)!.cancelled,
   )!;
   const spec = (old as { spec: JobSpec }).spec;
-  const id = 'run-000900';
   cluster.state.putDirectly(liveKey(id), {
     ...(old as object),
     spec: { ...spec, id, hue: 3 },
     later: { deep: [1] },
   });
+  return spec;
+}
+
+test('what only another version knows stays in a record that is rewritten', async () => {
+  const cluster = new Cluster({ seed: 2 });
+  await cluster.run(4);
+  const id = 'run-000900';
+  const spec = putRecordOfLaterVersion(cluster, id);
   cluster.invariants.jobs.set(
     id,
     observedJob(cluster.users.newJob({ ...BATCH, id, team: spec.team }), 0),
