--- /dev/null
+++ b/src/http/http-server.ts
@@ -0,0 +1,118 @@
+/** The HTTP server for users, workers and health checks. */
+import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
+import type { Socket } from 'node:net';
+import { AcceptQueue } from './accept-queue.js';
+import type { Answer } from '../jobs/api.js';
+import type { ControllerNode } from '../node.js';
+import type { Log } from '../runtime.js';
+import { allocateSockets } from './socket-allocation.js';
+import { INTERNAL_FAILURE, MAX_BODY_BYTES, createUserApp } from './user-app.js';
+import { type Body, decodeMap, encode } from '../wire/cbor.js';
+import { workerPaths } from '../wire/workers.js';
+
+/** Workers and users send a request every few seconds: a connection idle for so long is most likely dead. */
+const IDLE_TIMEOUT_MS = 25_000;
+
+/** Serves the node's users, workers and health checks, on at most its share of `sockets`. */
+export function createHttpServer(node: ControllerNode, sockets: number, log: Log): Server {
+  const allocation = allocateSockets(sockets);
+  const userApp = createUserApp(node);
+  const server = createServer((request, response) => {
+    if (isHeartbeat(request)) heartbeats.serve(request, response);
+    else userApp(request, response);
+  });
+  const queue = new AcceptQueue(server, allocation.maxInbound, log, (ms, callback) => {
+    setTimeout(callback, ms);
+  });
+  const heartbeats = new HeartbeatServer(
+    server,
+    queue,
+    allocation.maxKeptWorkerConnections,
+    (body) => node.handleHeartbeat(body),
+  );
+  server.keepAliveTimeout = IDLE_TIMEOUT_MS;
+  server.headersTimeout = IDLE_TIMEOUT_MS;
+  server.requestTimeout = IDLE_TIMEOUT_MS;
+  return server;
+}
+
+function isHeartbeat(request: IncomingMessage): boolean {
+  return request.method === 'POST' && request.url === workerPaths.heartbeat;
+}
+
+/**
+ * Heartbeats come by the hundred a second and are most of what the leader does, so they bypass express: there each
+ * costs three times as much.
+ */
+class HeartbeatServer {
+  private openConnections = 0;
+  /** Connections on which a heartbeat was read. */
+  private readonly knownSockets = new WeakSet<Socket>();
+
+  constructor(
+    server: Server,
+    private readonly queue: AcceptQueue,
+    private readonly maxKeptConnections: number,
+    private readonly handleHeartbeat: (body: Body | null) => Answer,
+  ) {
+    server.on('connection', (socket) => {
+      this.openConnections++;
+      socket.on('close', () => this.openConnections--);
+    });
+  }
+
+  serve(request: IncomingMessage, response: ServerResponse): void {
+    readBody(request, (body) => {
+      const { socket } = request;
+      if (this.knownSockets.has(socket)) {
+        this.respond(body, response);
+        return;
+      }
+      this.knownSockets.add(socket);
+      this.queue.ifStillConnected(socket, () => {
+        this.respond(body, response);
+      });
+    });
+  }
+
+  private respond(body: Buffer, response: ServerResponse): void {
+    const { status, body: replyBody, retryAfterS } = this.answer(body);
+    const bytes = encode(replyBody);
+    response.writeHead(status, [
+      ...['content-type', 'application/cbor', 'content-length', String(bytes.length)],
+      ...(this.mustClose(status) ? ['connection', 'close'] : []),
+      ...(retryAfterS === undefined ? [] : ['retry-after', String(retryAfterS)]),
+    ]);
+    response.end(bytes);
+  }
+
+  /** Whatever goes wrong with a heartbeat, it harms that heartbeat alone. */
+  private answer(body: Buffer): Answer {
+    try {
+      return this.handleHeartbeat(decodeMap(body));
+    } catch {
+      return INTERNAL_FAILURE;
+    }
+  }
+
+  /**
+   * There can be more workers than sockets: when these run short, a worker connects anew for its next heartbeat. One
+   * that is sent elsewhere is not expected back.
+   */
+  private mustClose(status: number): boolean {
+    return status !== 200 || this.openConnections > this.maxKeptConnections;
+  }
+}
+
+/** A body over the limit is cut off, and then can't be decoded. */
+function readBody(request: IncomingMessage, onBody: (body: Buffer) => void): void {
+  const parts: Buffer[] = [];
+  let length = 0;
+  request.on('data', (part: Buffer) => {
+    length += part.length;
+    if (length <= MAX_BODY_BYTES) parts.push(part);
+  });
+  request.on('end', () => {
+    onBody(parts.length === 1 ? parts[0] : Buffer.concat(parts));
+  });
+}
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -183,20 +183,20 @@
     this.startedWith.set(name, build);
     if (this.ungated.has(name)) this.ungatedNow.add(name);
     else this.ungatedNow.delete(name);
-    const node = new ControllerNode(
+    const node = new ControllerNode({
       runtime,
-      { ...nodeSettings(name, this.nodeNames, this.config), ...this.overrides.get(name) },
-      {
+      settings: { ...nodeSettings(name, this.nodeNames, this.config), ...this.overrides.get(name) },
+      operator: {
         ...operator,
         duties: { ...operator.duties, ...this.config.duties },
         rollout: this.ungated.has(name)
           ? operator.rollout
           : { ...operator.rollout, ...this.config.rollout },
       },
-      () => 1e12 + this.clock.time + (this.wallSkewMs.get(name) ?? 0),
-      tell,
+      wallMs: () => 1e12 + this.clock.time + (this.wallSkewMs.get(name) ?? 0),
+      broadcast: tell,
       build,
-    );
+    });
     process.node = node;
     this.processes.set(name, process as NodeProcess);
     this.network.hosts.set(`${name}:80`, {
@@ -236,7 +236,7 @@
   }
 
   healthy(name: string): boolean {
-    return this.processes.get(name)!.node.healthy();
+    return this.processes.get(name)!.node.health().kind === 'healthy';
   }
 
   private leads(name: string): boolean {
