--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -5,19 +5,6 @@
 import { DutyGroup } from './sim/duty-group.js';
 import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
 
-/** The old holder noticed that it lost the duty, and counts as any other since. */
-function assertFoundOut(group: DutyGroup, old: string, duty: Duty): void {
-  const states = group.lines
-    .filter(
-      ({ name, text, fields }) =>
-        name === old && text === 'duty' && 'duty' in fields && fields.duty === duty,
-    )
-    .map(({ fields }) => (fields as { to: string }).to);
-  const lost = states.indexOf('lost');
-  assert.ok(lost > 0, states.join(', '));
-  assert.equal(states[lost + 1], 'vacant');
-}
-
 test('each duty has one holder, spread over the controllers; actions are done under its token', async () => {
   const group = await settledGroup(1);
   const holders = DUTIES.map((duty) => group.recorded(duty)?.controller);
@@ -42,242 +29,6 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: the check of the holder by its own steady clock, and the loss of the duty once the record names another.
-test('suspended before the check: the successor acts, and the old holder begins nothing', async () => {
-  for (const seed of [3, 4, 5]) {
-    const group = await settledGroup(seed);
-    const machines = await withMachines(group, 4);
-    const old = group.holder('return') ?? assert.fail();
-    const before = group.recorded('return')?.token ?? 0;
-    group.freeze(old, 8000);
-    await group.run(0.1);
-    await resolved(group, group.delete('return', machines[0]));
-    assert.notEqual(group.recorded('return')?.controller, old);
-    assert.ok((group.recorded('return')?.token ?? 0) > before);
-    await group.run(8);
-    // It wakes up, with an intent to act on.
-    await resolved(group, group.delete('return', machines[1]));
-    await group.run(2);
-    assertFoundOut(group, old, 'return');
-    assert.ok(group.provider.executed('return').every((call) => call.token > before));
-    assert.deepEqual(group.invariants.violations, []);
-  }
-});
-
-// Guards: the check right before an action, whatever the caller has checked before.
-test('an action of a holder whose lease may have ended is not begun', async () => {
-  const group = await settledGroup(24);
-  const old = group.holder('return') ?? assert.fail();
-  const { duty } = group.member(old).holder('return');
-  group.freeze(old, 5000);
-  await group.run(3);
-  let begun = 0;
-  const performed = await group
-    .member(old)
-    .holder(duty)
-    .perform(() => Promise.resolve(begun++));
-  assert.deepEqual([performed.kind, begun], ['not-held', 0]);
-});
-
-// Guards: the lease counted from when its renewal was sent, not from when its answer came.
-test('slow answers of the state service: whoever believes to hold a duty stands in its record', async () => {
-  for (const seed of [25, 26, 27]) {
-    const group = await settledGroup(seed);
-    group.net.delayFactor = 60;
-    for (let round = 0; round < 6; round++) {
-      await group.run(4);
-      group.refuse(group.holder(group.random.pick([...DUTIES])) ?? 'n0', 5000);
-    }
-    assert.deepEqual(group.invariants.violations, []);
-  }
-});
-
-// Guards: what follows from a refusal of the other side.
-test('a holder that is told that its token is stale gives up at once, and counts it', async () => {
-  const group = await settledGroup(35);
-  const machines = await withMachines(group, 1);
-  const old = group.holder('return') ?? assert.fail();
-  let asked = 0;
-  group.provider.delay = () =>
-    new Promise((done) => group.clock.after(asked++ === 0 ? 4500 : 0, done));
-  const opened = group.delete('return', machines[0]);
-  await group.until('the request is on its way', () => asked > 0);
-  group.refuse(old, 10_000);
-  await resolved(group, opened);
-  await group.until('the request is refused', () => group.provider.refused().length > 0);
-  await group.run(0.3);
-  assert.equal(group.member(old).counters().refused, 1);
-  assert.notEqual(group.member(old).holder('return').state(), 'suspended');
-  assert.deepEqual(group.invariants.violations, []);
-});
-
-// Guards: the removal of a claim whose answer was lost.
-test('claims that are carried out late and without an answer keep no duty from being held', async () => {
-  const group = new DutyGroup({ seed: 28 });
-  group.state.lateWrites = { share: 1, until: 1500, byMs: 2500, keys: 'duties/tokens/' };
-  await group.run(3);
-  await group.settled();
-  assert.deepEqual(group.invariants.violations, []);
-});
-
-// Guards: the token in each request. What was sent before the successor took over arrives after it.
-test('requests held on their way until a successor has acted are refused by the provider', async () => {
-  for (const seed of [6, 7, 8]) {
-    const group = await settledGroup(seed);
-    const machines = await withMachines(group, 4);
-    const old = group.holder('return') ?? assert.fail();
-    const before = group.recorded('return')?.token ?? 0;
-    group.holdRequests(old, 9000);
-    const opened = group.delete('return', machines[0]);
-    await group.run(0.3);
-    // The request is on its way; now its sender stands still, too.
-    group.freeze(old, 7000);
-    await resolved(group, opened);
-    assert.ok((group.recorded('return')?.token ?? 0) > before);
-    await group.run(12);
-    const refused = group.provider.refused();
-    assert.ok(refused.length > 0 && refused.every((call) => call.token === before));
-    assertFoundOut(group, old, 'return');
-    assert.deepEqual(group.invariants.violations, []);
-  }
-});
-
-// Guards: the duty's record among the conditions of the write that resolves an intent.
-test('a write of the old holder that arrives late changes nothing', async () => {
-  const group = await settledGroup(9);
-  const machines = await withMachines(group, 2);
-  const old = group.holder('return') ?? assert.fail();
-  const before = group.recorded('return')?.token ?? 0;
-  group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
-  const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
-  group.state.lateWrites = {
-    share: 1,
-    until: group.clock.time + 1000,
-    byMs: 9000,
-    keys: 'duties/intents/',
-  };
-  await group.run(0.8);
-  group.freeze(old, 8000);
-  await resolved(group, opened);
-  await group.run(12);
-  const intent = [...group.invariants.intents.values()].find(({ duty }) => duty === 'return');
-  assert.ok((intent?.token ?? 0) > before, 'resolved by the successor');
-  assert.deepEqual(group.invariants.violations, []);
-});
-
-// Guards: the claim of whoever decides among the conditions of an intent.
-test('an intent of a former decider that is carried out late is never stored', async () => {
-  const group = await settledGroup(22);
-  const machines = await withMachines(group, 1);
-  group.state.lateWrites = {
-    share: 1,
-    until: group.clock.time + 500,
-    byMs: 6000,
-    keys: 'duties/intents/',
-  };
-  const opened = group.delete('return', machines[0]);
-  await group.run(0.4);
-  group.replaceDecider();
-  await group.run(0.2);
-  assert.deepEqual(await resolved(group, opened), { kind: 'not-stored' });
-  await group.run(10);
-  assert.equal(group.provider.executed('return').length, 0);
-  assert.equal(group.state.history('duties/intents/i-2').length, 0);
-});
-
-// Guards: an intent without an answer is stored again as it was, and followed to its end.
-test('an intent whose answer is lost is stored once, and whoever decides learns of its end', async () => {
-  const group = await settledGroup(23);
-  const machines = await withMachines(group, 1);
-  group.state.lateWrites = {
-    share: 1,
-    until: group.clock.time + 500,
-    byMs: 3000,
-    keys: 'duties/intents/',
-  };
-  assert.equal((await resolved(group, group.delete('return', machines[0]))).kind, 'resolved');
-  await group.run(20);
-  assert.equal(group.provider.machines.size, 0);
-  assert.equal(group.openIntents(), 0);
-  assert.deepEqual(group.invariants.violations, []);
-});
-
-// Guards: the duty's record among the conditions, where the intent itself is still as it was.
-test('a late write of the old holder does not resolve an intent that its successor has not done yet', async () => {
-  const group = await settledGroup(29);
-  const machines = await withMachines(group, 1);
-  const old = group.holder('return') ?? assert.fail();
-  group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
-  const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
-  group.state.lateWrites = {
-    share: 1,
-    until: group.clock.time + 1000,
-    byMs: 6000,
-    keys: 'duties/intents/',
-  };
-  await group.run(0.8);
-  group.freeze(old, 20_000);
-  group.provider.trouble = { refuses: true, silent: false };
-  await group.run(10);
-  assert.equal(group.openIntents(), 1);
-  group.provider.trouble = { refuses: false, silent: false };
-  await resolved(group, opened);
-  assert.deepEqual(group.invariants.violations, []);
-});
-
-// Guards: the version of the intent among the conditions of the write that resolves it.
-test('a late copy of the resolving write does not bring back a record that was cleaned up', async () => {
-  const group = await settledGroup(30);
-  const machines = await withMachines(group, 1);
-  group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
-  const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
-  group.state.lateWrites = {
-    share: 1,
-    until: group.clock.time + 600,
-    byMs: 25_000,
-    keys: 'duties/intents/',
-  };
-  await resolved(group, opened);
-  await group.run(40);
-  assert.equal(group.state.history('duties/intents/i-2').length, 2, 'opened and resolved');
-  assert.ok(![...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')));
-});
-
-// Guards: suspended is not lost. The lease lives while its renewals are executed, answered or not.
-test('renewals that are executed and not answered: nothing is done, nobody takes over, and the holder goes on', async () => {
-  const group = await settledGroup(36);
-  const holder = group.holder('return') ?? assert.fail();
-  const before = group.recorded('return');
-  group.holdAnswers(holder, 5000);
-  await group.run(4);
-  assert.equal(group.holder('return'), undefined);
-  assert.equal(group.member(holder).holder('return').state(), 'suspended');
-  await group.run(4);
-  assert.deepEqual([group.holder('return'), group.recorded('return')], [holder, before]);
-  assert.deepEqual(group.invariants.violations, []);
-});
-
-// Guards: the version of the holder's record among the conditions of its removal.
-test('a release that is carried out late does not take the duty from its next holder', async () => {
-  const group = await settledGroup(37);
-  const old = group.holder('return') ?? assert.fail();
-  group.state.lateWrites = {
-    share: 1,
-    until: group.clock.time + 500,
-    byMs: 9000,
-    keys: 'duties/holders/return',
-  };
-  void group.member(old).holder('return').release('by the test');
-  await group.until('another holds it', () => (group.holder('return') ?? old) !== old);
-  const next = group.recorded('return');
-  await group.run(12);
-  assert.deepEqual(group.recorded('return'), next);
-  assert.deepEqual(group.invariants.violations, []);
-});
-
 // Guards: the term of a membership. Each time that the duties are turned on, one loop renews one lease.
 test('duties that are turned off and on again and again: handed over in order, renewed as often as before', async () => {
   const group = await settledGroup(38);
@@ -300,39 +51,12 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('an outage for all: nothing is done in it, and holders go on after it where their leases live', async () => {
-  const group = await settledGroup(10);
-  const machines = await withMachines(group, 2);
-  const before = DUTIES.map((duty) => group.recorded(duty)?.token);
-  group.state.beginOutage(8000);
-  await group.run(4);
-  assert.ok(DUTIES.every((duty) => group.holder(duty) === undefined));
-  await group.run(6);
-  await resolved(group, group.delete('return', machines[0]));
-  assert.deepEqual(
-    DUTIES.map((duty) => group.recorded(duty)?.token),
-    before,
-  );
-  assert.deepEqual(group.invariants.violations, []);
-});
-
-test('an outage for the holder alone: another takes over, and the old one finds out', async () => {
-  const group = await settledGroup(11);
-  const old = group.holder('rent') ?? assert.fail();
-  group.refuse(old, 8000);
-  await group.until('another holds it', () => (group.holder('rent') ?? old) !== old);
-  assert.deepEqual(await resolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
-  await group.run(10);
-  assertFoundOut(group, old, 'rent');
-  assert.deepEqual(group.invariants.violations, []);
-});
-
 // Guards: intents are stored before the first request, and a repeated request name rents nothing more.
 test('holders die between request and record, again and again: one rental, a bounded number of calls', async () => {
   const group = await settledGroup(12);
   const opened = group.rent(3);
   for (let deaths = 0; deaths < 5; deaths++) {
-    group.provider.trouble = { refuses: false, silent: true };
+    group.provider.failure = { refuses: false, silent: true };
     const calls = group.provider.executed('rent').length;
     await group.until(
       'the request is executed',
@@ -340,7 +64,7 @@
     );
     group.crash(group.holder('rent') ?? assert.fail(), 1000);
   }
-  group.provider.trouble = { refuses: false, silent: false };
+  group.provider.failure = { refuses: false, silent: false };
   const result = await resolved(group, opened);
   assert.deepEqual(result, {
     kind: 'resolved',
@@ -359,11 +83,11 @@
     asked++;
     return Promise.resolve();
   };
-  group.provider.trouble = { refuses: true, silent: false };
+  group.provider.failure = { refuses: true, silent: false };
   const opened = group.delete('reclaim', machines[0]);
   await group.run(30);
   assert.ok(asked >= 3 && asked <= 12, String(asked));
-  group.provider.trouble = { refuses: false, silent: false };
+  group.provider.failure = { refuses: false, silent: false };
   assert.deepEqual(await resolved(group, opened), {
     kind: 'resolved',
     outcome: { kind: 'deleted' },
@@ -419,8 +143,8 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-/** Any of the troubles, at random. */
-function trouble(group: DutyGroup): void {
+/** Any of the faults, at random. */
+function randomFault(group: DutyGroup): void {
   const { random } = group;
   const name = random.pick(group.names);
   const ms = random.between(200, 9000);
@@ -444,7 +168,7 @@
       group.state.lateWrites = { share: 0.3, until: group.clock.time + ms };
     },
     () => {
-      group.provider.trouble = { refuses: random.chance(0.5), silent: random.chance(0.5) };
+      group.provider.failure = { refuses: random.chance(0.5), silent: random.chance(0.5) };
     },
   ];
   random.pick(kinds)();
@@ -465,10 +189,10 @@
       const machines = [...group.provider.machines];
       if (machines.length > 0 && random.chance(0.3))
         count(group.delete(random.pick(['return', 'reclaim'] as const), random.pick(machines)));
-      if (random.chance(0.4)) trouble(group);
+      if (random.chance(0.4)) randomFault(group);
       await group.run(1);
     }
-    group.provider.trouble = { refuses: false, silent: false };
+    group.provider.failure = { refuses: false, silent: false };
     await group.run(30);
     await group.settled();
     await group.until('nothing is open', () => group.openIntents() === 0);
--- /dev/null
+++ b/test/rollout-faults.test.ts
@@ -0,0 +1,231 @@
+/** Changes of the cluster level under faults: frozen leaders, outages, late writes and processes that end. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import type { Cluster } from './sim/cluster.js';
+import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
+import { RolloutInvariants } from './sim/rollout-invariants.js';
+import {
+  LARGE,
+  NAMES,
+  NEW,
+  OLD,
+  ROLL_S,
+  RollingUpgrade,
+  SETTINGS,
+  withJobs,
+} from './sim/rolling-upgrade.js';
+
+test('a frozen leader wakes amid a change, with a late transaction on its way', async () => {
+  for (const seed of [6, 7, 8]) {
+    const roll = new RollingUpgrade(seed, NEW);
+    withJobs(roll);
+    await roll.reaches('preparing', 1);
+    // Whatever is written now is carried out seconds later and never answered.
+    roll.cluster.state.lateWrites = { share: 1, until: roll.cluster.clock.time + 700 };
+    await roll.cluster.run(0.7);
+    roll.cluster.freeze(roll.leader(), 9000);
+    await roll.until('it is settled', () => roll.level.state === 'stable');
+    await roll.cluster.run(20);
+    assert.equal(roll.level.state, 'stable');
+    await roll.finish();
+  }
+});
+
+const OUTAGE_MS = 6000;
+const OUTAGES: [string, (roll: RollingUpgrade) => void][] = [
+  [
+    'a follower',
+    (roll) => {
+      roll.cluster.state.rejectHost(`${roll.follower()}:80`, OUTAGE_MS);
+    },
+  ],
+  [
+    'the leader',
+    (roll) => {
+      roll.cluster.state.rejectHost(`${roll.leader()}:80`, OUTAGE_MS);
+    },
+  ],
+  [
+    'everyone',
+    (roll) => {
+      roll.cluster.state.beginOutage(OUTAGE_MS);
+    },
+  ],
+];
+for (const phase of ['preparing', 'activating', 'lowering'] as const)
+  for (const [who, refuse] of OUTAGES)
+    test(`the state service refuses ${who} while ${phase}: the change goes on afterwards`, async () => {
+      const roll = new RollingUpgrade(9, NEW);
+      withJobs(roll);
+      if (phase === 'lowering') {
+        await roll.reaches('stable', 2);
+        assert.equal((await roll.ask('downgrade')).kind, 'done');
+      } else await roll.reaches(phase, 1);
+      refuse(roll);
+      await roll.reaches('stable', phase === 'lowering' ? 1 : 2);
+      await roll.finish();
+    });
+
+test('a change without progress is given up, and waits for an operator', async () => {
+  const roll = new RollingUpgrade(10, NEW);
+  await roll.reaches('preparing', 1);
+  const gone = roll.follower();
+  roll.cluster.crash(gone, 25_000);
+  await roll.until('given up', () => roll.level.held !== null);
+  assert.match(roll.level.held!.reason, new RegExp(`no progress for 15 s: ${gone}`));
+  await roll.reaches('stable', 1);
+  // It comes back with the build that it had.
+  await roll.staysAt(1, 30);
+  assert.ok(roll.cluster.isUp(gone));
+  assert.equal((await roll.ask('activate')).kind, 'done');
+  await roll.reaches('stable', 2);
+  await roll.finish();
+});
+
+test('a change is given up when processes of a controller keep ending', async () => {
+  const roll = new RollingUpgrade(11, NEW);
+  await roll.reaches('preparing', 1);
+  const ending = roll.follower();
+  for (let i = 0; i < 5; i++) {
+    roll.cluster.crash(ending, 50);
+    await roll.cluster.run(0.4);
+  }
+  await roll.until('given up', () => roll.level.held !== null);
+  assert.match(roll.level.held!.reason, new RegExp(`${ending} has started`));
+  await roll.staysAt(1, 20);
+});
+
+// Without the guard on the level a segment would land after the last one was converted.
+test('a segment on its way while the level is lowered changes nothing', async () => {
+  const roll = new RollingUpgrade(16, NEW, LARGE);
+  await roll.reaches('stable', 2);
+  // It outlives the write that is on its way.
+  const id = roll.submitLarge(5);
+  await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
+  const { state, clock } = roll.cluster;
+  state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, keys: `d/${id}/` };
+  await roll.cluster.run(6);
+  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  await roll.reaches('stable', 1);
+  for (let second = 0; second < 25; second++) {
+    await roll.cluster.run(1);
+    assert.deepEqual(roll.invariants.segments(), []);
+  }
+  assert.equal(roll.cluster.invariants.jobs.get(id)!.reportedDoneAt, null);
+  await roll.finish();
+});
+
+// Without the guards of its writes the process that has ended would seem to be there, with its build.
+test('what a replaced process has on its way does not count for its successor', async () => {
+  const roll = new RollingUpgrade(19, NEW);
+  const { state, clock } = roll.cluster;
+  await roll.until('all have announced', () =>
+    NAMES.every((name) => state.value(`rollout/controllers/${name}`)),
+  );
+  const name = roll.follower();
+  const keys = `rollout/controllers/${name}`;
+  state.lateWrites = { share: 1, until: Infinity, byMs: 1000, keys };
+  await roll.reaches('preparing', 1);
+  await roll.cluster.run(0.3);
+  state.lateWrites = null;
+  assert.ok(clock.time < 20_000);
+  roll.replace(name, OLD, 250);
+  await roll.staysAt(1, 30);
+  assert.deepEqual(roll.cluster.invariants.violations, []);
+});
+
+// Without the guards on all announcements the level would rise over a build that can't follow.
+test('the last confirmation counts only while every announcement stands as it was read', async () => {
+  const roll = new RollingUpgrade(22, NEW);
+  await roll.reaches('activating', 1);
+  const { state, clock, invariants } = roll.cluster;
+  state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, keys: 'rollout/level' };
+  await roll.cluster.run(0.6);
+  roll.replace(roll.follower(), OLD, 50);
+  await roll.staysAt(1, ROLL_S);
+  assert.deepEqual(invariants.violations, []);
+});
+
+// Without the guard on the record's version the late one would undo what came after it.
+test("a leader's change without an answer, made again, and then carried out late, changes nothing", async () => {
+  const roll = new RollingUpgrade(20, NEW);
+  await roll.reaches('preparing', 1);
+  const { state, clock, invariants } = roll.cluster;
+  state.lateWrites = { share: 1, until: clock.time + 2000, byMs: 12_000, keys: 'rollout/level' };
+  roll.replace(roll.follower(), OLD, 100);
+  await roll.cluster.run(2);
+  assert.equal(roll.level.state, 'preparing');
+  await roll.until('given up', () => roll.level.held !== null && roll.level.state === 'stable', 10);
+  await roll.staysAt(1, ROLL_S);
+  assert.deepEqual(invariants.violations, []);
+});
+
+test('a malformed announcement is ignored, logged once, and replaced by its controller', async () => {
+  const lines: string[] = [];
+  const roll = new RollingUpgrade(15, OLD, {
+    log: (_node, text, fields) => {
+      if (text === 'announcement ignored') lines.push((fields as { reason: string }).reason);
+    },
+  });
+  await roll.cluster.run(6);
+  for (const name of NAMES) roll.replace(name, NEW, 50);
+  await roll.cluster.run(1);
+  const planted = roll.cluster.state.value('rollout/controllers/n2') as object;
+  roll.cluster.state.putDirectly('rollout/controllers/n2', { ...planted, build: { reads: 'all' } });
+  await roll.staysAt(1, 10);
+  assert.equal(lines.length, 1);
+  assert.match(lines[0], /malformed/);
+  // The next process of the controller announces itself anew.
+  roll.cluster.crash('n2', 50);
+  await roll.reaches('stable', 2);
+});
+
+function skewWallClocks(cluster: Cluster): void {
+  for (const name of NAMES) cluster.wallSkewMs.set(name, cluster.random.between(-2000, 2000));
+}
+
+function replaceAtRandom(cluster: Cluster, second: number, name: string): void {
+  if (second >= 50 || !cluster.random.chance(0.12)) return;
+  cluster.builds.set(name, cluster.random.chance(0.75) ? NEW : OLD);
+  cluster.crash(name, cluster.random.between(50, 3000));
+}
+
+function bringFaults(cluster: Cluster, second: number, name: string): void {
+  const { random, state } = cluster;
+  if (second % 17 === 9) state.rejectHost(`${name}:80`, random.between(1000, 6000));
+  if (second === 23) state.beginOutage(5000);
+  if (second % 19 === 11) state.lateWrites = { share: 0.3, until: cluster.clock.time + 2000 };
+  if (second % 13 === 7) cluster.freeze(name, random.between(500, 6000));
+  if (second % 21 === 15) cluster.faults.isolate(name, random.between(1000, 5000), 'reset');
+}
+
+/** All end up with the new build. */
+function replaceAllByNew(cluster: Cluster, second: number): void {
+  if (second === 50) for (const name of NAMES) cluster.builds.set(name, NEW);
+  if (second === 52)
+    for (const name of NAMES) cluster.crash(name, cluster.random.between(50, 2000));
+}
+
+for (const seed of [31, 32, 33, 34, 35, 36])
+  test(`random upgrades, rollbacks, crashes, cuts, outages and late writes (${seed})`, async () => {
+    let invariants: RolloutInvariants | null = null;
+    const outcome = await runScenario(
+      {
+        seed,
+        ordinaryUp: 20,
+        capacity: 12,
+        rollout: { ...SETTINGS, stall_s: 8 },
+        builds: Object.fromEntries(NAMES.map((name) => [name, OLD])),
+      },
+      (cluster, second) => {
+        invariants ??= new RolloutInvariants(cluster);
+        if (second === 0) skewWallClocks(cluster);
+        const name = cluster.random.pick(NAMES);
+        replaceAtRandom(cluster, second, name);
+        bringFaults(cluster, second, name);
+        replaceAllByNew(cluster, second);
+      },
+    );
+    assertInvariantsHeld(outcome);
+    assert.ok(invariants!.history.length > 0, 'the level changed');
+  });
--- a/test/sim/duty-scenarios.ts
+++ b/test/sim/duty-scenarios.ts
@@ -1,6 +1,6 @@
 /** Duty groups to begin with, and steps that several tests take with them. */
 import assert from 'node:assert/strict';
-import type { IntentResult } from '@millring/duties';
+import type { Duty, IntentResult } from '@millring/duties';
 import { DutyGroup, type DutyGroupConfig } from './duty-group.js';
 
 /** All duties are held. */
@@ -31,3 +31,18 @@
   await group.until('the intent is followed to its end', () => result !== null);
   return result ?? assert.fail();
 }
+
+/** The old holder noticed that it lost the duty, and counts as any other since. */
+export function assertLossNoticed(group: DutyGroup, old: string, duty: Duty): void {
+  const states = group.lines
+    .filter(
+      ({ name, text, fields }) =>
+        name === old && text === 'duty' && 'duty' in fields && fields.duty === duty,
+    )
+    .map(({ fields }) => (fields as { to: string }).to);
+  const lost = states.indexOf('lost');
+  assert.ok(lost > 0, states.join(', '));
+  assert.equal(states[lost + 1], 'vacant');
+}
+
+// Guards: the check of the holder by its own steady clock, and the loss of the duty once the record names another.
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -26,7 +26,7 @@
 }
 
 /** How a provider fails for a while. */
-export interface ProviderTrouble {
+export interface ProviderFailure {
   /** Executes nothing. */
   refuses: boolean;
   /** Executes, but does not answer. */
@@ -37,7 +37,7 @@
 export class FencedProvider {
   readonly calls: ProviderCall[] = [];
   readonly machines = new Set<string>();
-  trouble: ProviderTrouble = { refuses: false, silent: false };
+  failure: ProviderFailure = { refuses: false, silent: false };
   /** Between the arrival of a request and its execution. */
   delay: () => Promise<void> = () => Promise.resolve();
   private readonly newest = new Map<Duty, number>();
@@ -46,9 +46,9 @@
 
   readonly handle: Handler = async (_method, path, body) => {
     await this.delay();
-    if (this.trouble.refuses) return { status: 503, body: {} };
+    if (this.failure.refuses) return { status: 503, body: {} };
     const reply = this.execute(path, body);
-    return this.trouble.silent ? new Promise<Reply>(() => undefined) : reply;
+    return this.failure.silent ? new Promise<Reply>(() => undefined) : reply;
   };
 
   executed(duty: Duty): ProviderCall[] {
