--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -171,7 +171,7 @@
   assert.equal(decodeMap(encode([1])), null);
 });
 
-test('a report that is not one changes nothing', () => {
+test('a malformed heartbeat changes nothing', () => {
   assert.equal(readHeartbeat(heartbeatOfNameOnly('i-1')), null);
   assert.deepEqual(readJob({}), { kind: 'invalid', field: 'id' });
 });
--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -49,7 +49,7 @@
     cluster.state.slowReads = { byMs: 5000, until: cluster.clock.time + 20_000 };
     for (let i = 0; i < 500 && !resumed; i++) await cluster.run(0.05);
     assert.ok(resumed, 'the claim outlived the outage');
-    // Reports come, and are answered or not; then machines stand still for nearly a lease.
+    // Heartbeats come, and are answered or not; then machines stand still for nearly a lease.
     await cluster.run(1.8);
     for (const machine of cluster.cloud.machines.values())
       if (machine.worker) cluster.faults.hangMachine(machine.id, LEASE_MS - 500);
@@ -127,9 +127,9 @@
   test(`who confirmed a cancellation has forgotten it, and the state service is down (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
     const old = cluster.leader()!;
-    const told = otherNode(cluster, old);
+    const confirming = otherNode(cluster, old);
     cluster.network.partitions.push({
-      a: (host) => host === `${told}:80`,
+      a: (host) => host === `${confirming}:80`,
       b: (host) => cluster.isNode(host),
       until: cluster.clock.time + 2100,
       mode: 'reset',
@@ -137,7 +137,7 @@
     cluster.state.rejectHost(`${old}:80`, 14_000);
     await cluster.run(0.2);
     const first = jobIds(cluster)[0];
-    void cluster.users.cancel(first, told);
+    void cluster.users.cancel(first, confirming);
     await cluster.run(1.75);
     assert.notEqual(
       cluster.invariants.jobs.get(first)!.reportedCancelledAt,
@@ -145,7 +145,7 @@
       'confirmed before the outage',
     );
     cluster.state.beginOutage(CANCEL_MS + 8000);
-    cluster.crash(told, 100);
+    cluster.crash(confirming, 100);
     await cluster.run(CANCEL_MS / 1000 + 4);
     assert.equal(runningTasksOf(cluster, first), 0);
     assert.deepEqual(cluster.invariants.violations, []);
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -29,12 +29,12 @@
     clock,
     random,
     [{ type: 't16', zone: 'a', count: MACHINES }],
-    () => ({ kill: () => undefined }) as unknown as Worker,
+    () => ({ kill: () => undefined }) satisfies Pick<Worker, 'kill'> as unknown as Worker,
     (id) => `w-${id}:9000`,
     RPS,
   );
   for (let i = 0; i < MACHINES; i++) service.add('t16', 'a', false, true);
-  const world: Runtime = {
+  const runtime: Runtime = {
     clock: clock.host(1, () => true),
     http: {
       send: (_to, _method, path, body) =>
@@ -48,7 +48,7 @@
     random: () => 0.5,
   };
   await clock.runUntil(6000, () => undefined);
-  return { clock, service, cloud: new Cloud(world, 'cloud:1', RPS) };
+  return { clock, service, cloud: new Cloud(runtime, 'cloud:1', RPS) };
 }
 
 async function listWithin(setup: Setup, ms: number): Promise<ListedMachine[] | null> {
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -1,14 +1,14 @@
-/** Seeded random runs of whole clusters; the rules of PROTOCOL are checked after each step. */
+/** Seeded random runs of whole clusters; PROTOCOL's invariants are checked after each step. */
 import { test } from 'node:test';
 import { type Cluster } from './sim/cluster.js';
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
 import { duplicateHeartbeats, leaderOrRandomNode } from './sim/faults.js';
 
-test('a quiet day', async () => {
+test('a run without faults', async () => {
   assertInvariantsHeld(await runScenario({ seed: 1 }, () => undefined));
 });
 
-test('a quiet day where money counts', async () => {
+test('a run without faults where money counts', async () => {
   assertInvariantsHeld(
     await runScenario({ seed: 2, saveMoney: true, ordinaryUp: 0 }, () => undefined),
   );
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,4 +1,4 @@
-/** The scenarios by seed: seeds that are `SCENARIOS.length` apart play the same one with other random numbers. */
+/** The scenarios by seed: seeds that are `SCENARIOS.length` apart run the same one with other random numbers. */
 import { type Cluster } from '../sim/cluster.js';
 import { SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
 import { OLD, SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
--- a/test/digest/trace-digest.ts
+++ b/test/digest/trace-digest.ts
@@ -20,7 +20,7 @@
 
 function readOptions(args: string[]): DigestOptions | null {
   const command = new Command('trace-digest')
-    .requiredOption('--seeds <A-B>', 'seeds to play, for example 1-20', readSeeds)
+    .requiredOption('--seeds <A-B>', 'seeds to run, for example 1-20', readSeeds)
     .option('--record <FILE>', 'write the digests there')
     .option('--expect <FILE>', 'compare with the digests recorded there')
     .exitOverride();
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -8,16 +8,16 @@
 import { BATCH } from './sim/jobs.js';
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
 
-function dutiesDay(
+function testDuties(
   name: string,
   seed: number,
-  troubles: (cluster: Cluster, second: number) => void,
+  faults: (cluster: Cluster, second: number) => void,
   config: Partial<ClusterConfig> = {},
 ): void {
   test(`${name} (${seed})`, async () => {
     let watch: CloudInvariants | null = null;
     const before = (cluster: Cluster, second: number): void => {
-      if (second > 0) troubles(cluster, second);
+      if (second > 0) faults(cluster, second);
     };
     const outcome = await runScenario(
       { ordinaryUp: 0, seed, saveMoney: true, rollout: ROLLOUT, duties: SETTINGS, ...config },
@@ -116,10 +116,10 @@
 });
 
 for (const seed of [41, 42])
-  dutiesDay('a quiet day: everything goes through intents', seed, () => undefined);
+  testDuties('a run without faults: everything goes through intents', seed, () => undefined);
 
 for (const seed of [43, 44, 45])
-  dutiesDay(
+  testDuties(
     'holders and leaders die, freeze and lose the state service',
     seed,
     (cluster, second) => {
@@ -136,11 +136,11 @@
     },
   );
 
-dutiesDay('all controllers end at once, in the middle of actions', 48, (cluster, second) => {
+testDuties('all controllers end at once, in the middle of actions', 48, (cluster, second) => {
   if (second % 20 === 10) for (const name of cluster.nodeNames) cluster.crash(name, 2000);
 });
 
-dutiesDay(
+testDuties(
   'several hundred machines, while holders and machines die',
   49,
   (cluster, second) => {
@@ -164,7 +164,7 @@
 );
 
 for (const seed of [46, 47])
-  dutiesDay(
+  testDuties(
     'machines die and controllers are cut off while writes come late',
     seed,
     (cluster, second) => {
--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyOperator } from '@millring/duties';
+import { clientRuntime } from './sim/client-runtime.js';
 import { StateStore } from '../src/state-store/client.js';
 import type { DutyGroup } from './sim/duty-group.js';
 import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
@@ -65,15 +66,12 @@
   question: (operator: DutyOperator) => Promise<T>,
 ): Promise<T> {
   group.invariants.operatorActed = true;
-  const clock = group.clock.host(1, () => true);
-  const http = {
-    send: (to: string, method: string, path: string, body: never, timeoutMs: number) =>
-      group.net.send('n9:80', to, method, path, body, timeoutMs),
-  };
-  const world = { clock, http, log: quietLog, random: () => 0.5 } as ConstructorParameters<
-    typeof StateStore
-  >[0];
-  const store = new StateStore(world, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
+  const store = new StateStore(clientRuntime(group), {
+    address: 'state:1',
+    nodes: 1,
+    rps: 100,
+    writeRps: 50,
+  });
   const operator = new DutyOperator({
     store,
     by: 'operator-1',
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -44,7 +44,7 @@
 test('slow answers of the state service: whoever believes to hold a duty stands in its record', async () => {
   for (const seed of [25, 26, 27]) {
     const group = await settledGroup(seed);
-    group.net.delayFactor = 60;
+    group.network.delayFactor = 60;
     for (let round = 0; round < 6; round++) {
       await group.run(4);
       group.refuse(group.holder(group.random.pick([...DUTIES])) ?? 'n0', 5000);
--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -1,4 +1,4 @@
-/** Meetings of troubles: two or three at once, each brought about by itself. docs/safety.md has a row for each. */
+/** Combinations of two or three faults, in seeded runs. docs/safety.md has a row for each. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -14,11 +14,11 @@
   pickMachines,
 } from './sim/faults.js';
 
-/** Jobs come all the while; each second may bring a trouble. Afterwards all are served. */
+/** Jobs come all the while; each second may bring a fault. Afterwards all are served. */
 function faultCombination(
   name: string,
   seeds: number[],
-  troubles: (cluster: Cluster, second: number) => void,
+  faults: (cluster: Cluster, second: number) => void,
   config: Partial<ClusterConfig> = {},
 ): void {
   const eachSecond = (cluster: Cluster, second: number): void => {
@@ -27,7 +27,7 @@
         cluster.users.newJob({ ...GANG, tasks: cluster.random.int(2, 5) }),
         null,
       );
-    troubles(cluster, second);
+    faults(cluster, second);
   };
   testScenarios(name, seeds, eachSecond, config);
 }
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,4 +1,4 @@
-/** One trouble each, looked at closely: what the seeded runs in cluster.test.ts would only show as a broken rule. */
+/** One fault each, looked at closely: what the seeded runs in cluster.test.ts would only show as a violated invariant. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { clusterWithService, holdMessagesTo } from './sim/faults.js';
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -129,11 +129,11 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** Gangs come beside all other jobs, and meet troubles. */
+/** Gangs come beside all other jobs, under faults. */
 function testGangs(
   name: string,
   seeds: number[],
-  troubles: (cluster: Cluster, second: number) => void,
+  faults: (cluster: Cluster, second: number) => void,
 ): void {
   const eachSecond = (cluster: Cluster, second: number): void => {
     const over = {
@@ -145,7 +145,7 @@
       cluster.random.chance(0.2) ? cluster.random.between(0, 12_000) : null;
     if (second % 3 === 0)
       void cluster.users.run(cluster.users.newJob({ ...GANG, ...over }), cancelAfterMs());
-    troubles(cluster, second);
+    faults(cluster, second);
   };
   testScenarios(`gangs: ${name}`, seeds, eachSecond, {}, allGangsServed);
 }
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { Agent, request } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
-import { test } from 'node:test';
+import { type TestContext, test } from 'node:test';
 import { createHttpServer } from '../src/http/http-server.js';
 import type { ControllerNode } from '../src/node.js';
 import type { Log } from '../src/runtime.js';
@@ -13,12 +13,12 @@
 
 const LIMIT = 60;
 
-/** A node that answers reports as the leader, or as a follower, does. */
+/** A node that answers heartbeats as the leader, or as a follower, does. */
 function answering(status: number): ControllerNode {
   return {
     handleHeartbeat: () => ({ status, body: {} }),
     health: () => ({ kind: 'healthy' }),
-  } as Partial<ControllerNode> as ControllerNode;
+  } satisfies Partial<ControllerNode> as Partial<ControllerNode> as ControllerNode;
 }
 
 function ask(
@@ -40,51 +40,49 @@
   });
 }
 
-async function served(
+/** Serves until the test is over; returns the port. */
+async function serve(
+  context: TestContext,
   node: ControllerNode,
-  fn: (port: number) => Promise<void>,
   log: Log = quietLog,
-): Promise<void> {
+): Promise<number> {
   const server = createHttpServer(node, LIMIT, log);
-  await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
-  try {
-    await fn((server.address() as AddressInfo).port);
-  } finally {
+  context.after(() => {
     server.closeAllConnections();
     server.close();
-  }
+  });
+  await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
+  return (server.address() as AddressInfo).port;
 }
 
-test('with more workers than sockets each is answered, and health checks still get through', async () => {
+test('with more workers than sockets each is answered, and health checks still get through', async (context) => {
   const shares = allocateSockets(LIMIT);
-  await served(answering(200), async (port) => {
-    const agents: Agent[] = [];
-    for (let i = 0; i < 2 * shares.maxInbound; i++) {
-      const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-      agents.push(agent);
-      const [status, connection] = await ask(port, 'POST', HEARTBEAT_PATH, agent);
-      assert.equal(status, 200);
-      assert.equal(
-        connection,
-        i < shares.maxKeptWorkerConnections ? 'keep-alive' : 'close',
-        `worker ${i}`,
-      );
-    }
-    const health = await ask(port, 'GET', '/healthz', new Agent());
-    assert.equal(health[0], 200);
-    for (const agent of agents) agent.destroy();
-  });
+  const port = await serve(context, answering(200));
+  const agents: Agent[] = [];
+  for (let i = 0; i < 2 * shares.maxInbound; i++) {
+    const agent = new Agent({ keepAlive: true, maxSockets: 1 });
+    agents.push(agent);
+    const [status, connection] = await ask(port, 'POST', HEARTBEAT_PATH, agent);
+    assert.equal(status, 200);
+    assert.equal(
+      connection,
+      i < shares.maxKeptWorkerConnections ? 'keep-alive' : 'close',
+      `worker ${i}`,
+    );
+  }
+  const health = await ask(port, 'GET', '/healthz', new Agent());
+  assert.equal(health[0], 200);
+  for (const agent of agents) agent.destroy();
 });
 
-test('a worker that is sent elsewhere leaves no connection behind', async () => {
-  await served(answering(421), async (port) => {
-    const agent = new Agent({ keepAlive: true });
-    assert.deepEqual(await ask(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
-    agent.destroy();
-  });
+test('a worker that is sent elsewhere leaves no connection behind', async (context) => {
+  const port = await serve(context, answering(421));
+  const agent = new Agent({ keepAlive: true });
+  assert.deepEqual(await ask(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
+  agent.destroy();
 });
 
-/** Connects, sends a report and gives up before it can be answered. */
+/** Connects, sends a heartbeat and gives up before it can be answered. */
 function giveUp(port: number): Promise<void> {
   return new Promise((done) => {
     const socket = connect({ port, host: '127.0.0.1' }, () => {
@@ -99,64 +97,51 @@
   });
 }
 
-// After a restart of all controllers of anketsis-pazar the leader answered 3000 reports in 16 s, and none of them in time.
-test('workers that gave up while they waited are not answered, and those that still wait are', async () => {
-  let reports = 0;
+// After a restart of all controllers of anketsis-pazar the leader answered 3000 heartbeats in 16 s, and none of them in time.
+test('workers that gave up while they waited are not answered, and those that still wait are', async (context) => {
+  let heartbeats = 0;
   const lines: string[] = [];
   const node = {
     handleHeartbeat: () => {
-      reports++;
+      heartbeats++;
       return { status: 200, body: {} };
     },
     health: () => ({ kind: 'healthy' }),
-  } as Partial<ControllerNode> as ControllerNode;
+  } satisfies Partial<ControllerNode> as Partial<ControllerNode> as ControllerNode;
   const log = { ...quietLog, info: (_fields: object, text: string) => void lines.push(text) };
-  await served(
-    node,
-    async (port) => {
-      const kept = new Agent({ keepAlive: true, maxSockets: 1 });
-      assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, kept))[0], 200);
-      for (let wave = 0; wave < 3; wave++)
-        await Promise.all(Array.from({ length: 20 }, () => giveUp(port)));
-      assert.equal(reports, 1);
-      assert.equal(
-        (await ask(port, 'POST', HEARTBEAT_PATH, kept))[0],
-        200,
-        'open connections are served on',
-      );
-      await new Promise((done) => setTimeout(done, 200));
-      assert.ok(lines.some((line) => line.startsWith('dropped connections')));
-      const fresh = new Agent({ keepAlive: true });
-      assert.equal(
-        (await ask(port, 'POST', HEARTBEAT_PATH, fresh))[0],
-        200,
-        'the queue is open again',
-      );
-      for (const agent of [kept, fresh]) agent.destroy();
-    },
-    log,
+  const port = await serve(context, node, log);
+  const kept = new Agent({ keepAlive: true, maxSockets: 1 });
+  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, kept))[0], 200);
+  for (let wave = 0; wave < 3; wave++)
+    await Promise.all(Array.from({ length: 20 }, () => giveUp(port)));
+  assert.equal(heartbeats, 1);
+  assert.equal(
+    (await ask(port, 'POST', HEARTBEAT_PATH, kept))[0],
+    200,
+    'open connections are served on',
   );
-  assert.equal(reports, 3);
+  await new Promise((done) => setTimeout(done, 200));
+  assert.ok(lines.some((line) => line.startsWith('dropped connections')));
+  const fresh = new Agent({ keepAlive: true });
+  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, fresh))[0], 200, 'the queue is open again');
+  for (const agent of [kept, fresh]) agent.destroy();
+  assert.equal(heartbeats, 3);
 });
 
-test('a report that can not be handled gets 503 and harms nothing else; one that is too large, 400', async () => {
+test('a heartbeat that can not be handled gets 503 and harms nothing else; one that is too large, 400', async (context) => {
   const faulty = {
     handleHeartbeat: (body: unknown) => {
       if (body !== null) throw new Error('a fault of our own');
       return { status: 400, body: {} };
     },
     health: () => ({ kind: 'healthy' }),
-  } as Partial<ControllerNode> as ControllerNode;
-  await served(faulty, async (port) => {
-    const agent = new Agent({ keepAlive: true });
-    assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent))[0], 503);
-    assert.equal(
-      (await ask(port, 'POST', HEARTBEAT_PATH, agent, { x: 'y'.repeat(70_000) }))[0],
-      400,
-    );
-    assert.equal((await ask(port, 'GET', '/healthz', agent))[0], 200);
-    agent.destroy();
-  });
+  } satisfies Partial<ControllerNode> as Partial<ControllerNode> as ControllerNode;
+  const port = await serve(context, faulty);
+  const agent = new Agent({ keepAlive: true });
+  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent))[0], 503);
+  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent, { x: 'y'.repeat(70_000) }))[0], 400);
+  assert.equal((await ask(port, 'GET', '/healthz', agent))[0], 200);
+  agent.destroy();
 });
 
 test('what is shared out stays within the limit, at every size of a process', () => {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Four thousand machines: the rules, and that work grows with events and not with the square of the fleet. */
+/** Four thousand machines: the invariants, and that work grows with events and not with the square of the fleet. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -45,7 +45,7 @@
   return [...cluster.cloud.machines.values()].filter((m) => m.worker !== null).length;
 }
 
-/** Rules kept, nothing asked beyond the limits of others, and placing in proportion to what there was to place. */
+/** No invariant violated, nothing asked beyond the limits of others, and placing in proportion to what there was to place. */
 function expectProportionate(cluster: Cluster, work: PlacementWork, seconds: number): void {
   assert.deepEqual(cluster.invariants.violations, []);
   assert.equal(cluster.cloud.received.tooMany, 0);
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -1,7 +1,7 @@
 /**
  * A team went over its limit while its leader believed it far below. Workers that could not reach any controller for
  * a lease had killed their tasks and begun new sessions; starts that the leader had sent to their old sessions were
- * still on the way. The report of the new session released these attempts, and the refusal of the start, which
+ * still on the way. The heartbeat of the new incarnation released these attempts, and the refusal of the start, which
  * arrived a moment later, released them once more. From then on the leader counted 12 CPUs where 32 were in use,
  * against a limit of 20.
  */
--- a/test/sim/autoscaler-harness.ts
+++ b/test/sim/autoscaler-harness.ts
@@ -116,7 +116,7 @@
     return encodeMachineList(entries, false);
   }
 
-  private report(machine: Machine): void {
+  private sendHeartbeat(machine: Machine): void {
     const heartbeat: Heartbeat = {
       machine: machine.id,
       endpoint: machine.endpoint,
@@ -135,12 +135,12 @@
     machine.commandFailures = 0;
   }
 
-  /** Time goes on; those that are heard report, the others answer no probe either. */
+  /** Time goes on; those that are heard send heartbeats, the others answer no probe either. */
   async advance(seconds: number, heard: (machine: Machine) => boolean): Promise<void> {
     for (let i = 0; i < seconds * 2; i++) {
       this.now += 500;
       for (const machine of [...this.table.all()])
-        if (heard(machine)) this.report(machine);
+        if (heard(machine)) this.sendHeartbeat(machine);
         else if (this.autoscaler.isHeartbeatOverdue(machine, this.now)) machine.commandFailures++;
       this.autoscaler.tick();
       await new Promise<void>((done) => setImmediate(done));
--- a/test/sim/client-runtime.ts
+++ b/test/sim/client-runtime.ts
@@ -1,14 +1,21 @@
 /** The runtime of programs beside the controllers, such as operators' commands. */
 import type { Runtime } from '../../src/runtime.js';
-import type { Cluster } from './cluster.js';
+import type { VirtualClock } from './clock.js';
+import type { Network } from './network.js';
 import { quietLog } from './quiet-log.js';
 
-export function clientRuntime(cluster: Cluster): Runtime {
+export function clientRuntime({
+  clock,
+  network,
+}: {
+  clock: VirtualClock;
+  network: Network;
+}): Runtime {
   return {
-    clock: cluster.clock.host(1, () => true),
+    clock: clock.host(1, () => true),
     http: {
       send: (to, method, path, body, timeoutMs) =>
-        cluster.network.send('n9:80', to, method, path, body, timeoutMs),
+        network.send('n9:80', to, method, path, body, timeoutMs),
     },
     log: quietLog,
     random: () => 0.5,
--- a/test/sim/cloud-invariants.ts
+++ b/test/sim/cloud-invariants.ts
@@ -20,7 +20,7 @@
   retention_s: 10,
 } as const;
 
-/** The level has been raised before the day begins. */
+/** The level has been raised before anything runs. */
 export function plantLevel(cluster: Cluster): void {
   cluster.state.putDirectly('rollout/level', {
     state: 'stable',
@@ -47,7 +47,7 @@
     const host = cluster.network.hosts.get('cloud:1')!;
     const inner = host.handler!;
     host.handler = (method, path, body, from) => {
-      this.asked(path, body);
+      this.checkRequest(path, body);
       return inner(method, path, body, from);
     };
     cluster.checks.push(() => {
@@ -78,20 +78,20 @@
     }
   }
 
-  private asked(path: string, body: Body): void {
+  private checkRequest(path: string, body: Body): void {
     this.readIntents();
     const request = decodeCloudRequest(path, body);
-    if (request.kind === 'delete') this.deleted(request.machines);
-    if (request.kind === 'rent') this.rented(request.request);
+    if (request.kind === 'delete') this.checkDeletion(request.machines);
+    if (request.kind === 'rent') this.checkRental(request.request);
   }
 
-  private rented(request: string): void {
+  private checkRental(request: string): void {
     this.rentals++;
     if (this.intents.get(request)?.action.kind !== 'rent')
       this.cluster.invariants.recordViolation('rented_without_intent', request);
   }
 
-  private deleted(machines: string[]): void {
+  private checkDeletion(machines: string[]): void {
     this.deletions++;
     const { invariants, cloud } = this.cluster;
     const intents = [...this.intents.values()].filter(
--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -37,7 +37,7 @@
   reportMs?: number;
   leaseMs?: number;
   cancelMs?: number;
-  /** Workers of large fleets look less often whether a report is due. */
+  /** Workers of large fleets look less often whether a heartbeat is due. */
   pollMs?: number;
   cloudRps?: number;
   state?: { rps: number; writeRps: number };
--- a/test/sim/cluster-faults.ts
+++ b/test/sim/cluster-faults.ts
@@ -60,7 +60,7 @@
     return [...new Set(ids)].filter((id) => !this.deps.invariants.jobs.get(id)!.cancelRequested);
   }
 
-  /** Users call off jobs that run, all at once; their machines stand still for as long. */
+  /** Users cancel jobs that run, all at once; their machines stand still for as long. */
   cancelRunning(count: number, hangMs: number, via?: string): void {
     for (const id of this.runningJobs().slice(0, count)) {
       void this.deps.users.cancel(id, via);
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -138,7 +138,7 @@
     return this.ungatedNow.has(name);
   }
 
-  /** How far a node's time of day is off. */
+  /** How far a node's wall clock is off. */
   readonly wallSkewMs = new Map<string, number>();
 
   private peerMessageListener: (message: PeerMessage) => void = () => undefined;
@@ -163,7 +163,7 @@
     const process: Partial<NodeProcess> & SimulatedProcess = { alive: true, frozenUntil: 0 };
     const runtime = simulatedRuntime(`${name}:80`, process, {
       clock: this.clock,
-      net: this.network,
+      network: this.network,
       random: this.random,
       own: this.clock.host(this.random.between(1, 1.0005), () => process.alive),
       log: this.logOf(name),
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -53,7 +53,7 @@
 export class DutyGroup implements ObservedDutyGroup {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
-  readonly net: Network;
+  readonly network: Network;
   readonly state: StateService;
   readonly provider = new FencedProvider();
   readonly invariants: DutyInvariants;
@@ -69,13 +69,13 @@
   constructor(private readonly config: DutyGroupConfig) {
     this.names = Array.from({ length: config.size ?? 3 }, (_, i) => `n${i}`);
     this.random = new SeededRandom(config.seed);
-    this.net = new Network(this.clock, this.random);
+    this.network = new Network(this.clock, this.random);
     this.state = new StateService(this.clock, this.random, { rps: 200, writeRps: 40 });
-    this.net.hosts.set(STATE, {
+    this.network.hosts.set(STATE, {
       handler: (...request) => this.state.handle(...request),
       hangsUntil: 0,
     });
-    this.net.hosts.set(PROVIDER, { handler: this.provider.handle, hangsUntil: 0 });
+    this.network.hosts.set(PROVIDER, { handler: this.provider.handle, hangsUntil: 0 });
     this.state.putDirectly(DECIDER_KEY, {});
     this.invariants = new DutyInvariants(this);
     for (const name of this.names) this.start(name);
@@ -92,7 +92,7 @@
     };
     return simulatedRuntime(`${name}:80`, process, {
       clock: this.clock,
-      net: this.net,
+      network: this.network,
       random: this.random,
       own: this.clock.host(rate, () => process.alive),
       log: { ...quietLog, info: note, error: note },
@@ -102,7 +102,8 @@
   start(name: string): void {
     const process: SimulatedProcess = { alive: true, frozenUntil: 0 };
     const member = this.createMember(name, process, this.settings());
-    this.processes.set(name, Object.assign(process, { member }));
+    const memberProcess: MemberProcess = Object.assign(process, { member });
+    this.processes.set(name, memberProcess);
     member.run();
   }
 
@@ -112,7 +113,7 @@
     settings: DutySettings,
   ): DutyMember {
     const runtime = this.runtime(name, process, this.random.between(1, DRIFT_AT_MOST));
-    // Clocks of day differ by days.
+    // Wall clocks differ by days.
     const offMs = this.random.between(-DAY_MS, DAY_MS);
     return new DutyMember({
       environment: {
@@ -203,7 +204,7 @@
 
   /** What the process asks of the provider is held, and arrives afterwards. */
   holdRequests(name: string, ms: number): void {
-    this.net.partitions.push({
+    this.network.partitions.push({
       a: (host) => host === `${name}:80`,
       b: (host) => host === PROVIDER,
       until: this.clock.time + ms,
@@ -213,7 +214,7 @@
 
   /** What the state service answers this process is held; what it asks is executed. */
   holdAnswers(name: string, ms: number): void {
-    this.net.partitions.push({
+    this.network.partitions.push({
       a: (host) => host === STATE,
       b: (host) => host === `${name}:80`,
       until: this.clock.time + ms,
--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -29,8 +29,8 @@
 
   constructor(private readonly group: ObservedDutyGroup) {}
 
-  private recordViolation(rule: string, detail: string): void {
-    this.violations.push(`${Math.round(this.group.clock.time)} ${rule}: ${detail}`);
+  private recordViolation(invariant: string, detail: string): void {
+    this.violations.push(`${Math.round(this.group.clock.time)} ${invariant}: ${detail}`);
   }
 
   check(): void {
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -37,7 +37,7 @@
 
 function run(options: DutyProcessOptions): void {
   const { name, stateAddress, providerAddress } = options;
-  const world: Runtime = {
+  const runtime: Runtime = {
     clock: {
       now: () => performance.now(),
       after: (ms, callback) => {
@@ -59,13 +59,13 @@
     await new Promise((done) => setTimeout(done, options.beforeSendingMs));
   };
   const member = new DutyMember({
-    environment: { ...world, wallMs: () => Date.now() },
-    store: new StateStore(world, { address: stateAddress, nodes: 3, rps: 400, writeRps: 100 }),
+    environment: { ...runtime, wallMs: () => Date.now() },
+    store: new StateStore(runtime, { address: stateAddress, nodes: 3, rps: 400, writeRps: 100 }),
     self: name,
     process: `${name}-${process.pid}`,
     settings: { ...SETTINGS, lease_s: options.leaseS },
     provider: new FencedProviderClient({
-      http: world.http,
+      http: runtime.http,
       address: providerAddress,
       beforeSending,
     }),
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -80,7 +80,7 @@
   return { first, old };
 }
 
-/** That share of reports comes again, up to four leases later, to whoever leads then. */
+/** That share of heartbeats comes again, up to four leases later, to whoever leads then. */
 export function duplicateHeartbeats(cluster: Cluster, chance: number): void {
   cluster.network.duplicates = {
     path: HEARTBEAT_PATH,
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -27,8 +27,8 @@
     private readonly limits: Map<string, number>,
   ) {}
 
-  recordViolation(rule: string, detail: string): void {
-    this.violations.push(`${Math.round(this.now())} ${rule}: ${detail}`);
+  recordViolation(invariant: string, detail: string): void {
+    this.violations.push(`${Math.round(this.now())} ${invariant}: ${detail}`);
   }
 
   /** The same by job, and what each team uses: large runs ask at every start. */
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -85,7 +85,7 @@
     );
   }
 
-  /** What a controller answers to a user, or to a worker's report. */
+  /** What a controller answers to a user, or to a worker's heartbeat. */
   private controller(address: string): Handler {
     return (method, path, body) => this.ask(address, method as 'GET' | 'POST', path, body);
   }
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -1,4 +1,4 @@
-/** What the outside world is to a simulated process, which may end, or stand still while its clock runs on. */
+/** The runtime of a simulated process, which may end, or stand still while its clock runs on. */
 import type { Clock, Log, Reply, Runtime } from '../../src/runtime.js';
 import type { VirtualClock } from './clock.js';
 import type { Network } from './network.js';
@@ -12,7 +12,7 @@
 
 export interface SimulatedSurroundings {
   clock: VirtualClock;
-  net: Network;
+  network: Network;
   random: SeededRandom;
   /** The process's own clock. */
   own: Clock;
@@ -36,7 +36,7 @@
   process: SimulatedProcess,
   surroundings: SimulatedSurroundings,
 ): Runtime {
-  const { clock, net, own, seen } = surroundings;
+  const { clock, network, own, seen } = surroundings;
   const whenThisResumes = (callback: () => void): void => {
     whenResumed(process, clock, callback);
   };
@@ -51,7 +51,7 @@
     http: {
       send: (to, method, path, body, timeoutMs) =>
         new Promise((done) => {
-          void net.send(host, to, method, path, body, timeoutMs).then((reply) => {
+          void network.send(host, to, method, path, body, timeoutMs).then((reply) => {
             whenThisResumes(() => {
               done(seen ? seen(path, reply) : reply);
             });
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -63,7 +63,7 @@
     }
   }
 
-  /** The user calls the job off. */
+  /** The user cancels the job. */
   async cancel(id: string, via?: string): Promise<void> {
     this.deps.invariants.jobs.get(id)!.cancelRequested = true;
     await this.retryUntilAnswered(id, cancelRequest(id), via);
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a worker: reports to the controllers, keeps its lease, and takes commands. */
+/** Stand-in for a worker: sends heartbeats to the controllers, keeps its lease, and takes commands. */
 import type { Reply } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { SeededRandom } from './random.js';
@@ -15,14 +15,14 @@
 } from './wire/workers.js';
 import { type TaskMachine, WorkerTasks } from './worker-tasks.js';
 
-/** How often a worker usually looks whether a report is due. */
+/** How often a worker usually looks whether a heartbeat is due. */
 export const POLL_MS = 50;
 
 export interface WorkerConfig extends TaskMachine {
   address: string;
   reportMs: number;
   leaseMs: number;
-  /** How often it looks whether a report is due. */
+  /** How often it looks whether a heartbeat is due. */
   pollMs: number;
   nodes: { name: string; address: string }[];
 }
@@ -36,9 +36,9 @@
   private lastAnsweredSent = -Infinity;
   readonly tasks: WorkerTasks;
   private node: number;
-  private reporting = false;
-  private changed = false;
-  private lastReport = -Infinity;
+  private isAwaitingReply = false;
+  private hasChanged = false;
+  private lastHeartbeatAt = -Infinity;
   private lastTokenChange = -Infinity;
   private dead = false;
   preemptionDeadline: number | null = null;
@@ -59,7 +59,7 @@
       after: (ms, callback) => this.after(ms, callback),
       isHanging: () => network.hosts.get(config.address)!.hangsUntil > this.now(),
       changed: () => {
-        this.change();
+        this.noteChange();
       },
     });
     this.node = random.int(0, config.nodes.length - 1);
@@ -116,33 +116,33 @@
     this.tasks.killAll();
     this.incarnation++;
     this.incarnationBegan = this.now();
-    this.change();
+    this.noteChange();
   }
 
   private loop(): void {
     this.checkLease();
     const every = this.config.reportMs * this.random.between(0.75, 1.25);
     if (
-      !this.reporting &&
-      (this.now() - this.lastReport >= every ||
-        (this.changed && this.now() - this.lastReport >= 500))
+      !this.isAwaitingReply &&
+      (this.now() - this.lastHeartbeatAt >= every ||
+        (this.hasChanged && this.now() - this.lastHeartbeatAt >= 500))
     )
-      this.report();
+      this.sendHeartbeat();
     this.after(this.config.pollMs, () => {
       this.loop();
     });
   }
 
-  private change(): void {
-    this.changed = true;
+  private noteChange(): void {
+    this.hasChanged = true;
   }
 
-  private see(token: number): void {
+  private observeToken(token: number): void {
     if (token <= this.token) return;
     this.token = token;
     if (this.now() - this.lastTokenChange < this.config.leaseMs / 2) return;
     this.lastTokenChange = this.now();
-    this.change();
+    this.noteChange();
   }
 
   private heartbeat(): Body {
@@ -163,10 +163,10 @@
     });
   }
 
-  private report(): void {
-    this.reporting = true;
-    this.changed = false;
-    const sent = (this.lastReport = this.now());
+  private sendHeartbeat(): void {
+    this.isAwaitingReply = true;
+    this.hasChanged = false;
+    const sent = (this.lastHeartbeatAt = this.now());
     const { incarnation } = this;
     const node = this.config.nodes[this.node % this.config.nodes.length];
     void this.network
@@ -181,10 +181,10 @@
 
   private tryNextNode(): void {
     this.node++;
-    this.after(1000, () => (this.reporting = false));
+    this.after(1000, () => (this.isAwaitingReply = false));
   }
 
-  /** Reports to the node that it was referred to. */
+  /** Sends its heartbeats to the node that it was referred to. */
   private follow(target: string | undefined, from: string): void {
     const index = this.config.nodes.findIndex(({ name }) => name === target);
     if (index < 0 || target === from) {
@@ -193,19 +193,19 @@
     }
     this.node = index;
     this.after(this.random.between(0, 500), () => {
-      this.lastReport = -Infinity;
-      this.reporting = false;
+      this.lastHeartbeatAt = -Infinity;
+      this.isAwaitingReply = false;
     });
   }
 
-  /** The answer to a report that was sent in the given incarnation. */
+  /** The answer to a heartbeat that was sent in the given incarnation. */
   private accept(body: Body, sent: number, incarnation: number): void {
-    this.reporting = false;
+    this.isAwaitingReply = false;
     this.checkLease();
     const { token, commands } = decodeHeartbeatReply(body);
     if (incarnation !== this.incarnation || token === undefined || token < this.token) return;
     this.lastAnsweredSent = sent;
-    this.see(token);
+    this.observeToken(token);
     this.tasks.execute(commands);
   }
 
@@ -216,7 +216,7 @@
       if (token === undefined || incarnation === undefined) return { status: 400, body: {} };
       if (token < this.token || incarnation !== this.incarnation)
         return { status: 409, body: this.heartbeat() };
-      this.see(token);
+      this.observeToken(token);
       this.tasks.execute(commands);
     }
     return { status: 200, body: this.heartbeat() };
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -7,25 +7,25 @@
 
 type FaultOf<Kind extends Fault['kind']> = Extract<Fault, { kind: Kind }>;
 type LinkFault = FaultOf<
-  | 'cut-reports'
+  | 'cut-heartbeats'
   | 'cut-commands'
   | 'cut-machines'
-  | 'mute-machines'
-  | 'deafen-machines'
+  | 'block-connections'
+  | 'hold-messages'
   | 'cut-peers'
 >;
 type ProcessFault = FaultOf<'kill' | 'kill-leader' | 'pause'>;
 type MachineFault = FaultOf<'hang-machines' | 'take-machines'>;
 type ServiceFault = FaultOf<'refuse-state' | 'state-outage' | 'late-writes'>;
-type MessageFault = FaultOf<'late-starts' | 'copies' | 'slow-network'>;
+type MessageFault = FaultOf<'late-starts' | 'duplicate-heartbeats' | 'slow-network'>;
 type HostFilter = (host: string) => boolean;
 
 export class FaultInjector {
   constructor(
     private readonly deployment: SoakDeployment,
     private readonly random: SeededRandom,
-    /** Copies of reports arrive this late at most. */
-    private readonly copiesUpToMs: number,
+    /** Duplicates of heartbeats arrive this late at most. */
+    private readonly duplicatesUpToMs: number,
   ) {}
 
   async bring(fault: Fault): Promise<void> {
@@ -44,7 +44,7 @@
         this.service(fault);
         return;
       case 'late-starts':
-      case 'copies':
+      case 'duplicate-heartbeats':
       case 'slow-network':
         this.message(fault);
         return;
@@ -90,11 +90,11 @@
     const all: HostFilter = () => true;
     if (fault.kind === 'cut-peers') {
       this.deployment.cutPeers(this.nameOf(fault.controller), fault.mode, fault.forMs);
-    } else if (fault.kind === 'cut-reports' || fault.kind === 'cut-commands') {
+    } else if (fault.kind === 'cut-heartbeats' || fault.kind === 'cut-commands') {
       const address = this.deployment.addressOf(this.nameOf(fault.controller));
       const isThisController: HostFilter = (host) => host === address;
       const ends =
-        fault.kind === 'cut-reports'
+        fault.kind === 'cut-heartbeats'
           ? { a: this.isMachine, b: isThisController }
           : { a: isThisController, b: this.isMachine };
       network.partitions.push({ ...ends, until, mode: fault.mode, oneWay: true });
@@ -105,7 +105,7 @@
         until,
         mode: fault.mode,
       });
-    } else if (fault.kind === 'mute-machines') {
+    } else if (fault.kind === 'block-connections') {
       const machines = this.someMachines(fault.share);
       network.partitions.push({
         a: machines,
@@ -149,12 +149,12 @@
     const { network, clock } = this.standIns;
     if (fault.kind === 'late-starts') {
       this.standIns.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
-    } else if (fault.kind === 'copies') {
+    } else if (fault.kind === 'duplicate-heartbeats') {
       const to = (): string => this.deployment.addressOf(this.nameOf('leader'));
       network.duplicates = {
         path: HEARTBEAT_PATH,
         chance: fault.chance,
-        upToMs: this.copiesUpToMs,
+        upToMs: this.duplicatesUpToMs,
         to,
       };
       clock.after(fault.forMs, () => (network.duplicates = null));
--- a/test/soak/fault-schedule.ts
+++ b/test/soak/fault-schedule.ts
@@ -8,11 +8,11 @@
   | { kind: 'kill'; controller: number; downMs: number }
   | { kind: 'kill-leader'; times: number; everyMs: number; downMs: number }
   | { kind: 'pause'; controller: number | 'leader'; forMs: number }
-  | { kind: 'cut-reports'; controller: number | 'leader'; forMs: number; mode: LinkMode }
+  | { kind: 'cut-heartbeats'; controller: number | 'leader'; forMs: number; mode: LinkMode }
   | { kind: 'cut-commands'; controller: number | 'leader'; forMs: number; mode: LinkMode }
   | { kind: 'cut-machines'; share: number; forMs: number; mode: LinkMode }
-  | { kind: 'mute-machines'; share: number; forMs: number }
-  | { kind: 'deafen-machines'; share: number; forMs: number }
+  | { kind: 'block-connections'; share: number; forMs: number }
+  | { kind: 'hold-messages'; share: number; forMs: number }
   | { kind: 'hang-machines'; share: number; forMs: number }
   | { kind: 'take-machines'; share: number }
   | { kind: 'refuse-state'; controller: number | 'leader'; forMs: number }
@@ -20,7 +20,7 @@
   | { kind: 'late-writes'; share: number; forMs: number }
   | { kind: 'late-starts'; byMs: number; forMs: number }
   | { kind: 'cut-peers'; controller: number | 'leader'; forMs: number; mode: LinkMode }
-  | { kind: 'copies'; chance: number; forMs: number }
+  | { kind: 'duplicate-heartbeats'; chance: number; forMs: number }
   | { kind: 'slow-network'; factor: number; forMs: number };
 
 export interface ScheduledFault {
@@ -35,10 +35,10 @@
   leaseMs: number;
 }
 
-/** Each moment with faults has so many of them at most, so that troubles meet. */
+/** Each moment with faults has so many of them at most, so that faults combine. */
 const MOST_AT_ONCE = 3;
 /** How often two or three faults are brought together on purpose. */
-const MEETING_SHARE = 0.4;
+const COMBINATION_SHARE = 0.4;
 /** The first faults come once machines are up and busy, and all others so many leases later. */
 const OPENING_MS = 9000;
 const OPENING_LEASES = 1.5;
@@ -57,8 +57,8 @@
     atMs < options.durationMs;
     atMs += random.between(LEAST_GAP_MS, MOST_GAP_MS)
   ) {
-    if (random.chance(MEETING_SHARE)) {
-      schedule.push(...drawMeeting(random, atMs, options));
+    if (random.chance(COMBINATION_SHARE)) {
+      schedule.push(...drawCombination(random, atMs, options));
       continue;
     }
     const count = random.int(1, MOST_AT_ONCE);
@@ -76,7 +76,7 @@
 ): ScheduledFault[] {
   const startsMs = atMs + leaseMs * random.between(0.75, 0.85);
   return [
-    { atMs, fault: { kind: 'mute-machines', share: 1, forMs: leaseMs + 50 } },
+    { atMs, fault: { kind: 'block-connections', share: 1, forMs: leaseMs + 50 } },
     {
       atMs: startsMs,
       fault: { kind: 'late-starts', byMs: random.between(1900, 2300), forMs: 2500 },
@@ -100,14 +100,14 @@
 }
 
 /** Faults that harm only when one follows the other at the right time: chance alone seldom brings them together. */
-function drawMeeting(
+function drawCombination(
   random: SeededRandom,
   atMs: number,
   options: ScheduleOptions,
 ): ScheduledFault[] {
   const { leaseMs } = options;
   const share = random.between(0.3, 0.9);
-  const meetings: ScheduledFault[][] = [
+  const combinations: ScheduledFault[][] = [
     sessionsEnd(random, atMs, options),
     [
       { atMs, fault: { kind: 'hang-machines', share, forMs: 0.9 * leaseMs } },
@@ -119,11 +119,14 @@
     ],
     [
       { atMs, fault: { kind: 'cut-machines', share, forMs: 0.8 * leaseMs, mode: 'hold' } },
-      { atMs: atMs + 500, fault: { kind: 'copies', chance: 0.3, forMs: 2 * leaseMs } },
+      {
+        atMs: atMs + 500,
+        fault: { kind: 'duplicate-heartbeats', chance: 0.3, forMs: 2 * leaseMs },
+      },
       { atMs: atMs + 700, fault: { kind: 'kill-leader', times: 1, everyMs: 0, downMs: 50 } },
     ],
   ];
-  return random.pick(meetings);
+  return random.pick(combinations);
 }
 
 function drawFault(random: SeededRandom, { controllers, leaseMs }: ScheduleOptions): Fault {
@@ -136,11 +139,11 @@
     { kind: 'kill', controller: random.int(0, controllers - 1), downMs },
     { kind: 'kill-leader', times: random.int(1, 4), everyMs: 2500, downMs },
     { kind: 'pause', controller, forMs },
-    { kind: 'cut-reports', controller, forMs, mode },
+    { kind: 'cut-heartbeats', controller, forMs, mode },
     { kind: 'cut-commands', controller, forMs, mode },
     { kind: 'cut-machines', share, forMs, mode },
-    { kind: 'mute-machines', share, forMs: leaseMs + random.between(0, 1000) },
-    { kind: 'deafen-machines', share: share / 2, forMs },
+    { kind: 'block-connections', share, forMs: leaseMs + random.between(0, 1000) },
+    { kind: 'hold-messages', share: share / 2, forMs },
     { kind: 'hang-machines', share, forMs: random.between(500, leaseMs) },
     { kind: 'take-machines', share: share / 3 },
     { kind: 'refuse-state', controller, forMs },
@@ -148,7 +151,7 @@
     { kind: 'late-writes', share: random.between(0.05, 0.3), forMs },
     { kind: 'late-starts', byMs: random.between(300, 1400), forMs },
     { kind: 'cut-peers', controller, forMs, mode },
-    { kind: 'copies', chance: random.between(0.05, 0.4), forMs },
+    { kind: 'duplicate-heartbeats', chance: random.between(0.05, 0.4), forMs },
     { kind: 'slow-network', factor: random.between(3, 30), forMs },
   ];
   return random.pick(draws);
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -119,7 +119,7 @@
     return join(this.directory, `${name}.log`);
   }
 
-  /** What a controller wrote in all its lives. */
+  /** What a controller wrote in all its processes. */
   logs(): { name: string; text: string }[] {
     return this.controllers.map((controller) => ({
       name: controller.name,
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -63,7 +63,7 @@
 }
 
 /** The controllers are restarted one after the other, with the state service slow, and the cloud's interface down. */
-function troubles(cluster: Cluster, second: number): void {
+function bringFaults(cluster: Cluster, second: number): void {
   if (second === 15) cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 20_000 };
   if (second === 18) cluster.cloud.downUntil = cluster.clock.time + 20_000;
   if (second >= 20 && second < 38 && (second - 20) % 6 === 0)
@@ -82,7 +82,7 @@
   [41, 42],
   (cluster, second) => {
     work(cluster, second);
-    troubles(cluster, second);
+    bringFaults(cluster, second);
   },
   { nodes: 3, ordinaryUp: 0, types: TYPES, pools: POOLS, teamLimit: 400 },
   ({ cluster }) => {
