--- a/src/http-server.ts
+++ b/src/http-server.ts
@@ -3,7 +3,7 @@
 import type { Socket } from 'node:net';
 import express, { type NextFunction, type Request, type Response } from 'express';
 import type { ControllerNode } from './node.js';
-import type { Answer } from './jobs/api.js';
+import type { Answer } from './jobs/answers.js';
 import { type Body, decodeMap, encode } from './wire/cbor.js';
 import { userPaths } from './wire/users.js';
 import { workerPaths } from './wire/workers.js';
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,21 +1,31 @@
-/** Answers users: submissions, questions about jobs, and cancellations. Any controller serves them. */
+/** Serves users: submissions, questions about jobs, and cancellations. Any controller does. */
 import type { Mutation } from '@millring/state-access';
+import type { Log } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
-import type { Log } from '../runtime.js';
 import type { Body } from '../wire/cbor.js';
+import { HTTP_STATUS } from '../wire/http-status.js';
 import type { JobSpec, MachineType } from '../wire/model.js';
-import { isJobId, jobAnswer, readJob } from '../wire/users.js';
+import { isJobId, readJob } from '../wire/users.js';
+import {
+  type Answer,
+  NO_SUCH_JOB,
+  STATE_UNAVAILABLE,
+  STATE_UNREADABLE,
+  TYPES_UNKNOWN,
+  accepted,
+  endedAnswer,
+  impossible,
+  invalidField,
+  liveAnswer,
+} from './answers.js';
+import type { CachedJob, JobCache } from './job-cache.js';
+import { JobLookup, type StoredJob } from './job-lookup.js';
 import type { Progress } from './job-table.js';
-import type { JobCache, CachedJob } from './job-cache.js';
-import { type LiveRecord, endedKey, liveKey, minimalCancelled, readEnded } from './records.js';
-
-export interface Answer {
-  status: number;
-  body: Body;
-  retryAfterS?: number;
-}
+import { IMPOSSIBLE_TEXTS, impossibleReason } from './job-validation.js';
+import { endedKey, liveKey, minimalCancelledValue, newLiveValue } from './records.js';
 
+/** What the users' API needs. */
 export interface JobsApiDependencies {
   settings: Pick<PlatformSettings, 'teams'>;
   store: StateStore;
@@ -28,184 +38,128 @@
   progress(id: string): Progress | undefined;
   /** A user is about to be told that the job is cancelled. */
   beforeConfirm(id: string): void;
+  /** Time of day, in milliseconds. */
   wallMs(): number;
   log: Log;
 }
 
-type Known =
-  | ({ kind: 'live' } & CachedJob)
-  | { kind: 'ended'; state: 'done' | 'cancelled'; tasks: number }
-  | { kind: 'absent' }
-  | { kind: 'unavailable' };
-
-const ENDED_CACHE = 5000;
-const EXCLUDED: Answer = {
-  status: 503,
-  body: { error: 'this node cannot read the stored state' },
-  retryAfterS: 1,
-};
-const LATER: Answer = { status: 503, body: { error: 'state service not reached' }, retryAfterS: 1 };
+/** A cancellation gives up after so many writes that met a record changed meanwhile. */
+const MAX_CANCEL_ATTEMPTS = 4;
 
-/** Users' requests. Any node serves them: each answer rests on a read as fresh as the question, or a guarded write. */
+/** Users' requests. Each answer rests on a read as fresh as the question, or on a compare-and-swap. */
 export class JobsApi {
-  /** Only ended jobs are kept in memory: they never change again. */
-  private readonly ended = new Map<string, { state: 'done' | 'cancelled'; tasks: number }>();
-
-  constructor(private readonly deps: JobsApiDependencies) {}
-
-  /** Null, or why the job can never run. */
-  private impossible(j: JobSpec, types: MachineType[]): string | null {
-    const team = this.deps.settings.teams.find((t) => t.name === j.team);
-    if (!team) return 'unknown team';
-    const fitting = types.filter(
-      (t) =>
-        (j.types === null || j.types.includes(t.name)) &&
-        (j.zone === null || t.zones.includes(j.zone)) &&
-        t.cpus >= j.cpus &&
-        t.gpus >= j.gpus &&
-        t.memoryGb >= j.memoryGb,
-    );
-    if (fitting.length === 0) return 'a task fits no allowed machine type';
-    // At most half of the tasks, rounded up, may be in one zone: of two or more, not all.
-    const zones = new Set(fitting.flatMap((t) => t.zones));
-    if (j.spread && j.tasks > 1 && (j.zone !== null || j.oneZone || zones.size < 2))
-      return 'tasks must be apart, and there is one zone for them';
-    const atOnce = j.kind === 'array' ? 1 : j.tasks;
-    if (j.cpus * atOnce > team.cpusMax || j.gpus * atOnce > team.gpusMax)
-      return "over the team's limit";
-    return null;
-  }
-
-  private rememberEnded(id: string, e: { state: 'done' | 'cancelled'; tasks: number }): void {
-    const oldest = this.ended.keys().next();
-    if (this.ended.size >= ENDED_CACHE && !oldest.done) this.ended.delete(oldest.value);
-    this.ended.set(id, e);
-  }
-
-  /**
-   * The live record is read first. A job moves from live to ended in one transaction, so one that is missing
-   * from both, read in this order, was never accepted; the other order could miss a job on its way.
-   */
-  private async look(id: string): Promise<Known> {
-    const cached = this.ended.get(id);
-    if (cached) return { kind: 'ended', ...cached };
-    if (!(await this.deps.cache.refresh())) return { kind: 'unavailable' };
-    const live = this.deps.cache.get(id);
-    if (live) return { kind: 'live', ...live };
-    const ended = await this.deps.store.get(endedKey(id));
-    if (ended.kind === 'unavailable') return { kind: 'unavailable' };
-    if (ended.kind === 'absent') return { kind: 'absent' };
-    const record = readEnded(ended.entry.value);
-    if (!record) return { kind: 'unavailable' };
-    this.rememberEnded(id, record);
-    return { kind: 'ended', ...record };
-  }
-
-  /** The answer that rests on what was read; the log tells on what. */
-  private describe(id: string, known: Known): Answer {
-    const answer = this.answerFor(id, known);
-    const version = known.kind === 'live' ? known.version : undefined;
-    this.deps.log.debug({ id, status: answer.status, read: known.kind, version }, 'answer');
-    return answer;
-  }
+  private readonly lookup: JobLookup;
 
-  private answerFor(id: string, k: Known): Answer {
-    switch (k.kind) {
-      case 'unavailable':
-        return LATER;
-      case 'absent':
-        return { status: 404, body: { error: 'no such job' } };
-      case 'ended':
-        return {
-          status: 200,
-          body: jobAnswer(id, k.state, { done: k.state === 'done' ? k.tasks : 0, running: 0 }),
-        };
-      case 'live': {
-        if (k.record?.cancelled) return this.cancelled(id);
-        const p = this.deps.progress(id);
-        const state = p && p.running > 0 ? 'running' : 'pending';
-        return {
-          status: 200,
-          body: jobAnswer(id, state, { done: p?.done ?? 0, running: p?.running ?? 0 }),
-        };
-      }
-    }
-  }
-
-  private cancelled(id: string): Answer {
-    this.deps.beforeConfirm(id);
-    return { status: 200, body: jobAnswer(id, 'cancelled', { done: 0, running: 0 }) };
+  constructor(private readonly deps: JobsApiDependencies) {
+    this.lookup = new JobLookup(deps.cache, deps.store);
   }
 
+  /** Accepts a job, or tells the state of one that was accepted before under the same id. */
   async submit(body: Body): Promise<Answer> {
-    if (!this.deps.mayServe()) return EXCLUDED;
+    if (!this.deps.mayServe()) return STATE_UNREADABLE;
     const submission = readJob(body);
-    if (submission.kind === 'invalid')
-      return { status: 400, body: { error: `missing or invalid: ${submission.field}` } };
+    if (submission.kind === 'invalid') return invalidField(submission.field);
     const { job } = submission;
     const types = this.deps.types();
-    if (!types)
-      return { status: 503, body: { error: 'machine types not known yet' }, retryAfterS: 1 };
-    const reason = this.impossible(job, types);
+    if (!types) return TYPES_UNKNOWN;
+    const reason = impossibleReason(job, types, this.deps.settings.teams);
     if (reason !== null) {
       // Types can change: a repeat of a job that was accepted gets its state, whatever we would say today.
-      const known = await this.look(job.id);
-      if (known.kind === 'absent') return { status: 422, body: { error: reason } };
-      return this.describe(job.id, known);
+      const stored = await this.lookup.find(job.id);
+      if (stored.kind === 'absent') return impossible(IMPOSSIBLE_TEXTS[reason]);
+      return this.describe(job.id, stored);
     }
-    if (this.ended.has(job.id)) return this.describe(job.id, await this.look(job.id));
-    // Types that nobody knows are of no use, and a record must stay within what a value may hold.
-    const known = job.types?.filter((t) => types.some((x) => x.name === t)) ?? null;
-    const record: LiveRecord = {
-      spec: { ...job, types: known },
-      at: this.deps.wallMs(),
-      cancelled: false,
-    };
-    const t = await this.deps.store.compareAndSwap(
+    if (this.lookup.isKnownToHaveEnded(job.id))
+      return this.describe(job.id, await this.lookup.find(job.id));
+    const result = await this.deps.store.compareAndSwap(
       [
         { key: liveKey(job.id), version: 0 },
         { key: endedKey(job.id), version: 0 },
       ],
-      [{ put: liveKey(job.id), value: record }],
+      [
+        {
+          put: liveKey(job.id),
+          value: newLiveValue(withKnownTypes(job, types), this.deps.wallMs()),
+        },
+      ],
     );
-    if (t.kind === 'committed') {
-      this.deps.log.debug({ id: job.id, status: 201, written: t.revision }, 'answer');
-      return { status: 201, body: jobAnswer(job.id, 'pending') };
-    }
-    if (t.kind !== 'conflict') return LATER;
-    return this.describe(job.id, await this.look(job.id));
+    if (result.kind === 'conflict') return this.describe(job.id, await this.lookup.find(job.id));
+    if (result.kind !== 'committed') return STATE_UNAVAILABLE;
+    this.logWritten(job.id, HTTP_STATUS.created, result.revision);
+    return accepted(job.id);
   }
 
+  /** Tells a job's state. */
   async poll(id: string): Promise<Answer> {
-    if (!this.deps.mayServe()) return EXCLUDED;
-    if (!isJobId(id)) return { status: 404, body: { error: 'no such job' } };
-    return this.describe(id, await this.look(id));
+    if (!this.deps.mayServe()) return STATE_UNREADABLE;
+    if (!isJobId(id)) return NO_SUCH_JOB;
+    return this.describe(id, await this.lookup.find(id));
   }
 
+  /** Cancels a job. Once this is confirmed, the job's tasks stop within `cancel_s`. */
   async cancel(id: string): Promise<Answer> {
-    if (!this.deps.mayServe()) return EXCLUDED;
-    if (!isJobId(id)) return { status: 404, body: { error: 'no such job' } };
-    for (let tries = 0; tries < 4; tries++) {
-      const k = await this.look(id);
-      if (k.kind !== 'live') return this.describe(id, k);
-      if (k.record?.cancelled) return this.cancelled(id);
-      // A record that can't be read was never acted on, so that there is nothing to wait for.
-      const changes: Mutation[] = k.record
-        ? [{ put: liveKey(id), value: { ...(k.value as object), cancelled: true } }]
-        : [{ remove: liveKey(id) }, { put: endedKey(id), value: { state: 'cancelled', tasks: 0 } }];
-      const guards = [{ key: liveKey(id), version: k.version }];
-      let t = await this.deps.store.compareAndSwap(guards, changes);
+    if (!this.deps.mayServe()) return STATE_UNREADABLE;
+    if (!isJobId(id)) return NO_SUCH_JOB;
+    const { store } = this.deps;
+    for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt++) {
+      const stored = await this.lookup.find(id);
+      if (stored.kind !== 'live') return this.describe(id, stored);
+      if (stored.record?.cancelled) return this.confirmCancelled(id);
+      const preconditions = [{ key: liveKey(id), version: stored.version }];
+      let result = await store.compareAndSwap(preconditions, cancellation(id, stored));
       // Stored when larger values were allowed: a confirmed cancellation must not depend on that.
-      if (t.kind === 'invalid' && k.record)
-        t = await this.deps.store.compareAndSwap(guards, [
-          { put: liveKey(id), value: minimalCancelled(k.record) },
-        ]);
-      if (t.kind === 'committed') {
-        this.deps.log.debug({ id, status: 200, written: t.revision }, 'answer');
-        return this.cancelled(id);
+      if (result.kind === 'invalid' && stored.record) {
+        const value = minimalCancelledValue(stored.record);
+        result = await store.compareAndSwap(preconditions, [{ put: liveKey(id), value }]);
       }
-      if (t.kind !== 'conflict') return LATER;
+      if (result.kind === 'conflict') continue;
+      if (result.kind !== 'committed') return STATE_UNAVAILABLE;
+      this.logWritten(id, HTTP_STATUS.ok, result.revision);
+      return this.confirmCancelled(id);
     }
-    return LATER;
+    return STATE_UNAVAILABLE;
+  }
+
+  /** The answer that rests on what was read; the log tells on what. */
+  private describe(id: string, stored: StoredJob): Answer {
+    const answer = this.answerFor(id, stored);
+    const version = stored.kind === 'live' ? stored.version : undefined;
+    this.deps.log.debug({ id, status: answer.status, read: stored.kind, version }, 'answer');
+    return answer;
+  }
+
+  private logWritten(id: string, status: number, written: number): void {
+    this.deps.log.debug({ id, status, written }, 'answer');
   }
+
+  private answerFor(id: string, stored: StoredJob): Answer {
+    switch (stored.kind) {
+      case 'unavailable':
+        return STATE_UNAVAILABLE;
+      case 'absent':
+        return NO_SUCH_JOB;
+      case 'ended':
+        return endedAnswer(id, stored);
+      case 'live':
+        if (stored.record?.cancelled) return this.confirmCancelled(id);
+        return liveAnswer(id, this.deps.progress(id));
+    }
+  }
+
+  private confirmCancelled(id: string): Answer {
+    this.deps.beforeConfirm(id);
+    return endedAnswer(id, { state: 'cancelled', tasks: 0 });
+  }
+}
+
+/** Types that nobody knows are of no use, and a record must stay within what a value may hold. */
+function withKnownTypes(job: JobSpec, types: MachineType[]): JobSpec {
+  const known = job.types?.filter((name) => types.some((type) => type.name === name)) ?? null;
+  return { ...job, types: known };
+}
+
+/** A record that can't be read was never acted on, so that its job ends at once. */
+function cancellation(id: string, { record, value }: CachedJob): Mutation[] {
+  if (record) return [{ put: liveKey(id), value: { ...(value as object), cancelled: true } }];
+  return [{ remove: liveKey(id) }, { put: endedKey(id), value: { state: 'cancelled', tasks: 0 } }];
 }
--- a/src/jobs/cancellations.ts
+++ b/src/jobs/cancellations.ts
@@ -2,18 +2,18 @@
  * What a controller knows of cancelled jobs, and how fresh that knowledge is: it decides whether worker
  * leases may be renewed.
  */
-import type { WorkerCommand, Heartbeat } from '../wire/model.js';
 import { DRIFT } from '../runtime.js';
+import type { Heartbeat, TaskStatus, WorkerCommand } from '../wire/model.js';
 
-/** Cancellations are remembered for longer than any task of theirs can still be somewhere. */
+/** For longer than any task of a cancelled job can still be somewhere. */
 const RETENTION_MS = 600_000;
 /** Workers look at their leases now and then, and answers take their time. */
-const MARGIN_MS = 1000;
+const LEASE_MARGIN_MS = 1000;
 
 /**
- * What this node knows of cancellations, and as of when it knows them all. Whoever answers a worker's report
+ * What this node knows of cancellations, and as of when it knows them all. Whoever answers a worker's heartbeat
  * renews its lease, and thereby everything on it for another `lease_s`. So the one invariant of all roles is:
- * a report is answered only with knowledge so fresh that a task whose cancellation we can't know of is gone
+ * a heartbeat is answered only with knowledge so fresh that a task whose cancellation we can't know of is gone
  * with its lease within `cancel_s` of the confirmation. Tasks whose cancellation we know are stopped in the answer.
  *
  * A process that has just started knows nothing, as of no time at all.
@@ -29,7 +29,7 @@
     leaseS: number,
     private readonly now: () => number,
   ) {
-    this.maxAgeToRenewMs = ((cancelS - leaseS) * 1000 - MARGIN_MS) / DRIFT;
+    this.maxAgeToRenewMs = ((cancelS - leaseS) * 1000 - LEASE_MARGIN_MS) / DRIFT;
   }
 
   onNew(listener: (id: string) => void): void {
@@ -45,12 +45,12 @@
     if (this.known.has(id)) return;
     const now = this.now();
     // In order of time: the oldest come first.
-    for (const [old, at] of this.known) {
-      if (now - at < RETENTION_MS) break;
+    for (const [old, recordedAt] of this.known) {
+      if (now - recordedAt < RETENTION_MS) break;
       this.known.delete(old);
     }
     this.known.set(id, now);
-    for (const tell of this.listeners) tell(id);
+    for (const listener of this.listeners) listener(id);
   }
 
   /** Whatever was confirmed to anyone before `at` is known here. */
@@ -71,27 +71,24 @@
     return this.ageMs() <= this.maxAgeToRenewMs;
   }
 
-  /** Stops for what is reported and known to be cancelled, beside the orders that go out anyway. */
-  withStops(r: Heartbeat, orders: WorkerCommand[]): WorkerCommand[] {
-    const out = [...orders];
-    for (const t of r.tasks) {
-      if (t.state === 'exited' || !this.known.has(t.job)) continue;
-      const told = orders.some(
-        (o) =>
-          o.op === 'stop' &&
-          o.job === t.job &&
-          o.taskNumber === t.taskNumber &&
-          o.attempt === t.attempt,
-      );
-      if (!told)
-        out.push({
-          op: 'stop',
-          job: t.job,
-          taskNumber: t.taskNumber,
-          attempt: t.attempt,
-          graceS: 0,
-        });
+  /** Adds stops for what is reported and known to be cancelled to the commands that go out anyway. */
+  withStops(heartbeat: Heartbeat, commands: WorkerCommand[]): WorkerCommand[] {
+    const withStops = [...commands];
+    for (const task of heartbeat.tasks) {
+      if (task.state === 'exited' || !this.known.has(task.job)) continue;
+      if (commands.some((command) => isStopOf(command, task))) continue;
+      const { job, taskNumber, attempt } = task;
+      withStops.push({ op: 'stop', job, taskNumber, attempt, graceS: 0 });
     }
-    return out;
+    return withStops;
   }
 }
+
+function isStopOf(command: WorkerCommand, task: TaskStatus): boolean {
+  return (
+    command.op === 'stop' &&
+    command.job === task.job &&
+    command.taskNumber === task.taskNumber &&
+    command.attempt === task.attempt
+  );
+}
--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -1,40 +1,42 @@
-/** A copy of the live job records, brought up to date by one request for all questions that wait. */
+/** A read-through cache of the live job records, brought up to date by one request for all callers that wait. */
 import type { StateStore } from '../state-store/client.js';
 import { type Runtime, sleep } from '../runtime.js';
-import { LIVE, type LiveRecord, readLive } from './records.js';
+import { LIVE, type LiveJobRecord, readLive } from './records.js';
 
+/** A live job's record as it was last read. */
 export interface CachedJob {
   /** Null: it stands there, but can't be read. */
-  record: LiveRecord | null;
+  record: LiveJobRecord | null;
   /** As it stands there, with what only another version knows. */
   value: unknown;
   version: number;
 }
 
-/** One request may take as long as this; a user waits twice as long. */
-const TIMEOUT_MS = 1200;
+/** A user waits twice as long. */
+const REQUEST_TIMEOUT_MS = 1200;
 
 /**
- * Live records as this node knows them. An answer must be at least as fresh as its question, but a read for
- * each question would cost more than the state service has to give: so one request for all changes since the
- * last one (a watch that doesn't wait) serves all questions that came before it was sent.
+ * Live records as this node knows them, with linearizable reads. A read for each of them would cost more than the
+ * state service has to give: so one request for all changes since the last one (a watch that doesn't wait) serves all
+ * reads that began before it was sent.
  */
 export class JobCache {
   private readonly jobs = new Map<string, CachedJob>();
-  private since = -1;
+  /** Revision up to which all changes are here; null: nothing has been loaded. */
+  private revision: number | null = null;
   private waiters: ((ok: boolean) => void)[] = [];
-  private serving = false;
-  private lastSent = -Infinity;
+  private refreshing = false;
+  private lastSentAt = -Infinity;
 
   constructor(
     private readonly runtime: Runtime,
     private readonly store: StateStore,
     /** Requests are at least so far apart, since all nodes share the rate. */
     private readonly minIntervalMs: number,
-    /** The job is called off, by its record. */
+    /** The job is cancelled, by its record. */
     private readonly cancelled: (id: string) => void = () => undefined,
     /** All that was changed before then has been read. */
-    private readonly readUpTo: (sent: number) => void = () => undefined,
+    private readonly readUpTo: (sentAt: number) => void = () => undefined,
   ) {}
 
   get(id: string): CachedJob | undefined {
@@ -45,48 +47,48 @@
   refresh(): Promise<boolean> {
     return new Promise((done) => {
       this.waiters.push(done);
-      if (!this.serving) void this.serveWaiters();
+      if (!this.refreshing) void this.serveWaiters();
     });
   }
 
   private async serveWaiters(): Promise<void> {
     const { clock } = this.runtime;
-    this.serving = true;
+    this.refreshing = true;
     while (this.waiters.length > 0) {
-      const early = this.lastSent + this.minIntervalMs - clock.now();
-      if (early > 0) await sleep(clock, early);
+      const waitMs = this.lastSentAt + this.minIntervalMs - clock.now();
+      if (waitMs > 0) await sleep(clock, waitMs);
       const served = this.waiters;
       this.waiters = [];
-      this.lastSent = clock.now();
-      const ok = this.since < 0 ? await this.load() : await this.follow();
-      if (ok) this.readUpTo(this.lastSent);
+      this.lastSentAt = clock.now();
+      const ok = this.revision === null ? await this.load() : await this.follow(this.revision);
+      if (ok) this.readUpTo(this.lastSentAt);
       for (const done of served) done(ok);
     }
-    this.serving = false;
+    this.refreshing = false;
   }
 
   private async load(): Promise<boolean> {
     const all = await this.store.scan(LIVE);
     if (!all) return false;
     this.jobs.clear();
-    for (const p of all.pairs) this.put(p.key, p.value, p.version);
+    for (const { key, value, version } of all.pairs) this.put(key, value, version);
     // Only the first page is as old as the revision: what changed since is read over, and may be newer.
-    this.since = all.revision;
-    return this.follow();
+    this.revision = all.revision;
+    return this.follow(all.revision);
   }
 
-  private async follow(): Promise<boolean> {
-    const w = await this.store.watch(LIVE, this.since, 0, TIMEOUT_MS);
-    if (w.kind === 'compacted') {
-      this.since = -1;
+  private async follow(after: number): Promise<boolean> {
+    const changes = await this.store.watch(LIVE, after, 0, REQUEST_TIMEOUT_MS);
+    if (changes.kind === 'compacted') {
+      this.revision = null;
       return this.load();
     }
-    if (w.kind === 'unavailable') return false;
-    for (const n of w.events) {
-      if (n.deleted) this.jobs.delete(n.key.slice(LIVE.length));
-      else this.put(n.key, n.value, n.version);
+    if (changes.kind === 'unavailable') return false;
+    for (const event of changes.events) {
+      if (event.deleted) this.jobs.delete(event.key.slice(LIVE.length));
+      else this.put(event.key, event.value, event.version);
     }
-    this.since = Math.max(this.since, w.revision);
+    this.revision = Math.max(after, changes.revision);
     return true;
   }
 
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,46 +1,70 @@
-/** How jobs are kept in the state service. Live and ended records never stand together: one transaction moves them. */
+/** How jobs are stored. Live and ended records never stand together: one compare-and-swap moves a job. */
 import { isMap } from '../wire/cbor.js';
 import { type JobSpec, MAX_TASKS } from '../wire/model.js';
 
+/** Prefixes of the keys of live jobs, of ended jobs and of records of finished tasks. */
 export const LIVE = 'j/';
 export const ENDED = 'e/';
 export const FINISHED = 'd/';
 
-/** Tasks per record of finished task numbers: small enough for the least value size that settings allow. */
+/** Tasks per record of finished tasks, in the older layout: small enough for the least value size that settings allow. */
 export const TASKS_PER_CHUNK = 8192;
 
-export interface LiveRecord {
+/** What is stored of a live job, under the names that are used inside. */
+export interface LiveJobRecord {
+  spec: JobSpec;
+  /** Time of day of the acceptance, in milliseconds. */
+  acceptedAt: number;
+  cancelled: boolean;
+}
+
+/** A live job's record as it is stored, beside what only another version knows. The fields are written in this order. */
+interface StoredLiveJob {
   spec: JobSpec;
-  /** Time of day of the acceptance, milliseconds. */
   at: number;
   cancelled: boolean;
 }
 
-export type EndedRecord = { state: 'done' | 'cancelled'; tasks: number };
+/** What is stored of a job that has ended. */
+export interface EndedJobRecord {
+  state: 'done' | 'cancelled';
+  tasks: number;
+}
 
+/** The key of a live job. */
 export const liveKey = (id: string): string => LIVE + id;
+/** The key of an ended job. */
 export const endedKey = (id: string): string => ENDED + id;
+/** The key of one record of a job's finished tasks. */
 export const finishedKey = (id: string, recordNumber: number): string =>
   `${FINISHED}${id}/${recordNumber}`;
 
-export function readLive(v: unknown): LiveRecord | null {
-  if (!isMap(v) || !isMap(v.spec) || typeof v.at !== 'number' || !isSpec(v.spec)) return null;
-  return { spec: v.spec, at: v.at, cancelled: v.cancelled === true };
+/** Null if the value is no live job that this version can act on. */
+export function readLive(value: unknown): LiveJobRecord | null {
+  if (!isMap(value) || !isMap(value.spec) || typeof value.at !== 'number') return null;
+  const { spec, at, cancelled } = value;
+  return isJobSpec(spec) ? { spec, acceptedAt: at, cancelled: cancelled === true } : null;
+}
+
+/** The stored form of a job that has just been accepted. */
+export function newLiveValue(spec: JobSpec, acceptedAt: number): StoredLiveJob {
+  return { spec, at: acceptedAt, cancelled: false };
 }
 
 /**
  * A cancelled record as small as it can be, for a state service that has come to refuse it at its size: what only
  * another version knows is left out, and the list of machine types, since nothing of the job starts any more.
  */
-export function minimalCancelled(record: LiveRecord): LiveRecord {
-  const { spec, at } = record;
+export function minimalCancelledValue({ spec, acceptedAt }: LiveJobRecord): StoredLiveJob {
   const known = Object.fromEntries(SPEC_FIELDS.map((field) => [field, spec[field]]));
-  return { spec: { ...(known as unknown as JobSpec), types: null }, at, cancelled: true };
+  const minimalSpec = { ...(known as unknown as JobSpec), types: null };
+  return { spec: minimalSpec, at: acceptedAt, cancelled: true };
 }
 
 const KINDS: unknown[] = ['array', 'service', 'gang'];
-const TEXTS = ['id', 'cls', 'team', 'image'] as const;
-const AMOUNTS = [
+const PRIORITIES: unknown[] = [0, 1, 2, 3];
+const TEXT_FIELDS = ['id', 'cls', 'team', 'image'] as const;
+const AMOUNT_FIELDS = [
   'cpus',
   'gpus',
   'memoryGb',
@@ -49,11 +73,12 @@
   'checkpointS',
   'saveS',
 ] as const;
-const FLAGS = ['oneZone', 'spread', 'spot'] as const;
+const FLAG_FIELDS = ['oneZone', 'spread', 'spot'] as const;
+/** In the order in which a minimal record is written. */
 const SPEC_FIELDS: (keyof JobSpec)[] = [
-  ...TEXTS,
-  ...AMOUNTS,
-  ...FLAGS,
+  ...TEXT_FIELDS,
+  ...AMOUNT_FIELDS,
+  ...FLAG_FIELDS,
   'kind',
   'priority',
   'tasks',
@@ -62,33 +87,42 @@
   'deadlineS',
 ];
 
+const isText = (value: unknown): value is string => typeof value === 'string';
+
+const isAmount = (value: unknown): boolean =>
+  typeof value === 'number' && value >= 0 && value < Infinity;
+
+const isTaskCount = (value: unknown): boolean =>
+  typeof value === 'number' && Number.isInteger(value) && value >= 1 && value <= MAX_TASKS;
+
+const isTextListOrNull = (value: unknown): boolean =>
+  value === null || (Array.isArray(value) && value.every(isText));
+
 /** A broken record must not bring the leader down, and each next leader after it. */
-function isSpec(s: Record<string, unknown>): s is Record<string, unknown> & JobSpec {
-  const amount = (v: unknown): boolean => typeof v === 'number' && v >= 0 && v < Infinity;
+function isJobSpec(value: Record<string, unknown>): value is Record<string, unknown> & JobSpec {
   return (
-    TEXTS.every((f) => typeof s[f] === 'string') &&
-    AMOUNTS.every((f) => amount(s[f])) &&
-    FLAGS.every((f) => typeof s[f] === 'boolean') &&
-    KINDS.includes(s.kind) &&
-    [0, 1, 2, 3].includes(s.priority as number) &&
-    Number.isInteger(s.tasks) &&
-    (s.tasks as number) >= 1 &&
-    (s.tasks as number) <= MAX_TASKS &&
-    (s.types === null || (Array.isArray(s.types) && s.types.every((t) => typeof t === 'string'))) &&
-    (s.zone === null || typeof s.zone === 'string') &&
-    (s.deadlineS === null || amount(s.deadlineS))
+    TEXT_FIELDS.every((field) => isText(value[field])) &&
+    AMOUNT_FIELDS.every((field) => isAmount(value[field])) &&
+    FLAG_FIELDS.every((field) => typeof value[field] === 'boolean') &&
+    KINDS.includes(value.kind) &&
+    PRIORITIES.includes(value.priority) &&
+    isTaskCount(value.tasks) &&
+    isTextListOrNull(value.types) &&
+    (value.zone === null || isText(value.zone)) &&
+    (value.deadlineS === null || isAmount(value.deadlineS))
   );
 }
 
-export function readEnded(v: unknown): EndedRecord | null {
-  if (!isMap(v) || (v.state !== 'done' && v.state !== 'cancelled') || typeof v.tasks !== 'number')
-    return null;
-  return { state: v.state, tasks: v.tasks };
+/** Null if the value is no ended job. */
+export function readEnded(value: unknown): EndedJobRecord | null {
+  if (!isMap(value) || typeof value.tasks !== 'number') return null;
+  const { state, tasks } = value;
+  return state === 'done' || state === 'cancelled' ? { state, tasks } : null;
 }
 
 /** One bit a task, as text, since no body holds anything binary. */
 export function packChunk(bits: Uint8Array, chunk: number): string {
-  return Buffer.from(
-    bits.subarray((chunk * TASKS_PER_CHUNK) / 8, ((chunk + 1) * TASKS_PER_CHUNK) / 8),
-  ).toString('base64');
+  const bytesPerChunk = TASKS_PER_CHUNK / 8;
+  const bytes = bits.subarray(chunk * bytesPerChunk, (chunk + 1) * bytesPerChunk);
+  return Buffer.from(bytes).toString('base64');
 }
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -335,7 +335,8 @@
     const known = this.jobs.get(id);
     if (known && known.version >= version) return;
     const fresh = version > this.term.epoch && !r.cancelled;
-    const job = known ?? this.jobs.add(r.spec, version, r.at, fresh, this.deps.runtime.clock.now());
+    const job =
+      known ?? this.jobs.add(r.spec, version, r.acceptedAt, fresh, this.deps.runtime.clock.now());
     job.version = version;
     if (!known) this.placement.jobAdded(job);
     if (r.cancelled || this.deps.isCancelled(id)) this.markCancelled(job);
