--- a/src/jobs/finished-tasks.ts
+++ b/src/jobs/finished-tasks.ts
@@ -1,5 +1,5 @@
 /** Which tasks of a job are finished, one bit a task, and which of that is not stored yet. */
-import { TASKS_PER_CHUNK } from './records.js';
+import { TASKS_PER_CHUNK } from './record-layout.js';
 
 const BITS_PER_BYTE = 8;
 
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -1,18 +1,17 @@
 /** Which records of finished tasks stand in the state service for each live job, and how the next ones are cut. */
 import { type Conversion } from '@millring/rollout';
+import { type ChunkRecords, recordsOfChunk } from './finished-records.js';
+import type { Job, JobTable } from './job-table.js';
 import {
   CHUNK_LAYOUT,
-  type ChunkRecords,
   type Layout,
-  chunkBytes,
   finerLayout,
+  isSameLayout,
   isSegment,
   layoutOf,
+  maxChunkBytes,
   mayUseSegments,
-  recordsOfChunk,
-  sameLayout,
-} from './finished-records.js';
-import type { Job, JobTable } from './job-table.js';
+} from './record-layout.js';
 
 interface JobRecords {
   layout: Layout;
@@ -25,12 +24,13 @@
   toRewrite: Set<number> | null;
 }
 
+/** The stored records of finished tasks of all live jobs. */
 export class ProgressRecords {
   private readonly byJob = new Map<number, JobRecords>();
 
   constructor(
     private readonly jobs: JobTable,
-    /** The largest value: smaller once one was refused for its size. */
+    /** The largest value, counted as JSON: smaller once one was refused for its size. */
     private valueBytes: number,
   ) {}
 
@@ -48,11 +48,10 @@
 
   private of(job: Job): JobRecords {
     let records = this.byJob.get(job.index);
-    if (!records)
-      this.byJob.set(
-        job.index,
-        (records = { layout: CHUNK_LAYOUT, numbers: new Set(), toRewrite: null }),
-      );
+    if (!records) {
+      records = { layout: CHUNK_LAYOUT, numbers: new Set(), toRewrite: null };
+      this.byJob.set(job.index, records);
+    }
     return records;
   }
 
@@ -60,10 +59,12 @@
     return this.byJob.get(job.index)?.numbers ?? [];
   }
 
+  /** The job has ended. */
   forget(job: Job): void {
     this.byJob.delete(job.index);
   }
 
+  /** The record was removed. */
   forgetNumber(job: Job, recordNumber: number): void {
     this.byJob.get(job.index)?.numbers.delete(recordNumber);
   }
@@ -73,26 +74,22 @@
   }
 
   /** Follows whether segments may be written now. A job that has to change has all its tasks written again. */
-  adapt(job: Job, segmentsAllowed: boolean, now: number): void {
-    const uses = this.usesSegments(job);
-    if (uses && !segmentsAllowed) this.change(job, CHUNK_LAYOUT, now);
-    if (
-      !uses &&
-      segmentsAllowed &&
-      job.finished.dirtyChunks.size > 0 &&
-      mayUseSegments(job.spec.tasks)
-    )
-      this.change(job, { kind: 'segments', split: 0 }, now);
+  chooseLayout(job: Job, segmentsAllowed: boolean, now: number): void {
+    const usesSegments = this.usesSegments(job);
+    if (usesSegments && !segmentsAllowed) this.switchLayout(job, CHUNK_LAYOUT, now);
+    const hasProgress = job.finished.dirtyChunks.size > 0;
+    if (!usesSegments && segmentsAllowed && hasProgress && mayUseSegments(job.spec.tasks))
+      this.switchLayout(job, { kind: 'segments', split: 0 }, now);
   }
 
-  private change(job: Job, layout: Layout, now: number): void {
+  private switchLayout(job: Job, layout: Layout, now: number): void {
     const records = this.of(job);
     records.layout = layout;
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
   /** The records that make a chunk durable. Null: they did not fit, and from now on the job's are cut smaller. */
-  recordsFor(job: Job, chunk: number, now: number): Extract<ChunkRecords, { kind: 'fits' }> | null {
+  recordsFor(job: Job, chunk: number, now: number): ChunkRecords | null {
     const { layout } = this.of(job);
     const result = recordsOfChunk(
       job.finished.bits,
@@ -102,28 +99,28 @@
       this.valueBytes,
     );
     if (result.kind === 'fits') return result;
-    this.change(job, finerLayout(layout), now);
+    this.switchLayout(job, finerLayout(layout), now);
     return null;
   }
 
   /** Records in another layout than the job's present one, once all they tell is durable in that. */
-  stale(job: Job, now: number): number[] {
+  supersededRecords(job: Job, now: number): number[] {
     const records = this.byJob.get(job.index);
     if (!records) return [];
-    const stale = [...records.numbers].filter(
-      (number) => !sameLayout(layoutOf(number), records.layout),
+    const inOtherLayouts = [...records.numbers].filter(
+      (number) => !isSameLayout(layoutOf(number), records.layout),
     );
-    if (stale.length === 0) return [];
-    if (records.toRewrite !== null) return records.toRewrite.size === 0 ? stale : [];
+    if (inOtherLayouts.length === 0) return [];
+    if (records.toRewrite !== null) return records.toRewrite.size === 0 ? inOtherLayouts : [];
     // Left by a leader that ended midway: each may tell what no other does.
-    this.change(job, records.layout, now);
+    this.switchLayout(job, records.layout, now);
     return [];
   }
 
   /** The chunks were written in that layout. */
   noteDurable(job: Job, chunks: number[], layout: Layout): void {
     const records = this.of(job);
-    if (!sameLayout(records.layout, layout)) return;
+    if (!isSameLayout(records.layout, layout)) return;
     for (const chunk of chunks) records.toRewrite?.delete(chunk);
   }
 
@@ -131,8 +128,8 @@
     return this.of(job).layout;
   }
 
-  /** A value of this size was refused. */
-  refusedAt(bytes: number): void {
+  /** A value of so many bytes was refused. */
+  noteValueRefused(bytes: number): void {
     this.valueBytes = Math.min(this.valueBytes, Math.floor(bytes / 2));
   }
 
@@ -142,7 +139,7 @@
     for (const job of this.jobs.all()) {
       const segments = [...this.numbersOf(job)].filter(isSegment).length;
       if (segments === 0) continue;
-      if (chunkBytes(job.spec.tasks) > this.valueBytes)
+      if (maxChunkBytes(job.spec.tasks) > this.valueBytes)
         return {
           kind: 'refused',
           reason: `finished tasks of ${job.spec.id} don't fit into a value of ${this.valueBytes} bytes as they were stored before`,
--- /dev/null
+++ b/src/jobs/progress-writer.ts
@@ -0,0 +1,90 @@
+/** Which finished tasks of jobs that go on are written next. */
+import type { Mutation, Precondition } from '@millring/state-access';
+import type { Clock } from '../runtime.js';
+import { TokenBucket } from '../state-store/token-bucket.js';
+import type { CompletionBatch } from './completion-batch.js';
+import type { Job } from './job-table.js';
+import type { ProgressRecords } from './progress-records.js';
+import { finishedKey } from './records.js';
+
+/**
+ * Progress is written as seldom as is useful: a job's end does not need it, and what a new leader has not read
+ * it learns from the machines, which keep results until told to forget, or by a start that ends at once. So it
+ * takes a small part of the mutations, which submissions, ends and machines need more.
+ */
+const PROGRESS_DELAY_MS = 5000;
+const PROGRESS_SHARE_OF_WRITES = 0.2;
+const MIN_RATE_PER_S = 0.5;
+const MIN_BURST = 2;
+
+/** Adds the progress of jobs to batches, within a rate of its own. */
+export class ProgressWriter {
+  private readonly budget: TokenBucket;
+
+  constructor(
+    private readonly records: ProgressRecords,
+    clock: Clock,
+    writeRps: number,
+  ) {
+    const ratePerS = Math.max(MIN_RATE_PER_S, writeRps * PROGRESS_SHARE_OF_WRITES);
+    this.budget = new TokenBucket(ratePerS, Math.max(MIN_BURST, ratePerS), () => clock.now());
+  }
+
+  /** `segmentPrecondition`: null while no segments may be written. */
+  addTo(
+    batch: CompletionBatch,
+    job: Job,
+    segmentPrecondition: Precondition | null,
+    now: number,
+  ): void {
+    this.records.chooseLayout(job, segmentPrecondition !== null, now);
+    for (const [chunk, since] of job.finished.dirtyChunks)
+      if (now - since >= PROGRESS_DELAY_MS && !batch.covers(job, chunk))
+        this.addChunk(batch, job, chunk, now);
+    if (segmentPrecondition && this.records.usesSegments(job) && batch.jobs.has(job))
+      batch.requireLevel(segmentPrecondition);
+    this.addSuperseded(batch, job, now);
+  }
+
+  private addChunk(batch: CompletionBatch, job: Job, chunk: number, now: number): void {
+    // Compressing costs time, so it comes after what may make it useless.
+    if (!batch.hasRoom(1) || !this.budget.tryAcquire(0, 1)) return;
+    const made = this.records.recordsFor(job, chunk, now);
+    if (!made || !batch.hasRoom(made.records.length)) return;
+    this.budget.acquireUnconditionally(made.records.length);
+    batch.add(
+      made.records.map(({ number, value }): Mutation => ({
+        put: finishedKey(job.spec.id, number),
+        value,
+      })),
+    );
+    batch.requireJob(job);
+    const layout = this.records.layoutOf(job);
+    const { finishedCount } = job;
+    batch.progress.push({ job, chunks: made.chunks, layout, finishedCount });
+    // Marked before the answer: a record written without an answer must be removed with the job, too.
+    for (const record of made.records) this.records.noteWritten(job, record.number);
+  }
+
+  private addSuperseded(batch: CompletionBatch, job: Job, now: number): void {
+    for (const recordNumber of this.records.supersededRecords(job, now)) {
+      if (!batch.hasRoom(1) || !this.budget.tryAcquire()) return;
+      batch.add([{ remove: finishedKey(job.spec.id, recordNumber) }]);
+      batch.requireJob(job);
+      batch.superseded.push({ job, recordNumber });
+    }
+  }
+
+  /** The batch was committed. Until here its chunks stay dirty, so that machines forget nothing before it is durable. */
+  committed(batch: CompletionBatch, now: number): void {
+    for (const { job, chunks, layout, finishedCount } of batch.progress) {
+      this.records.noteDurable(job, chunks, layout);
+      for (const chunk of chunks) {
+        if (job.finishedCount === finishedCount) job.finished.dirtyChunks.delete(chunk);
+        else if (job.finished.dirtyChunks.has(chunk)) job.finished.dirtyChunks.set(chunk, now);
+      }
+    }
+    for (const { job, recordNumber } of batch.superseded)
+      this.records.forgetNumber(job, recordNumber);
+  }
+}
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -2,14 +2,12 @@
 import { isMap } from '../wire/cbor.js';
 import { type JobSpec, MAX_TASKS } from '../wire/model.js';
 
-/** Prefixes of the keys of live jobs, of ended jobs and of records of finished tasks. */
+/** Prefix of the keys of live jobs. */
 export const LIVE = 'j/';
-export const ENDED = 'e/';
+const ENDED = 'e/';
+/** Prefix of the keys of records of finished tasks. */
 export const FINISHED = 'd/';
 
-/** Tasks per record of finished tasks, in the older layout: small enough for the least value size that settings allow. */
-export const TASKS_PER_CHUNK = 8192;
-
 /** What is stored of a live job, under the names that are used inside. */
 export interface LiveJobRecord {
   spec: JobSpec;
@@ -119,10 +117,3 @@
   const { state, tasks } = value;
   return state === 'done' || state === 'cancelled' ? { state, tasks } : null;
 }
-
-/** One bit a task, as text, since no body holds anything binary. */
-export function packChunk(bits: Uint8Array, chunk: number): string {
-  const bytesPerChunk = TASKS_PER_CHUNK / 8;
-  const bytes = bits.subarray(chunk * bytesPerChunk, (chunk + 1) * bytesPerChunk);
-  return Buffer.from(bytes).toString('base64');
-}
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -323,7 +323,7 @@
         this.completionWriter.noteWritten(job, chunk);
       },
       (key) => {
-        this.completionWriter.leftOver(key);
+        this.completionWriter.recordOrphan(key);
       },
     );
     return stored.revision;
--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -2,15 +2,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import {
-  CHUNK_LAYOUT,
-  type Layout,
-  readFinishedRecord,
-  recordsOfChunk,
-} from '../src/jobs/finished-records.js';
+import { readFinishedRecord, recordsOfChunk } from '../src/jobs/finished-records.js';
 import { Job, JobTable } from '../src/jobs/job-table.js';
 import { ProgressRecords } from '../src/jobs/progress-records.js';
-import { TASKS_PER_CHUNK } from '../src/jobs/records.js';
+import { CHUNK_LAYOUT, type Layout, TASKS_PER_CHUNK } from '../src/jobs/record-layout.js';
 import { MAX_TASKS } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
 
@@ -114,20 +109,20 @@
   const records = new ProgressRecords(jobs, 4096);
   job.loadFinished(0, new Uint8Array([1]));
   for (const number of [0, 1000]) records.noteWritten(job, number);
-  assert.deepEqual(records.stale(job, 5), []);
+  assert.deepEqual(records.supersededRecords(job, 5), []);
   assert.deepEqual([...job.finished.dirtyChunks.keys()], [0]);
-  assert.deepEqual(records.stale(job, 5), [], 'not before it is written');
+  assert.deepEqual(records.supersededRecords(job, 5), [], 'not before it is written');
   records.noteDurable(job, [0], CHUNK_LAYOUT);
-  assert.deepEqual(records.stale(job, 5), [], 'nor by a write in the other layout');
+  assert.deepEqual(records.supersededRecords(job, 5), [], 'nor by a write in the other layout');
   records.noteDurable(job, [0], { kind: 'segments', split: 0 });
-  assert.deepEqual(records.stale(job, 6), [0]);
+  assert.deepEqual(records.supersededRecords(job, 6), [0]);
   // Lowered: the other way round.
-  records.adapt(job, false, 7);
-  assert.deepEqual(records.stale(job, 8), []);
+  records.chooseLayout(job, false, 7);
+  assert.deepEqual(records.supersededRecords(job, 8), []);
   records.noteDurable(job, [0], CHUNK_LAYOUT);
   // A task that ends meanwhile keeps nothing up: a busy job would never be converted.
   job.finish(9000, 8);
-  assert.deepEqual(records.stale(job, 8), [1000]);
+  assert.deepEqual(records.supersededRecords(job, 8), [1000]);
   assert.deepEqual(records.conversion(), { kind: 'running', remaining: 1 });
   records.forgetNumber(job, 1000);
   assert.deepEqual(records.conversion(), { kind: 'done' });
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -4,13 +4,13 @@
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { build as histogram } from 'hdr-histogram-js';
+import { recordsOfChunk } from '../src/jobs/finished-records.js';
 import {
   CHUNK_LAYOUT,
   type Layout,
+  TASKS_PER_CHUNK,
   finerLayout,
-  recordsOfChunk,
-} from '../src/jobs/finished-records.js';
-import { TASKS_PER_CHUNK } from '../src/jobs/records.js';
+} from '../src/jobs/record-layout.js';
 import { ControllerProcesses } from './sim/controller-processes.js';
 import { SeededRandom } from './sim/random.js';
 
