--- a/src/jobs/finished-records.ts
+++ b/src/jobs/finished-records.ts
@@ -15,7 +15,7 @@
 } from './record-layout.js';
 
 /** One record of a job's finished tasks. */
-export interface FinishedRecord {
+interface FinishedRecord {
   number: number;
   value: unknown;
 }
