--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -2,7 +2,7 @@
 import type { Mutation, Precondition } from '@millring/state-access';
 import type { Job } from './job-table.js';
 import type { Layout } from './record-layout.js';
-import { FINISHED, liveKey } from './records.js';
+import { FINISHED_PREFIX, liveKey } from './records.js';
 
 /** Records of finished tasks that a batch writes. */
 export interface BatchedProgress {
@@ -74,7 +74,9 @@
   /** The size of the largest segment, counted as JSON, or 0. */
   largestSegmentBytes(): number {
     const sizes = this.mutations.map((mutation) =>
-      'put' in mutation && typeof mutation.value === 'object' && mutation.put.startsWith(FINISHED)
+      'put' in mutation &&
+      typeof mutation.value === 'object' &&
+      mutation.put.startsWith(FINISHED_PREFIX)
         ? JSON.stringify(mutation.value).length
         : 0,
     );
--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -1,7 +1,7 @@
 /** A read-through cache of the live job records, brought up to date by one request for all callers that wait. */
 import type { StateStore } from '../state-store/client.js';
 import { type Runtime, sleep } from '../runtime.js';
-import { LIVE, type LiveJobRecord, readLive } from './records.js';
+import { LIVE_PREFIX, type LiveJobRecord, readLive } from './records.js';
 
 /** A live job's record as it was last read. */
 export interface CachedJob {
@@ -68,7 +68,7 @@
   }
 
   private async load(): Promise<boolean> {
-    const all = await this.store.scan(LIVE);
+    const all = await this.store.scan(LIVE_PREFIX);
     if (!all) return false;
     this.jobs.clear();
     for (const { key, value, version } of all.pairs) this.put(key, value, version);
@@ -78,14 +78,14 @@
   }
 
   private async follow(after: number): Promise<boolean> {
-    const changes = await this.store.watch(LIVE, after, 0, REQUEST_TIMEOUT_MS);
+    const changes = await this.store.watch(LIVE_PREFIX, after, 0, REQUEST_TIMEOUT_MS);
     if (changes.kind === 'compacted') {
       this.revision = null;
       return this.load();
     }
     if (changes.kind === 'unavailable') return false;
     for (const event of changes.events) {
-      if (event.deleted) this.jobs.delete(event.key.slice(LIVE.length));
+      if (event.deleted) this.jobs.delete(event.key.slice(LIVE_PREFIX.length));
       else this.put(event.key, event.value, event.version);
     }
     this.revision = Math.max(after, changes.revision);
@@ -93,7 +93,7 @@
   }
 
   private put(key: string, value: unknown, version: number): void {
-    const id = key.slice(LIVE.length);
+    const id = key.slice(LIVE_PREFIX.length);
     const record = readLive(value);
     if (!record) this.runtime.log.error({ id }, 'unreadable job record');
     if (record?.cancelled) this.cancelled(id);
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -3,10 +3,10 @@
 import { type JobSpec, MAX_TASKS } from '../wire/model.js';
 
 /** Prefix of the keys of live jobs. */
-export const LIVE = 'j/';
-const ENDED = 'e/';
+export const LIVE_PREFIX = 'j/';
+const ENDED_PREFIX = 'e/';
 /** Prefix of the keys of records of finished tasks. */
-export const FINISHED = 'd/';
+export const FINISHED_PREFIX = 'd/';
 
 /** What is stored of a live job, under the names that are used inside. */
 export interface LiveJobRecord {
@@ -30,12 +30,12 @@
 }
 
 /** The key of a live job. */
-export const liveKey = (id: string): string => LIVE + id;
+export const liveKey = (id: string): string => LIVE_PREFIX + id;
 /** The key of an ended job. */
-export const endedKey = (id: string): string => ENDED + id;
+export const endedKey = (id: string): string => ENDED_PREFIX + id;
 /** The key of one record of a job's finished tasks. */
 export const finishedKey = (id: string, recordNumber: number): string =>
-  `${FINISHED}${id}/${recordNumber}`;
+  `${FINISHED_PREFIX}${id}/${recordNumber}`;
 
 /** Null if the value is no live job that this version can act on. */
 export function readLive(value: unknown): LiveJobRecord | null {
--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -2,7 +2,7 @@
 import type { KeyValue, WatchEvent } from '@millring/state-access';
 import { type Runtime, sleep } from '../runtime.js';
 import { readFinishedRecord } from '../jobs/finished-records.js';
-import { FINISHED, LIVE } from '../jobs/records.js';
+import { FINISHED_PREFIX, LIVE_PREFIX } from '../jobs/records.js';
 import type { Job, JobTable } from '../jobs/job-table.js';
 import type { StateStore } from '../state-store/client.js';
 
@@ -44,12 +44,12 @@
     for (const entry of live) this.applyStored(entry);
     const liveKeys = new Set(live.map((entry) => entry.key));
     for (const entry of finished) {
-      const [id, recordNumber] = entry.key.slice(FINISHED.length).split('/');
+      const [id, recordNumber] = entry.key.slice(FINISHED_PREFIX.length).split('/');
       const job = this.deps.jobs.get(id);
       if (job) {
         listener.recordFound(job, Number(recordNumber));
         this.loadFinished(job, Number(recordNumber), entry.value);
-      } else if (!liveKeys.has(LIVE + id)) {
+      } else if (!liveKeys.has(LIVE_PREFIX + id)) {
         listener.orphanFound(entry.key);
       }
     }
@@ -70,7 +70,7 @@
     const { store, runtime } = this.deps;
     let revision = sinceRevision;
     while (this.deps.isServing()) {
-      const result = await store.watch(LIVE, revision, WATCH_MS);
+      const result = await store.watch(LIVE_PREFIX, revision, WATCH_MS);
       if (!this.deps.isServing()) return;
       if (result.kind === 'events') {
         revision = Math.max(revision, result.revision);
@@ -85,7 +85,7 @@
   }
 
   private applyStored({ key, value, version }: KeyValue): void {
-    this.deps.recordStored(key.slice(LIVE.length), value, version);
+    this.deps.recordStored(key.slice(LIVE_PREFIX.length), value, version);
   }
 
   private applyEvent(event: WatchEvent): void {
@@ -93,17 +93,17 @@
       this.applyStored(event);
       return;
     }
-    const job = this.deps.jobs.get(event.key.slice(LIVE.length));
+    const job = this.deps.jobs.get(event.key.slice(LIVE_PREFIX.length));
     if (job && job.version < event.version) this.deps.recordRemoved(job);
   }
 
   /** The changes since are compacted: reads all jobs again. Returns their revision, or null if they can't be read. */
   private async reload(): Promise<number | null> {
-    const all = await this.deps.store.scan(LIVE);
+    const all = await this.deps.store.scan(LIVE_PREFIX);
     if (!all) return null;
     const liveKeys = new Set(all.pairs.map((pair) => pair.key));
     for (const job of [...this.deps.jobs.all()])
-      if (!liveKeys.has(LIVE + job.spec.id) && job.version <= all.revision)
+      if (!liveKeys.has(LIVE_PREFIX + job.spec.id) && job.version <= all.revision)
         this.deps.recordRemoved(job);
     for (const entry of all.pairs) this.applyStored(entry);
     this.deps.jobsChanged();
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -1,7 +1,7 @@
 /** What a new leader reads of the state service before it acts. */
 import type { KeyValue } from '@millring/state-access';
 import type { IntentLog } from '@millring/duties';
-import { FINISHED, LIVE } from '../jobs/records.js';
+import { FINISHED_PREFIX, LIVE_PREFIX } from '../jobs/records.js';
 import type { Runtime } from '../runtime.js';
 import type { StateStore } from '../state-store/client.js';
 import type { StoredIntent } from './restored-intents.js';
@@ -25,8 +25,8 @@
   intents: IntentLog | null,
 ): Promise<StoredState | null> {
   const machines = await store.scan(MACHINES);
-  const jobs = machines && (await store.scan(LIVE));
-  const finished = jobs && (await store.scan(FINISHED));
+  const jobs = machines && (await store.scan(LIVE_PREFIX));
+  const finished = jobs && (await store.scan(FINISHED_PREFIX));
   const openIntents = finished && (intents ? await intents.readAll() : []);
   if (!machines || !jobs || !finished || !openIntents) return null;
   const { revision } = jobs;
