--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -3,6 +3,7 @@
 import type { Placement } from '../placement/placement.js';
 import type { Clock } from '../runtime.js';
 import { commandsForHeartbeat } from '../workers/commands.js';
+import { isNewer } from '../workers/heartbeat-applier.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { Heartbeat, MachineType, WorkerCommand } from '../wire/model.js';
@@ -92,10 +93,3 @@
     if (!wasReconciled && machine.isReconciled()) cycles.request();
   }
 }
-
-/** Was the heartbeat sent after the one with this sequence number of the machine's present incarnation? */
-function isNewer(heartbeat: Heartbeat, machine: Machine, lastSequence: number): boolean {
-  if (heartbeat.incarnation !== machine.incarnation)
-    return heartbeat.incarnation > machine.incarnation;
-  return heartbeat.sequence > lastSequence;
-}
--- a/src/workers/heartbeat-applier.ts
+++ b/src/workers/heartbeat-applier.ts
@@ -18,7 +18,7 @@
    * only if its start cannot be executed any more: it was answered, or the machine has shown the raised token.
    */
   apply(machine: Machine, heartbeat: Heartbeat, now: number): boolean {
-    if (!isNewer(heartbeat, machine)) return false;
+    if (!isNewer(heartbeat, machine, machine.lastSequence)) return false;
     if (heartbeat.incarnation > machine.incarnation)
       this.beginIncarnation(machine, heartbeat.incarnation, now);
     applyMachineStatus(machine, heartbeat, now);
@@ -60,10 +60,11 @@
   }
 }
 
-function isNewer(heartbeat: Heartbeat, machine: Machine): boolean {
+/** Whether a heartbeat is newer than the one with that sequence number in the machine's incarnation. */
+export function isNewer(heartbeat: Heartbeat, machine: Machine, lastSequence: number): boolean {
   if (heartbeat.incarnation !== machine.incarnation)
     return heartbeat.incarnation > machine.incarnation;
-  return heartbeat.sequence > machine.lastSequence;
+  return heartbeat.sequence > lastSequence;
 }
 
 function applyMachineStatus(machine: Machine, heartbeat: Heartbeat, now: number): void {
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -7,64 +7,84 @@
   attempts: Set<TaskAttempt>;
 }
 
+/** A token that a response carried and that no heartbeat has shown yet. */
+export interface PendingTokenAck {
+  token: number;
+  since: number;
+  /** Heartbeats that came since then without it. */
+  heartbeats: number;
+}
+
+/** Why nothing is placed on a machine any more: it is not needed, the cloud takes it back, or tasks fail on it. */
+export type DrainReason = 'surplus' | 'notice' | 'faulty';
+
 /** Acknowledgements that a machine may owe before it counts as not acknowledging: one or two may be on their way. */
 const MIN_UNACKNOWLEDGED_HEARTBEATS = 3;
 
 /**
  * One machine in the leader's table: what its worker has reported, what was sent to it, which attempts may be on it and
- * what they occupy.
+ * what they occupy. Times are of the steady clock, in milliseconds.
  */
 export class Machine {
+  /** Heartbeats of lower incarnations are out of date, as are those of this one up to `lastSequence`. */
   incarnation = 0;
   lastSequence = -1;
-  /** Highest token it has shown. */
-  shownToken = 0;
-  /** Highest number of a heartbeat that came by itself, in this incarnation: a lower one is a late copy. */
+  /** Of the newest heartbeat that the worker sent by itself in this incarnation: a lower one is a late copy. */
   lastHeartbeatSequence = -1;
-  /** A token that an answer carried and that no heartbeat has shown yet; since when, and heartbeats since then. */
-  pendingTokenAck: { token: number; since: number; heartbeats: number } | null = null;
-  /** When it last showed a token that it was asked to show: answers reach it. */
-  tokenConfirmedAt: number;
-  /** What it must show before its heartbeats are taken as complete. */
+  /** When anything new was last received from the worker itself. */
+  lastHeardAt: number;
+  /** A heartbeat has told of the machine since it was added, or since its lease ended. */
+  reported = false;
+  /** When the last heartbeat was answered that may have renewed the worker's lease. */
+  leaseRenewedAt: number;
+  /** Its lease has surely run out, and no heartbeat has come since: nothing is on it. */
+  leaseExpired = false;
+  /** Stored when this leader's term began: it must be reconciled, or be gone, before old jobs are acted on. */
+  awaitingReconciliation = false;
+
+  /** The highest token it has shown. */
+  shownToken = 0;
+  /** The token that it must show before its heartbeats are taken as complete. */
   requiredToken: number;
-  /** Raised for this machine alone, on top of the leader's token. */
+  /** By how much its token is above the leader's. */
   tokenOffset = 0;
+  pendingTokenAck: PendingTokenAck | null = null;
+  /** When it last showed a token that it was asked to show: responses reach it. */
+  tokenConfirmedAt: number;
+
   /** It stands in the state service, so that a new leader would find it: only then may commands be sent to it. */
   stored = false;
-  /** Anything newer than this has been heard from the worker itself. */
-  lastHeardAt: number;
-  /** When the last heartbeat was answered that may have renewed the worker's lease. */
-  leaseRenewedAt: number;
-  /** A heartbeat has told of it since it was added, or since its lease ended. */
-  reported = false;
-  preemptionDeadline: number | null = null;
-  drainReason: string | null = null;
-  isStraggler = false;
-  /** Jobs whose tasks failed here lately. */
-  readonly failedJobs = new Set<number>();
+  inFlight: InFlightRequest | null = null;
+  /** No request goes to it before then. */
+  nextSendAt = 0;
+  /** Requests in a row that it did not answer. */
+  commandFailures = 0;
+
+  /** What may be on it, by `attemptKey`, and what it still reports. */
   readonly attempts = new Map<string, TaskAttempt>();
   readonly images = new Set<string>();
   /** Attempts that are starting or fetching, by image. */
   readonly fetching = new Map<string, number>();
   /** Tasks of services that may be here. */
   serviceTasks = 0;
-  inFlight: InFlightRequest | null = null;
-  nextSendAt = 0;
-  commandFailures = 0;
-  emptySince: number;
   usedCpus = 0;
   usedGpus = 0;
   usedMemory = 0;
-  /** Where it stands with the cloud. */
+  /** When the last attempt on it ended, or when it became known. */
+  emptySince: number;
+
+  preemptionDeadline: number | null = null;
+  drainReason: DrainReason | null = null;
+  isStraggler = false;
+  /** Jobs (by index) whose tasks failed here lately. */
+  readonly failedJobs = new Set<number>();
+
+  /** When the cloud's list last had it; -1: never. */
   listedAt = -1;
   /** The last list did not have it, although it must have existed by then. */
   unlisted = false;
   rentedAt: number | null = null;
   deleting = false;
-  /** Stored when the leader took over: must speak up, or be gone, before old jobs are acted on. */
-  awaitingReconciliation = false;
-  /** Its lease has surely run out, and it has not been heard since: nothing is on it. */
-  leaseExpired = false;
 
   constructor(
     readonly index: number,
@@ -88,7 +108,7 @@
     return this.reported && this.shownToken >= this.requiredToken;
   }
 
-  /** Its heartbeats arrive, but answers do not reach it, or it does not do what they say: its heartbeats prove nothing. */
+  /** Its heartbeats arrive, but responses do not reach it, or it ignores them: its heartbeats prove nothing. */
   isNotAcknowledging(patienceMs: number, now: number): boolean {
     return (
       this.pendingTokenAck !== null &&
@@ -97,12 +117,15 @@
     );
   }
 
+  /** What no attempt occupies, as are the next two. */
   freeCpus(): number {
     return this.type.cpus - this.usedCpus;
   }
+
   freeGpus(): number {
     return this.type.gpus - this.usedGpus;
   }
+
   freeMemory(): number {
     return this.type.memoryGb - this.usedMemory;
   }
