--- a/src/autoscaler/demand.ts
+++ b/src/autoscaler/demand.ts
@@ -1,5 +1,5 @@
 /** What the jobs need of the cluster's machines: a pure function. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { JobSpec, MachineType } from '../wire/model.js';
 import type { Demand } from './scaling-plan.js';
 
--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -1,6 +1,6 @@
 /** What one compare-and-swap of the completion writer writes, and what it rests on. */
 import type { Mutation, Precondition } from '@millring/state-access';
-import type { Job } from './job-table.js';
+import type { Job } from './job.js';
 import type { Layout } from './record-layout.js';
 import { FINISHED_PREFIX, liveKey } from './records.js';
 
--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -4,7 +4,8 @@
 import type { Runtime } from '../runtime.js';
 import type { StateStore } from '../state-store/client.js';
 import { CompletionBatch } from './completion-batch.js';
-import type { Job, JobTable } from './job-table.js';
+import type { Job } from './job.js';
+import type { JobTable } from './job-table.js';
 import { ProgressRecords } from './progress-records.js';
 import { ProgressWriter } from './progress-writer.js';
 import { isSegment } from './record-layout.js';
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -1,7 +1,8 @@
 /** Which records of finished tasks stand in the state service for each live job, and how the next ones are cut. */
 import { type Conversion } from '@millring/rollout';
 import { type ChunkRecords, recordsOfChunk } from './finished-records.js';
-import type { Job, JobTable } from './job-table.js';
+import type { Job } from './job.js';
+import type { JobTable } from './job-table.js';
 import {
   CHUNK_LAYOUT,
   type Layout,
--- a/src/jobs/progress-writer.ts
+++ b/src/jobs/progress-writer.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../runtime.js';
 import { TokenBucket } from '../state-store/token-bucket.js';
 import type { CompletionBatch } from './completion-batch.js';
-import type { Job } from './job-table.js';
+import type { Job } from './job.js';
 import type { ProgressRecords } from './progress-records.js';
 import { finishedKey } from './records.js';
 
--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -3,7 +3,8 @@
 import { type Runtime, sleep } from '../runtime.js';
 import { readFinishedRecord } from '../jobs/finished-records.js';
 import { FINISHED_PREFIX, LIVE_PREFIX } from '../jobs/records.js';
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { StateStore } from '../state-store/client.js';
 
 const WATCH_MS = 10_000;
--- a/src/workers/heartbeat-applier.ts
+++ b/src/workers/heartbeat-applier.ts
@@ -1,5 +1,5 @@
 /** Takes what workers report over into the machine table. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Heartbeat, TaskStatus } from '../wire/model.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
 import { recordShownToken } from './fencing-tokens.js';
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -1,5 +1,5 @@
 /** The leader's table of machines and of the task attempts that may be on them, rebuilt from worker heartbeats. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import { DRIFT } from '../runtime.js';
 import type { Heartbeat, MachineType } from '../wire/model.js';
 import { type AttemptEvents, AttemptLifecycle } from './attempt-lifecycle.js';
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -1,5 +1,5 @@
 /** One attempt of a task on a machine, as the leader tracks it. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { ExitCause } from '../wire/model.js';
 import type { Machine } from './machine.js';
 
