--- a/src/jobs/job-table.ts
+++ b/src/jobs/job-table.ts
@@ -1,8 +1,9 @@
 /** The live jobs as the leader knows them. */
 import type { JobSpec } from '../wire/model.js';
-import { Job } from './job.js';
+import type { Job } from './job.js';
+import { TrackedJob } from './tracked-job.js';
 
-export { Job } from './job.js';
+export type { Job } from './job.js';
 
 /** Tasks of a job, as its users are told. */
 export interface Progress {
@@ -44,7 +45,8 @@
     createdInThisTerm: boolean,
     now: number,
   ): Job {
-    const job = new Job(this.nextIndex++, spec, version, acceptedAt, createdInThisTerm, now);
+    const index = this.nextIndex++;
+    const job: Job = new TrackedJob(index, spec, version, acceptedAt, createdInThisTerm, now);
     this.byId.set(spec.id, job);
     return job;
   }
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -6,8 +6,9 @@
 import { CommandBacklog } from './command-backlog.js';
 import { FencingTokens } from './fencing-tokens.js';
 import { HeartbeatApplier } from './heartbeat-applier.js';
-import { Machine } from './machine.js';
+import type { Machine } from './machine.js';
 import { type StopRequest, TaskAttempt } from './task-attempt.js';
+import { TrackedMachine } from './tracked-machine.js';
 
 /** Workers look at their leases now and then. */
 const LEASE_EXPIRY_MARGIN_MS = 500;
@@ -71,7 +72,16 @@
     now: number,
   ): Machine {
     const index = this.nextIndex++;
-    const machine = new Machine(index, id, endpoint, type, zone, spot, this.baseToken, now);
+    const machine: Machine = new TrackedMachine(
+      index,
+      id,
+      endpoint,
+      type,
+      zone,
+      spot,
+      this.baseToken,
+      now,
+    );
     this.byId.set(id, machine);
     return machine;
   }
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -1,7 +1,8 @@
 /** One attempt of a task on a machine, as the leader tracks it. */
-import type { Job } from '../jobs/job.js';
+import type { TrackedJob } from '../jobs/tracked-job.js';
+import type { Transitions } from '../state-machine.js';
 import type { ExitCause } from '../wire/model.js';
-import type { Machine } from './machine.js';
+import type { TrackedMachine } from './tracked-machine.js';
 
 /**
  * - `starting`: a start was decided; it may be in flight.
@@ -14,7 +15,8 @@
 export type AttemptState =
   'starting' | 'fetching' | 'waiting' | 'running' | 'saving' | 'exited' | 'removed';
 
-const TRANSITIONS: Record<AttemptState, AttemptState[]> = {
+/** Reports of others are ignored: they are late. */
+const TRANSITIONS: Transitions<AttemptState> = {
   starting: ['fetching', 'waiting', 'running', 'saving', 'exited', 'removed'],
   fetching: ['waiting', 'running', 'saving', 'exited', 'removed'],
   waiting: ['running', 'saving', 'exited', 'removed'],
@@ -65,10 +67,10 @@
   waitingSince = 0;
 
   constructor(
-    readonly machine: Machine,
+    readonly machine: TrackedMachine<TaskAttempt>,
     readonly jobId: string,
     /** Null: the job is not among the live ones. */
-    readonly job: Job | null,
+    readonly job: TrackedJob<TaskAttempt> | null,
     readonly taskNumber: number,
     /** The attempt's number. A gang's replaced task is started again under the same one. */
     readonly attempt: number,
--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -3,11 +3,14 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { readFinishedRecord, recordsOfChunk } from '../src/jobs/finished-records.js';
-import { Job, JobTable } from '../src/jobs/job-table.js';
+import type { Job } from '../src/jobs/job.js';
+import { JobTable } from '../src/jobs/job-table.js';
+import { TrackedJob } from '../src/jobs/tracked-job.js';
 import { ProgressRecords } from '../src/jobs/progress-records.js';
 import { CHUNK_LAYOUT, type Layout, TASKS_PER_CHUNK } from '../src/jobs/record-layout.js';
 import { MAX_TASKS } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
+import type { TaskAttempt } from '../src/workers/task-attempt.js';
 
 const LAYOUTS: Layout[] = [
   CHUNK_LAYOUT,
@@ -16,7 +19,7 @@
 
 /** Stores all chunks of the job in a layout, and reads them into an empty one. */
 function storeAndLoad(job: Job, layout: Layout, valueBytes = Infinity): Job {
-  const loaded = new Job(1, job.spec, 1, 0, true, 0);
+  const loaded = new TrackedJob<TaskAttempt>(1, job.spec, 1, 0, true, 0);
   for (let chunk = 0; chunk * TASKS_PER_CHUNK < job.spec.tasks; chunk++) {
     const made = recordsOfChunk(job.finished.bits, job.spec.tasks, chunk, layout, valueBytes);
     assert.ok(made.kind === 'fits' && made.chunks.includes(chunk));
@@ -36,7 +39,7 @@
       fc.array(fc.nat(3 * TASKS_PER_CHUNK - 1), { maxLength: 60 }),
       fc.constantFrom(...LAYOUTS),
       (count, list, layout) => {
-        const original = new Job(0, spec({ tasks: count }), 1, 0, true, 0);
+        const original = new TrackedJob<TaskAttempt>(0, spec({ tasks: count }), 1, 0, true, 0);
         for (const taskNumber of list) original.finish(taskNumber, 0);
         const loaded = storeAndLoad(original, layout);
         assert.deepEqual(loaded.finished.bits, original.finished.bits);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,6 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Job, JobTable } from '../src/jobs/job-table.js';
+import { JobTable } from '../src/jobs/job-table.js';
+import { TrackedJob } from '../src/jobs/tracked-job.js';
 import { GangScheduler } from '../src/placement/gang-scheduler.js';
 import { Placement } from '../src/placement/placement.js';
 import { defaultOperatorSettings } from '../src/settings/operator.js';
@@ -14,6 +15,7 @@
 import type { MachineType } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
 import { quietLog } from './sim/quiet-log.js';
+import type { TaskAttempt } from '../src/workers/task-attempt.js';
 
 function machineType(cpus: number): MachineType {
   return {
@@ -38,7 +40,14 @@
     const machine = table.add(id, `${id}:1`, machineType(16), 'a', false, 0);
     return Object.assign(machine, { stored: true, reported: true, shownToken: 100 });
   };
-  const gang = new Job(0, spec({ kind: 'gang', tasks: 4, cpus: 8, spot: false }), 1, 0, true, 0);
+  const gang = new TrackedJob<TaskAttempt>(
+    0,
+    spec({ kind: 'gang', tasks: 4, cpus: 8, spot: false }),
+    1,
+    0,
+    true,
+    0,
+  );
   const home = [addMachine('m1'), addMachine('m2')];
   for (let task = 0; task < 4; task++) table.addAttempt(home[task >> 1], 'run-1', gang, task, 7, 0);
   const gangs = new GangScheduler({
@@ -57,7 +66,7 @@
 });
 
 test('a job may use the machines again on which it failed, once it has waited for a while', () => {
-  const job = new Job(0, spec(), 1, 0, true, 0);
+  const job = new TrackedJob<TaskAttempt>(0, spec(), 1, 0, true, 0);
   const machine = {
     index: 4,
     failedJobs: new Set<number>(),
@@ -73,7 +82,7 @@
 });
 
 test('a finished task is not durable before its chunk is written', () => {
-  const job = new Job(0, spec(), 1, 0, true, 0);
+  const job = new TrackedJob<TaskAttempt>(0, spec(), 1, 0, true, 0);
   job.finish(3, 100);
   assert.equal(job.isDurable(3), false);
   job.finished.dirtyChunks.clear();
@@ -99,11 +108,11 @@
     { kind: 'finished', cls: 'batch', withinS: 90 },
   ]);
   const jobs = [
-    new Job(0, spec({ id: 'late', tasks: 1 }), 1, -300_000, true, 0),
-    new Job(1, spec({ id: 'second', tasks: 1 }), 1, -100_000, true, 0),
-    new Job(2, spec({ id: 'big', tasks: 50 }), 1, 0, true, 0),
-    new Job(3, spec({ id: 'small', tasks: 2 }), 1, 0, true, 0),
-    new Job(4, spec({ id: 'service', priority: 0 }), 1, 0, true, 0),
+    new TrackedJob<TaskAttempt>(0, spec({ id: 'late', tasks: 1 }), 1, -300_000, true, 0),
+    new TrackedJob<TaskAttempt>(1, spec({ id: 'second', tasks: 1 }), 1, -100_000, true, 0),
+    new TrackedJob<TaskAttempt>(2, spec({ id: 'big', tasks: 50 }), 1, 0, true, 0),
+    new TrackedJob<TaskAttempt>(3, spec({ id: 'small', tasks: 2 }), 1, 0, true, 0),
+    new TrackedJob<TaskAttempt>(4, spec({ id: 'service', priority: 0 }), 1, 0, true, 0),
   ];
   const order = servingOrder(jobs, new Set(), (j) => urgency(j, goals, 30_000, 0)).map(
     (j) => j.spec.id,
--- a/test/takeover-work.test.ts
+++ b/test/takeover-work.test.ts
@@ -2,7 +2,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FailoverRecovery } from '../src/leadership/failover-recovery.js';
-import { Machine } from '../src/workers/machine.js';
+import type { Machine } from '../src/workers/machine.js';
+import type { TaskAttempt } from '../src/workers/task-attempt.js';
+import { TrackedMachine } from '../src/workers/tracked-machine.js';
 import type { MachineType } from '../src/wire/model.js';
 import type { MachineTable } from '../src/workers/machine-table.js';
 import { quietLog } from './sim/quiet-log.js';
@@ -29,7 +31,7 @@
 } {
   const machines = Array.from(
     { length: MACHINES },
-    (_, i) => new Machine(i, `i-${i}`, `i-${i}:1`, TYPE, 'a', false, 100, 0),
+    (_, i) => new TrackedMachine<TaskAttempt>(i, `i-${i}`, `i-${i}:1`, TYPE, 'a', false, 100, 0),
   );
   const byId = new Map(machines.map((m) => [m.id, m]));
   let looks = 0;
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -1,7 +1,8 @@
 /** The decision whether a team may take more, and the audit that finds sums that do not hold. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Job } from '../src/jobs/job-table.js';
+import type { Job } from '../src/jobs/job.js';
+import { TrackedJob } from '../src/jobs/tracked-job.js';
 import { DecisionLog } from '../src/placement/decision-log.js';
 import { TeamUsage } from '../src/placement/quota.js';
 import { USAGE_FAULT, UsageAudit } from '../src/placement/usage-audit.js';
@@ -10,6 +11,7 @@
 import { MachineTable } from '../src/workers/machine-table.js';
 import { spec } from './sim/job-spec.js';
 import { quietLog } from './sim/quiet-log.js';
+import type { TaskAttempt } from '../src/workers/task-attempt.js';
 
 const TOKEN = 100;
 const AUDIT_INTERVAL_MS = 5000;
@@ -87,7 +89,7 @@
     },
   };
   const decisions = new DecisionLog(log);
-  const job = new Job(0, spec(), 1, 0, true, 0);
+  const job = new TrackedJob<TaskAttempt>(0, spec(), 1, 0, true, 0);
   const table = new MachineTable(TOKEN, 10_000, (id) => (id === 'run-1' ? job : undefined), {
     attemptAdded: (attempt) => {
       decisions.started(attempt, usage.standing('t'), 0);
