--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -105,7 +105,7 @@
   private addEnds(batch: CompletionBatch, now: number): void {
     for (const job of this.deps.jobs.all()) {
       const isOver = job.jobCancelled ? this.deps.hasNoAttempts(job) : job.isComplete();
-      if (!isOver || job.ended !== 'no' || this.mustWait(job, now)) continue;
+      if (!isOver || job.endState !== 'live' || this.mustWait(job, now)) continue;
       const mutations = this.endMutations(job);
       if (!batch.hasRoom(mutations.length)) return;
       batch.add(mutations);
@@ -149,10 +149,10 @@
 
   private async write(batch: CompletionBatch): Promise<void> {
     this.writing = true;
-    for (const job of batch.ends) job.ended = 'writing';
+    for (const job of batch.ends) job.endState = 'ending';
     const result = await this.deps.store.compareAndSwap(batch.preconditions, batch.mutations);
     this.writing = false;
-    for (const job of batch.ends) job.ended = result.kind === 'committed' ? 'yes' : 'no';
+    for (const job of batch.ends) job.endState = result.kind === 'committed' ? 'ended' : 'live';
     if (result.kind === 'committed') this.committed(batch);
     else this.failed(batch, result);
   }
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -6,8 +6,8 @@
 import { FinishedTasks } from './finished-tasks.js';
 import { type StartableTasks, TaskQueue } from './task-queue.js';
 
-/** How far the end of a job is stored. */
-export type JobEnd = 'no' | 'writing' | 'yes';
+/** Whether a job's end is stored. `ending`: the write is under way. */
+export type JobEndState = 'live' | 'ending' | 'ended';
 
 /** Jobs with the same key can be placed on the same machines, and compete for them alike. */
 function shapeKeyOf(spec: JobSpec): string {
@@ -50,7 +50,7 @@
   /** Of a gang: its attempt was given up, and nothing starts before all its tasks are gone. */
   gangAttemptAborted = false;
   readonly shapeKey: string;
-  ended: JobEnd = 'no';
+  endState: JobEndState = 'live';
 
   constructor(
     /** Dense index, assigned when the job becomes known. */
@@ -113,7 +113,7 @@
 
   /** What is stored tells that the task need not be started again. */
   isDurable(taskNumber: number): boolean {
-    return this.ended === 'yes' || this.finished.isDurable(taskNumber);
+    return this.endState === 'ended' || this.finished.isDurable(taskNumber);
   }
 
   isComplete(): boolean {
--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -40,7 +40,7 @@
 
   /** Only a leader removes live records, once all is done: here our own write, whose response was lost. */
   recordRemoved(job: Job): void {
-    job.ended = 'yes';
+    job.endState = 'ended';
     this.forgetJob(job);
   }
 
