--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -7,7 +7,7 @@
 import type { Job } from '../jobs/job.js';
 import { JobTable } from '../jobs/job-table.js';
 import { Placement } from '../placement/placement.js';
-import { shareSockets } from '../sockets.js';
+import { allocateSockets } from '../http/socket-allocation.js';
 import { CommandSender } from '../workers/command-sender.js';
 import type { Machine } from '../workers/machine.js';
 import { MachineRecordStore } from '../workers/machine-record-store.js';
@@ -127,7 +127,7 @@
       table: this.table,
       isLeader: () => this.lifecycle.isLeader(),
       timeoutMs: operator.command_timeout_ms,
-      maxInFlight: shareSockets(settings.maxSockets).requests,
+      maxInFlight: allocateSockets(settings.maxSockets).maxRequestsToWorkers,
       applyHeartbeat: (machine, heartbeat) => {
         this.heartbeats.apply(machine, heartbeat);
       },
