--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -30,7 +30,8 @@
     if (known && known.version >= version) return;
     const createdInThisTerm = version > this.deps.lifecycle.epoch && !record.cancelled;
     const job =
-      known ?? jobs.add(record.spec, version, record.at, createdInThisTerm, this.deps.clock.now());
+      known ??
+      jobs.add(record.spec, version, record.acceptedAt, createdInThisTerm, this.deps.clock.now());
     job.version = version;
     if (!known) placement.jobAdded(job);
     if (record.cancelled || this.deps.isCancelled(id)) this.markCancelled(job);
@@ -38,7 +39,7 @@
 
   /** Only the leader removes live records, once the job has ended: this was our own write, whose response was lost. */
   recordRemoved(job: Job): void {
-    job.ended = 'yes';
+    job.endState = 'ended';
     this.forgetJob(job);
   }
 
