--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -6,7 +6,6 @@
 import { StateStore } from '../src/state-store/client.js';
 import type { DutyGroup } from './sim/duty-group.js';
 import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
-import { quietLog } from './sim/quiet-log.js';
 
 // Guards: records that can't be read are neither acted on nor replaced.
 test('malformed and unknown records are left alone, and logged once', async () => {
