--- a/test/failover-recovery.test.ts
+++ b/test/failover-recovery.test.ts
@@ -37,7 +37,7 @@
   let reads = 0;
   for (const machine of machines) {
     let awaited = false;
-    Object.defineProperty(machine, 'awaitingReconciliation', {
+    Object.defineProperty(machine, 'awaitingReconciliation' satisfies keyof Machine, {
       get: () => {
         reads++;
         return awaited;
@@ -48,7 +48,7 @@
   const table = {
     get: (id: string) => byId.get(id),
     size: () => byId.size,
-  } as unknown as MachineTable;
+  } satisfies Partial<MachineTable> as unknown as MachineTable;
   const recovery = new FailoverRecovery(table, LEASE_MS, quietLog, () => 0);
   for (const machine of machines) recovery.expectReconciliation(machine);
   return { machines, recovery, reads: () => reads };
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -38,7 +38,11 @@
   });
   const addMachine = (id: string): Machine => {
     const machine = table.add(id, `${id}:1`, machineType(16), 'a', false, 0);
-    return Object.assign(machine, { stored: true, reported: true, shownToken: 100 });
+    return Object.assign(machine, {
+      stored: true,
+      reported: true,
+      shownToken: 100,
+    } satisfies Partial<Machine>);
   };
   const gang = new TrackedJob<TaskAttempt>(
     0,
@@ -71,8 +75,10 @@
     index: 4,
     failedJobs: new Set<number>(),
     drainReason: null,
-  } as unknown as Machine;
-  const table = { all: () => [machine].values() } as unknown as MachineTable;
+  } satisfies Partial<Machine> as unknown as Machine;
+  const table = {
+    all: () => [machine].values(),
+  } satisfies Partial<MachineTable> as unknown as MachineTable;
   assert.equal(noteFailure(job, machine, table, 1000), false);
   assert.ok(job.notBefore > 1000 && job.failedOn.has(4));
   forgetFailedMachines(job, 20_000);
@@ -182,7 +188,11 @@
 function addMachines(table: MachineTable, count: number, type: MachineType): void {
   for (let i = 0; i < count; i++) {
     const machine = table.add(`m${i}`, `m${i}:1`, type, 'a', false, 0);
-    Object.assign(machine, { stored: true, reported: true, shownToken: 100 });
+    Object.assign(machine, {
+      stored: true,
+      reported: true,
+      shownToken: 100,
+    } satisfies Partial<Machine>);
   }
 }
 
@@ -218,7 +228,11 @@
       for (const attempt of [...machine.attempts.values()]) {
         if (attempt.stop) table.removeAttempt(attempt, 0);
         else if (!attempt.startSent) starts++;
-        Object.assign(attempt, { startSent: true, startUnacknowledged: false, state: 'running' });
+        Object.assign(attempt, {
+          startSent: true,
+          startUnacknowledged: false,
+          state: 'running',
+        } satisfies Partial<typeof attempt>);
       }
   }
   assert.equal(starts, 10, 'each machine got one task, which stayed');
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -100,7 +100,11 @@
     },
   });
   const machine = table.add('m1', 'm1:1', TYPE, 'a', false, 0);
-  Object.assign(machine, { stored: true, reported: true, shownToken: TOKEN });
+  Object.assign(machine, {
+    stored: true,
+    reported: true,
+    shownToken: TOKEN,
+  } satisfies Partial<Machine>);
   for (let task = 0; task < tasks; task++) table.addAttempt(machine, 'run-1', job, task, task, 0);
   return {
     table,
