--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -5,6 +5,7 @@
 
 export const THREE_ZONES = ['a', 'b', 'c'];
 
+/** Controllers share the duties. */
 export const withDuties: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   saveMoney: true,
@@ -25,6 +26,7 @@
   };
 }
 
+/** Machine types of very different sizes. */
 export const unevenMachines: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   teamLimit: 400,
@@ -47,6 +49,7 @@
 /** Room for arrays of thousands of tasks. */
 export const wide: Partial<ClusterConfig> = { ordinaryUp: 24, capacity: 24, teamLimit: 400 };
 
+/** More than a hundred machines in three zones. */
 export const largeFleet: Partial<ClusterConfig> = {
   ordinaryUp: 110,
   capacity: 10,
--- a/test/digest/recorded-digests.ts
+++ b/test/digest/recorded-digests.ts
@@ -1,6 +1,7 @@
 /** Digests kept in a file, one JSON object a line. */
 import { readFileSync, writeFileSync } from 'node:fs';
 
+/** The digest of all messages of a seed, and how many they were. */
 export interface SeedDigest {
   seed: number;
   digest: string;
@@ -22,6 +23,7 @@
   return lines.filter((line) => line !== '').map((line) => JSON.parse(line) as SeedDigest);
 }
 
+/** Which of the digests are not as recorded. */
 export function compareDigests(actual: SeedDigest[], expected: SeedDigest[]): DigestDifferences {
   const recorded = new Map(expected.map(({ seed, digest }) => [seed, digest]));
   const isRecorded = ({ seed }: SeedDigest): boolean => recorded.has(seed);
--- a/test/digest/scenario.ts
+++ b/test/digest/scenario.ts
@@ -2,6 +2,7 @@
 import { Cluster } from '../sim/cluster.js';
 import type { ClusterConfig } from '../sim/cluster-config.js';
 
+/** A deployment with its workload and faults. */
 export interface Scenario {
   config?: Partial<ClusterConfig>;
   /** How long the busy part lasts. */
@@ -17,6 +18,7 @@
 const CALM_S = 60;
 const SETTLE_S = 4;
 
+/** The scenario's deployment, with the random numbers of the seed. */
 export function clusterFor(scenario: Scenario, seed: number): Cluster {
   return new Cluster({ ordinaryUp: 6, ...scenario.config, seed });
 }
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -246,6 +246,7 @@
   },
 ];
 
+/** The scenario that the seed runs. */
 export function scenarioOf(seed: number): Scenario {
   return SCENARIOS[(seed - 1) % SCENARIOS.length];
 }
--- a/test/sim/autoscaler-harness.ts
+++ b/test/sim/autoscaler-harness.ts
@@ -11,6 +11,7 @@
 import { quietLog } from './quiet-log.js';
 import { type MachineListEntry, decodeCloudRequest, encodeMachineList } from './wire/cloud.js';
 
+/** The only machine type. */
 export const TYPE: MachineType = {
   name: 't',
   cpus: 8,
@@ -22,6 +23,7 @@
   bootS: 20,
   zones: ['a', 'b', 'c'],
 };
+/** Workers' lease, in seconds. */
 export const LEASE_S = 20;
 const HEARTBEAT_INTERVAL_S = 2;
 
--- a/test/sim/client-runtime.ts
+++ b/test/sim/client-runtime.ts
@@ -4,6 +4,7 @@
 import type { Network } from './network.js';
 import { quietLog } from './quiet-log.js';
 
+/** Sends from a host that no controller has. */
 export function clientRuntime({
   clock,
   network,
--- a/test/sim/cloud-invariants.ts
+++ b/test/sim/cloud-invariants.ts
@@ -12,6 +12,7 @@
   stall_s: 15,
   ungated_builds_retired: true,
 } as const;
+/** How the duties take part, as in the operators' file. */
 export const SETTINGS = {
   mode: 'on',
   lease_s: 2,
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -16,6 +16,7 @@
 } from './wire/cloud.js';
 import type { Worker } from './worker.js';
 
+/** A machine that is rented. `bootMs` is infinite if it never comes up. */
 export interface CloudMachine {
   id: string;
   type: string;
@@ -34,6 +35,7 @@
   count: number;
 }
 
+/** The machine types of a cluster that names none. */
 export const TYPES: CloudType[] = [
   {
     name: 't16',
--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -8,7 +8,9 @@
 /** The teams of users. */
 export const TEAMS = ['t0', 't1'];
 const REPORT_MS = 1000;
+/** How long a worker may go on without a heartbeat that was answered. */
 export const LEASE_MS = 8000;
+/** Within this time after its confirmation nothing of a cancelled job runs. */
 export const CANCEL_MS = 22_000;
 const CLOUD_RPS = 5;
 const TEAM_LIMIT_CPUS = 80;
@@ -70,6 +72,7 @@
     >
   >;
 
+/** Adds the defaults. */
 export function completeConfig(config: ClusterConfig): CompleteClusterConfig {
   const zones = config.zones ?? ['a', 'b'];
   const count = config.capacity ?? CAPACITY;
--- a/test/sim/cluster-faults.ts
+++ b/test/sim/cluster-faults.ts
@@ -6,6 +6,7 @@
 import type { Network } from './network.js';
 import type { Users } from './users.js';
 
+/** What faults act on. */
 export interface ClusterFaultsDependencies {
   clock: VirtualClock;
   network: Network;
@@ -15,6 +16,7 @@
   isNode: (host: string) => boolean;
 }
 
+/** Each fault begins at once, and ends by itself after its time. */
 export class ClusterFaults {
   constructor(private readonly deps: ClusterFaultsDependencies) {}
 
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -34,6 +34,7 @@
   node: ControllerNode;
 }
 
+/** Composes the stand-ins and the controllers. All that is random comes from the seed of the configuration; `run` lets time go on. */
 export class Cluster {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
--- a/test/sim/controller-builds.ts
+++ b/test/sim/controller-builds.ts
@@ -6,6 +6,7 @@
 
 const DECLARED = 'export const BUILD: Build =';
 
+/** `old` has the base level only, `new` one level more, `latest` two. */
 export type BuildName = 'old' | 'new' | 'latest';
 
 /** What the builds declare of themselves, whatever this program declares. */
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -22,6 +22,7 @@
 /** Longer than a busy machine may stand still, so that no worker loses its lease for that. */
 const LEASE_S = 30;
 const CANCEL_S = 60;
+/** How a command line ended. */
 export interface CommandResult {
   code: number;
   stdout: string;
@@ -32,6 +33,7 @@
   process: ChildProcess | null;
 }
 
+/** Three controllers, their stand-ins and their users; `stop` ends them all. */
 export class ControllerProcesses {
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-'));
   private bundles = new Map<BuildName, string>();
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -20,6 +20,7 @@
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
 
+/** As in the operators' file. */
 export const SETTINGS: DutySettings = {
   mode: 'on',
   held_here: [...DUTIES],
@@ -42,6 +43,7 @@
   member: DutyMember;
 }
 
+/** How many controllers there are, and how they share the duties. */
 export interface DutyGroupConfig {
   seed: number;
   size?: number;
@@ -50,6 +52,7 @@
   leader?: string;
 }
 
+/** Composes the members, the state service and the provider. `run` lets time go on; the invariants are checked after each step. */
 export class DutyGroup implements ObservedDutyGroup {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -17,6 +17,7 @@
   recorded(duty: Duty): { controller: string; token: number } | undefined;
 }
 
+/** Checked after each step of a duty group; `violations` has what was broken, with times. */
 export class DutyInvariants {
   readonly violations: string[] = [];
   private readonly tokens = new Map<Duty, number>();
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -20,6 +20,7 @@
 /** The duty that is looked at. */
 export const DUTY: Duty = 'return';
 
+/** Three processes, with a state service and a provider on loopback; `stop` ends them all. */
 export class DutyProcesses {
   readonly provider = new FencedProvider();
   readonly state: StateService;
--- a/test/sim/event-history.ts
+++ b/test/sim/event-history.ts
@@ -3,6 +3,7 @@
 
 const KEPT_EVENTS = 10_000;
 
+/** Keeps the latest changes, in the order of their revisions. */
 export class EventHistory {
   private events: RecordEvent[] = [];
 
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -46,11 +46,14 @@
 }
 
 export const jobIds = (cluster: Cluster): string[] => [...cluster.invariants.jobs.keys()];
+/** Any controller but this one. */
 export const otherNode = (cluster: Cluster, than: string): string =>
   cluster.nodeNames.find((name) => name !== than)!;
+/** Any controller, where none leads. */
 export const leaderOrRandomNode = (cluster: Cluster): string =>
   cluster.leader() ?? cluster.random.pick(cluster.nodeNames);
 
+/** How many tasks of the job are on machines. */
 export function runningTasksOf(cluster: Cluster, id: string): number {
   return [...cluster.invariants.placesByTask.keys()].filter((t) => t.startsWith(`${id}/`)).length;
 }
@@ -90,6 +93,7 @@
   };
 }
 
+/** A random share of the machines that the cloud has now, as a filter of their names. */
 export function pickMachines(cluster: Cluster, share: number): (id: string) => boolean {
   const chosen = new Set(
     [...cluster.cloud.machines.keys()].filter(() => cluster.random.chance(share)),
@@ -97,6 +101,7 @@
   return (id) => chosen.has(id);
 }
 
+/** A random share of the machines stands still. */
 export function hangMachines(cluster: Cluster, share: number, ms: number): void {
   for (const machine of cluster.cloud.machines.values())
     if (machine.worker && cluster.random.chance(share)) cluster.faults.hangMachine(machine.id, ms);
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -88,6 +88,7 @@
   }
 }
 
+/** How the client reaches the provider. */
 export interface FencedProviderClientOptions {
   http: Http;
   address: string;
@@ -95,6 +96,7 @@
   beforeSending?: () => Promise<void>;
 }
 
+/** Fails with `StaleTokenError` when its token is refused. */
 export class FencedProviderClient implements MachineProvider {
   constructor(private readonly options: FencedProviderClientOptions) {}
 
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -4,7 +4,9 @@
 import type { ObservedJob } from './observed-job.js';
 import type { ReportedExitCause } from './wire/workers.js';
 
+/** A task of a gang gives up if the others are not there within this time. */
 export const GANG_WAIT_MS = 6000;
+/** Tasks of a gang end within this time after one of them is lost. */
 export const GANG_PEER_MS = 2000;
 const LOOK_MS = 250;
 
--- a/test/sim/gang-scenarios.ts
+++ b/test/sim/gang-scenarios.ts
@@ -14,17 +14,20 @@
   return cluster;
 }
 
+/** Submits a job for a user that asks until it is over. */
 export function submit(cluster: Cluster, over: Partial<JobSubmission>): ObservedJob {
   const job = cluster.users.newJob(over);
   void cluster.users.run(job, null);
   return cluster.invariants.jobs.get(job.id)!;
 }
 
+/** The machines that tasks of the job are on. */
 export const machinesOfJob = (cluster: Cluster, job: ObservedJob): string[] =>
   [...cluster.invariants.placesByTask]
     .filter(([task]) => task.startsWith(`${job.spec.id}/`))
     .map(([, places]) => places[0].machine);
 
+/** Runs the cluster until this holds; fails after so many seconds. */
 export async function until(cluster: Cluster, what: () => boolean, seconds: number): Promise<void> {
   for (let step = 0; step < seconds * 20 && !what(); step++) await cluster.run(0.05);
   assert.ok(what(), 'came about');
--- a/test/sim/lease-table.ts
+++ b/test/sim/lease-table.ts
@@ -6,6 +6,7 @@
   endsAt: number;
 }
 
+/** Leases end by the virtual clock; the state service looks which have expired. */
 export class LeaseTable {
   private readonly leases = new Map<number, Lease>();
   private nextId = 1;
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -23,6 +23,7 @@
 /** Longer than any controller waits: watches of the state service last longest. */
 const LONGEST_REQUEST_MS = 30_000;
 
+/** Which controllers there are, and how many machines. Times are in milliseconds. */
 export interface LoopbackConfig {
   seed: number;
   controllers: { name: string; address: string }[];
@@ -40,6 +41,7 @@
   cloudPort?: number;
 }
 
+/** State service, cloud and machines on ports of their own, in real time until `stop`. */
 export class LoopbackStandIns {
   readonly clock = new VirtualClock();
   readonly invariants: Invariants;
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -4,6 +4,7 @@
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
 
+/** Answers a request; `from` is the host that sent it. */
 export type Handler = (
   method: string,
   path: string,
@@ -11,6 +12,7 @@
   from: string,
 ) => Promise<Reply> | Reply;
 
+/** A host of the network. */
 export interface Host {
   /** Answers requests, or null while it is down. */
   handler: Handler | null;
@@ -18,6 +20,7 @@
   hangsUntil: number;
 }
 
+/** Hosts that can't reach each other, until a time. */
 export interface Partition {
   a: (host: string) => boolean;
   b: (host: string) => boolean;
--- a/test/sim/node-requests.ts
+++ b/test/sim/node-requests.ts
@@ -5,6 +5,7 @@
 import { userOperation } from './wire/users.js';
 import { HEARTBEAT_PATH } from './wire/workers.js';
 
+/** Fails for a request that PROTOCOL does not know. */
 export async function serveNode(
   node: ControllerNode,
   method: string,
--- a/test/sim/observed-job.ts
+++ b/test/sim/observed-job.ts
@@ -1,6 +1,7 @@
 /** A job as its users and machines see it, from outside the service. */
 import type { JobSubmission } from './wire/users.js';
 
+/** What users asked for and were told of a job, and what machines did of it. Times are in virtual milliseconds. */
 export interface ObservedJob {
   spec: JobSubmission;
   reportedAccepted: boolean;
@@ -19,6 +20,7 @@
   progressMs: number;
 }
 
+/** A job that is about to be submitted. */
 export function observedJob(spec: JobSubmission, now: number): ObservedJob {
   return {
     spec,
--- a/test/sim/platform-settings.ts
+++ b/test/sim/platform-settings.ts
@@ -1,5 +1,6 @@
 /** The settings file of a controller process in tests, as the platform would write it. */
 
+/** Where a controller is reached by users and workers, and by other controllers. */
 export interface ControllerAddresses {
   name: string;
   zone: string;
@@ -7,6 +8,7 @@
   peerAddress: string;
 }
 
+/** What differs between the settings files of tests. */
 export interface TestSettings {
   self: ControllerAddresses;
   /** The other controllers, with the addresses under which this one reaches them. */
@@ -22,6 +24,7 @@
   listLagS: number;
 }
 
+/** The settings file as TOML. */
 export function settingsFile(settings: TestSettings): string {
   const { self, others, teams } = settings;
   const other = ({ name, zone, peerAddress }: ControllerAddresses): string =>
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -13,6 +13,7 @@
   submitRequest,
 } from './wire/users.js';
 
+/** Submits jobs, and waits for their ends; each answer is checked by the invariants of the stand-ins. */
 export class ProcessUsers {
   private nextJob = 1;
   private openUsers = 0;
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -52,6 +52,7 @@
   });
 }
 
+/** A cluster whose controllers tests replace, and the cluster level that follows. */
 export class RollingUpgrade {
   readonly cluster: Cluster;
   readonly invariants: RolloutInvariants;
@@ -131,8 +132,10 @@
   }
 }
 
+/** Room for arrays of thousands of tasks. */
 export const LARGE: Partial<ClusterConfig> = { ordinaryUp: 24, capacity: 24, teamLimit: 400 };
 
+/** Submits some arrays. */
 export function withJobs(roll: RollingUpgrade, count = 4): void {
   for (let i = 0; i < count; i++)
     void roll.cluster.users.run(roll.cluster.users.newJob({ ...BATCH, tasks: 6 }), null);
--- a/test/sim/rollout-invariants.ts
+++ b/test/sim/rollout-invariants.ts
@@ -22,6 +22,7 @@
   );
 }
 
+/** Looks at the stored cluster level and at each controller after each step of the cluster. */
 export class RolloutInvariants {
   /** All levels that were ever stored, in order. */
   readonly history: ClusterLevel[] = [];
--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -7,6 +7,7 @@
 /** Brings about the faults of a second; seconds count from 0. */
 type EachSecond = (cluster: Cluster, second: number) => void;
 
+/** A run that is over. */
 export interface ScenarioOutcome {
   cluster: Cluster;
   /** Arrays and gangs not cancelled, and how many of them their users were told are done. */
--- a/test/sim/seed-range.ts
+++ b/test/sim/seed-range.ts
@@ -1,6 +1,7 @@
 /** Seeds as the test commands take them: one, or a range. */
 import { InvalidArgumentError } from 'commander';
 
+/** Seeds from `from` to `to`, both included. */
 export interface SeedRange {
   from: number;
   to: number;
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -4,12 +4,14 @@
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
 
+/** Whether a simulated process runs. */
 export interface SimulatedProcess {
   alive: boolean;
   /** Stands still until then. */
   frozenUntil: number;
 }
 
+/** What a simulated process shares with others, and its own clock and log. */
 export interface SimulatedSurroundings {
   clock: VirtualClock;
   network: Network;
@@ -31,6 +33,7 @@
   else if (process.alive) callback();
 }
 
+/** Callbacks and answers reach the process only while it runs; those of an ended process are dropped. */
 export function simulatedRuntime(
   host: string,
   process: SimulatedProcess,
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -29,6 +29,7 @@
   lease: number | null;
 }
 
+/** Which transactions are carried out late. */
 export interface LateWrites {
   share: number;
   until: number;
--- a/test/sim/user-request.ts
+++ b/test/sim/user-request.ts
@@ -5,6 +5,7 @@
 
 const TIMEOUT_MS = 5000;
 
+/** Runs the cluster until the answer is there. */
 export async function requestFrom(
   cluster: Cluster,
   node: string,
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -21,6 +21,7 @@
 /** How likely a user submits once more instead of asking only. */
 const RESUBMIT_CHANCE = 0.03;
 
+/** What users reach, and where what they are told is recorded. */
 export interface UsersDependencies {
   clock: VirtualClock;
   random: SeededRandom;
@@ -29,6 +30,7 @@
   nodeNames: string[];
 }
 
+/** Users repeat a request until it is answered, as PROTOCOL asks; each answer is checked by the invariants. */
 export class Users {
   private nextJob = 1;
 
--- a/test/sim/wait-until.ts
+++ b/test/sim/wait-until.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 
+/** How often to look, and when to give up. */
 export interface WaitOptions {
   everyMs: number;
   patienceMs: number;
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -38,6 +38,7 @@
   faulty: boolean;
 }
 
+/** What the tasks need of their worker and of the simulation. */
 export interface WorkerTasksDependencies {
   machine: TaskMachine;
   random: SeededRandom;
@@ -50,6 +51,7 @@
   changed(): void;
 }
 
+/** Tasks by name and attempt; what has exited stays until it is removed by a command. */
 export class WorkerTasks {
   private readonly tasks = new Map<string, Task>();
   private readonly images = new Set<string>();
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -18,6 +18,7 @@
 /** How often a worker usually looks whether a heartbeat is due. */
 export const POLL_MS = 50;
 
+/** The machine, and how its worker talks to the controllers. Times are in milliseconds. */
 export interface WorkerConfig extends TaskMachine {
   address: string;
   reportMs: number;
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -20,6 +20,7 @@
 type MessageFault = FaultOf<'late-starts' | 'duplicate-heartbeats' | 'slow-network'>;
 type HostFilter = (host: string) => boolean;
 
+/** Machines that a fault applies to are drawn from the given random numbers. */
 export class FaultInjector {
   constructor(
     private readonly deployment: SoakDeployment,
--- a/test/soak/fault-schedule.ts
+++ b/test/soak/fault-schedule.ts
@@ -1,6 +1,7 @@
 /** Which faults a run of the soak test has, and when: a pure function of the seed. */
 import { SeededRandom } from '../sim/random.js';
 
+/** Messages are held until the cut ends, or connections are reset. */
 export type LinkMode = 'hold' | 'reset';
 
 /** `controller` is an index; `share` is of the machines, chosen by the run's seed. */
@@ -23,11 +24,13 @@
   | { kind: 'duplicate-heartbeats'; chance: number; forMs: number }
   | { kind: 'slow-network'; factor: number; forMs: number };
 
+/** A fault, and when it begins. */
 export interface ScheduledFault {
   atMs: number;
   fault: Fault;
 }
 
+/** What a schedule has to fit. */
 export interface ScheduleOptions {
   controllers: number;
   /** Faults begin within this time. */
@@ -45,6 +48,7 @@
 const LEAST_GAP_MS = 900;
 const MOST_GAP_MS = 2600;
 
+/** The same for the same seed and options. */
 export function faultSchedule(seed: number, options: ScheduleOptions): ScheduledFault[] {
   const random = new SeededRandom(seed);
   // Undisturbed by others, so that it surely comes to what it is meant for.
--- a/test/soak/peer-relay.ts
+++ b/test/soak/peer-relay.ts
@@ -4,6 +4,7 @@
 
 const HOST = '127.0.0.1';
 
+/** Forwards connections to its target while the link is not cut. */
 export class PeerRelay {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -11,6 +11,7 @@
 import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
 
+/** How large a run is. */
 export interface SoakSize {
   /** Machines in each of the two zones, of each kind. */
   machinesPerPool: number;
@@ -31,6 +32,7 @@
   process: ChildProcess | null;
 }
 
+/** Three controllers and their stand-ins; `stop` ends them all. */
 export class SoakDeployment {
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-soak-'));
   private readonly relays = new Map<string, PeerRelay>();
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -20,6 +20,7 @@
 import { type ScheduledFault, faultSchedule } from './fault-schedule.js';
 import { NAMES, SoakDeployment, type SoakSize, TEAMS } from './soak-deployment.js';
 
+/** What a run did, and what it violated. */
 export interface SoakResult {
   seed: number;
   machines: number;
