--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -356,7 +356,7 @@
 
   private demand(): Demand {
     const wanted = (job: Job): number => this.placement.wantedCpus(job);
-    return demandOf(this.jobs.all(), wanted, this.placement.arriving(), this.deps.types);
+    return demandOf(this.jobs.all(), wanted, this.placement.serviceCpusPerSecond(), this.deps.types);
   }
 
   /**
@@ -483,7 +483,7 @@
   private markCancelled(job: Job): void {
     if (job.jobCancelled) return;
     job.jobCancelled = true;
-    this.placement.cancelled(job);
+    this.placement.jobCancelled(job);
     this.scheduleCycle();
   }
 
--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -4,7 +4,7 @@
  */
 import type { Log } from '../runtime.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
-import type { TeamStanding } from './quota.js';
+import type { QuotaStatus } from './team-usage.js';
 
 /** Bounds memory and the size of one log line. */
 const KEPT = 1024;
@@ -42,12 +42,12 @@
   constructor(private readonly log: Log) {}
 
   /** The standing is the team's before the start. */
-  started(attempt: TaskAttempt, standing: TeamStanding | undefined, at: number): void {
+  started(attempt: TaskAttempt, standing: QuotaStatus | undefined, at: number): void {
     this.note({
       ...onAttempt(attempt, at),
       kind: 'start',
       usedCpus: standing?.used.cpus ?? 0,
-      unseenCpus: standing?.unseen.cpus ?? 0,
+      unseenCpus: standing?.unconfirmed.cpus ?? 0,
       limitCpus: standing?.limit.cpus ?? 0,
     });
   }
--- a/src/placement/failures.ts
+++ b/src/placement/failure-tracking.ts
@@ -14,7 +14,12 @@
 const FAILED_MACHINES_MS = 30_000;
 
 /** Notes a failure; true if the machine has turned out to be faulty. */
-export function noteFailure(job: Job, machine: Machine, table: MachineTable, now: number): boolean {
+export function recordFailure(
+  job: Job,
+  machine: Machine,
+  table: MachineTable,
+  now: number,
+): boolean {
   job.failures++;
   job.failedOn.add(machine.index);
   machine.failedJobs.add(job.index);
@@ -30,13 +35,13 @@
 }
 
 /** A task of the job succeeded there. */
-export function noteSuccess(job: Job, machine: Machine): void {
+export function recordSuccess(job: Job, machine: Machine): void {
   machine.failedJobs.delete(job.index);
   job.failedOn.clear();
   job.failures = 0;
 }
 
 /** With no other machine left the job must not wait for ever beside those on which it failed once. */
-export function forgetFailedMachines(job: Job, now: number): void {
+export function expireFailedMachines(job: Job, now: number): void {
   if (job.failedOn.size > 0 && now - job.startedAt > FAILED_MACHINES_MS) job.failedOn.clear();
 }
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -4,7 +4,12 @@
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { StopRequest, TaskAttempt } from '../workers/task-attempt.js';
-import { Candidates, type ChoiceContext, allowedOn, imageFetchSeconds } from './choose.js';
+import {
+  Candidates,
+  type ChoiceContext,
+  allowedOn,
+  imageFetchSeconds,
+} from './machine-selection.js';
 import {
   attemptsOf,
   fitsWhole,
@@ -14,8 +19,8 @@
   slots,
   waitLeftMs,
   zonesInTurn,
-} from './gangs.js';
-import type { TeamUsage } from './quota.js';
+} from './gang-state.js';
+import type { TeamUsage } from './team-usage.js';
 import type { Reservations } from './reservations.js';
 
 /** A gang that has found no room for so long goes first among its likes and reserves capacity. */
@@ -70,14 +75,14 @@
     const state = gangState(job);
     if (state === 'leaving') return 'not-now';
     if (state === 'running') {
-      this.giveUp(job, 'a task of the gang is gone');
+      this.abortAttempt(job, 'a task of the gang is gone');
       return 'not-now';
     }
     job.notBefore = this.deps.now() + RETRY_MS;
     const placement = this.placeMissing(job, options);
     // Half a gang must not occupy room that others, or the whole of it, could use.
     if (state === 'gathering' && placement !== 'placed')
-      this.giveUp(job, 'no room for a missing task');
+      this.abortAttempt(job, 'no room for a missing task');
     return placement;
   }
 
@@ -143,18 +148,18 @@
    * A task of the gang is gone from its machine. While the gang gathers, one that vanished, was refused or had to
    * leave its machine is replaced under the same attempt. Otherwise the gang leaves, and starts again whole.
    */
-  attemptGone(job: Job, attempt: TaskAttempt): void {
+  attemptEnded(job: Job, attempt: TaskAttempt): void {
     const { cause, stop, startSent } = attempt;
     if (!startSent || job.isComplete()) return;
     const replaceable =
       cause === null || cause === 'no_room' || cause === 'busy' || stop?.replaced === true;
     if (replaceable && gangState(job) === 'gathering') return;
-    if (cause === 'incomplete') this.giveUpAfterFetches(job);
-    else this.giveUp(job, 'a task of the gang is gone');
+    if (cause === 'incomplete') this.abortAfterFetches(job);
+    else this.abortAttempt(job, 'a task of the gang is gone');
   }
 
   /** The whole gang leaves at once; progress since its last checkpoint is lost. */
-  giveUp(job: Job, reason: string): void {
+  abortAttempt(job: Job, reason: string): void {
     job.gangAttemptAborted = job.attempts.size > 0;
     for (const attempt of attemptsOf(job)) this.stopOne(attempt, reason);
   }
@@ -163,7 +168,7 @@
    * The gang did not come together in time. Tasks that still fetch their image go on until they have it: a fetch
    * that is given up would begin anew with the next attempt, which would then come too late again.
    */
-  private giveUpAfterFetches(job: Job): void {
+  private abortAfterFetches(job: Job): void {
     job.gangAttemptAborted = job.attempts.size > 0;
     for (const attempt of attemptsOf(job))
       if (attempt.state !== 'fetching')
@@ -171,7 +176,7 @@
   }
 
   /** Called for each reported attempt of a gang. */
-  reported(job: Job, attempt: TaskAttempt): void {
+  attemptReported(job: Job, attempt: TaskAttempt): void {
     if (job.gangAttemptAborted && attempt.state === 'waiting')
       this.stopOne(attempt, 'its gang was given up');
   }
@@ -185,7 +190,7 @@
    * gathering gang replaces the task; a running one saves and leaves whole, as soon as it fits elsewhere and all of
    * it can be told, or at the latest moment that leaves the time to save.
    */
-  leaveMachine(attempt: TaskAttempt, job: Job, leftS: number, reason: string): boolean {
+  vacateMachine(attempt: TaskAttempt, job: Job, leftS: number, reason: string): boolean {
     const state = gangState(job);
     if (state === 'gathering') {
       const request: StopRequest = { graceS: 0, reason, replaced: true };
@@ -195,13 +200,13 @@
     if (state !== 'running') return false;
     const { gangPeerS, reportS } = this.deps;
     const latestS = job.spec.saveS + gangPeerS + REPORTS_BEFORE_STOP * reportS;
-    if (leftS > latestS && !this.canMove(job, attempt.machine)) return false;
-    this.stopOrderly(job, reason, leftS);
+    if (leftS > latestS && !this.canRelocate(job, attempt.machine)) return false;
+    this.stopWithCheckpoint(job, reason, leftS);
     return true;
   }
 
   /** Does the whole gang fit elsewhere, and can all of its machines be told to stop? */
-  canMove(job: Job, from: Machine): boolean {
+  canRelocate(job: Job, from: Machine): boolean {
     if (!this.allReachable(job)) return false;
     const targets = [...this.deps.table.all()].filter(
       (m) => m !== from && !m.isStraggler && this.deps.usable(m) && allowedOn(job.spec, m),
@@ -219,7 +224,7 @@
    * Tells all tasks in one go, with the time to save, so that the next attempt continues from there. Where that
    * can't work, since a machine is out of reach or the time too short, the gang falls back to its last checkpoint.
    */
-  stopOrderly(job: Job, reason: string, leftS = Infinity): void {
+  stopWithCheckpoint(job: Job, reason: string, leftS = Infinity): void {
     const { saveS, checkpointS } = job.spec;
     const saves = checkpointS > 0 && saveS <= leftS && this.allReachable(job);
     if (!saves) this.deps.log.info({ job: job.spec.id, reason }, 'gang stops without saving');
--- a/src/placement/order.ts
+++ b/src/placement/job-order.ts
@@ -1,7 +1,7 @@
 /** In which order waiting jobs are served: pure. */
 import type { Job } from '../jobs/job-table.js';
 import type { Objective } from '../settings/platform.js';
-import type { TeamUsage } from './quota.js';
+import type { TeamUsage } from './team-usage.js';
 
 /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
 export function withinGuarantee(jobs: Iterable<Job>, quota: TeamUsage): Set<Job> {
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -7,10 +7,10 @@
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
-import { Candidates, closedZones } from './choose.js';
+import { Candidates, closedZones } from './machine-selection.js';
 import { DecisionLog } from './decision-log.js';
 import { DemandHistory } from './demand-history.js';
-import { forgetFailedMachines, noteFailure, noteSuccess } from './failures.js';
+import { expireFailedMachines, recordFailure, recordSuccess } from './failure-tracking.js';
 import { GangScheduler } from './gang-scheduler.js';
 import {
   type FinishGoals,
@@ -19,14 +19,14 @@
   servingOrder,
   urgency,
   withinGuarantee,
-} from './order.js';
-import { TeamUsage } from './quota.js';
+} from './job-order.js';
+import { TeamUsage } from './team-usage.js';
 import { Rebalancer } from './rebalancer.js';
 import { type SchedulingCycle, emptyPlacementWork } from './scheduling-cycle.js';
 import type { Resources } from './resources.js';
 import { Reservations } from './reservations.js';
-import { RunTimes } from './run-times.js';
-import { Timings, trimTimings } from './stragglers.js';
+import { RunTimeEstimator } from './run-time-estimator.js';
+import { RunTimeSamples, evictOldestSamples } from './straggler-detection.js';
 import { unseenResources, victimsForTeamRoom } from './team-room.js';
 import { UsableMachines } from './usable-machines.js';
 import { UsageAudit } from './usage-audit.js';
@@ -69,8 +69,8 @@
   private readonly decisions: DecisionLog;
   private readonly usageAudit: UsageAudit;
   private readonly machines: UsableMachines;
-  private readonly runTimes = new RunTimes();
-  private readonly timings = new Timings();
+  private readonly runTimes = new RunTimeEstimator();
+  private readonly timings = new RunTimeSamples();
   private readonly reservations: Reservations;
   private readonly history: DemandHistory;
   private readonly gangs: GangScheduler;
@@ -138,10 +138,11 @@
     const now = this.deps.runtime.clock.now();
     // One that is added as sent was shown by a report.
     if (attempt.startSent) this.decisions.found(attempt, now);
-    else this.decisions.started(attempt, job ? this.usage.standing(job.spec.team) : undefined, now);
+    else
+      this.decisions.started(attempt, job ? this.usage.quotaStatus(job.spec.team) : undefined, now);
     if (!job) return;
     job.addAttempt(attempt);
-    this.usage.hold(job.spec);
+    this.usage.charge(job.spec);
   }
 
   attemptEnded(attempt: TaskAttempt): void {
@@ -151,10 +152,10 @@
     if (!job) return;
     if (cause === 'done') this.taskDone(job, attempt, now);
     job.removeAttempt(attempt);
-    this.usage.release(job.spec);
-    if (job.spec.kind === 'gang') this.gangs.attemptGone(job, attempt);
+    this.usage.refund(job.spec);
+    if (job.spec.kind === 'gang') this.gangs.attemptEnded(job, attempt);
     if (cause === 'error' || cause === 'unknown')
-      if (noteFailure(job, machine, this.deps.table, now))
+      if (recordFailure(job, machine, this.deps.table, now))
         this.deps.runtime.log.info({ id: machine.id }, 'machine fails tasks of several jobs');
     if (cause === 'no_room' || cause === 'busy')
       job.notBefore = Math.max(job.notBefore, now + REFUSED_MS);
@@ -168,7 +169,7 @@
       // A gang runs at the speed of its slowest machine, which tells nothing of the others.
       if (spec.kind === 'array') this.timings.record(job.index, attempt.machine.index, ms);
     }
-    noteSuccess(job, attempt.machine);
+    recordSuccess(job, attempt.machine);
     if (job.jobCancelled) return;
     if (spec.kind === 'gang') job.finishAll(now);
     else job.finish(attempt.taskNumber, now);
@@ -181,7 +182,7 @@
       if (!attempt.onMachine() || attempt.stop) continue;
       const reason = this.reasonToStop(attempt);
       if (reason !== null) this.stop(attempt, 0, reason);
-      else if (attempt.job?.spec.kind === 'gang') this.gangs.reported(attempt.job, attempt);
+      else if (attempt.job?.spec.kind === 'gang') this.gangs.attemptReported(attempt.job, attempt);
     }
     if (machine.drainReason === 'notice') this.rebalancer.drain(machine, now);
   }
@@ -199,14 +200,14 @@
       : null;
   }
 
-  cancelled(job: Job): void {
+  jobCancelled(job: Job): void {
     for (const list of [...job.attempts.values()])
       for (const attempt of [...list]) this.stop(attempt, 0, 'cancelled');
   }
 
   jobEnded(job: Job): void {
     this.endedJobs.push(job.index);
-    trimTimings(
+    evictOldestSamples(
       this.timings,
       (index) => [...this.deps.jobs.all()].some((j) => j.index === index),
       this.endedJobs,
@@ -235,7 +236,7 @@
       !this.guaranteed.has(v) &&
       v.spec.priority > 0 &&
       v.spec.team !== job.spec.team &&
-      this.usage.borrows(v.spec.team)
+      this.usage.exceedsGuarantee(v.spec.team)
     );
   }
 
@@ -251,7 +252,7 @@
   }
 
   /** CPUs a second that services asked for, of late. */
-  arriving(): number {
+  serviceCpusPerSecond(): number {
     return this.history.serviceCpusPerSecond();
   }
 
@@ -275,13 +276,13 @@
     if (waiting.length === 0) return false;
     this.work.cycles++;
     this.updateGuaranteed(now);
-    this.usage.setUnseen(oldJobsOpen ? NONE_UNSEEN : unseenResources(this.deps.jobs.all()));
+    this.usage.setUnconfirmed(oldJobsOpen ? NONE_UNSEEN : unseenResources(this.deps.jobs.all()));
     const pass = this.beginPass(waiting, now, oldJobsOpen);
     for (const job of servingOrder(waiting, this.guaranteed, (j) => this.urgencyOf(j, pass))) {
       // In a large fleet a few shapes without room use up all looks: those behind them must come to their turn.
       if (pass.candidateBudget <= 0) this.noRoomBefore = pass.unschedulableShapes;
       if (pass.startBudget <= 0 || pass.candidateBudget <= 0) return true;
-      forgetFailedMachines(job, now);
+      expireFailedMachines(job, now);
       if (job.spec.kind === 'gang') this.placeGang(job, pass);
       else this.placeTasks(job, pass);
     }
@@ -333,7 +334,8 @@
 
   private urgencyOf(job: Job, pass: SchedulingCycle): Urgency {
     const { cls, estimateS } = job.spec;
-    const expected = this.timings.usual(job.index) ?? this.runTimes.expected(cls, estimateS * 1000);
+    const expected =
+      this.timings.medianMs(job.index) ?? this.runTimes.expectedMs(cls, estimateS * 1000);
     const first = this.starved(job, pass.wallMs) || this.gangs.isOverdue(job);
     return urgency(job, this.goals, expected, pass.wallMs, first);
   }
@@ -473,8 +475,8 @@
   /** The teams that use or may use anything, those nearest to their limits first. */
   private logTeams(): void {
     const active = this.usage
-      .standings()
-      .filter(({ used, unseen, peakShare }) => used.cpus + unseen.cpus + peakShare > 0)
+      .quotaStatuses()
+      .filter(({ used, unconfirmed, peakShare }) => used.cpus + unconfirmed.cpus + peakShare > 0)
       .sort((a, b) => b.peakShare - a.peakShare);
     this.usage.resetPeaks();
     if (active.length > 0)
--- a/src/placement/rebalancer.ts
+++ b/src/placement/rebalancer.ts
@@ -5,10 +5,10 @@
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
-import { allowedOn, hasFreeRoom, openZones } from './choose.js';
+import { allowedOn, hasFreeRoom, openZones } from './machine-selection.js';
 import type { GangScheduler } from './gang-scheduler.js';
-import type { RunTimes } from './run-times.js';
-import { type Timings, selectMove, slowMachines } from './stragglers.js';
+import type { RunTimeEstimator } from './run-time-estimator.js';
+import { type RunTimeSamples, selectTaskToMove, detectStragglers } from './straggler-detection.js';
 
 /** A task stays on a machine that goes away if it is expected to end within this share of the time left. */
 const ENDS_IN_TIME = 0.8;
@@ -17,8 +17,8 @@
   table: MachineTable;
   operator: OperatorSettings;
   log: Log;
-  timings: Timings;
-  runTimes: RunTimes;
+  timings: RunTimeSamples;
+  runTimes: RunTimeEstimator;
   gangs: GangScheduler;
   usable(machine: Machine): boolean;
   stop(attempt: TaskAttempt, graceS: number, reason: string): void;
@@ -40,7 +40,7 @@
 
   private flagSlowMachines(): void {
     const { table, timings, operator, log } = this.deps;
-    const slowOnes = slowMachines(timings, operator.slowness_ratio, operator.slowness_jobs);
+    const slowOnes = detectStragglers(timings, operator.slowness_ratio, operator.slowness_jobs);
     for (const machine of table.all()) {
       const slow = slowOnes.has(machine.index);
       if (slow !== machine.isStraggler) log.info({ id: machine.id, slow }, 'machine speed');
@@ -58,13 +58,13 @@
 
   /** A task starts again once its worker reports it stopped; the slow machine is then scored behind the others. */
   private moveOne(machine: Machine, now: number): boolean {
-    const attempt = selectMove(machine, (job) => this.usualMs(job), now);
+    const attempt = selectTaskToMove(machine, (job) => this.usualMs(job), now);
     const job = attempt?.job;
     if (!attempt || !job) return false;
     if (job.spec.kind === 'gang') {
-      if (!this.deps.gangs.canMove(job, machine)) return false;
+      if (!this.deps.gangs.canRelocate(job, machine)) return false;
       for (const task of job.attempts.keys()) job.moved.add(task);
-      this.deps.gangs.stopOrderly(job, 'gang moved whole off a slow machine');
+      this.deps.gangs.stopWithCheckpoint(job, 'gang moved whole off a slow machine');
       return true;
     }
     if (!this.mostIdle(job)) return false;
@@ -92,13 +92,13 @@
   /** A task's usual run time, told by its job's other tasks; a gang's are one, so there it is told by its class. */
   private usualMs(job: Job): number | null {
     return job.spec.kind === 'gang'
-      ? this.deps.runTimes.usual(job.spec.cls)
-      : this.deps.timings.usual(job.index);
+      ? this.deps.runTimes.medianMs(job.spec.cls)
+      : this.deps.timings.medianMs(job.index);
   }
 
   /** Usual run time left of a task, in milliseconds; null if nothing is known. */
   private remainingMs(attempt: TaskAttempt, job: Job, now: number): number | null {
-    const usual = this.usualMs(job) ?? this.deps.runTimes.usual(job.spec.cls);
+    const usual = this.usualMs(job) ?? this.deps.runTimes.medianMs(job.spec.cls);
     if (usual === null || attempt.state !== 'running' || attempt.runningSince === 0) return null;
     return Math.max(0, usual - (now - attempt.runningSince));
   }
@@ -122,7 +122,7 @@
       if (remaining !== null && remaining < leftMs * ENDS_IN_TIME) continue;
       const moved =
         job.spec.kind === 'gang'
-          ? this.deps.gangs.leaveMachine(attempt, job, leftMs / 1000, 'drained')
+          ? this.deps.gangs.vacateMachine(attempt, job, leftMs / 1000, 'drained')
           : this.drainTask(attempt, job, leftMs / 1000, others, taken);
       if (moved) budget--;
     }
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -4,7 +4,7 @@
  */
 import type { Job, JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
-import { zonesInTurn } from './gangs.js';
+import { zonesInTurn } from './gang-state.js';
 import { NO_RESOURCES, type Resources, plus, times } from './resources.js';
 
 /** The longest time that a job yields to any reservation. */
--- a/src/placement/run-times.ts
+++ b/src/placement/run-time-estimator.ts
@@ -5,7 +5,7 @@
 const BIAS_UNIT = 1000;
 
 /** Run times learned per class, and per job how long its tasks take, on each machine and in all. */
-export class RunTimes {
+export class RunTimeEstimator {
   private readonly byClass = new Map<string, Histogram>();
   private readonly bias = new Map<string, Histogram>();
 
@@ -32,14 +32,14 @@
   }
 
   /** What a task of the class is expected to take, given its owner's estimate. */
-  expected(cls: string, estimateMs: number): number {
+  expectedMs(cls: string, estimateMs: number): number {
     const h = this.bias.get(cls);
     const bias = h && h.totalCount >= 20 ? h.getValueAtPercentile(50) / BIAS_UNIT : 1;
-    return estimateMs > 0 ? estimateMs * bias : (this.usual(cls) ?? 0);
+    return estimateMs > 0 ? estimateMs * bias : (this.medianMs(cls) ?? 0);
   }
 
   /** The median of a class in milliseconds, or null with fewer than `least` samples. */
-  usual(cls: string, least = 5): number | null {
+  medianMs(cls: string, least = 5): number | null {
     const h = this.byClass.get(cls);
     return h && h.totalCount >= least ? h.getValueAtPercentile(50) : null;
   }
--- a/src/placement/scheduling-cycle.ts
+++ b/src/placement/scheduling-cycle.ts
@@ -1,6 +1,6 @@
 /** What one scheduling pass shares among the jobs it looks at, and what passes cost. */
 import type { Machine } from '../workers/machine.js';
-import type { ChoiceContext } from './choose.js';
+import type { ChoiceContext } from './machine-selection.js';
 
 /** What one pass shares among the jobs it looks at. */
 export interface SchedulingCycle {
--- a/src/placement/stragglers.ts
+++ b/src/placement/straggler-detection.ts
@@ -27,7 +27,7 @@
 }
 
 /** Run times of finished tasks, by job and machine. */
-export class Timings {
+export class RunTimeSamples {
   private readonly byJob = new Map<number, Sample[]>();
 
   record(job: number, machine: number, ms: number): void {
@@ -38,7 +38,7 @@
   }
 
   /** A job's usual run time; null until three of its tasks are done. */
-  usual(job: number): number | null {
+  medianMs(job: number): number | null {
     const list = this.byJob.get(job);
     return list && list.length >= 3 ? median(list.map((s) => s.ms)) : null;
   }
@@ -47,7 +47,7 @@
    * Per machine, how many jobs ran longer on it, by the ratio, than the same jobs elsewhere; and how many did
    * not. Each job's samples are sorted once, for all machines.
    */
-  compare(ratio: number): Map<number, { slower: number; normal: number }> {
+  compareMachines(ratio: number): Map<number, { slower: number; normal: number }> {
     const out = new Map<number, { slower: number; normal: number }>();
     for (const list of this.byJob.values()) {
       const sorted = [...list].sort((a, b) => a.ms - b.ms);
@@ -70,14 +70,18 @@
     this.byJob.delete(job);
   }
 
-  jobs(): number {
+  jobCount(): number {
     return this.byJob.size;
   }
 }
 
 /** Timings of ended jobs are still worth something; the oldest go first. */
-export function trimTimings(t: Timings, isLive: (job: number) => boolean, ended: number[]): void {
-  while (t.jobs() > MAX_JOBS) {
+export function evictOldestSamples(
+  t: RunTimeSamples,
+  isLive: (job: number) => boolean,
+  ended: number[],
+): void {
+  while (t.jobCount() > MAX_JOBS) {
     const job = ended.shift();
     if (job === undefined) return;
     if (!isLive(job)) t.forget(job);
@@ -85,9 +89,9 @@
 }
 
 /** Machines on which several jobs run longer than elsewhere, and more jobs say so than deny it. */
-export function slowMachines(t: Timings, ratio: number, jobs: number): Set<number> {
+export function detectStragglers(t: RunTimeSamples, ratio: number, jobs: number): Set<number> {
   const out = new Set<number>();
-  for (const [machine, { slower, normal }] of t.compare(ratio))
+  for (const [machine, { slower, normal }] of t.compareMachines(ratio))
     if (slower >= jobs && slower > normal) out.add(machine);
   return out;
 }
@@ -102,7 +106,7 @@
 }
 
 /** One task of a slow machine that is worth moving: young, and not moved before. */
-export function selectMove(
+export function selectTaskToMove(
   m: Machine,
   usualOf: (job: Job) => number | null,
   now: number,
--- a/src/placement/quota.ts
+++ b/src/placement/team-usage.ts
@@ -10,12 +10,12 @@
 const TOLERANCE = 1e-6;
 
 /** A team's use at one moment. */
-export interface TeamStanding {
+export interface QuotaStatus {
   team: string;
   /** All attempts that may be on machines. */
   used: Resources;
   /** The most that tasks may use that no report has shown yet. */
-  unseen: Resources;
+  unconfirmed: Resources;
   limit: Resources;
   /** The highest share of the limit that was in use since the last `resetPeaks`. */
   peakShare: number;
@@ -34,7 +34,7 @@
   readonly team: Team;
   readonly limit: Resources;
   used: Resources;
-  unseen: Resources;
+  unconfirmed: Resources;
   peakShare: number;
   /** An audit found that the sums did not hold: nothing starts until one finds that they do. */
   suspended: boolean;
@@ -65,14 +65,14 @@
         team,
         limit: { cpus: team.cpusMax, gpus: team.gpusMax },
         used: NO_RESOURCES,
-        unseen: NO_RESOURCES,
+        unconfirmed: NO_RESOURCES,
         peakShare: 0,
         suspended: false,
       });
   }
 
   /** An attempt may be on a machine from now on. */
-  hold(spec: JobSpec): void {
+  charge(spec: JobSpec): void {
     const account = this.accounts.get(spec.team);
     if (!account) return;
     account.used = plus(account.used, spec);
@@ -80,14 +80,15 @@
   }
 
   /** An attempt is surely on no machine any more. */
-  release(spec: JobSpec): void {
+  refund(spec: JobSpec): void {
     const account = this.accounts.get(spec.team);
     if (account) account.used = plus(account.used, times(spec, -1));
   }
 
   /** By team, the most that tasks may use that no report has shown yet; teams that are missing have none. */
-  setUnseen(unseen: ReadonlyMap<string, Resources>): void {
-    for (const [name, account] of this.accounts) account.unseen = unseen.get(name) ?? NO_RESOURCES;
+  setUnconfirmed(unseen: ReadonlyMap<string, Resources>): void {
+    for (const [name, account] of this.accounts)
+      account.unconfirmed = unseen.get(name) ?? NO_RESOURCES;
   }
 
   /**
@@ -109,7 +110,7 @@
   }
 
   private with(account: Account, spec: JobSpec, tasks: number, headroomCpus: number): Resources {
-    const known = plus(account.used, account.unseen);
+    const known = plus(account.used, account.unconfirmed);
     return plus(plus(known, times(spec, tasks)), { cpus: headroomCpus, gpus: 0 });
   }
 
@@ -118,20 +119,20 @@
   }
 
   /** Beyond its guarantee: what it borrows can be taken back. */
-  borrows(name: string): boolean {
+  exceedsGuarantee(name: string): boolean {
     const account = this.accounts.get(name);
     return account !== undefined && account.used.cpus > account.team.cpus;
   }
 
-  standing(name: string): TeamStanding | undefined {
+  quotaStatus(name: string): QuotaStatus | undefined {
     const account = this.accounts.get(name);
     if (!account) return undefined;
-    const { team, used, unseen, limit, peakShare } = account;
-    return { team: team.name, used, unseen, limit, peakShare };
+    const { team, used, unconfirmed, limit, peakShare } = account;
+    return { team: team.name, used, unconfirmed, limit, peakShare };
   }
 
-  standings(): TeamStanding[] {
-    return [...this.accounts.keys()].flatMap((name) => this.standing(name) ?? []);
+  quotaStatuses(): QuotaStatus[] {
+    return [...this.accounts.keys()].flatMap((name) => this.quotaStatus(name) ?? []);
   }
 
   /** The highest shares are counted anew, from what is in use now. */
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -6,14 +6,14 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { AttemptState } from '../workers/task-attempt.js';
 import type { DecisionLog } from './decision-log.js';
-import { type TeamUsage, differ } from './quota.js';
+import { type TeamUsage, differ } from './team-usage.js';
 import { NO_RESOURCES, type Resources } from './resources.js';
 
 /** A recount passes all attempts: some thousands of them take about a millisecond. */
 const AUDIT_MS = 5000;
 
 /** The text of the error that a broken invariant is logged with. */
-export const USAGE_FAULT = 'team usage does not hold';
+export const TEAM_USAGE_VIOLATION = 'team usage does not hold';
 
 export type UsageFault =
   | { kind: 'wrong-sum'; counted: Resources; recounted: Resources }
@@ -83,7 +83,7 @@
     if (now - this.auditedAt < AUDIT_MS) return;
     this.auditedAt = now;
     const recounted = recount(this.deps.table);
-    for (const { team, used } of this.deps.usage.standings())
+    for (const { team, used } of this.deps.usage.quotaStatuses())
       this.audit(team, used, recounted.get(team) ?? NOTHING);
   }
 
@@ -93,7 +93,7 @@
       usage.correct(team, held);
       this.suspend(team, { kind: 'wrong-sum', counted, recounted: held });
     } else if (usage.isOverLimit(team, onMachines)) {
-      const limit = usage.standing(team)?.limit ?? NO_RESOURCES;
+      const limit = usage.quotaStatus(team)?.limit ?? NO_RESOURCES;
       this.suspend(team, { kind: 'over-limit', onMachines, limit });
     } else if (usage.isSuspended(team)) {
       usage.suspend(team, false);
@@ -106,6 +106,6 @@
     const { usage, decisions, log } = this.deps;
     if (usage.isSuspended(team) && fault.kind === 'over-limit') return;
     usage.suspend(team, true);
-    log.error({ team, ...fault, decisions: decisions.recent(team) }, USAGE_FAULT);
+    log.error({ team, ...fault, decisions: decisions.recent(team) }, TEAM_USAGE_VIOLATION);
   }
 }
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -5,12 +5,12 @@
 import { Placement } from '../src/placement/placement.js';
 import { defaultOperatorSettings } from '../src/settings/operator.js';
 import type { PlatformSettings } from '../src/settings/platform.js';
-import { forgetFailedMachines, noteFailure } from '../src/placement/failures.js';
+import { expireFailedMachines, recordFailure } from '../src/placement/failure-tracking.js';
 import type { Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { planRentals, type Pool } from '../src/autoscaler/scaling-plan.js';
-import { Timings, slowMachines } from '../src/placement/stragglers.js';
-import { finishGoals, servingOrder, urgency } from '../src/placement/order.js';
+import { RunTimeSamples, detectStragglers } from '../src/placement/straggler-detection.js';
+import { finishGoals, servingOrder, urgency } from '../src/placement/job-order.js';
 import type { MachineType } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
 import { quietLog } from './sim/quiet-log.js';
@@ -46,14 +46,14 @@
     usable: (machine: Machine) => machine.isReconciled(),
   } as unknown as ConstructorParameters<typeof GangScheduler>[0]);
   const elsewhere = addMachine('m3');
-  assert.equal(gangs.canMove(gang, home[0]), false, 'half of it fits');
+  assert.equal(gangs.canRelocate(gang, home[0]), false, 'half of it fits');
   addMachine('m4');
-  assert.equal(gangs.canMove(gang, home[0]), true);
+  assert.equal(gangs.canRelocate(gang, home[0]), true);
   home[1].commandFailures = 1;
-  assert.equal(gangs.canMove(gang, home[0]), false, 'one machine could not be told to stop');
+  assert.equal(gangs.canRelocate(gang, home[0]), false, 'one machine could not be told to stop');
   home[1].commandFailures = 0;
   elsewhere.isStraggler = true;
-  assert.equal(gangs.canMove(gang, home[0]), false, 'slow machines are no place to move to');
+  assert.equal(gangs.canRelocate(gang, home[0]), false, 'slow machines are no place to move to');
 });
 
 test('a job may use the machines again on which it failed, once it has waited for a while', () => {
@@ -64,11 +64,11 @@
     drainReason: null,
   } as unknown as Machine;
   const table = { all: () => [machine].values() } as unknown as MachineTable;
-  assert.equal(noteFailure(job, machine, table, 1000), false);
+  assert.equal(recordFailure(job, machine, table, 1000), false);
   assert.ok(job.notBefore > 1000 && job.failedOn.has(4));
-  forgetFailedMachines(job, 20_000);
+  expireFailedMachines(job, 20_000);
   assert.ok(job.failedOn.has(4), 'others are tried first');
-  forgetFailedMachines(job, 31_000);
+  expireFailedMachines(job, 31_000);
   assert.equal(job.failedOn.size, 0);
 });
 
@@ -81,15 +81,15 @@
 });
 
 test('a machine is slow only if several jobs run longer there than elsewhere', () => {
-  const t = new Timings();
+  const t = new RunTimeSamples();
   for (const job of [1, 2]) for (const m of [1, 2, 3, 4]) t.record(job, m, 1000 + m);
   t.record(1, 9, 1600);
-  assert.equal(slowMachines(t, 1.5, 2).has(9), false, 'one job is not enough');
+  assert.equal(detectStragglers(t, 1.5, 2).has(9), false, 'one job is not enough');
   t.record(2, 9, 1700);
-  assert.equal(slowMachines(t, 1.5, 2).has(9), true);
-  assert.equal(slowMachines(t, 1.5, 2).has(1), false);
+  assert.equal(detectStragglers(t, 1.5, 2).has(9), true);
+  assert.equal(detectStragglers(t, 1.5, 2).has(1), false);
   for (const job of [3, 4]) for (const m of [1, 2, 3, 9]) t.record(job, m, 1000);
-  assert.equal(slowMachines(t, 1.5, 2).has(9), false, 'as many jobs speak against it');
+  assert.equal(detectStragglers(t, 1.5, 2).has(9), false, 'as many jobs speak against it');
 });
 
 test('jobs that can still make their goal go before those that cannot, the smallest first', () => {
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -2,7 +2,7 @@
 import type { Build } from '@millring/rollout';
 import { BUILD } from '../../src/build.js';
 import { ControllerNode } from '../../src/node.js';
-import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
+import { TEAM_USAGE_VIOLATION } from '../../src/placement/usage-audit.js';
 import type { Log, Reply } from '../../src/runtime.js';
 import { defaultOperatorSettings } from '../../src/settings/operator.js';
 import type { Objective, PlatformSettings } from '../../src/settings/platform.js';
@@ -186,7 +186,7 @@
       ...quietLog,
       info: (fields, text) => this.config.log?.(name, text, fields),
       error: (fields, text) => {
-        if (text === USAGE_FAULT) throw new Error(`${name}: ${text}: ${JSON.stringify(fields)}`);
+        if (text === TEAM_USAGE_VIOLATION) throw new Error(`${name}: ${text}: ${JSON.stringify(fields)}`);
       },
     };
   }
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -5,7 +5,7 @@
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Body } from '../../src/wire/cbor.js';
-import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
+import { TEAM_USAGE_VIOLATION } from '../../src/placement/usage-audit.js';
 import { BATCH, DESK, GANG } from '../sim/jobs.js';
 import { SeededRandom } from '../sim/random.js';
 import { type JobFacts, jobFacts } from '../sim/rules.js';
@@ -202,7 +202,7 @@
     const logs = this.deployment.logs();
     // The service goes on after a broken invariant; a test must not.
     for (const { name, text } of logs)
-      if (text.includes(USAGE_FAULT)) rules.break('usage_fault', name);
+      if (text.includes(TEAM_USAGE_VIOLATION)) rules.break('usage_fault', name);
     return {
       seed: this.seed,
       machines: 4 * this.size.machinesPerPool,
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test';
 import { Job } from '../src/jobs/job-table.js';
 import { DecisionLog } from '../src/placement/decision-log.js';
-import { TeamUsage } from '../src/placement/quota.js';
-import { USAGE_FAULT, UsageAudit } from '../src/placement/usage-audit.js';
+import { TeamUsage } from '../src/placement/team-usage.js';
+import { TEAM_USAGE_VIOLATION, UsageAudit } from '../src/placement/usage-audit.js';
 import type { Log } from '../src/runtime.js';
 import type { Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
@@ -46,20 +46,20 @@
   );
   assert.equal(usage.mayStart(one({ gpus: 2 })), false, 'GPUs count, too');
   assert.equal(usage.mayStart(one({ team: 'unknown' })), false);
-  for (let i = 0; i < 3; i++) usage.hold(spec());
-  usage.setUnseen(new Map([['t', { cpus: 4, gpus: 0 }]]));
+  for (let i = 0; i < 3; i++) usage.charge(spec());
+  usage.setUnconfirmed(new Map([['t', { cpus: 4, gpus: 0 }]]));
   assert.equal(usage.mayStart(one()), false, 'unseen tasks count');
-  usage.setUnseen(new Map([['t', { cpus: 2, gpus: 0 }]]));
+  usage.setUnconfirmed(new Map([['t', { cpus: 2, gpus: 0 }]]));
   assert.equal(usage.mayStart(one()), true);
-  usage.setUnseen(new Map());
+  usage.setUnconfirmed(new Map());
   assert.equal(usage.mayStart({ ...one(), tasks: 2 }), true);
-  usage.release(spec());
+  usage.refund(spec());
   assert.equal(usage.mayStart({ ...one(), tasks: 3 }), true);
 });
 
 test('a gang that waits for arrays to end fits without them, and not before', () => {
   const usage = usageWithLimit(10);
-  for (let i = 0; i < 4; i++) usage.hold(spec());
+  for (let i = 0; i < 4; i++) usage.charge(spec());
   const gang = { ...one(), tasks: 3 };
   assert.equal(usage.mayStart(gang), false);
   assert.equal(usage.fitsWithout(gang, { cpus: 4, gpus: 0 }), true);
@@ -82,7 +82,7 @@
   const log: Log = {
     ...quietLog,
     error: (fields, text) => {
-      assert.equal(text, USAGE_FAULT);
+      assert.equal(text, TEAM_USAGE_VIOLATION);
       errors.push(fields as Record<string, unknown>);
     },
   };
@@ -90,11 +90,11 @@
   const job = new Job(0, spec(), 1, 0, true, 0);
   const table = new MachineTable(TOKEN, 10_000, (id) => (id === 'run-1' ? job : undefined), {
     attemptAdded: (attempt) => {
-      decisions.started(attempt, usage.standing('t'), 0);
-      usage.hold(attempt.job!.spec);
+      decisions.started(attempt, usage.quotaStatus('t'), 0);
+      usage.charge(attempt.job!.spec);
     },
     attemptEnded: (attempt) => {
-      usage.release(attempt.job!.spec);
+      usage.refund(attempt.job!.spec);
     },
   });
   const machine = table.add('m1', 'm1:1', TYPE, 'a', false, 0);
@@ -114,13 +114,13 @@
   const { usage, audit, errors } = audited(20, 10);
   audit.tick(0);
   assert.equal(errors.length, 0);
-  usage.release(spec());
+  usage.refund(spec());
   assert.equal(usage.mayStart(one()), true, 'the wrong sum would let it start');
   audit.tick(AUDIT_INTERVAL_MS);
   assert.equal(errors.length, 1);
   assert.equal(errors[0].kind, 'wrong-sum');
   assert.equal((errors[0].decisions as unknown[]).length, 10);
-  assert.equal(usage.standing('t')!.used.cpus, 20);
+  assert.equal(usage.quotaStatus('t')!.used.cpus, 20);
   assert.equal(usage.isSuspended('t'), true);
   audit.tick(2 * AUDIT_INTERVAL_MS);
   assert.equal(usage.isSuspended('t'), false, 'it holds again');
@@ -162,7 +162,7 @@
   table.startsRejected([attempt], 0);
   table.removeAttempt(attempt, 0);
   table.stop(attempt, { graceS: 0, reason: 'test', replaced: false }, 0);
-  assert.equal(usage.standing('t')!.used.cpus, 2);
+  assert.equal(usage.quotaStatus('t')!.used.cpus, 2);
   assert.equal(machine.usedCpus, 2);
 });
 
@@ -196,5 +196,5 @@
   assert.equal(table.applyHeartbeat(machine, report, 1), false);
   assert.equal(machine.attempts.size, 0);
   assert.equal(job.running, 0);
-  assert.equal(usage.standing('t')!.used.cpus, 0);
+  assert.equal(usage.quotaStatus('t')!.used.cpus, 0);
 });
