--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -1,14 +1,16 @@
 /**
  * The leader's latest decisions on tasks, with what they rested on: a bounded list in memory that is written to the log
- * when an audit finds a fault, so that it can be traced without a log line for each start of a large fleet.
+ * when an audit finds a violation, so that it can be traced without a log line for each start of a large fleet.
  */
 import type { Log } from '../runtime.js';
-import type { TaskAttempt } from '../workers/task-attempt.js';
+import type { ExitCause } from '../wire/model.js';
+import type { StopReason } from '../workers/stop-reason.js';
+import type { AttemptState, TaskAttempt } from '../workers/task-attempt.js';
 import type { QuotaStatus } from './team-usage.js';
 
-/** Bounds memory and the size of one log line. */
-const KEPT = 1024;
-const WRITTEN = 100;
+const MAX_DECISIONS_KEPT = 1024;
+/** Bounds the size of one log line. */
+const MAX_DECISIONS_IN_LOG = 100;
 
 interface DecisionOnAttempt {
   at: number;
@@ -18,12 +20,22 @@
   machine: string;
 }
 
-/** A start with the team's use before it, a stop with its reason, or a release with the proof of it. */
+/** A start with the team's usage before it, a stop with its reason, or an attempt's end with the proof of it. */
 export type Decision =
-  | (DecisionOnAttempt & { kind: 'start'; usedCpus: number; unseenCpus: number; limitCpus: number })
-  | (DecisionOnAttempt & { kind: 'found'; state: string })
-  | (DecisionOnAttempt & { kind: 'stop'; reason: string })
-  | (DecisionOnAttempt & { kind: 'gone'; state: string; cause: string | null; session: number });
+  | (DecisionOnAttempt & {
+      kind: 'start';
+      usedCpus: number;
+      unconfirmedCpus: number;
+      limitCpus: number;
+    })
+  | (DecisionOnAttempt & { kind: 'discovered'; state: AttemptState })
+  | (DecisionOnAttempt & { kind: 'stop'; reason: StopReason })
+  | (DecisionOnAttempt & {
+      kind: 'end';
+      state: AttemptState;
+      cause: ExitCause | null;
+      incarnation: number;
+    });
 
 function onAttempt(attempt: TaskAttempt, at: number): DecisionOnAttempt {
   return {
@@ -35,52 +47,57 @@
   };
 }
 
+/** Records decisions in a ring buffer, and writes each to the debug log. */
 export class DecisionLog {
   private readonly decisions: Decision[] = [];
-  private next = 0;
+  private nextSlot = 0;
 
   constructor(private readonly log: Log) {}
 
-  /** The standing is the team's before the start. */
-  started(attempt: TaskAttempt, standing: QuotaStatus | undefined, at: number): void {
-    this.note({
+  /** The quota status is the team's before the start. */
+  started(attempt: TaskAttempt, status: QuotaStatus | undefined, at: number): void {
+    this.record({
       ...onAttempt(attempt, at),
       kind: 'start',
-      usedCpus: standing?.used.cpus ?? 0,
-      unseenCpus: standing?.unconfirmed.cpus ?? 0,
-      limitCpus: standing?.limit.cpus ?? 0,
+      usedCpus: status?.used.cpus ?? 0,
+      unconfirmedCpus: status?.unconfirmed.cpus ?? 0,
+      limitCpus: status?.limit.cpus ?? 0,
     });
   }
 
-  /** A report showed an attempt that this leader did not start. */
-  found(attempt: TaskAttempt, at: number): void {
-    this.note({ ...onAttempt(attempt, at), kind: 'found', state: attempt.state });
+  /** A heartbeat showed an attempt that this leader did not start. */
+  discovered(attempt: TaskAttempt, at: number): void {
+    this.record({ ...onAttempt(attempt, at), kind: 'discovered', state: attempt.state });
   }
 
-  stopped(attempt: TaskAttempt, reason: string, at: number): void {
-    this.note({ ...onAttempt(attempt, at), kind: 'stop', reason });
+  stopped(attempt: TaskAttempt, reason: StopReason, at: number): void {
+    this.record({ ...onAttempt(attempt, at), kind: 'stop', reason });
   }
 
-  gone(attempt: TaskAttempt, at: number): void {
+  /** The attempt is on no machine any more; its state and the machine's incarnation prove it. */
+  ended(attempt: TaskAttempt, at: number): void {
     const { state, cause, machine } = attempt;
-    this.note({
+    this.record({
       ...onAttempt(attempt, at),
-      kind: 'gone',
+      kind: 'end',
       state,
       cause,
-      session: machine.incarnation,
+      incarnation: machine.incarnation,
     });
   }
 
   /** The latest decisions on the team's tasks, oldest first. */
   recent(team: string): Decision[] {
-    const inOrder = [...this.decisions.slice(this.next), ...this.decisions.slice(0, this.next)];
-    return inOrder.filter((decision) => decision.team === team).slice(-WRITTEN);
+    const inOrder = [
+      ...this.decisions.slice(this.nextSlot),
+      ...this.decisions.slice(0, this.nextSlot),
+    ];
+    return inOrder.filter((decision) => decision.team === team).slice(-MAX_DECISIONS_IN_LOG);
   }
 
-  private note(decision: Decision): void {
-    this.decisions[this.next] = decision;
-    this.next = (this.next + 1) % KEPT;
+  private record(decision: Decision): void {
+    this.decisions[this.nextSlot] = decision;
+    this.nextSlot = (this.nextSlot + 1) % MAX_DECISIONS_KEPT;
     this.log.debug(decision, 'decision');
   }
 }
--- /dev/null
+++ b/src/placement/gang-capacity.ts
@@ -0,0 +1,61 @@
+/** How many tasks of a gang find free capacity, on one machine, in a zone and in all. Pure functions. */
+import type { Job } from '../jobs/job-table.js';
+import type { Machine } from '../workers/machine.js';
+import { ROUNDING_TOLERANCE } from './resources.js';
+
+function wholeTasks(free: number, perTask: number): number {
+  return perTask > 0 ? Math.floor(free / perTask + ROUNDING_TOLERANCE) : Infinity;
+}
+
+/** How many of the job's tasks fit into the machine's free capacity: at most as many as the job has. */
+export function taskSlots(job: Job, machine: Machine): number {
+  const { cpus, gpus, memoryGb, tasks } = job.spec;
+  const slots = Math.min(
+    wholeTasks(machine.freeCpus(), cpus),
+    wholeTasks(machine.freeGpus(), gpus),
+    wholeTasks(machine.freeMemory(), memoryGb),
+    tasks,
+  );
+  return Math.max(0, slots);
+}
+
+/** The sum of `taskSlots` over the machines. */
+export function totalTaskSlots(job: Job, machines: Machine[]): number {
+  return machines.reduce((sum, machine) => sum + taskSlots(job, machine), 0);
+}
+
+interface ZoneCapacity {
+  machines: Machine[];
+  slots: number;
+  /** Those of `slots` that are on machines of normal speed that have the image. */
+  warmSlots: number;
+}
+
+/** The machines by zone: first where most tasks find the image and normal speed, then where most find capacity. */
+export function zonesByCapacity(job: Job, machines: Machine[]): Machine[][] {
+  const zones = new Map<string, ZoneCapacity>();
+  for (const machine of machines) {
+    const zone = zones.get(machine.zone) ?? { machines: [], slots: 0, warmSlots: 0 };
+    const slots = taskSlots(job, machine);
+    zone.machines.push(machine);
+    zone.slots += slots;
+    if (!machine.isStraggler && machine.images.has(job.spec.image)) zone.warmSlots += slots;
+    zones.set(machine.zone, zone);
+  }
+  const warmTasks = (zone: ZoneCapacity): number => Math.min(zone.warmSlots, job.spec.tasks);
+  return [...zones.values()]
+    .sort((a, b) => warmTasks(b) - warmTasks(a) || b.slots - a.slots)
+    .map((zone) => zone.machines);
+}
+
+/** Groups of machines of which one must take the whole gang: zones, or all machines where zones may be mixed. */
+export function placementGroups(gang: Job, machines: Machine[]): Machine[][] {
+  return gang.spec.oneZone ? zonesByCapacity(gang, machines) : [machines];
+}
+
+/** Is there free capacity for the whole gang, in one zone if it asks for that? */
+export function fitsGang(gang: Job, machines: Machine[]): boolean {
+  return placementGroups(gang, machines).some(
+    (group) => totalTaskSlots(gang, group) >= gang.spec.tasks,
+  );
+}
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -1,234 +1,238 @@
-/** Starts, completes, stops and gives up gangs. Room for all tasks is found before anything is started or stopped. */
-import type { Log } from '../runtime.js';
+/** Starts, completes, moves and aborts gangs. All tasks find capacity before anything is started or stopped. */
 import type { Job } from '../jobs/job-table.js';
+import type { Log } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
+import type { StopReason } from '../workers/stop-reason.js';
 import type { StopRequest, TaskAttempt } from '../workers/task-attempt.js';
+import { fitsGang, placementGroups, totalTaskSlots } from './gang-capacity.js';
+import { attemptsOf, gangAttempt, gangState, missingTasks, waitLeftMs } from './gang-state.js';
 import {
-  Candidates,
-  type ChoiceContext,
-  allowedOn,
+  MachineCandidates,
+  type SelectionContext,
   imageFetchSeconds,
-} from './machine-selection.js';
-import {
-  attemptsOf,
-  fitsWhole,
-  gangAttempt,
-  gangState,
-  missingTasks,
-  slots,
-  waitLeftMs,
-  zonesInTurn,
-} from './gang-state.js';
-import type { TeamUsage } from './team-usage.js';
+} from './machine-candidates.js';
+import { satisfiesConstraints } from './machine-constraints.js';
 import type { Reservations } from './reservations.js';
+import type { TeamUsage } from './team-usage.js';
 
-/** A gang that has found no room for so long goes first among its likes and reserves capacity. */
+/** A gang that has found no capacity for so long goes first among those of its rank and reserves machines. */
 const RESERVE_AFTER_MS = 10_000;
 /** How long a gang that was not placed waits for its next try. */
-const RETRY_MS = 500;
+const RETRY_INTERVAL_MS = 500;
 /** A replacement must have its image this long before the first waiting task gives up. */
 const REPLACEMENT_MARGIN_MS = 500;
-/** An orderly stop is put off at most until this many reports fit before its latest moment. */
-const REPORTS_BEFORE_STOP = 2;
+/** A stop with a checkpoint is put off at most until this many heartbeats fit before its latest moment. */
+const HEARTBEATS_BEFORE_STOP = 2;
 
+/** What gang scheduling works on. Times whose names end in S are in seconds. */
 export interface GangSchedulerDependencies {
   table: MachineTable;
   usage: TeamUsage;
   reservations: Reservations;
   log: Log;
+  /** How long a task that has its image waits for the others before it gives up. */
   gangWaitS: number;
+  /** Within this time the tasks of a running gang notice that one of them is gone. */
   gangPeerS: number;
+  /** The workers' heartbeat interval. */
   reportS: number;
   now(): number;
   nextAttempt(): number;
-  /** Machines that may be given work. */
+  /** May the machine be given work? */
   usable(machine: Machine): boolean;
 }
 
-export type GangPlacement = 'placed' | 'no-room' | 'not-now';
+/** `not-now`: other conditions than capacity keep the gang from starting. */
+export type GangPlacement = 'placed' | 'no-capacity' | 'not-now';
 
-export interface GangOptions {
-  context: ChoiceContext;
+/** Where and how a gang may be placed in this scheduling cycle. */
+export interface GangPlacementOptions {
+  context: SelectionContext;
   /** Machines that the gang may be placed on, without those reserved for others. */
   machines: Machine[];
   mayPreempt: boolean;
 }
 
-function allowedMachines(job: Job, machines: Machine[]): Machine[] {
+function allowedMachines(gang: Job, machines: Machine[]): Machine[] {
   return machines.filter(
-    (machine) => allowedOn(job.spec, machine) && !job.failedOn.has(machine.index),
+    (machine) => satisfiesConstraints(gang.spec, machine) && !gang.failedOn.has(machine.index),
   );
 }
 
+/** Keeps each gang on machines as a whole: nothing else starts or stops single tasks of gangs. */
 export class GangScheduler {
   constructor(private readonly deps: GangSchedulerDependencies) {}
 
-  /** A waiting gang that has found no room for long. */
+  /** A waiting gang that has found no capacity for long. */
   isOverdue(job: Job): boolean {
     if (job.spec.kind !== 'gang' || job.attempts.size > 0) return false;
     return this.deps.now() - job.startedAt > RESERVE_AFTER_MS;
   }
 
-  /** Starts a gang whole, or what is missing of one that gathers. */
-  place(job: Job, options: GangOptions): GangPlacement {
-    const state = gangState(job);
-    if (state === 'leaving') return 'not-now';
+  /** Starts a gang whole, or what is missing of one that is starting. */
+  place(gang: Job, options: GangPlacementOptions): GangPlacement {
+    const state = gangState(gang);
+    if (state === 'stopping') return 'not-now';
     if (state === 'running') {
-      this.abortAttempt(job, 'a task of the gang is gone');
+      this.abortAttempt(gang, 'gang-member-lost');
       return 'not-now';
     }
-    job.notBefore = this.deps.now() + RETRY_MS;
-    const placement = this.placeMissing(job, options);
-    // Half a gang must not occupy room that others, or the whole of it, could use.
-    if (state === 'gathering' && placement !== 'placed')
-      this.abortAttempt(job, 'no room for a missing task');
+    gang.notBefore = this.deps.now() + RETRY_INTERVAL_MS;
+    const placement = this.placeMissing(gang, options);
+    // Half a gang must not occupy capacity that others, or the whole of it, could use.
+    if (state === 'starting' && placement !== 'placed')
+      this.abortAttempt(gang, 'gang-member-unschedulable');
     return placement;
   }
 
-  private placeMissing(job: Job, options: GangOptions): GangPlacement {
-    const tasks = missingTasks(job);
-    if (!this.fitsTeamLimit(job, tasks.length)) return 'not-now';
-    const attempt = gangAttempt(job) ?? this.deps.nextAttempt();
-    const allowed = allowedMachines(job, options.machines);
-    for (const group of job.spec.oneZone ? zonesInTurn(job, allowed) : [allowed]) {
-      const room = group.reduce((sum, machine) => sum + slots(job, machine), 0);
-      if (!options.mayPreempt && room < tasks.length) continue;
-      const victims = this.hold(job, tasks, group, options.context, attempt);
+  private placeMissing(gang: Job, options: GangPlacementOptions): GangPlacement {
+    const tasks = missingTasks(gang);
+    if (!this.fitsTeamLimit(gang, tasks.length)) return 'not-now';
+    const attempt = gangAttempt(gang) ?? this.deps.nextAttempt();
+    const allowed = allowedMachines(gang, options.machines);
+    for (const group of placementGroups(gang, allowed)) {
+      const slots = totalTaskSlots(gang, group);
+      if (!options.mayPreempt && slots < tasks.length) continue;
+      const candidates = new MachineCandidates(gang, group, options.context);
+      const victims = this.addAllOrNone(gang, tasks, candidates, attempt);
       if (!victims) continue;
-      for (const victim of victims) this.stopOne(victim, 'preempted');
-      job.startedAt = this.deps.now();
+      for (const victim of victims) this.stopNow(victim, 'preempted');
+      gang.startedAt = this.deps.now();
       return 'placed';
     }
-    return 'no-room';
+    return 'no-capacity';
   }
 
   /** Keeps machines from other jobs until the gang fits on them. */
-  reserve(job: Job, machines: Machine[]): void {
-    this.deps.reservations.reserveMachines(job, allowedMachines(job, machines), this.deps.now());
+  reserve(gang: Job, machines: Machine[]): void {
+    const allowed = allowedMachines(gang, machines);
+    this.deps.reservations.reserveMachines(gang, allowed, this.deps.now());
   }
 
-  private fitsTeamLimit(job: Job, tasks: number): boolean {
+  private fitsTeamLimit(gang: Job, tasks: number): boolean {
     const { usage, reservations } = this.deps;
-    const request = { spec: job.spec, tasks, headroomCpus: 0 };
+    const request = { spec: gang.spec, tasks, headroomCpus: 0 };
     if (usage.mayStart(request)) return true;
-    if (!this.isOverdue(job)) return false;
-    const arrays = reservations.usedByArrays(job.spec.team);
-    if (usage.fitsWithout(request, arrays)) reservations.reserveTeamLimit(job, this.deps.now());
+    if (!this.isOverdue(gang)) return false;
+    const arrays = reservations.usedByArrays(gang.spec.team);
+    if (usage.fitsWithout(request, arrays)) reservations.reserveTeamLimit(gang, this.deps.now());
     return false;
   }
 
-  /** Holds all the tasks on machines of the group, and returns whom they replace; null if they don't all fit. */
-  private hold(
-    job: Job,
+  /** Adds attempts of all the tasks, and returns whom they replace; null, with none added, if they don't all fit. */
+  private addAllOrNone(
+    gang: Job,
     tasks: number[],
-    group: Machine[],
-    context: ChoiceContext,
-    attempt: number,
+    candidates: MachineCandidates,
+    attemptNumber: number,
   ): TaskAttempt[] | null {
+    const { table, gangWaitS } = this.deps;
     const now = this.deps.now();
-    const candidates = new Candidates(job, group, context);
-    const held: TaskAttempt[] = [];
+    const added: TaskAttempt[] = [];
     const victims: TaskAttempt[] = [];
-    const waitLeft = waitLeftMs(job, this.deps.gangWaitS * 1000, now) - REPLACEMENT_MARGIN_MS;
+    const fetchLimitMs = waitLeftMs(gang, gangWaitS * 1000, now) - REPLACEMENT_MARGIN_MS;
     for (const task of tasks) {
-      const choice = candidates.best();
-      if (!choice || imageFetchSeconds(job.spec, choice.machine) * 1000 > waitLeft) {
-        for (const attempt of held) this.deps.table.removeAttempt(attempt, now);
+      const choice = candidates.selectBest();
+      if (!choice || imageFetchSeconds(gang.spec, choice.machine) * 1000 > fetchLimitMs) {
+        for (const attempt of added) table.removeAttempt(attempt, now);
         return null;
       }
       victims.push(...choice.victims);
-      held.push(this.deps.table.addAttempt(choice.machine, job.spec.id, job, task, attempt, now));
-      candidates.placed(choice.machine);
+      added.push(table.addAttempt(choice.machine, gang.spec.id, gang, task, attemptNumber, now));
+      candidates.recordPlacement(choice.machine);
     }
     return victims;
   }
 
   /**
-   * A task of the gang is gone from its machine. While the gang gathers, one that vanished, was refused or had to
-   * leave its machine is replaced under the same attempt. Otherwise the gang leaves, and starts again whole.
+   * A task of the gang is gone from its machine. While the gang starts, one that is lost, was rejected or had to
+   * leave its machine is replaced under the same attempt. Otherwise the whole gang stops, and starts again.
    */
-  attemptEnded(job: Job, attempt: TaskAttempt): void {
+  attemptEnded(gang: Job, attempt: TaskAttempt): void {
     const { cause, stop, startSent } = attempt;
-    if (!startSent || job.isComplete()) return;
-    const replaceable =
+    if (!startSent || gang.isComplete()) return;
+    const isReplaceable =
       cause === null || cause === 'no_room' || cause === 'busy' || stop?.replaced === true;
-    if (replaceable && gangState(job) === 'gathering') return;
-    if (cause === 'incomplete') this.abortAfterFetches(job);
-    else this.abortAttempt(job, 'a task of the gang is gone');
+    if (isReplaceable && gangState(gang) === 'starting') return;
+    if (cause === 'incomplete') this.abortAfterFetches(gang);
+    else this.abortAttempt(gang, 'gang-member-lost');
   }
 
-  /** The whole gang leaves at once; progress since its last checkpoint is lost. */
-  abortAttempt(job: Job, reason: string): void {
-    job.gangAttemptAborted = job.attempts.size > 0;
-    for (const attempt of attemptsOf(job)) this.stopOne(attempt, reason);
+  /** The whole gang stops at once; progress since its last checkpoint is lost. */
+  private abortAttempt(gang: Job, reason: StopReason): void {
+    gang.gangAttemptAborted = gang.attempts.size > 0;
+    for (const attempt of attemptsOf(gang)) this.stopNow(attempt, reason);
   }
 
   /**
-   * The gang did not come together in time. Tasks that still fetch their image go on until they have it: a fetch
-   * that is given up would begin anew with the next attempt, which would then come too late again.
+   * Not all tasks were ready in time. Tasks that still fetch their image go on until they have it: a fetch that is
+   * aborted would begin anew with the next attempt, which would then be too late again.
    */
-  private abortAfterFetches(job: Job): void {
-    job.gangAttemptAborted = job.attempts.size > 0;
-    for (const attempt of attemptsOf(job))
-      if (attempt.state !== 'fetching')
-        this.stopOne(attempt, 'the gang did not come together in time');
+  private abortAfterFetches(gang: Job): void {
+    gang.gangAttemptAborted = gang.attempts.size > 0;
+    for (const attempt of attemptsOf(gang))
+      if (attempt.state !== 'fetching') this.stopNow(attempt, 'gang-start-timeout');
   }
 
-  /** Called for each reported attempt of a gang. */
-  attemptReported(job: Job, attempt: TaskAttempt): void {
-    if (job.gangAttemptAborted && attempt.state === 'waiting')
-      this.stopOne(attempt, 'its gang was given up');
+  /** Called for each reported attempt of a gang: after an abort, those that have their image stop, too. */
+  attemptReported(gang: Job, attempt: TaskAttempt): void {
+    if (gang.gangAttemptAborted && attempt.state === 'waiting')
+      this.stopNow(attempt, 'gang-attempt-aborted');
   }
 
-  private stopOne(attempt: TaskAttempt, reason: string): void {
+  private stopNow(attempt: TaskAttempt, reason: StopReason): void {
     this.deps.table.stop(attempt, { graceS: 0, reason, replaced: false }, this.deps.now());
   }
 
   /**
-   * The machine is to be left, within `leftS` seconds if it is under notice. Tells whether anything was done. A
-   * gathering gang replaces the task; a running one saves and leaves whole, as soon as it fits elsewhere and all of
-   * it can be told, or at the latest moment that leaves the time to save.
+   * The task has to leave its machine, which goes away in `leftS` seconds (Infinity if it stays up). Tells whether
+   * anything was stopped. A starting gang replaces the task; a running one stops whole with a checkpoint, as soon as it
+   * fits elsewhere and all its machines can be told, or at the latest moment that leaves the time to save.
    */
-  vacateMachine(attempt: TaskAttempt, job: Job, leftS: number, reason: string): boolean {
-    const state = gangState(job);
-    if (state === 'gathering') {
+  vacateMachine(attempt: TaskAttempt, gang: Job, leftS: number, reason: StopReason): boolean {
+    const state = gangState(gang);
+    if (state === 'starting') {
       const request: StopRequest = { graceS: 0, reason, replaced: true };
       this.deps.table.stop(attempt, request, this.deps.now());
       return true;
     }
     if (state !== 'running') return false;
     const { gangPeerS, reportS } = this.deps;
-    const latestS = job.spec.saveS + gangPeerS + REPORTS_BEFORE_STOP * reportS;
-    if (leftS > latestS && !this.canRelocate(job, attempt.machine)) return false;
-    this.stopWithCheckpoint(job, reason, leftS);
+    const latestS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * reportS;
+    if (leftS > latestS && !this.canRelocate(gang, attempt.machine)) return false;
+    this.stopWithCheckpoint(gang, reason, leftS);
     return true;
   }
 
   /** Does the whole gang fit elsewhere, and can all of its machines be told to stop? */
-  canRelocate(job: Job, from: Machine): boolean {
-    if (!this.allReachable(job)) return false;
+  canRelocate(gang: Job, from: Machine): boolean {
+    if (!this.allReachable(gang)) return false;
     const targets = [...this.deps.table.all()].filter(
-      (m) => m !== from && !m.isStraggler && this.deps.usable(m) && allowedOn(job.spec, m),
+      (machine) =>
+        machine !== from &&
+        !machine.isStraggler &&
+        this.deps.usable(machine) &&
+        satisfiesConstraints(gang.spec, machine),
     );
-    return fitsWhole(job, targets);
+    return fitsGang(gang, targets);
   }
 
-  private allReachable(job: Job): boolean {
-    return attemptsOf(job).every(
+  private allReachable(gang: Job): boolean {
+    return attemptsOf(gang).every(
       ({ machine }) => machine.isReconciled() && machine.commandFailures === 0,
     );
   }
 
   /**
-   * Tells all tasks in one go, with the time to save, so that the next attempt continues from there. Where that
-   * can't work, since a machine is out of reach or the time too short, the gang falls back to its last checkpoint.
+   * Stops all tasks at the same time, with the time to save, so that the next attempt continues from there. Where that
+   * can't work, since a machine is unreachable or the time too short, the gang falls back to its last checkpoint.
    */
-  stopWithCheckpoint(job: Job, reason: string, leftS = Infinity): void {
-    const { saveS, checkpointS } = job.spec;
-    const saves = checkpointS > 0 && saveS <= leftS && this.allReachable(job);
-    if (!saves) this.deps.log.info({ job: job.spec.id, reason }, 'gang stops without saving');
+  stopWithCheckpoint(gang: Job, reason: StopReason, leftS = Infinity): void {
+    const { id, saveS, checkpointS } = gang.spec;
+    const saves = checkpointS > 0 && saveS <= leftS && this.allReachable(gang);
+    if (!saves) this.deps.log.info({ job: id, reason }, 'gang stops without a checkpoint');
     const request: StopRequest = { graceS: saves ? saveS : 0, reason, replaced: false };
-    for (const attempt of attemptsOf(job)) this.deps.table.stop(attempt, request, this.deps.now());
+    for (const attempt of attemptsOf(gang)) this.deps.table.stop(attempt, request, this.deps.now());
   }
 }
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -1,75 +1,67 @@
-/** In which order waiting jobs are served: pure. */
+/** The order in which waiting jobs are served. Pure functions. */
 import type { Job } from '../jobs/job-table.js';
 import type { Objective } from '../settings/platform.js';
-import type { TeamUsage } from './team-usage.js';
-
-/** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
-export function withinGuarantee(jobs: Iterable<Job>, quota: TeamUsage): Set<Job> {
-  const used = new Map<string, number>();
-  const out = new Set<Job>();
-  const byAge = [...jobs]
-    .filter((j) => !j.jobCancelled)
-    .sort((a, b) => a.acceptedAt - b.acceptedAt || a.index - b.index);
-  for (const j of byAge) {
-    const team = quota.team(j.spec.team);
-    if (!team) continue;
-    const total = (used.get(team.name) ?? 0) + j.spec.cpus * (j.spec.tasks - j.finishedCount);
-    used.set(team.name, total);
-    if (team.cpus > 0 && total <= team.cpus + 1e-6) out.add(j);
-  }
-  return out;
-}
 
 /** Tasks of one job differ: a goal is given up only when even a task this much shorter would miss it. */
-const HOPE = 0.6;
+const SHORTEST_TASK_SHARE = 0.6;
+
+/** A job of which nothing has begun after so long gets a first share of its tasks before all others. */
+const STARVATION_THRESHOLD_MS = 60_000;
 
-/** When a class of jobs should be finished, in seconds after submission, soonest first. */
+/** By job class, within how many seconds of their submission jobs should finish, soonest first. */
 export type FinishGoals = Map<string, number[]>;
 
+/** The goals that the platform's objectives state for finishing jobs. */
 export function finishGoals(objectives: Objective[]): FinishGoals {
-  const out: FinishGoals = new Map();
-  for (const o of objectives)
-    if (o.kind === 'finished' && o.cls !== null && o.withinS !== null)
-      out.set(
-        o.cls,
-        [...(out.get(o.cls) ?? []), o.withinS].sort((a, b) => a - b),
-      );
-  return out;
+  const goals: FinishGoals = new Map();
+  for (const { kind, cls, withinS } of objectives) {
+    if (kind !== 'finished' || cls === null || withinS === null) continue;
+    const ofClass = [...(goals.get(cls) ?? []), withinS];
+    goals.set(
+      cls,
+      ofClass.sort((a, b) => a - b),
+    );
+  }
+  return goals;
 }
 
+/** How urgent a job is among those of its rank; lower values are served first. */
 export interface Urgency {
-  /** Which of the job's goals can still be met; the number of goals if none. */
+  /** Which of the job's goals can still be met; the number of goals if none; -1 if it goes before all others. */
   goal: number;
   /** CPU milliseconds that its waiting tasks will take. */
   work: number;
 }
 
+/** The urgency of a job that goes before all others of its rank. */
+export const MOST_URGENT: Urgency = { goal: -1, work: 0 };
+
 /**
  * Few jobs late, and not all a little: a job that will miss its goal whatever is done waits behind those that
- * need not miss theirs, and among these the one with the least work left goes first. Jobs that starve go before.
+ * need not miss theirs, and among these the one with the least work left goes first.
  */
-export function urgency(
-  j: Job,
-  goals: FinishGoals,
-  expectedMs: number,
-  wallMs: number,
-  starved = false,
-): Urgency {
-  const times = j.spec.deadlineS !== null ? [j.spec.deadlineS] : (goals.get(j.spec.cls) ?? []);
-  const end = wallMs + HOPE * expectedMs;
-  const goal = times.findIndex((t) => j.acceptedAt + t * 1000 >= end);
-  if (starved) return { goal: -1, work: 0 };
-  return { goal: goal < 0 ? times.length : goal, work: j.pending() * j.spec.cpus * expectedMs };
+export function urgency(job: Job, goals: FinishGoals, expectedMs: number, wallMs: number): Urgency {
+  const { deadlineS, cls, cpus } = job.spec;
+  const goalsS = deadlineS !== null ? [deadlineS] : (goals.get(cls) ?? []);
+  const earliestEnd = wallMs + SHORTEST_TASK_SHARE * expectedMs;
+  const goal = goalsS.findIndex((withinS) => job.acceptedAt + withinS * 1000 >= earliestEnd);
+  return { goal: goal < 0 ? goalsS.length : goal, work: job.pending() * cpus * expectedMs };
+}
+
+/** Nothing of the array has begun for long: streams of smaller jobs must not keep a large one out for ever. */
+export function isStarved(job: Job, wallMs: number): boolean {
+  if (job.spec.kind !== 'array' || job.attempts.size > 0 || job.finishedCount > 0) return false;
+  return wallMs - job.acceptedAt > STARVATION_THRESHOLD_MS;
 }
 
 /** Production first, then what teams are guaranteed, then by priority and urgency. */
 export function servingOrder(
   jobs: Job[],
-  guaranteed: Set<Job>,
-  urgencyOf: (j: Job) => Urgency,
+  guaranteed: { has(job: Job): boolean },
+  urgencyOf: (job: Job) => Urgency,
 ): Job[] {
-  const rank = (j: Job): number =>
-    j.spec.priority === 0 ? 0 : guaranteed.has(j) ? 1 : 1 + j.spec.priority;
+  const rank = (job: Job): number =>
+    job.spec.priority === 0 ? 0 : guaranteed.has(job) ? 1 : 1 + job.spec.priority;
   const byAge = (a: Job, b: Job): number => a.acceptedAt - b.acceptedAt || a.index - b.index;
   return jobs
     .map((job) => ({ job, rank: rank(job), urgency: urgencyOf(job) }))
--- /dev/null
+++ b/src/placement/machine-constraints.ts
@@ -0,0 +1,61 @@
+/** Which machines a job's tasks fit on at all: types, zones, spot machines and free capacity. Pure functions. */
+import type { Job } from '../jobs/job-table.js';
+import type { JobSpec } from '../wire/model.js';
+import type { Machine } from '../workers/machine.js';
+import { ROUNDING_TOLERANCE } from './resources.js';
+
+/** Tells whether a zone may take another task of a job. */
+export type ZoneFilter = (zone: string) => boolean;
+
+/** Does the machine meet what the job asks for, leaving aside free capacity and its other tasks? */
+export function satisfiesConstraints(spec: JobSpec, machine: Machine): boolean {
+  return (
+    (spec.types === null || spec.types.includes(machine.type.name)) &&
+    (spec.zone === null || spec.zone === machine.zone) &&
+    (spec.spot || !machine.spot)
+  );
+}
+
+/** Zones that the job's other tasks leave open; all that may still be somewhere are counted. Null: any zone. */
+export function zoneFilter(job: Job): ZoneFilter | null {
+  if (!job.spec.spread && !job.spec.oneZone) return null;
+  const tasksPerZone = new Map<string, number>();
+  for (const attempts of job.attempts.values())
+    for (const { machine } of attempts)
+      tasksPerZone.set(machine.zone, (tasksPerZone.get(machine.zone) ?? 0) + 1);
+  return zoneFilterFor(job.spec, tasksPerZone);
+}
+
+/** As `zoneFilter`, over a count that the caller keeps: the filter reads it anew at each call. */
+export function zoneFilterFor(
+  spec: JobSpec,
+  tasksPerZone: ReadonlyMap<string, number>,
+): ZoneFilter | null {
+  if (!spec.spread && !spec.oneZone) return null;
+  const maxPerZone = Math.ceil(spec.tasks / 2);
+  return (zone) => {
+    if (spec.oneZone && tasksPerZone.size > 0)
+      if (tasksPerZone.size > 1 || !tasksPerZone.has(zone)) return false;
+    return !spec.spread || (tasksPerZone.get(zone) ?? 0) + 1 <= maxPerZone;
+  };
+}
+
+/** The zones closed to the job, as a key: jobs of one shape with the same key may use the same zones. */
+export function closedZonesKey(job: Job, zones: Iterable<string>): string {
+  const isOpen = zoneFilter(job);
+  return isOpen ? [...zones].filter((zone) => !isOpen(zone)).join('+') : '';
+}
+
+/** Has the machine free capacity for one task, beside CPUs that are promised to others? */
+export function hasCapacity(spec: JobSpec, machine: Machine, promisedCpus = 0): boolean {
+  return fits(spec, machine.freeCpus() - promisedCpus, machine.freeGpus(), machine.freeMemory());
+}
+
+/** Does one task fit into these amounts? Memory in GB. */
+export function fits(spec: JobSpec, cpus: number, gpus: number, memoryGb: number): boolean {
+  return (
+    cpus + ROUNDING_TOLERANCE >= spec.cpus &&
+    gpus + ROUNDING_TOLERANCE >= spec.gpus &&
+    memoryGb + ROUNDING_TOLERANCE >= spec.memoryGb
+  );
+}
--- /dev/null
+++ b/src/placement/machine-drain.ts
@@ -0,0 +1,97 @@
+/** Moves tasks off machines that go away (the paper's Listing 3). */
+import type { Job } from '../jobs/job-table.js';
+import type { OperatorSettings } from '../settings/operator.js';
+import type { Machine } from '../workers/machine.js';
+import type { MachineTable } from '../workers/machine-table.js';
+import type { TaskAttempt } from '../workers/task-attempt.js';
+import type { AttemptStopper } from './attempt-stopper.js';
+import type { GangScheduler } from './gang-scheduler.js';
+import { hasCapacity, satisfiesConstraints } from './machine-constraints.js';
+import type { RunTimePrediction } from './run-time-prediction.js';
+import type { UsableMachines } from './usable-machines.js';
+
+/** A task stays on a machine that goes away if it is expected to end within this share of the time left. */
+const MAX_SHARE_OF_TIME_LEFT = 0.8;
+
+/** What draining reads and acts on. */
+export interface MachineDrainDependencies {
+  table: MachineTable;
+  machines: UsableMachines;
+  operator: OperatorSettings;
+  runTimes: RunTimePrediction;
+  gangs: GangScheduler;
+  stopper: AttemptStopper;
+}
+
+/** What the moves off one machine share. */
+interface DrainPass {
+  /** Until the machine goes away; Infinity if it stays up. */
+  readonly leftMs: number;
+  readonly targets: Machine[];
+  /** CPUs of the targets that tasks moved in this pass will take. */
+  readonly promisedCpus: Map<Machine, number>;
+}
+
+/** Drains machines: their tasks are spread over the others round robin. */
+export class MachineDrain {
+  /** Index of the machine that the next task is offered first. */
+  private nextTarget = 0;
+
+  constructor(private readonly deps: MachineDrainDependencies) {}
+
+  /**
+   * Stops a bounded number of the machine's tasks, so that they start again elsewhere. Tasks that end before the machine
+   * goes away stay; a task is moved only when another machine has capacity for it.
+   */
+  drain(machine: Machine, now: number): void {
+    if (!machine.isReconciled()) return;
+    const { preemptionDeadline } = machine;
+    const pass: DrainPass = {
+      leftMs: preemptionDeadline === null ? Infinity : preemptionDeadline - now,
+      targets: [...this.deps.table.all()],
+      promisedCpus: new Map(),
+    };
+    let budget = this.deps.operator.drain_moves_per_round;
+    for (const attempt of [...machine.attempts.values()]) {
+      if (budget <= 0) return;
+      const { job } = attempt;
+      if (!attempt.onMachine() || attempt.stop || attempt.startUnacknowledged || !job) continue;
+      if (this.endsInTime(attempt, job, pass.leftMs, now)) continue;
+      if (this.moveAway(attempt, job, pass)) budget--;
+    }
+  }
+
+  private endsInTime(attempt: TaskAttempt, job: Job, leftMs: number, now: number): boolean {
+    const remainingMs = this.deps.runTimes.remainingMs(attempt, job, now);
+    return remainingMs !== null && remainingMs < leftMs * MAX_SHARE_OF_TIME_LEFT;
+  }
+
+  private moveAway(attempt: TaskAttempt, job: Job, pass: DrainPass): boolean {
+    const leftS = pass.leftMs / 1000;
+    if (job.spec.kind === 'gang')
+      return this.deps.gangs.vacateMachine(attempt, job, leftS, 'machine-drained');
+    const target = this.selectTarget(job, pass);
+    if (!target) return false;
+    pass.promisedCpus.set(target, (pass.promisedCpus.get(target) ?? 0) + job.spec.cpus);
+    const graceS = job.spec.checkpointS > 0 ? Math.min(job.spec.saveS, leftS) : 0;
+    this.deps.stopper.stop(attempt, graceS, 'machine-drained');
+    return true;
+  }
+
+  /**
+   * The machine that is drained takes nothing new, so it is not usable. Capacity is checked first: when many machines go
+   * away at once each of their heartbeats comes here, and on a full fleet that is all it costs.
+   */
+  private selectTarget(job: Job, { targets, promisedCpus }: DrainPass): Machine | null {
+    for (let i = 0; i < targets.length; i++) {
+      const index = (this.nextTarget + i) % targets.length;
+      const machine = targets[index];
+      if (!hasCapacity(job.spec, machine, promisedCpus.get(machine))) continue;
+      if (!satisfiesConstraints(job.spec, machine) || !this.deps.machines.isUsable(machine))
+        continue;
+      this.nextTarget = (index + 1) % targets.length;
+      return machine;
+    }
+    return null;
+  }
+}
--- /dev/null
+++ b/src/placement/obsolete-attempts.ts
@@ -0,0 +1,23 @@
+/** Attempts that machines report although nothing needs them. */
+import type { StopReason } from '../workers/stop-reason.js';
+import type { TaskAttempt } from '../workers/task-attempt.js';
+
+/** Why a reported attempt has to stop; null if it may go on. */
+export function obsoleteReason(attempt: TaskAttempt): StopReason | null {
+  const { job, taskNumber } = attempt;
+  if (!job) return 'unknown-job';
+  if (job.jobCancelled) return 'job-cancelled';
+  if (job.isFinished(taskNumber) && job.spec.kind !== 'gang') return 'finished-elsewhere';
+  return isDuplicate(attempt, job.attempts.get(taskNumber)) ? 'duplicate-attempt' : null;
+}
+
+/**
+ * The oldest attempt of a task stays. A late heartbeat of a machine that is gone shows a duplicate, too, so both
+ * machines must be reconciled before either attempt counts as proof.
+ */
+function isDuplicate(attempt: TaskAttempt, attemptsOfTask: TaskAttempt[] | undefined): boolean {
+  if (!attemptsOfTask || attemptsOfTask.length < 2) return false;
+  const oldest = attemptsOfTask[0];
+  if (oldest === attempt) return false;
+  return oldest.machine.isReconciled() && attempt.machine.isReconciled();
+}
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -4,42 +4,54 @@
  */
 import type { Job, JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
-import { zonesInTurn } from './gang-state.js';
-import { NO_RESOURCES, type Resources, plus, times } from './resources.js';
+import { placementGroups } from './gang-capacity.js';
+import {
+  NO_RESOURCES,
+  ROUNDING_TOLERANCE,
+  type Resources,
+  addResources,
+  scaleResources,
+} from './resources.js';
 
 /** The longest time that a job yields to any reservation. */
-export const MAX_YIELD_MS = 60_000;
-/** How long an array leaves room under its team's limit to services that may come. */
+const MAX_YIELD_MS = 60_000;
+/** How long an array leaves part of its team's limit to services that may come. */
 const SERVICE_HEADROOM_MS = 30_000;
 /** A reservation lapses after this time unless the waiting gang renews it. */
-const RENEWAL_MS = 1500;
+const RESERVATION_TTL_MS = 1500;
 /** At most this many tasks of a service count for the headroom that arrays leave to it. */
-const SERVICE_HEADROOM_TASKS = 4;
+const MAX_SERVICE_HEADROOM_TASKS = 4;
 
 interface Reservation {
-  gang: Job;
-  until: number;
+  readonly gang: Job;
+  readonly expiresAt: number;
 }
 
-function holds(reservation: Reservation | null, now: number): reservation is Reservation {
-  if (!reservation || now >= reservation.until) return false;
+interface MachineReservation extends Reservation {
+  readonly machines: ReadonlySet<Machine>;
+}
+
+function isActive<T extends Reservation>(reservation: T | null, now: number): reservation is T {
+  if (!reservation || now >= reservation.expiresAt) return false;
   return reservation.gang.attempts.size === 0 && !reservation.gang.jobCancelled;
 }
 
+/** Reservations for waiting gangs, and the headroom under teams' limits that arrays leave to services. */
 export class Reservations {
   /** Machines on which a waiting gang will fit once the arrays there have ended. */
-  private machines: (Reservation & { set: Set<Machine> }) | null = null;
-  /** A gang that waits for room under its team's limit. */
-  private teamLimit: Reservation | null = null;
-  /** The most CPUs that one service asked of its team. */
+  private machineReservation: MachineReservation | null = null;
+  /** For a gang that waits for its team to be far enough below its limit. */
+  private teamLimitReservation: Reservation | null = null;
+  /** By team, the most CPUs that one of its services asked for. */
   private readonly serviceCpus = new Map<string, number>();
 
   constructor(private readonly jobs: JobTable) {}
 
-  noteService(job: Job): void {
+  /** Takes a service's size into account for its team's headroom; other jobs are ignored. */
+  recordService(job: Job): void {
     const { kind, team, cpus, tasks } = job.spec;
     if (kind !== 'service') return;
-    const wanted = cpus * Math.min(SERVICE_HEADROOM_TASKS, tasks);
+    const wanted = cpus * Math.min(MAX_SERVICE_HEADROOM_TASKS, tasks);
     this.serviceCpus.set(team, Math.max(this.serviceCpus.get(team) ?? 0, wanted));
   }
 
@@ -51,28 +63,33 @@
 
   /** One gang at a time: two gangs that reserve half of what each needs would block one another. */
   reserveMachines(gang: Job, allowed: Machine[], now: number): void {
-    if (holds(this.machines, now) && this.machines.gang !== gang) return;
-    this.machines = { gang, set: machinesInTime(gang, allowed), until: now + RENEWAL_MS };
+    const current = this.machineReservation;
+    if (isActive(current, now) && current.gang !== gang) return;
+    const machines = machinesToReserve(gang, allowed);
+    this.machineReservation = { gang, machines, expiresAt: now + RESERVATION_TTL_MS };
   }
 
   /** The machines of the list that the job may use. More urgent jobs ignore reservations. */
-  withoutReserved(job: Job, list: Machine[], now: number): Machine[] {
-    const reserved = this.machines;
-    if (!holds(reserved, now) || reserved.gang === job) return list;
-    if (job.spec.priority < reserved.gang.spec.priority || this.isOverdue(job, now)) return list;
-    return list.filter((m) => !reserved.set.has(m));
+  withoutReserved(job: Job, machines: Machine[], now: number): Machine[] {
+    const reservation = this.machineReservation;
+    if (!isActive(reservation, now) || reservation.gang === job) return machines;
+    const isMoreUrgent = job.spec.priority < reservation.gang.spec.priority;
+    if (isMoreUrgent || this.ignoresReservations(job, now)) return machines;
+    return machines.filter((machine) => !reservation.machines.has(machine));
   }
 
+  /** Makes the team's arrays leave their share of its limit to the gang as their tasks end. */
   reserveTeamLimit(gang: Job, now: number): void {
-    this.teamLimit = { gang, until: now + RENEWAL_MS };
+    this.teamLimitReservation = { gang, expiresAt: now + RESERVATION_TTL_MS };
   }
 
   /** Does the array start nothing for now, so that a gang of its team comes to fit under the team's limit? */
   yieldsTeamLimit(job: Job, now: number): boolean {
-    if (job.spec.kind !== 'array' || !holds(this.teamLimit, now) || this.isOverdue(job, now))
-      return false;
-    const { spec } = this.teamLimit.gang;
-    return job.spec.team === spec.team && job.spec.priority >= spec.priority;
+    const reservation = this.teamLimitReservation;
+    if (job.spec.kind !== 'array' || !isActive(reservation, now)) return false;
+    if (this.ignoresReservations(job, now)) return false;
+    const { team, priority } = reservation.gang.spec;
+    return job.spec.team === team && job.spec.priority >= priority;
   }
 
   /** What the team's arrays use: a gang that fits without them will fit once they have ended. */
@@ -80,33 +97,32 @@
     let used = NO_RESOURCES;
     for (const { spec, attempts } of this.jobs.all())
       if (spec.kind === 'array' && spec.team === team)
-        used = plus(used, times(spec, attempts.size));
+        used = addResources(used, scaleResources(spec, attempts.size));
     return used;
   }
 
-  private isOverdue(job: Job, now: number): boolean {
+  private ignoresReservations(job: Job, now: number): boolean {
     return now - job.startedAt > MAX_YIELD_MS;
   }
 }
 
 /** How many of the gang's tasks the machine takes once the arrays' tasks on it have ended; services stay. */
-function slotsInTime(gang: Job, machine: Machine): number {
+function slotsWithoutArrays(gang: Job, machine: Machine): number {
   let cpus = machine.freeCpus();
   for (const attempt of machine.attempts.values())
     if (attempt.onMachine() && attempt.job?.spec.kind === 'array') cpus += attempt.job.spec.cpus;
-  return Math.floor(cpus / Math.max(gang.spec.cpus, 1e-6) + 1e-6);
+  return Math.floor(cpus / Math.max(gang.spec.cpus, ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE);
 }
 
-/** Machines of one zone with room for the whole gang in time, those with most free room first. */
-function machinesInTime(gang: Job, allowed: Machine[]): Set<Machine> {
-  const groups = gang.spec.oneZone ? zonesInTurn(gang, allowed) : [allowed];
-  for (const list of groups) {
+/** Machines that take the whole gang once their arrays have ended, those with most free CPUs first; none if none do. */
+function machinesToReserve(gang: Job, allowed: Machine[]): Set<Machine> {
+  for (const group of placementGroups(gang, allowed)) {
     const chosen = new Set<Machine>();
     let slots = 0;
-    for (const machine of [...list].sort((a, b) => b.freeCpus() - a.freeCpus())) {
+    for (const machine of [...group].sort((a, b) => b.freeCpus() - a.freeCpus())) {
       if (slots >= gang.spec.tasks) break;
       chosen.add(machine);
-      slots += slotsInTime(gang, machine);
+      slots += slotsWithoutArrays(gang, machine);
     }
     if (slots >= gang.spec.tasks) return chosen;
   }
--- a/src/placement/run-time-estimator.ts
+++ b/src/placement/run-time-estimator.ts
@@ -1,46 +1,59 @@
 /** Learns run times by class of jobs, and corrects the owners' estimates by them. */
 import { type Histogram, build } from 'hdr-histogram-js';
 
-const MAX_MS = 24 * 3600 * 1000;
+const MAX_RUN_TIME_MS = 24 * 3600 * 1000;
+const SIGNIFICANT_DIGITS = 2;
+/** Histograms hold whole numbers: the ratio of run time to estimate is recorded in thousandths. */
 const BIAS_UNIT = 1000;
+const MIN_SAMPLES_FOR_BIAS = 20;
+const MIN_SAMPLES_FOR_MEDIAN = 5;
 
-/** Run times learned per class, and per job how long its tasks take, on each machine and in all. */
-export class RunTimeEstimator {
-  private readonly byClass = new Map<string, Histogram>();
-  private readonly bias = new Map<string, Histogram>();
-
-  private histogram(): Histogram {
-    return build({
-      bitBucketSize: 32,
-      lowestDiscernibleValue: 1,
-      highestTrackableValue: MAX_MS,
-      numberOfSignificantValueDigits: 2,
-      useWebAssembly: false,
-    });
+function newHistogram(): Histogram {
+  return build({
+    bitBucketSize: 32,
+    lowestDiscernibleValue: 1,
+    highestTrackableValue: MAX_RUN_TIME_MS,
+    numberOfSignificantValueDigits: SIGNIFICANT_DIGITS,
+    useWebAssembly: false,
+  });
+}
+
+function recordIn(histograms: Map<string, Histogram>, jobClass: string, value: number): void {
+  let histogram = histograms.get(jobClass);
+  if (!histogram) {
+    histogram = newHistogram();
+    histograms.set(jobClass, histogram);
   }
+  histogram.recordValue(Math.max(1, Math.min(MAX_RUN_TIME_MS, Math.round(value))));
+}
+
+/** The run times of finished tasks by job class, and the bias of the owners' estimates. */
+export class RunTimeEstimator {
+  private readonly runTimes = new Map<string, Histogram>();
+  private readonly biases = new Map<string, Histogram>();
 
-  /** Owners' estimates are wrong by much, on some days all in one direction: that bias is learnt, too. */
-  record(cls: string, ms: number, estimateMs: number): void {
-    this.add(this.byClass, cls, ms);
-    if (estimateMs > 0) this.add(this.bias, cls, (ms / estimateMs) * BIAS_UNIT);
+  /** Owners' estimates are far off, on some days all in one direction: that bias is learnt, too. */
+  record(jobClass: string, runTimeMs: number, estimateMs: number): void {
+    recordIn(this.runTimes, jobClass, runTimeMs);
+    if (estimateMs > 0) recordIn(this.biases, jobClass, (runTimeMs / estimateMs) * BIAS_UNIT);
   }
 
-  private add(map: Map<string, Histogram>, cls: string, value: number): void {
-    let h = map.get(cls);
-    if (!h) map.set(cls, (h = this.histogram()));
-    h.recordValue(Math.max(1, Math.min(MAX_MS, Math.round(value))));
+  /** What a task of the class is expected to take, given its owner's estimate (0: none); 0 if nothing is known. */
+  expectedMs(jobClass: string, estimateMs: number): number {
+    if (estimateMs > 0) return estimateMs * this.bias(jobClass);
+    return this.medianMs(jobClass) ?? 0;
   }
 
-  /** What a task of the class is expected to take, given its owner's estimate. */
-  expectedMs(cls: string, estimateMs: number): number {
-    const h = this.bias.get(cls);
-    const bias = h && h.totalCount >= 20 ? h.getValueAtPercentile(50) / BIAS_UNIT : 1;
-    return estimateMs > 0 ? estimateMs * bias : (this.medianMs(cls) ?? 0);
+  private bias(jobClass: string): number {
+    const histogram = this.biases.get(jobClass);
+    if (!histogram || histogram.totalCount < MIN_SAMPLES_FOR_BIAS) return 1;
+    return histogram.getValueAtPercentile(50) / BIAS_UNIT;
   }
 
-  /** The median of a class in milliseconds, or null with fewer than `least` samples. */
-  medianMs(cls: string, least = 5): number | null {
-    const h = this.byClass.get(cls);
-    return h && h.totalCount >= least ? h.getValueAtPercentile(50) : null;
+  /** The median run time of a class; null with too few samples. */
+  medianMs(jobClass: string): number | null {
+    const histogram = this.runTimes.get(jobClass);
+    if (!histogram || histogram.totalCount < MIN_SAMPLES_FOR_MEDIAN) return null;
+    return histogram.getValueAtPercentile(50);
   }
 }
--- /dev/null
+++ b/src/placement/run-time-prediction.ts
@@ -0,0 +1,40 @@
+/** What is known of how long tasks run, from a job's own finished tasks and from its class. */
+import type { Job } from '../jobs/job-table.js';
+import type { Machine } from '../workers/machine.js';
+import type { TaskAttempt } from '../workers/task-attempt.js';
+import { RunTimeEstimator } from './run-time-estimator.js';
+import { RunTimeSamples } from './straggler-detection.js';
+
+/** Predicts run times. All results are in milliseconds. */
+export class RunTimePrediction {
+  readonly samples = new RunTimeSamples();
+  private readonly classes = new RunTimeEstimator();
+
+  /** Counts a task that finished; services don't. */
+  recordRun(job: Job, machine: Machine, runTimeMs: number): void {
+    const { cls, estimateS, kind } = job.spec;
+    this.classes.record(cls, runTimeMs, estimateS * 1000);
+    // A gang runs at the speed of its slowest machine, which tells nothing of the others.
+    if (kind === 'array') this.samples.record(job.index, machine.index, runTimeMs);
+  }
+
+  /** What a task of the job is expected to take; 0 if nothing is known. */
+  expectedMs(job: Job): number {
+    const { cls, estimateS } = job.spec;
+    return this.samples.medianMs(job.index) ?? this.classes.expectedMs(cls, estimateS * 1000);
+  }
+
+  /** The median of the job's other tasks; a gang's run as one, so there it is that of the class. Null if unknown. */
+  usualMs(job: Job): number | null {
+    return job.spec.kind === 'gang'
+      ? this.classes.medianMs(job.spec.cls)
+      : this.samples.medianMs(job.index);
+  }
+
+  /** What is left of the usual run time of a running task; null if nothing is known. */
+  remainingMs(attempt: TaskAttempt, job: Job, now: number): number | null {
+    const usual = this.usualMs(job) ?? this.classes.medianMs(job.spec.cls);
+    if (usual === null || attempt.state !== 'running' || attempt.runningSince === 0) return null;
+    return Math.max(0, usual - (now - attempt.runningSince));
+  }
+}
--- /dev/null
+++ b/src/placement/scheduling-cycle-runner.ts
@@ -0,0 +1,148 @@
+/** Runs scheduling cycles: serves all waiting jobs in order, within bounds. */
+import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Machine } from '../workers/machine.js';
+import type { DemandHistory } from './demand-history.js';
+import { expireFailedMachines } from './failure-tracking.js';
+import type { GangScheduler } from './gang-scheduler.js';
+import type { GuaranteedJobs } from './guaranteed-jobs.js';
+import {
+  type FinishGoals,
+  MOST_URGENT,
+  type Urgency,
+  isStarved,
+  servingOrder,
+  urgency,
+} from './job-order.js';
+import type { SelectionContext } from './machine-candidates.js';
+import type { Reservations } from './reservations.js';
+import type { RunTimePrediction } from './run-time-prediction.js';
+import type { SchedulingCycle } from './scheduling-cycle.js';
+import type { SchedulingStats } from './scheduling-stats.js';
+import type { TaskScheduler } from './task-scheduler.js';
+import type { TeamUsage } from './team-usage.js';
+import { NO_UNCONFIRMED_USAGE, unconfirmedUsage } from './unconfirmed-usage.js';
+import type { UsableMachines } from './usable-machines.js';
+
+// A cycle is bounded, so that lease renewals, health checks and responses never wait long behind it.
+const MAX_STARTS_PER_CYCLE = 400;
+const MAX_CANDIDATES_PER_CYCLE = 30_000;
+/** Arrays leave ordinary machines for so many gangs as large as the largest recent one. */
+const EXPECTED_GANGS = 2;
+
+/** What scheduling cycles read and act on. */
+export interface SchedulingCycleRunnerDependencies {
+  jobs: JobTable;
+  usage: TeamUsage;
+  machines: UsableMachines;
+  reservations: Reservations;
+  demand: DemandHistory;
+  guaranteed: GuaranteedJobs;
+  goals: FinishGoals;
+  runTimes: RunTimePrediction;
+  context: SelectionContext;
+  gangs: GangScheduler;
+  tasks: TaskScheduler;
+  stats: SchedulingStats;
+  now(): number;
+  wallMs(): number;
+  /** May jobs of former leaders be acted on yet? */
+  recoveryComplete(): boolean;
+}
+
+/** Runs one cycle at a time, and carries over what the next one continues from. */
+export class SchedulingCycleRunner {
+  /** Shapes without a machine in a cycle that used up its candidates: the next one goes on behind them. */
+  private carriedOverShapes = new Set<string>();
+
+  constructor(private readonly deps: SchedulingCycleRunnerDependencies) {}
+
+  /**
+   * Starts whatever can start, and tells whether it stopped early. Jobs of one shape are decided as a class: where one
+   * finds no machine, the others are skipped.
+   */
+  run(): boolean {
+    const { usage, jobs, guaranteed, stats } = this.deps;
+    const now = this.deps.now();
+    const recoveryComplete = this.deps.recoveryComplete();
+    const waiting = this.waitingJobs(now, recoveryComplete);
+    if (waiting.length === 0) return false;
+    stats.countCycle();
+    guaranteed.refresh(now);
+    usage.setUnconfirmed(recoveryComplete ? NO_UNCONFIRMED_USAGE : unconfirmedUsage(jobs.all()));
+    const cycle = this.beginCycle(waiting, now, recoveryComplete);
+    for (const job of servingOrder(waiting, guaranteed, (j) => this.urgencyOf(j, cycle))) {
+      // In a large fleet a few shapes without a machine use up all candidates: those behind them must have their turn.
+      if (cycle.candidateBudget <= 0) this.carriedOverShapes = cycle.unschedulableShapes;
+      if (cycle.startBudget <= 0 || cycle.candidateBudget <= 0) return true;
+      this.serve(job, cycle);
+    }
+    return cycle.startBudget <= 0;
+  }
+
+  private waitingJobs(now: number, recoveryComplete: boolean): Job[] {
+    return [...this.deps.jobs.all()].filter(
+      (job) =>
+        job.pending() > 0 && job.notBefore <= now && (job.createdInThisTerm || recoveryComplete),
+    );
+  }
+
+  private beginCycle(waiting: Job[], now: number, recoveryComplete: boolean): SchedulingCycle {
+    const { withCapacity, full } = this.deps.machines.byCapacity(waiting);
+    const unschedulableShapes = this.carriedOverShapes;
+    this.carriedOverShapes = new Set();
+    return {
+      now,
+      wallMs: this.deps.wallMs(),
+      recoveryComplete,
+      withCapacity,
+      full,
+      zones: new Set([...withCapacity, ...full].map((machine) => machine.zone)),
+      lowestRunningPriority: this.lowestRunningPriority(),
+      spareOrdinaryCpus: this.spareOrdinaryCpus(withCapacity),
+      unschedulableShapes,
+      teamsConsideredForPreemption: new Set(),
+      startBudget: MAX_STARTS_PER_CYCLE,
+      candidateBudget: MAX_CANDIDATES_PER_CYCLE,
+    };
+  }
+
+  private lowestRunningPriority(): number {
+    let lowest = 0;
+    for (const job of this.deps.jobs.all())
+      if (job.attempts.size > 0) lowest = Math.max(lowest, job.spec.priority);
+    return lowest;
+  }
+
+  private spareOrdinaryCpus(withCapacity: Machine[]): number {
+    const cpusForGangs = EXPECTED_GANGS * this.deps.demand.largestGangCpus();
+    if (cpusForGangs < 1) return Infinity;
+    const freeCpus = withCapacity.reduce((sum, m) => sum + (m.spot ? 0 : m.freeCpus()), 0);
+    return freeCpus - cpusForGangs;
+  }
+
+  private urgencyOf(job: Job, { wallMs }: SchedulingCycle): Urgency {
+    if (isStarved(job, wallMs) || this.deps.gangs.isOverdue(job)) return MOST_URGENT;
+    return urgency(job, this.deps.goals, this.deps.runTimes.expectedMs(job), wallMs);
+  }
+
+  private serve(job: Job, cycle: SchedulingCycle): void {
+    expireFailedMachines(job, cycle.now);
+    if (job.spec.kind === 'gang') this.placeGang(job, cycle);
+    else this.deps.tasks.place(job, cycle);
+  }
+
+  private placeGang(gang: Job, cycle: SchedulingCycle): void {
+    const { reservations, gangs, context, stats } = this.deps;
+    const all = [...cycle.withCapacity, ...cycle.full];
+    const machines = reservations.withoutReserved(gang, all, cycle.now);
+    cycle.candidateBudget -= machines.length;
+    stats.countCandidates(machines.length);
+    const mayPreempt = context.preemption.mayPreemptAny(gang, cycle.lowestRunningPriority);
+    const placement = gangs.place(gang, { context, machines, mayPreempt });
+    if (placement === 'placed') {
+      cycle.startBudget -= gang.spec.tasks;
+      stats.countStarts(gang.spec.tasks);
+    }
+    if (placement === 'no-capacity' && gangs.isOverdue(gang)) gangs.reserve(gang, machines);
+  }
+}
--- a/src/placement/scheduling-cycle.ts
+++ b/src/placement/scheduling-cycle.ts
@@ -1,36 +1,27 @@
-/** What one scheduling pass shares among the jobs it looks at, and what passes cost. */
+/** The data of one scheduling cycle. */
 import type { Machine } from '../workers/machine.js';
-import type { ChoiceContext } from './machine-selection.js';
 
-/** What one pass shares among the jobs it looks at. */
+/** What one cycle shares among the jobs it serves. */
 export interface SchedulingCycle {
-  now: number;
-  wallMs: number;
-  recoveryComplete: boolean;
-  context: ChoiceContext;
-  /** Usable machines with room for some waiting task, and those without. */
-  withRoom: Machine[];
-  full: Machine[];
-  zones: Set<string>;
-  /** The lowest priority that is on any machine, as a number. */
-  leastUrgent: number;
-  /** CPUs free on ordinary machines beyond what arrays leave to gangs. */
-  ordinarySpare: number;
-  /** Shapes of jobs that found no room, in this pass or in those before it that ran out of looks. */
-  unschedulableShapes: Set<string>;
-  /** Teams whose own work was asked to leave room: one job a team, since it looks at all tasks. */
-  teamsAskedForRoom: Set<string>;
+  readonly now: number;
+  /** Time of day in milliseconds. */
+  readonly wallMs: number;
+  /** Jobs of former leaders may be acted on. */
+  readonly recoveryComplete: boolean;
+  /** Usable machines with free CPUs for some waiting task, and those without. */
+  readonly withCapacity: Machine[];
+  readonly full: Machine[];
+  /** The zones of both. */
+  readonly zones: ReadonlySet<string>;
+  /** The lowest priority that is on any machine, as a number: less urgent work has higher ones. */
+  readonly lowestRunningPriority: number;
+  /** CPUs free on ordinary machines beyond those that arrays leave to gangs. */
+  spareOrdinaryCpus: number;
+  /** Shapes of jobs that found no machine, in this cycle or in those before it that used up their candidates. */
+  readonly unschedulableShapes: Set<string>;
+  /** Teams whose own tasks were considered for preemption: once a team, since that passes all their tasks. */
+  readonly teamsConsideredForPreemption: Set<string>;
+  /** How many tasks may still start, and how many machines may still be scored. */
   startBudget: number;
   candidateBudget: number;
 }
-
-export interface PlacementWork {
-  cycles: number;
-  candidatesExamined: number;
-  starts: number;
-  stops: Record<string, number>;
-}
-
-export function emptyPlacementWork(): PlacementWork {
-  return { cycles: 0, candidatesExamined: 0, starts: 0, stops: {} };
-}
--- a/src/placement/straggler-detection.ts
+++ b/src/placement/straggler-detection.ts
@@ -1,69 +1,90 @@
 /**
- * The straggler round of DESIGN: the paper (section 5.5, Listing 2) leaves detection open. Workers report no
- * CPU use, so a machine is flagged when tasks of several jobs run longer on it than the same jobs elsewhere.
+ * Detects stragglers, machines that run tasks slowly. The paper (section 5.5, Listing 2) leaves detection open. Workers
+ * report no CPU use, so a machine is flagged when tasks of several jobs run longer on it than the same jobs elsewhere.
  */
 import type { Job } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 
-interface Sample {
+const MAX_SAMPLES_PER_JOB = 64;
+const MAX_JOBS = 200;
+/** A median of fewer run times says too little. */
+const MIN_SAMPLES_FOR_MEDIAN = 3;
+
+interface RunTimeSample {
+  /** Index of the machine that ran the task. */
   machine: number;
-  ms: number;
+  runTimeMs: number;
 }
 
-/** Samples kept of each job, and jobs of which samples are kept. */
-const KEPT = 64;
-const MAX_JOBS = 200;
+/** How many jobs ran slower on a machine than elsewhere, and how many did not. */
+interface MachineComparison {
+  slower: number;
+  normal: number;
+}
 
 function median(values: number[]): number {
-  const v = [...values].sort((a, b) => a - b);
-  return v[v.length >> 1];
+  const sorted = [...values].sort((a, b) => a - b);
+  return sorted[sorted.length >> 1];
 }
 
-/** The sample at this place among those of other machines. */
-function medianWithout(sorted: Sample[], machine: number, place: number): number {
-  for (const s of sorted) if (s.machine !== machine && place-- === 0) return s.ms;
+/** Of the samples of all other machines, the one at this position. */
+function runTimeElsewhere(sorted: RunTimeSample[], machine: number, position: number): number {
+  let remaining = position;
+  for (const sample of sorted)
+    if (sample.machine !== machine && remaining-- === 0) return sample.runTimeMs;
   return Infinity;
 }
 
-/** Run times of finished tasks, by job and machine. */
+/** By machine, its run times in the order of the samples. */
+function groupByMachine(samples: RunTimeSample[]): Map<number, number[]> {
+  const groups = new Map<number, number[]>();
+  for (const { machine, runTimeMs } of samples)
+    groups.set(machine, [...(groups.get(machine) ?? []), runTimeMs]);
+  return groups;
+}
+
+/** Run times of finished tasks by job and machine, both given by their index: the latest ones of each job. */
 export class RunTimeSamples {
-  private readonly byJob = new Map<number, Sample[]>();
+  private readonly byJob = new Map<number, RunTimeSample[]>();
 
-  record(job: number, machine: number, ms: number): void {
-    let list = this.byJob.get(job);
-    if (!list) this.byJob.set(job, (list = []));
-    list.push({ machine, ms });
-    if (list.length > KEPT) list.shift();
+  record(job: number, machine: number, runTimeMs: number): void {
+    let samples = this.byJob.get(job);
+    if (!samples) {
+      samples = [];
+      this.byJob.set(job, samples);
+    }
+    samples.push({ machine, runTimeMs });
+    if (samples.length > MAX_SAMPLES_PER_JOB) samples.shift();
   }
 
-  /** A job's usual run time; null until three of its tasks are done. */
+  /** The median run time of a job's tasks; null with too few samples. */
   medianMs(job: number): number | null {
-    const list = this.byJob.get(job);
-    return list && list.length >= 3 ? median(list.map((s) => s.ms)) : null;
+    const samples = this.byJob.get(job);
+    if (!samples || samples.length < MIN_SAMPLES_FOR_MEDIAN) return null;
+    return median(samples.map((sample) => sample.runTimeMs));
   }
 
   /**
    * Per machine, how many jobs ran longer on it, by the ratio, than the same jobs elsewhere; and how many did
    * not. Each job's samples are sorted once, for all machines.
    */
-  compareMachines(ratio: number): Map<number, { slower: number; normal: number }> {
-    const out = new Map<number, { slower: number; normal: number }>();
-    for (const list of this.byJob.values()) {
-      const sorted = [...list].sort((a, b) => a.ms - b.ms);
-      const here = new Map<number, number[]>();
-      for (const s of sorted) here.set(s.machine, [...(here.get(s.machine) ?? []), s.ms]);
-      for (const [machine, times] of here) {
-        const others = sorted.length - times.length;
-        if (others < 3) continue;
-        const elsewhere = medianWithout(sorted, machine, others >> 1);
-        const c = out.get(machine) ?? { slower: 0, normal: 0 };
-        if (times[times.length >> 1] >= ratio * elsewhere) c.slower++;
-        else c.normal++;
-        out.set(machine, c);
+  compareMachines(ratio: number): Map<number, MachineComparison> {
+    const comparisons = new Map<number, MachineComparison>();
+    for (const samples of this.byJob.values()) {
+      const sorted = [...samples].sort((a, b) => a.runTimeMs - b.runTimeMs);
+      for (const [machine, runTimes] of groupByMachine(sorted)) {
+        const samplesElsewhere = sorted.length - runTimes.length;
+        if (samplesElsewhere < MIN_SAMPLES_FOR_MEDIAN) continue;
+        const medianHere = runTimes[runTimes.length >> 1];
+        const medianElsewhere = runTimeElsewhere(sorted, machine, samplesElsewhere >> 1);
+        const comparison = comparisons.get(machine) ?? { slower: 0, normal: 0 };
+        if (medianHere >= ratio * medianElsewhere) comparison.slower++;
+        else comparison.normal++;
+        comparisons.set(machine, comparison);
       }
     }
-    return out;
+    return comparisons;
   }
 
   forget(job: number): void {
@@ -75,58 +96,71 @@
   }
 }
 
-/** Timings of ended jobs are still worth something; the oldest go first. */
+/**
+ * Bounds the number of jobs. Samples of ended jobs are still worth something, so they are kept until there are too
+ * many; the oldest of `ended` then go, and are removed from it.
+ */
 export function evictOldestSamples(
-  t: RunTimeSamples,
+  samples: RunTimeSamples,
   isLive: (job: number) => boolean,
   ended: number[],
 ): void {
-  while (t.jobCount() > MAX_JOBS) {
+  while (samples.jobCount() > MAX_JOBS) {
     const job = ended.shift();
     if (job === undefined) return;
-    if (!isLive(job)) t.forget(job);
+    if (!isLive(job)) samples.forget(job);
   }
 }
 
-/** Machines on which several jobs run longer than elsewhere, and more jobs say so than deny it. */
-export function detectStragglers(t: RunTimeSamples, ratio: number, jobs: number): Set<number> {
-  const out = new Set<number>();
-  for (const [machine, { slower, normal }] of t.compareMachines(ratio))
-    if (slower >= jobs && slower > normal) out.add(machine);
-  return out;
+/** Machines on which at least `minJobs` jobs ran longer than elsewhere, and more did so than did not. */
+export function detectStragglers(
+  samples: RunTimeSamples,
+  ratio: number,
+  minJobs: number,
+): Set<number> {
+  const stragglers = new Set<number>();
+  for (const [machine, { slower, normal }] of samples.compareMachines(ratio))
+    if (slower >= minJobs && slower > normal) stragglers.add(machine);
+  return stragglers;
+}
+
+/** Does the task run, and is it in the first half of its usual run time? */
+function isYoung(attempt: TaskAttempt, usualMs: number, now: number): boolean {
+  const { state, runningSince } = attempt;
+  return state === 'running' && runningSince !== 0 && now - runningSince < usualMs / 2;
 }
 
 /** A gang moves whole or not at all. */
-function wholeGangYoung(job: Job, usual: number, now: number): boolean {
-  for (const list of job.attempts.values())
-    for (const e of list)
-      if (e.state !== 'running' || e.runningSince === 0 || now - e.runningSince >= usual / 2)
-        return false;
+function isWholeGangYoung(gang: Job, usualMs: number, now: number): boolean {
+  for (const attempts of gang.attempts.values())
+    for (const attempt of attempts) if (!isYoung(attempt, usualMs, now)) return false;
   return true;
 }
 
-/** One task of a slow machine that is worth moving: young, and not moved before. */
+function isWorthMoving(
+  attempt: TaskAttempt,
+  job: Job,
+  usualMs: (job: Job) => number | null,
+  now: number,
+): boolean {
+  if (job.spec.kind === 'service' || attempt.stop || job.moved.has(attempt.taskNumber))
+    return false;
+  if (attempt.state !== 'running' || attempt.runningSince === 0) return false;
+  const usual = usualMs(job);
+  if (usual === null || !isYoung(attempt, usual, now)) return false;
+  return job.spec.kind !== 'gang' || isWholeGangYoung(job, usual, now);
+}
+
+/** The youngest task of a straggler that is worth moving: in its first half, and not moved before. */
 export function selectTaskToMove(
-  m: Machine,
-  usualOf: (job: Job) => number | null,
+  machine: Machine,
+  usualMs: (job: Job) => number | null,
   now: number,
 ): TaskAttempt | null {
-  let best: TaskAttempt | null = null;
-  for (const e of m.attempts.values()) {
-    const job: Job | null = e.job;
-    if (
-      !job ||
-      job.spec.kind === 'service' ||
-      e.state !== 'running' ||
-      e.runningSince === 0 ||
-      e.stop ||
-      job.moved.has(e.taskNumber)
-    )
-      continue;
-    const usual = usualOf(job);
-    if (usual === null || now - e.runningSince >= usual / 2) continue;
-    if (job.spec.kind === 'gang' && !wholeGangYoung(job, usual, now)) continue;
-    if (!best || e.runningSince > best.runningSince) best = e;
+  let youngest: TaskAttempt | null = null;
+  for (const attempt of machine.attempts.values()) {
+    if (!attempt.job || !isWorthMoving(attempt, attempt.job, usualMs, now)) continue;
+    if (!youngest || attempt.runningSince > youngest.runningSince) youngest = attempt;
   }
-  return best;
+  return youngest;
 }
--- /dev/null
+++ b/src/placement/straggler-relocation.ts
@@ -0,0 +1,92 @@
+/** Flags stragglers, and moves young tasks off them. */
+import type { Job } from '../jobs/job-table.js';
+import type { Log } from '../runtime.js';
+import type { OperatorSettings } from '../settings/operator.js';
+import type { Machine } from '../workers/machine.js';
+import type { MachineTable } from '../workers/machine-table.js';
+import type { TaskAttempt } from '../workers/task-attempt.js';
+import type { AttemptStopper } from './attempt-stopper.js';
+import type { GangScheduler } from './gang-scheduler.js';
+import { hasCapacity, satisfiesConstraints, zoneFilter } from './machine-constraints.js';
+import type { RunTimePrediction } from './run-time-prediction.js';
+import { detectStragglers, selectTaskToMove } from './straggler-detection.js';
+import type { UsableMachines } from './usable-machines.js';
+
+/** What relocation reads and acts on. */
+export interface StragglerRelocationDependencies {
+  table: MachineTable;
+  machines: UsableMachines;
+  operator: OperatorSettings;
+  log: Log;
+  runTimes: RunTimePrediction;
+  gangs: GangScheduler;
+  stopper: AttemptStopper;
+}
+
+/** The part of the placement round that deals with stragglers. */
+export class StragglerRelocation {
+  constructor(private readonly deps: StragglerRelocationDependencies) {}
+
+  /** Updates the flags, then moves a bounded number of tasks. */
+  round(now: number): void {
+    this.updateFlags();
+    this.moveTasks(now);
+  }
+
+  private updateFlags(): void {
+    const { table, runTimes, operator, log } = this.deps;
+    const { slowness_ratio: ratio, slowness_jobs: minJobs } = operator;
+    const stragglers = detectStragglers(runTimes.samples, ratio, minJobs);
+    for (const machine of table.all()) {
+      const straggler = stragglers.has(machine.index);
+      if (straggler !== machine.isStraggler)
+        log.info({ id: machine.id, straggler }, 'straggler flag changed');
+      machine.isStraggler = straggler;
+    }
+  }
+
+  private moveTasks(now: number): void {
+    let budget = this.deps.operator.moves_per_round;
+    for (const machine of this.deps.table.all()) {
+      if (budget <= 0) return;
+      if (machine.isStraggler && this.moveOne(machine, now)) budget--;
+    }
+  }
+
+  /** A task starts again once its worker reports it stopped; the straggler is then scored behind the others. */
+  private moveOne(machine: Machine, now: number): boolean {
+    const attempt = selectTaskToMove(machine, (job) => this.deps.runTimes.usualMs(job), now);
+    if (!attempt?.job) return false;
+    return attempt.job.spec.kind === 'gang'
+      ? this.moveGang(attempt.job, machine)
+      : this.moveTask(attempt, attempt.job);
+  }
+
+  private moveGang(gang: Job, from: Machine): boolean {
+    const { gangs } = this.deps;
+    if (!gangs.canRelocate(gang, from)) return false;
+    for (const task of gang.attempts.keys()) gang.moved.add(task);
+    gangs.stopWithCheckpoint(gang, 'gang-moved-off-straggler');
+    return true;
+  }
+
+  private moveTask(attempt: TaskAttempt, job: Job): boolean {
+    if (!this.hasTarget(job)) return false;
+    job.moved.add(attempt.taskNumber);
+    const graceS = job.spec.checkpointS > 0 ? job.spec.saveS : 0;
+    this.deps.stopper.stop(attempt, graceS, 'moved-off-straggler');
+    return true;
+  }
+
+  /** Is there a machine of normal speed with free capacity for a task of the job? */
+  private hasTarget(job: Job): boolean {
+    const { table, machines } = this.deps;
+    const isZoneOpen = zoneFilter(job);
+    for (const machine of table.all()) {
+      if (machine.isStraggler || !hasCapacity(job.spec, machine)) continue;
+      if (!satisfiesConstraints(job.spec, machine) || !machines.isUsable(machine)) continue;
+      if (!isZoneOpen || isZoneOpen(machine.zone)) return true;
+    }
+    return false;
+  }
+}
--- a/src/placement/team-usage.ts
+++ b/src/placement/team-usage.ts
@@ -4,29 +4,32 @@
  */
 import type { Team } from '../settings/platform.js';
 import type { JobSpec } from '../wire/model.js';
-import { NO_RESOURCES, type Resources, plus, times } from './resources.js';
-
-/** Sums of decimal amounts may be off by this much. */
-const TOLERANCE = 1e-6;
-
-/** A team's use at one moment. */
+import {
+  NO_RESOURCES,
+  ROUNDING_TOLERANCE,
+  type Resources,
+  addResources,
+  scaleResources,
+} from './resources.js';
+
+/** A team's usage at one moment. */
 export interface QuotaStatus {
   team: string;
   /** All attempts that may be on machines. */
   used: Resources;
-  /** The most that tasks may use that no report has shown yet. */
+  /** An upper bound of the usage that no heartbeat has shown yet. */
   unconfirmed: Resources;
   limit: Resources;
   /** The highest share of the limit that was in use since the last `resetPeaks`. */
   peakShare: number;
 }
 
-/** What a start asks for. */
+/** What a start asks of its team's quota. */
 export interface StartRequest {
   spec: JobSpec;
   /** How many tasks start together. */
   tasks: number;
-  /** Room under the limit that is left to others. */
+  /** CPUs under the limit that are left to others. */
   headroomCpus: number;
 }
 
@@ -36,17 +39,19 @@
   used: Resources;
   unconfirmed: Resources;
   peakShare: number;
-  /** An audit found that the sums did not hold: nothing starts until one finds that they do. */
+  /** An audit found that the sums were wrong: nothing starts until one finds that they are right. */
   suspended: boolean;
 }
 
 function exceeds(amount: Resources, limit: Resources): boolean {
-  return amount.cpus > limit.cpus + TOLERANCE || amount.gpus > limit.gpus + TOLERANCE;
+  return (
+    amount.cpus > limit.cpus + ROUNDING_TOLERANCE || amount.gpus > limit.gpus + ROUNDING_TOLERANCE
+  );
 }
 
 /** Do the two sums differ by more than rounding? */
-export function differ(a: Resources, b: Resources): boolean {
-  return exceeds(a, b) || exceeds(b, a);
+export function differs(left: Resources, right: Resources): boolean {
+  return exceeds(left, right) || exceeds(right, left);
 }
 
 function shareOf(used: Resources, limit: Resources): number {
@@ -55,6 +60,12 @@
   return Math.max(cpus, gpus);
 }
 
+function usageAfter(account: Account, { spec, tasks, headroomCpus }: StartRequest): Resources {
+  const before = addResources(account.used, account.unconfirmed);
+  const after = addResources(before, scaleResources(spec, tasks));
+  return addResources(after, { cpus: headroomCpus, gpus: 0 });
+}
+
 /** What each team may have on machines, everything counted that may still be there. */
 export class TeamUsage {
   private readonly accounts = new Map<string, Account>();
@@ -75,50 +86,45 @@
   charge(spec: JobSpec): void {
     const account = this.accounts.get(spec.team);
     if (!account) return;
-    account.used = plus(account.used, spec);
+    account.used = addResources(account.used, spec);
     account.peakShare = Math.max(account.peakShare, shareOf(account.used, account.limit));
   }
 
   /** An attempt is surely on no machine any more. */
   refund(spec: JobSpec): void {
     const account = this.accounts.get(spec.team);
-    if (account) account.used = plus(account.used, times(spec, -1));
+    if (account) account.used = addResources(account.used, scaleResources(spec, -1));
   }
 
-  /** By team, the most that tasks may use that no report has shown yet; teams that are missing have none. */
-  setUnconfirmed(unseen: ReadonlyMap<string, Resources>): void {
+  /** Sets by team what no heartbeat has shown yet; teams that are missing have none. */
+  setUnconfirmed(unconfirmed: ReadonlyMap<string, Resources>): void {
     for (const [name, account] of this.accounts)
-      account.unconfirmed = unseen.get(name) ?? NO_RESOURCES;
+      account.unconfirmed = unconfirmed.get(name) ?? NO_RESOURCES;
   }
 
   /**
-   * May the team take this much more? Everything that may be on machines counts, seen or not. A team that is no longer
-   * in the settings may take nothing.
+   * May the team take this much more? Everything that may be on machines counts, confirmed or not. A team that is no
+   * longer in the settings may take nothing.
    */
-  mayStart({ spec, tasks, headroomCpus }: StartRequest): boolean {
-    const account = this.accounts.get(spec.team);
+  mayStart(request: StartRequest): boolean {
+    const account = this.accounts.get(request.spec.team);
     if (!account || account.suspended) return false;
-    return !exceeds(this.with(account, spec, tasks, headroomCpus), account.limit);
+    return !exceeds(usageAfter(account, request), account.limit);
   }
 
-  /** Would it fit under the limit if `leaving` had gone? */
-  fitsWithout({ spec, tasks, headroomCpus }: StartRequest, leaving: Resources): boolean {
-    const account = this.accounts.get(spec.team);
+  /** Would it fit under the limit if `leaving` had ended? */
+  fitsWithout(request: StartRequest, leaving: Resources): boolean {
+    const account = this.accounts.get(request.spec.team);
     if (!account) return false;
-    const left = plus(this.with(account, spec, tasks, headroomCpus), times(leaving, -1));
-    return !exceeds(left, account.limit);
-  }
-
-  private with(account: Account, spec: JobSpec, tasks: number, headroomCpus: number): Resources {
-    const known = plus(account.used, account.unconfirmed);
-    return plus(plus(known, times(spec, tasks)), { cpus: headroomCpus, gpus: 0 });
+    const remaining = addResources(usageAfter(account, request), scaleResources(leaving, -1));
+    return !exceeds(remaining, account.limit);
   }
 
   team(name: string): Team | undefined {
     return this.accounts.get(name)?.team;
   }
 
-  /** Beyond its guarantee: what it borrows can be taken back. */
+  /** Does the team use more than its guarantee? Others may then reclaim what is beyond. */
   exceedsGuarantee(name: string): boolean {
     const account = this.accounts.get(name);
     return account !== undefined && account.used.cpus > account.team.cpus;
@@ -135,7 +141,7 @@
     return [...this.accounts.keys()].flatMap((name) => this.quotaStatus(name) ?? []);
   }
 
-  /** The highest shares are counted anew, from what is in use now. */
+  /** Restarts the peaks from what is in use now. */
   resetPeaks(): void {
     for (const account of this.accounts.values())
       account.peakShare = shareOf(account.used, account.limit);
@@ -150,13 +156,14 @@
     return this.accounts.get(name)?.suspended === true;
   }
 
-  suspend(name: string, suspended: boolean): void {
+  /** A suspended team starts nothing. */
+  setSuspended(name: string, suspended: boolean): void {
     const account = this.accounts.get(name);
     if (account) account.suspended = suspended;
   }
 
-  /** The sum was wrong: what the table of attempts says stands instead. */
-  correct(name: string, used: Resources): void {
+  /** Replaces a wrong sum by what the table of attempts adds up to. */
+  correctUsed(name: string, used: Resources): void {
     const account = this.accounts.get(name);
     if (account) account.used = used;
   }
--- a/src/placement/usable-machines.ts
+++ b/src/placement/usable-machines.ts
@@ -2,46 +2,54 @@
 import type { Job } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
+import { ROUNDING_TOLERANCE } from './resources.js';
 
-const ROUNDING = 1e-6;
+/** The usable machines, split by whether any waiting task could fit without preemption. */
+export interface MachinesByCapacity {
+  withCapacity: Machine[];
+  full: Machine[];
+}
 
+/** Filters the machine table for those that may be given work. */
 export class UsableMachines {
   constructor(
     private readonly table: MachineTable,
     private readonly isSilent: (machine: Machine) => boolean,
   ) {}
 
-  isUsable(m: Machine): boolean {
-    return this.whyUnusable(m) === null;
+  /** May the machine be given work? */
+  isUsable(machine: Machine): boolean {
+    return this.unusableReason(machine) === null;
   }
 
-  /** Why a machine may not be given work; null if it may. */
-  private whyUnusable(m: Machine): string | null {
-    if (!m.stored) return 'not stored';
-    if (!m.isReconciled()) return 'not certain';
-    if (m.drainReason) return m.drainReason;
-    if (m.deleting) return 'deleting';
-    if (m.commandFailures > 0) return 'unanswered';
-    return this.isSilent(m) ? 'silent' : null;
+  /** A name for the log: a machine that is drained shows its drain reason. Null if it may be given work. */
+  private unusableReason(machine: Machine): string | null {
+    if (!machine.stored) return 'not-stored';
+    if (!machine.isReconciled()) return 'not-reconciled';
+    if (machine.drainReason) return machine.drainReason;
+    if (machine.deleting) return 'being-deleted';
+    if (machine.commandFailures > 0) return 'commands-unacknowledged';
+    return this.isSilent(machine) ? 'silent' : null;
   }
 
   /** How many machines may not be given work, by reason: for the log. */
   countUnusable(): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const machine of this.table.all()) {
-      const reason = this.whyUnusable(machine);
+      const reason = this.unusableReason(machine);
       if (reason !== null) counts[reason] = (counts[reason] ?? 0) + 1;
     }
     return counts;
   }
 
-  /** Those with room for a task of some waiting job, and those without. */
-  byRoom(waiting: Job[]): { roomy: Machine[]; full: Machine[] } {
-    const least = Math.min(...waiting.map((job) => job.spec.cpus)) - ROUNDING;
-    const roomy: Machine[] = [];
+  /** The usable machines by free CPUs: `full` ones have fewer than the smallest waiting task needs. */
+  byCapacity(waiting: Job[]): MachinesByCapacity {
+    const minCpus = Math.min(...waiting.map((job) => job.spec.cpus)) - ROUNDING_TOLERANCE;
+    const withCapacity: Machine[] = [];
     const full: Machine[] = [];
     for (const machine of this.table.all())
-      if (this.isUsable(machine)) (machine.freeCpus() >= least ? roomy : full).push(machine);
-    return { roomy, full };
+      if (this.isUsable(machine))
+        (machine.freeCpus() >= minCpus ? withCapacity : full).push(machine);
+    return { withCapacity, full };
   }
 }
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -6,16 +6,17 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { AttemptState } from '../workers/task-attempt.js';
 import type { DecisionLog } from './decision-log.js';
-import { type TeamUsage, differ } from './team-usage.js';
 import { NO_RESOURCES, type Resources } from './resources.js';
+import { type TeamUsage, differs } from './team-usage.js';
 
 /** A recount passes all attempts: some thousands of them take about a millisecond. */
-const AUDIT_MS = 5000;
+const AUDIT_INTERVAL_MS = 5000;
 
-/** The text of the error that a broken invariant is logged with. */
-export const TEAM_USAGE_VIOLATION = 'team usage does not hold';
+/** The message of the error that a violated invariant is logged with; tests and the soak look for it. */
+export const TEAM_USAGE_VIOLATION = 'team usage invariant violated';
 
-export type UsageFault =
+/** What an audit found: a sum that is wrong, or a team that uses more on reconciled machines than its limit. */
+type UsageViolation =
   | { kind: 'wrong-sum'; counted: Resources; recounted: Resources }
   | { kind: 'over-limit'; onMachines: Resources; limit: Resources };
 
@@ -26,16 +27,21 @@
 
 interface Recount {
   /** Attempts that may be on machines. */
-  readonly held: MutableResources;
-  /** Attempts that machines under our token report as having their image. */
+  readonly charged: MutableResources;
+  /** Attempts that reconciled machines report as having their image. */
   readonly onMachines: MutableResources;
 }
 
-const NOTHING: Recount = { held: { cpus: 0, gpus: 0 }, onMachines: { cpus: 0, gpus: 0 } };
-const WITH_IMAGE: ReadonlySet<AttemptState> = new Set(['waiting', 'running', 'saving']);
+const STATES_WITH_IMAGE: ReadonlySet<AttemptState> = new Set(['waiting', 'running', 'saving']);
+
+function emptyRecount(): Recount {
+  return { charged: { cpus: 0, gpus: 0 }, onMachines: { cpus: 0, gpus: 0 } };
+}
+
+const NOTHING_RECOUNTED: Recount = emptyRecount();
 
 /** Adds in place: a recount passes tens of thousands of attempts in a large fleet. */
-function add(sum: MutableResources, amount: Resources): void {
+function addTo(sum: MutableResources, amount: Resources): void {
   sum.cpus += amount.cpus;
   sum.gpus += amount.gpus;
 }
@@ -43,29 +49,30 @@
 function recountOf(teams: Map<string, Recount>, team: string): Recount {
   let recount = teams.get(team);
   if (!recount) {
-    recount = { held: { cpus: 0, gpus: 0 }, onMachines: { cpus: 0, gpus: 0 } };
+    recount = emptyRecount();
     teams.set(team, recount);
   }
   return recount;
 }
 
-function recount(table: MachineTable): Map<string, Recount> {
+function recountByTeam(table: MachineTable): Map<string, Recount> {
   const teams = new Map<string, Recount>();
   for (const machine of table.all()) {
     if (machine.attempts.size === 0) continue;
     // What an older token shows may be long gone, and be counted a second time where it runs now.
-    const isCertain = machine.isReconciled();
+    const isReconciled = machine.isReconciled();
     for (const attempt of machine.attempts.values()) {
       if (!attempt.job || !attempt.onMachine()) continue;
       const { spec } = attempt.job;
-      const sums = recountOf(teams, spec.team);
-      add(sums.held, spec);
-      if (isCertain && WITH_IMAGE.has(attempt.state)) add(sums.onMachines, spec);
+      const recount = recountOf(teams, spec.team);
+      addTo(recount.charged, spec);
+      if (isReconciled && STATES_WITH_IMAGE.has(attempt.state)) addTo(recount.onMachines, spec);
     }
   }
   return teams;
 }
 
+/** What the audit compares, and where it reports. */
 export interface UsageAuditDependencies {
   table: MachineTable;
   usage: TeamUsage;
@@ -73,39 +80,40 @@
   log: Log;
 }
 
+/** Audits the teams' usage, corrects wrong sums, and suspends teams until their usage is right again. */
 export class UsageAudit {
   private auditedAt = -Infinity;
 
   constructor(private readonly deps: UsageAuditDependencies) {}
 
-  /** Audits all teams if it is time to. */
+  /** Audits all teams if the interval is over. */
   tick(now: number): void {
-    if (now - this.auditedAt < AUDIT_MS) return;
+    if (now - this.auditedAt < AUDIT_INTERVAL_MS) return;
     this.auditedAt = now;
-    const recounted = recount(this.deps.table);
+    const recounts = recountByTeam(this.deps.table);
     for (const { team, used } of this.deps.usage.quotaStatuses())
-      this.audit(team, used, recounted.get(team) ?? NOTHING);
+      this.audit(team, used, recounts.get(team) ?? NOTHING_RECOUNTED);
   }
 
-  private audit(team: string, counted: Resources, { held, onMachines }: Recount): void {
+  private audit(team: string, counted: Resources, { charged, onMachines }: Recount): void {
     const { usage, log } = this.deps;
-    if (differ(counted, held)) {
-      usage.correct(team, held);
-      this.suspend(team, { kind: 'wrong-sum', counted, recounted: held });
+    if (differs(counted, charged)) {
+      usage.correctUsed(team, charged);
+      this.suspend(team, { kind: 'wrong-sum', counted, recounted: charged });
     } else if (usage.isOverLimit(team, onMachines)) {
       const limit = usage.quotaStatus(team)?.limit ?? NO_RESOURCES;
       this.suspend(team, { kind: 'over-limit', onMachines, limit });
     } else if (usage.isSuspended(team)) {
-      usage.suspend(team, false);
-      log.info({ team }, 'team usage holds again');
+      usage.setSuspended(team, false);
+      log.info({ team }, 'team usage invariant restored');
     }
   }
 
-  /** Nothing of the team starts until an audit finds that its sums hold. */
-  private suspend(team: string, fault: UsageFault): void {
+  /** Nothing of the team starts until an audit finds that its sums are right. */
+  private suspend(team: string, violation: UsageViolation): void {
     const { usage, decisions, log } = this.deps;
-    if (usage.isSuspended(team) && fault.kind === 'over-limit') return;
-    usage.suspend(team, true);
-    log.error({ team, ...fault, decisions: decisions.recent(team) }, TEAM_USAGE_VIOLATION);
+    if (usage.isSuspended(team) && violation.kind === 'over-limit') return;
+    usage.setSuspended(team, true);
+    log.error({ team, ...violation, decisions: decisions.recent(team) }, TEAM_USAGE_VIOLATION);
   }
 }
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -2,6 +2,7 @@
 import type { Job } from '../jobs/job-table.js';
 import type { ExitCause } from '../wire/model.js';
 import type { Machine } from './machine.js';
+import type { StopReason } from './stop-reason.js';
 
 /**
  * ordered: a start was decided; it may be in flight. fetching, waiting, running, saving: as reported.
@@ -25,7 +26,7 @@
 export interface StopRequest {
   /** Seconds that the task may take to save. */
   graceS: number;
-  reason: string;
+  reason: StopReason;
   /** Of a gathering gang: only this task leaves its machine, and is started again under the same attempt. */
   replaced: boolean;
 }
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -161,7 +161,7 @@
   table.removeAttempt(attempt, 0);
   table.startsRejected([attempt], 0);
   table.removeAttempt(attempt, 0);
-  table.stop(attempt, { graceS: 0, reason: 'test', replaced: false }, 0);
+  table.stop(attempt, { graceS: 0, reason: 'preempted', replaced: false }, 0);
   assert.equal(usage.quotaStatus('t')!.used.cpus, 2);
   assert.equal(machine.usedCpus, 2);
 });
