--- a/src/placement/gang-capacity.ts
+++ b/src/placement/gang-capacity.ts
@@ -8,7 +8,7 @@
 }
 
 /** How many of the job's tasks fit into the machine's free capacity: at most as many as the job has. */
-export function taskSlots(job: Job, machine: Machine): number {
+function taskSlots(job: Job, machine: Machine): number {
   const { cpus, gpus, memoryGb, tasks } = job.spec;
   const slots = Math.min(
     wholeTasks(machine.freeCpus(), cpus),
@@ -32,7 +32,7 @@
 }
 
 /** The machines by zone: first where most tasks find the image and normal speed, then where most find capacity. */
-export function zonesByCapacity(job: Job, machines: Machine[]): Machine[][] {
+function zonesByCapacity(job: Job, machines: Machine[]): Machine[][] {
   const zones = new Map<string, ZoneCapacity>();
   for (const machine of machines) {
     const zone = zones.get(machine.zone) ?? { machines: [], slots: 0, warmSlots: 0 };
--- /dev/null
+++ b/src/placement/gang-relocation.ts
@@ -0,0 +1,82 @@
+/** Moves gangs off machines: all their tasks stop at the same time, so that they save and start again together. */
+import type { Job } from '../jobs/job-table.js';
+import type { Log } from '../runtime.js';
+import type { Machine } from '../workers/machine.js';
+import type { MachineTable } from '../workers/machine-table.js';
+import type { StopReason } from '../workers/stop-reason.js';
+import type { StopRequest, TaskAttempt } from '../workers/task-attempt.js';
+import { fitsGang } from './gang-capacity.js';
+import { attemptsOf, gangState } from './gang-state.js';
+import { satisfiesConstraints } from './machine-constraints.js';
+
+/** A stop with a checkpoint is put off at most until this many heartbeats fit before its latest moment. */
+const HEARTBEATS_BEFORE_STOP = 2;
+
+/** What relocation works on. Times are in seconds. */
+export interface GangRelocationDependencies {
+  table: MachineTable;
+  log: Log;
+  /** Within this time the tasks of a running gang notice that one of them is gone. */
+  gangPeerS: number;
+  /** The workers' heartbeat interval. */
+  reportS: number;
+  now(): number;
+  /** May the machine be given work? */
+  isUsable(machine: Machine): boolean;
+}
+
+/** Decides when a gang leaves a machine, and stops it with a checkpoint. */
+export class GangRelocation {
+  constructor(private readonly deps: GangRelocationDependencies) {}
+
+  /**
+   * The task has to leave its machine, which goes away in `leftS` seconds (Infinity if it stays up). Tells whether
+   * anything was stopped. A starting gang replaces the task; a running one stops whole with a checkpoint, as soon as it
+   * fits elsewhere and all its machines are reachable, or at the latest moment that leaves the time to save.
+   */
+  vacateMachine(attempt: TaskAttempt, gang: Job, leftS: number, reason: StopReason): boolean {
+    const state = gangState(gang);
+    if (state === 'starting') {
+      const request: StopRequest = { graceS: 0, reason, replaced: true };
+      this.deps.table.stop(attempt, request, this.deps.now());
+      return true;
+    }
+    if (state !== 'running') return false;
+    const { gangPeerS, reportS } = this.deps;
+    const latestS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * reportS;
+    if (leftS > latestS && !this.canRelocate(gang, attempt.machine)) return false;
+    this.stopWithCheckpoint(gang, reason, leftS);
+    return true;
+  }
+
+  /** Does the whole gang fit elsewhere, and are all its machines reachable? */
+  canRelocate(gang: Job, from: Machine): boolean {
+    if (!this.allReachable(gang)) return false;
+    const targets = [...this.deps.table.all()].filter(
+      (machine) =>
+        machine !== from &&
+        !machine.isStraggler &&
+        this.deps.isUsable(machine) &&
+        satisfiesConstraints(gang.spec, machine),
+    );
+    return fitsGang(gang, targets);
+  }
+
+  private allReachable(gang: Job): boolean {
+    return attemptsOf(gang).every(
+      ({ machine }) => machine.isReconciled() && machine.commandFailures === 0,
+    );
+  }
+
+  /**
+   * Stops all tasks at the same time, with the time to save, so that the next attempt continues from there. Where that
+   * can't work, since a machine is unreachable or the time too short, the gang falls back to its last checkpoint.
+   */
+  stopWithCheckpoint(gang: Job, reason: StopReason, leftS = Infinity): void {
+    const { id, saveS, checkpointS } = gang.spec;
+    const saves = checkpointS > 0 && saveS <= leftS && this.allReachable(gang);
+    if (!saves) this.deps.log.info({ job: id, reason }, 'gang stops without a checkpoint');
+    const request: StopRequest = { graceS: saves ? saveS : 0, reason, replaced: false };
+    for (const attempt of attemptsOf(gang)) this.deps.table.stop(attempt, request, this.deps.now());
+  }
+}
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -1,11 +1,10 @@
-/** Starts, completes, moves and aborts gangs. All tasks find capacity before anything is started or stopped. */
+/** Starts, completes and aborts gangs. All tasks find capacity before anything is started or stopped. */
 import type { Job } from '../jobs/job-table.js';
-import type { Log } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { StopReason } from '../workers/stop-reason.js';
-import type { StopRequest, TaskAttempt } from '../workers/task-attempt.js';
-import { fitsGang, placementGroups, totalTaskSlots } from './gang-capacity.js';
+import type { TaskAttempt } from '../workers/task-attempt.js';
+import { placementGroups, totalTaskSlots } from './gang-capacity.js';
 import { attemptsOf, gangAttempt, gangState, missingTasks, waitLeftMs } from './gang-state.js';
 import {
   MachineCandidates,
@@ -22,25 +21,16 @@
 const RETRY_INTERVAL_MS = 500;
 /** A replacement must have its image this long before the first waiting task gives up. */
 const REPLACEMENT_MARGIN_MS = 500;
-/** A stop with a checkpoint is put off at most until this many heartbeats fit before its latest moment. */
-const HEARTBEATS_BEFORE_STOP = 2;
 
-/** What gang scheduling works on. Times whose names end in S are in seconds. */
+/** What gang scheduling works on. */
 export interface GangSchedulerDependencies {
   table: MachineTable;
   usage: TeamUsage;
   reservations: Reservations;
-  log: Log;
-  /** How long a task that has its image waits for the others before it gives up. */
+  /** How many seconds a task that has its image waits for the others before it gives up. */
   gangWaitS: number;
-  /** Within this time the tasks of a running gang notice that one of them is gone. */
-  gangPeerS: number;
-  /** The workers' heartbeat interval. */
-  reportS: number;
   now(): number;
   nextAttempt(): number;
-  /** May the machine be given work? */
-  usable(machine: Machine): boolean;
 }
 
 /** `not-now`: other conditions than capacity keep the gang from starting. */
@@ -60,7 +50,7 @@
   );
 }
 
-/** Keeps each gang on machines as a whole: nothing else starts or stops single tasks of gangs. */
+/** Keeps each gang on machines as a whole, through its start, the loss of tasks and its abort. */
 export class GangScheduler {
   constructor(private readonly deps: GangSchedulerDependencies) {}
 
@@ -146,7 +136,7 @@
   }
 
   /**
-   * A task of the gang is gone from its machine. While the gang starts, one that is lost, was rejected or had to
+   * A task of the gang has left its machine. While the gang starts, one that is lost, was rejected or had to
    * leave its machine is replaced under the same attempt. Otherwise the whole gang stops, and starts again.
    */
   attemptEnded(gang: Job, attempt: TaskAttempt): void {
@@ -184,55 +174,4 @@
   private stopNow(attempt: TaskAttempt, reason: StopReason): void {
     this.deps.table.stop(attempt, { graceS: 0, reason, replaced: false }, this.deps.now());
   }
-
-  /**
-   * The task has to leave its machine, which goes away in `leftS` seconds (Infinity if it stays up). Tells whether
-   * anything was stopped. A starting gang replaces the task; a running one stops whole with a checkpoint, as soon as it
-   * fits elsewhere and all its machines can be told, or at the latest moment that leaves the time to save.
-   */
-  vacateMachine(attempt: TaskAttempt, gang: Job, leftS: number, reason: StopReason): boolean {
-    const state = gangState(gang);
-    if (state === 'starting') {
-      const request: StopRequest = { graceS: 0, reason, replaced: true };
-      this.deps.table.stop(attempt, request, this.deps.now());
-      return true;
-    }
-    if (state !== 'running') return false;
-    const { gangPeerS, reportS } = this.deps;
-    const latestS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * reportS;
-    if (leftS > latestS && !this.canRelocate(gang, attempt.machine)) return false;
-    this.stopWithCheckpoint(gang, reason, leftS);
-    return true;
-  }
-
-  /** Does the whole gang fit elsewhere, and can all of its machines be told to stop? */
-  canRelocate(gang: Job, from: Machine): boolean {
-    if (!this.allReachable(gang)) return false;
-    const targets = [...this.deps.table.all()].filter(
-      (machine) =>
-        machine !== from &&
-        !machine.isStraggler &&
-        this.deps.usable(machine) &&
-        satisfiesConstraints(gang.spec, machine),
-    );
-    return fitsGang(gang, targets);
-  }
-
-  private allReachable(gang: Job): boolean {
-    return attemptsOf(gang).every(
-      ({ machine }) => machine.isReconciled() && machine.commandFailures === 0,
-    );
-  }
-
-  /**
-   * Stops all tasks at the same time, with the time to save, so that the next attempt continues from there. Where that
-   * can't work, since a machine is unreachable or the time too short, the gang falls back to its last checkpoint.
-   */
-  stopWithCheckpoint(gang: Job, reason: StopReason, leftS = Infinity): void {
-    const { id, saveS, checkpointS } = gang.spec;
-    const saves = checkpointS > 0 && saveS <= leftS && this.allReachable(gang);
-    if (!saves) this.deps.log.info({ job: id, reason }, 'gang stops without a checkpoint');
-    const request: StopRequest = { graceS: saves ? saveS : 0, reason, replaced: false };
-    for (const attempt of attemptsOf(gang)) this.deps.table.stop(attempt, request, this.deps.now());
-  }
 }
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -6,7 +6,7 @@
  * - absent: no task of it can be on any machine.
  * - starting: tasks of one attempt fetch their image or wait for each other; none has begun.
  * - running: at least one task runs, so all of them have begun.
- * - stopping: it was told to stop, or tasks of different attempts are left; nothing starts until all are gone.
+ * - stopping: a stop was requested, or tasks of different attempts remain; nothing starts until all have ended.
  */
 export type GangState = 'absent' | 'starting' | 'running' | 'stopping';
 
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -14,11 +14,11 @@
 /** The goals that the platform's objectives state for finishing jobs. */
 export function finishGoals(objectives: Objective[]): FinishGoals {
   const goals: FinishGoals = new Map();
-  for (const { kind, cls, withinS } of objectives) {
-    if (kind !== 'finished' || cls === null || withinS === null) continue;
-    const ofClass = [...(goals.get(cls) ?? []), withinS];
+  for (const { kind, cls: jobClass, withinS } of objectives) {
+    if (kind !== 'finished' || jobClass === null || withinS === null) continue;
+    const ofClass = [...(goals.get(jobClass) ?? []), withinS];
     goals.set(
-      cls,
+      jobClass,
       ofClass.sort((a, b) => a - b),
     );
   }
@@ -41,8 +41,8 @@
  * need not miss theirs, and among these the one with the least work left goes first.
  */
 export function urgency(job: Job, goals: FinishGoals, expectedMs: number, wallMs: number): Urgency {
-  const { deadlineS, cls, cpus } = job.spec;
-  const goalsS = deadlineS !== null ? [deadlineS] : (goals.get(cls) ?? []);
+  const { deadlineS, cls: jobClass, cpus } = job.spec;
+  const goalsS = deadlineS !== null ? [deadlineS] : (goals.get(jobClass) ?? []);
   const earliestEnd = wallMs + SHORTEST_TASK_SHARE * expectedMs;
   const goal = goalsS.findIndex((withinS) => job.acceptedAt + withinS * 1000 >= earliestEnd);
   return { goal: goal < 0 ? goalsS.length : goal, work: job.pending() * cpus * expectedMs };
--- a/src/placement/machine-drain.ts
+++ b/src/placement/machine-drain.ts
@@ -5,7 +5,7 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import type { AttemptStopper } from './attempt-stopper.js';
-import type { GangScheduler } from './gang-scheduler.js';
+import type { GangRelocation } from './gang-relocation.js';
 import { hasCapacity, satisfiesConstraints } from './machine-constraints.js';
 import type { RunTimePrediction } from './run-time-prediction.js';
 import type { UsableMachines } from './usable-machines.js';
@@ -19,16 +19,16 @@
   machines: UsableMachines;
   operator: OperatorSettings;
   runTimes: RunTimePrediction;
-  gangs: GangScheduler;
+  gangs: GangRelocation;
   stopper: AttemptStopper;
 }
 
 /** What the moves off one machine share. */
-interface DrainPass {
+interface DrainProgress {
   /** Until the machine goes away; Infinity if it stays up. */
   readonly leftMs: number;
   readonly targets: Machine[];
-  /** CPUs of the targets that tasks moved in this pass will take. */
+  /** CPUs of the targets that tasks moved so far will take. */
   readonly promisedCpus: Map<Machine, number>;
 }
 
@@ -46,7 +46,7 @@
   drain(machine: Machine, now: number): void {
     if (!machine.isReconciled()) return;
     const { preemptionDeadline } = machine;
-    const pass: DrainPass = {
+    const progress: DrainProgress = {
       leftMs: preemptionDeadline === null ? Infinity : preemptionDeadline - now,
       targets: [...this.deps.table.all()],
       promisedCpus: new Map(),
@@ -56,8 +56,8 @@
       if (budget <= 0) return;
       const { job } = attempt;
       if (!attempt.onMachine() || attempt.stop || attempt.startUnacknowledged || !job) continue;
-      if (this.endsInTime(attempt, job, pass.leftMs, now)) continue;
-      if (this.moveAway(attempt, job, pass)) budget--;
+      if (this.endsInTime(attempt, job, progress.leftMs, now)) continue;
+      if (this.moveAway(attempt, job, progress)) budget--;
     }
   }
 
@@ -66,13 +66,13 @@
     return remainingMs !== null && remainingMs < leftMs * MAX_SHARE_OF_TIME_LEFT;
   }
 
-  private moveAway(attempt: TaskAttempt, job: Job, pass: DrainPass): boolean {
-    const leftS = pass.leftMs / 1000;
+  private moveAway(attempt: TaskAttempt, job: Job, progress: DrainProgress): boolean {
+    const leftS = progress.leftMs / 1000;
     if (job.spec.kind === 'gang')
       return this.deps.gangs.vacateMachine(attempt, job, leftS, 'machine-drained');
-    const target = this.selectTarget(job, pass);
+    const target = this.selectTarget(job, progress);
     if (!target) return false;
-    pass.promisedCpus.set(target, (pass.promisedCpus.get(target) ?? 0) + job.spec.cpus);
+    progress.promisedCpus.set(target, (progress.promisedCpus.get(target) ?? 0) + job.spec.cpus);
     const graceS = job.spec.checkpointS > 0 ? Math.min(job.spec.saveS, leftS) : 0;
     this.deps.stopper.stop(attempt, graceS, 'machine-drained');
     return true;
@@ -82,7 +82,7 @@
    * The machine that is drained takes nothing new, so it is not usable. Capacity is checked first: when many machines go
    * away at once each of their heartbeats comes here, and on a full fleet that is all it costs.
    */
-  private selectTarget(job: Job, { targets, promisedCpus }: DrainPass): Machine | null {
+  private selectTarget(job: Job, { targets, promisedCpus }: DrainProgress): Machine | null {
     for (let i = 0; i < targets.length; i++) {
       const index = (this.nextTarget + i) % targets.length;
       const machine = targets[index];
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -11,6 +11,7 @@
 import { AttemptStopper } from './attempt-stopper.js';
 import { DecisionLog } from './decision-log.js';
 import { DemandHistory } from './demand-history.js';
+import { GangRelocation } from './gang-relocation.js';
 import { GangScheduler } from './gang-scheduler.js';
 import { GuaranteedJobs } from './guaranteed-jobs.js';
 import { finishGoals } from './job-order.js';
@@ -23,7 +24,6 @@
 import { RunTimePrediction } from './run-time-prediction.js';
 import { SchedulingCycleRunner } from './scheduling-cycle-runner.js';
 import { SchedulingStats } from './scheduling-stats.js';
-import { evictOldestSamples } from './straggler-detection.js';
 import { TaskScheduler } from './task-scheduler.js';
 import { TeamUsage } from './team-usage.js';
 import { UsableMachines } from './usable-machines.js';
@@ -59,8 +59,6 @@
   private readonly accounting: AttemptAccounting;
   private readonly cycles: SchedulingCycleRunner;
   private readonly roundLog: RoundLog;
-  /** Indexes of ended jobs whose run times are still kept, oldest first. */
-  private readonly endedJobs: number[] = [];
   private attemptCount = 0;
   private lastRoundAt: number;
 
@@ -87,15 +85,18 @@
     this.gangs = new GangScheduler({
       ...shared,
       gangWaitS: settings.gangWaitS,
+      nextAttempt,
+    });
+    const relocation = new GangRelocation({
+      ...shared,
       gangPeerS: settings.gangPeerS,
       reportS: settings.reportS,
-      nextAttempt,
-      usable: (machine) => machines.isUsable(machine),
+      isUsable: (machine) => machines.isUsable(machine),
     });
     const { stopper, gangs } = this;
     this.usageAudit = new UsageAudit(shared);
     this.accounting = new AttemptAccounting({ ...shared, gangs });
-    this.rebalancer = new Rebalancer({ ...shared, gangs, stopper });
+    this.rebalancer = new Rebalancer({ ...shared, gangs: relocation, stopper });
     this.cycles = new SchedulingCycleRunner({
       ...shared,
       goals: finishGoals(settings.objectives),
@@ -154,12 +155,9 @@
 
   /** A job has left the job table. */
   jobEnded(job: Job): void {
-    this.endedJobs.push(job.index);
-    evictOldestSamples(
-      this.runTimes.samples,
-      (index) => [...this.deps.jobs.all()].some((live) => live.index === index),
-      this.endedJobs,
-    );
+    const isLive = (index: number): boolean =>
+      [...this.deps.jobs.all()].some((live) => live.index === index);
+    this.runTimes.samples.jobEnded(job.index, isLive);
   }
 
   // What the autoscaler asks.
--- a/src/placement/run-time-prediction.ts
+++ b/src/placement/run-time-prediction.ts
@@ -3,7 +3,7 @@
 import type { Machine } from '../workers/machine.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import { RunTimeEstimator } from './run-time-estimator.js';
-import { RunTimeSamples } from './straggler-detection.js';
+import { RunTimeSamples } from './run-time-samples.js';
 
 /** Predicts run times. All results are in milliseconds. */
 export class RunTimePrediction {
@@ -12,16 +12,16 @@
 
   /** Counts a task that finished; services don't. */
   recordRun(job: Job, machine: Machine, runTimeMs: number): void {
-    const { cls, estimateS, kind } = job.spec;
-    this.classes.record(cls, runTimeMs, estimateS * 1000);
+    const { cls: jobClass, estimateS, kind } = job.spec;
+    this.classes.record(jobClass, runTimeMs, estimateS * 1000);
     // A gang runs at the speed of its slowest machine, which tells nothing of the others.
     if (kind === 'array') this.samples.record(job.index, machine.index, runTimeMs);
   }
 
   /** What a task of the job is expected to take; 0 if nothing is known. */
   expectedMs(job: Job): number {
-    const { cls, estimateS } = job.spec;
-    return this.samples.medianMs(job.index) ?? this.classes.expectedMs(cls, estimateS * 1000);
+    const { cls: jobClass, estimateS } = job.spec;
+    return this.samples.medianMs(job.index) ?? this.classes.expectedMs(jobClass, estimateS * 1000);
   }
 
   /** The median of the job's other tasks; a gang's run as one, so there it is that of the class. Null if unknown. */
--- /dev/null
+++ b/src/placement/run-time-samples.ts
@@ -0,0 +1,98 @@
+/** Run times of finished tasks, kept by job so that machines can be compared. */
+
+const MAX_SAMPLES_PER_JOB = 64;
+const MAX_JOBS = 200;
+/** A median of fewer run times says too little. */
+const MIN_SAMPLES_FOR_MEDIAN = 3;
+
+interface RunTimeSample {
+  /** Index of the machine that ran the task. */
+  machine: number;
+  runTimeMs: number;
+}
+
+/** How many jobs ran slower on a machine than elsewhere, and how many did not. */
+export interface MachineComparison {
+  slower: number;
+  normal: number;
+}
+
+function median(values: number[]): number {
+  const sorted = [...values].sort((a, b) => a - b);
+  return sorted[sorted.length >> 1];
+}
+
+/** Of the samples of all other machines, the one at this position. */
+function runTimeElsewhere(sorted: RunTimeSample[], machine: number, position: number): number {
+  let remaining = position;
+  for (const sample of sorted)
+    if (sample.machine !== machine && remaining-- === 0) return sample.runTimeMs;
+  return Infinity;
+}
+
+/** By machine, its run times in the order of the samples. */
+function groupByMachine(samples: RunTimeSample[]): Map<number, number[]> {
+  const groups = new Map<number, number[]>();
+  for (const { machine, runTimeMs } of samples)
+    groups.set(machine, [...(groups.get(machine) ?? []), runTimeMs]);
+  return groups;
+}
+
+/** Run times of finished tasks by job and machine, both given by their index: the latest ones of each job. */
+export class RunTimeSamples {
+  private readonly byJob = new Map<number, RunTimeSample[]>();
+  /** Indexes of ended jobs that may still have samples, in the order of their ends. */
+  private readonly endedJobs: number[] = [];
+
+  record(job: number, machine: number, runTimeMs: number): void {
+    let samples = this.byJob.get(job);
+    if (!samples) {
+      samples = [];
+      this.byJob.set(job, samples);
+    }
+    samples.push({ machine, runTimeMs });
+    if (samples.length > MAX_SAMPLES_PER_JOB) samples.shift();
+  }
+
+  /** The median run time of a job's tasks; null with too few samples. */
+  medianMs(job: number): number | null {
+    const samples = this.byJob.get(job);
+    if (!samples || samples.length < MIN_SAMPLES_FOR_MEDIAN) return null;
+    return median(samples.map((sample) => sample.runTimeMs));
+  }
+
+  /**
+   * Per machine, how many jobs ran longer on it, by the ratio, than the same jobs elsewhere; and how many did
+   * not. Each job's samples are sorted once, for all machines.
+   */
+  compareMachines(ratio: number): Map<number, MachineComparison> {
+    const comparisons = new Map<number, MachineComparison>();
+    for (const samples of this.byJob.values()) {
+      const sorted = [...samples].sort((a, b) => a.runTimeMs - b.runTimeMs);
+      for (const [machine, runTimes] of groupByMachine(sorted)) {
+        const samplesElsewhere = sorted.length - runTimes.length;
+        if (samplesElsewhere < MIN_SAMPLES_FOR_MEDIAN) continue;
+        const medianHere = runTimes[runTimes.length >> 1];
+        const medianElsewhere = runTimeElsewhere(sorted, machine, samplesElsewhere >> 1);
+        const comparison = comparisons.get(machine) ?? { slower: 0, normal: 0 };
+        if (medianHere >= ratio * medianElsewhere) comparison.slower++;
+        else comparison.normal++;
+        comparisons.set(machine, comparison);
+      }
+    }
+    return comparisons;
+  }
+
+  /**
+   * Bounds the number of jobs. Samples of ended jobs are still worth something, so they are kept until there are too
+   * many; those of the jobs that ended first then go.
+   */
+  jobEnded(job: number, isLive: (job: number) => boolean): void {
+    this.endedJobs.push(job);
+    while (this.byJob.size > MAX_JOBS) {
+      const oldest = this.endedJobs.shift();
+      if (oldest === undefined) return;
+      if (!isLive(oldest)) this.byJob.delete(oldest);
+    }
+  }
+}
--- a/src/placement/straggler-relocation.ts
+++ b/src/placement/straggler-relocation.ts
@@ -6,7 +6,7 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import type { AttemptStopper } from './attempt-stopper.js';
-import type { GangScheduler } from './gang-scheduler.js';
+import type { GangRelocation } from './gang-relocation.js';
 import { hasCapacity, satisfiesConstraints, zoneFilter } from './machine-constraints.js';
 import type { RunTimePrediction } from './run-time-prediction.js';
 import { detectStragglers, selectTaskToMove } from './straggler-detection.js';
@@ -19,7 +19,7 @@
   operator: OperatorSettings;
   log: Log;
   runTimes: RunTimePrediction;
-  gangs: GangScheduler;
+  gangs: GangRelocation;
   stopper: AttemptStopper;
 }
 
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -180,7 +180,7 @@
   if (s % 20 === 0) c.state.refuse(`${random.pick(c.names)}:80`, random.between(2000, 8000));
 }
 
-// 1138, 1175 and 1215 once broke a quota: see Placement.unseen.
+// 1138, 1175 and 1215 once broke a quota: see `unconfirmedUsage`.
 for (const seed of [1000, 1068, 1089, 1138, 1144, 1175, 1200, 1215, 1232])
   test(`everything at once (${seed})`, async () => {
     const config = {
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Job, JobTable } from '../src/jobs/job-table.js';
-import { GangScheduler } from '../src/placement/gang-scheduler.js';
+import { GangRelocation } from '../src/placement/gang-relocation.js';
 import { Placement } from '../src/placement/placement.js';
 import { defaultOperatorSettings } from '../src/settings/operator.js';
 import type { PlatformSettings } from '../src/settings/platform.js';
@@ -9,7 +9,8 @@
 import type { Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 import { planRentals, type Pool } from '../src/autoscaler/scaling-plan.js';
-import { RunTimeSamples, detectStragglers } from '../src/placement/straggler-detection.js';
+import { RunTimeSamples } from '../src/placement/run-time-samples.js';
+import { detectStragglers } from '../src/placement/straggler-detection.js';
 import { finishGoals, servingOrder, urgency } from '../src/placement/job-order.js';
 import type { MachineType } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
@@ -41,10 +42,10 @@
   const gang = new Job(0, spec({ kind: 'gang', tasks: 4, cpus: 8, spot: false }), 1, 0, true, 0);
   const home = [addMachine('m1'), addMachine('m2')];
   for (let task = 0; task < 4; task++) table.addAttempt(home[task >> 1], 'run-1', gang, task, 7, 0);
-  const gangs = new GangScheduler({
+  const gangs = new GangRelocation({
     table,
-    usable: (machine: Machine) => machine.isReconciled(),
-  } as unknown as ConstructorParameters<typeof GangScheduler>[0]);
+    isUsable: (machine: Machine) => machine.isReconciled(),
+  } as unknown as ConstructorParameters<typeof GangRelocation>[0]);
   const elsewhere = addMachine('m3');
   assert.equal(gangs.canRelocate(gang, home[0]), false, 'half of it fits');
   addMachine('m4');
@@ -73,23 +74,24 @@
 });
 
 test('a finished task is not durable before its chunk is written', () => {
-  const j = new Job(0, spec(), 1, 0, true, 0);
-  j.finish(3, 100);
-  assert.equal(j.isDurable(3), false);
-  j.dirty.clear();
-  assert.deepEqual([j.isDurable(3), j.isDurable(4)], [true, false]);
+  const job = new Job(0, spec(), 1, 0, true, 0);
+  job.finish(3, 100);
+  assert.equal(job.isDurable(3), false);
+  job.dirty.clear();
+  assert.deepEqual([job.isDurable(3), job.isDurable(4)], [true, false]);
 });
 
 test('a machine is slow only if several jobs run longer there than elsewhere', () => {
-  const t = new RunTimeSamples();
-  for (const job of [1, 2]) for (const m of [1, 2, 3, 4]) t.record(job, m, 1000 + m);
-  t.record(1, 9, 1600);
-  assert.equal(detectStragglers(t, 1.5, 2).has(9), false, 'one job is not enough');
-  t.record(2, 9, 1700);
-  assert.equal(detectStragglers(t, 1.5, 2).has(9), true);
-  assert.equal(detectStragglers(t, 1.5, 2).has(1), false);
-  for (const job of [3, 4]) for (const m of [1, 2, 3, 9]) t.record(job, m, 1000);
-  assert.equal(detectStragglers(t, 1.5, 2).has(9), false, 'as many jobs speak against it');
+  const samples = new RunTimeSamples();
+  for (const job of [1, 2])
+    for (const machine of [1, 2, 3, 4]) samples.record(job, machine, 1000 + machine);
+  samples.record(1, 9, 1600);
+  assert.equal(detectStragglers(samples, 1.5, 2).has(9), false, 'one job is not enough');
+  samples.record(2, 9, 1700);
+  assert.equal(detectStragglers(samples, 1.5, 2).has(9), true);
+  assert.equal(detectStragglers(samples, 1.5, 2).has(1), false);
+  for (const job of [3, 4]) for (const machine of [1, 2, 3, 9]) samples.record(job, machine, 1000);
+  assert.equal(detectStragglers(samples, 1.5, 2).has(9), false, 'as many jobs speak against it');
 });
 
 test('jobs that can still make their goal go before those that cannot, the smallest first', () => {
@@ -143,11 +145,11 @@
   settings: Partial<PlatformSettings>,
 ): { table: MachineTable; placement: Placement } {
   const table: MachineTable = new MachineTable(100, 10_000, (id) => jobs.get(id), {
-    attemptAdded: (e) => {
-      placement.attemptAdded(e);
+    attemptAdded: (attempt) => {
+      placement.attemptAdded(attempt);
     },
-    attemptEnded: (e) => {
-      placement.attemptEnded(e);
+    attemptEnded: (attempt) => {
+      placement.attemptEnded(attempt);
     },
   });
   const placement: Placement = new Placement({
@@ -171,8 +173,8 @@
 
 function addMachines(table: MachineTable, count: number, type: MachineType): void {
   for (let i = 0; i < count; i++) {
-    const m = table.add(`m${i}`, `m${i}:1`, type, 'a', false, 0);
-    Object.assign(m, { stored: true, reported: true, shownToken: 100 });
+    const machine = table.add(`m${i}`, `m${i}:1`, type, 'a', false, 0);
+    Object.assign(machine, { stored: true, reported: true, shownToken: 100 });
   }
 }
 
@@ -216,7 +218,7 @@
   assert.equal(urgent.attempts.size, 0);
 });
 
-// Incident fleet-loss: when a zone was lost, replicas whose other zones were closed to them used up each pass's looks.
+// Incident fleet-loss: when a zone was lost, replicas whose other zones were closed to them used up each cycle's candidates.
 test('replicas that no open zone has room for do not keep all others waiting', () => {
   const jobs = new JobTable();
   const { table, placement } = placementOver(jobs, {
@@ -244,7 +246,7 @@
   assert.equal(array.attempts.size, 10);
 });
 
-// With 4,000 machines seven shapes that find no room use up the looks of a pass, which began with the same seven each time.
+// With 4,000 machines seven shapes that find no machine use up a cycle's candidates; each cycle began with the same seven.
 test('4,000 machines: shapes without room do not keep those behind them from their turn', () => {
   const jobs = new JobTable();
   const { table, placement } = placementOver(jobs, {
--- a/test/takeover.test.ts
+++ b/test/takeover.test.ts
@@ -32,7 +32,7 @@
   return c;
 }
 
-// Tasks that a new leader has not seen yet count against their team's limit: see Placement.unseen.
+// Tasks that a new leader has not seen yet count against their team's limit: see `unconfirmedUsage`.
 test('a new job does not break the quota while old tasks are out of sight', async () => {
   const c = await unreachable(3);
   await c.run(3);
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -48,7 +48,7 @@
   assert.equal(usage.mayStart(one({ team: 'unknown' })), false);
   for (let i = 0; i < 3; i++) usage.charge(spec());
   usage.setUnconfirmed(new Map([['t', { cpus: 4, gpus: 0 }]]));
-  assert.equal(usage.mayStart(one()), false, 'unseen tasks count');
+  assert.equal(usage.mayStart(one()), false, 'unconfirmed tasks count');
   usage.setUnconfirmed(new Map([['t', { cpus: 2, gpus: 0 }]]));
   assert.equal(usage.mayStart(one()), true);
   usage.setUnconfirmed(new Map());
