--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -2,30 +2,28 @@
 import { type Parsed, parseRecord } from '@millring/state-access';
 import * as z from 'zod/mini';
 import { DUTIES, type Duty } from './duty.js';
+import { MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST } from './limits.js';
 
-export const PREFIX = 'duties/';
-export const HOLDERS = `${PREFIX}holders/`;
-export const TOKENS = `${PREFIX}tokens/`;
-export const HOLDS = `${PREFIX}holds/`;
-export const MEMBERS = `${PREFIX}members/`;
-export const INTENTS = `${PREFIX}intents/`;
+export const DUTIES_PREFIX = 'duties/';
+export const HOLDERS_PREFIX = `${DUTIES_PREFIX}holders/`;
+export const TOKENS_PREFIX = `${DUTIES_PREFIX}tokens/`;
+export const HOLDS_PREFIX = `${DUTIES_PREFIX}holds/`;
+export const MEMBERS_PREFIX = `${DUTIES_PREFIX}members/`;
+export const INTENTS_PREFIX = `${DUTIES_PREFIX}intents/`;
 
 /** Attached to the lease of the process that holds the duty. */
-export const holderKey = (duty: Duty): string => HOLDERS + duty;
+export const holderKey = (duty: Duty): string => HOLDERS_PREFIX + duty;
 /** Attached to no lease: it must outlive every holder. */
-export const tokenKey = (duty: Duty): string => TOKENS + duty;
+export const tokenKey = (duty: Duty): string => TOKENS_PREFIX + duty;
 /** Put there by an operator: while it exists nobody holds the duty. */
-export const holdKey = (duty: Duty): string => HOLDS + duty;
+export const holdKey = (duty: Duty): string => HOLDS_PREFIX + duty;
 /** Attached to the lease of the process that wrote it. */
-export const memberKey = (controller: string): string => MEMBERS + controller;
-export const intentKey = (id: string): string => INTENTS + id;
+export const memberKey = (controller: string): string => MEMBERS_PREFIX + controller;
+export const intentKey = (id: string): string => INTENTS_PREFIX + id;
 
-/** The cloud's limits of one request. */
-export const MOST_RENTED = 50;
-export const MOST_DELETED = 100;
-const MOST_CHARACTERS = 200;
+const MAX_NAME_LENGTH = 200;
 
-const name = z.string().check(z.minLength(1), z.maxLength(MOST_CHARACTERS));
+const name = z.string().check(z.minLength(1), z.maxLength(MAX_NAME_LENGTH));
 const duty = z.enum(DUTIES);
 const token = z.int().check(z.gte(1));
 const machines = (most: number) => z.array(name).check(z.maxLength(most));
@@ -52,16 +50,16 @@
   type: name,
   zone: name,
   spot: z.boolean(),
-  count: z.int().check(z.gte(1), z.lte(MOST_RENTED)),
+  count: z.int().check(z.gte(1), z.lte(MAX_MACHINES_PER_REQUEST)),
 });
 
 const deleteSchema = z.object({
   kind: z.literal('delete'),
-  machines: machines(MOST_DELETED).check(z.minLength(1)),
+  machines: machines(MAX_MACHINES_PER_DELETION).check(z.minLength(1)),
 });
 
 const outcomeSchema = z.discriminatedUnion('kind', [
-  z.object({ kind: z.literal('rented'), machines: machines(MOST_RENTED) }),
+  z.object({ kind: z.literal('rented'), machines: machines(MAX_MACHINES_PER_REQUEST) }),
   z.object({ kind: z.literal('no-capacity') }),
   z.object({ kind: z.literal('deleted') }),
 ]);
@@ -106,10 +104,10 @@
 export type DeleteAction = Extract<IntentAction, { kind: 'delete' }>;
 export type Outcome = NonNullable<Intent['outcome']>;
 
-export const readHolder = (value: unknown): Parsed<HolderRecord> =>
+export const parseHolder = (value: unknown): Parsed<HolderRecord> =>
   parseRecord(holderSchema, value);
-export const readToken = (value: unknown): Parsed<TokenRecord> => parseRecord(tokenSchema, value);
-export const readHold = (value: unknown): Parsed<HoldRecord> => parseRecord(holdSchema, value);
-export const readMember = (value: unknown): Parsed<MemberRecord> =>
+export const parseToken = (value: unknown): Parsed<TokenRecord> => parseRecord(tokenSchema, value);
+export const parseHold = (value: unknown): Parsed<HoldRecord> => parseRecord(holdSchema, value);
+export const parseMember = (value: unknown): Parsed<MemberRecord> =>
   parseRecord(memberSchema, value);
-export const readIntent = (value: unknown): Parsed<Intent> => parseRecord(intentSchema, value);
+export const parseIntent = (value: unknown): Parsed<Intent> => parseRecord(intentSchema, value);
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -1,11 +1,11 @@
 /** Which records of finished tasks stand in the state service for each live job, and how the next ones are cut. */
 import { type Conversion } from '@millring/rollout';
 import {
-  CHUNKS,
+  CHUNK_LAYOUT,
   type ChunkRecords,
   type Layout,
   chunkBytes,
-  finer,
+  finerLayout,
   isSegment,
   layoutOf,
   mayUseSegments,
@@ -51,7 +51,7 @@
     if (!records)
       this.byJob.set(
         job.index,
-        (records = { layout: CHUNKS, numbers: new Set(), toRewrite: null }),
+        (records = { layout: CHUNK_LAYOUT, numbers: new Set(), toRewrite: null }),
       );
     return records;
   }
@@ -75,23 +75,34 @@
   /** Follows whether segments may be written now. A job that has to change has all its tasks written again. */
   adapt(job: Job, segmentsAllowed: boolean, now: number): void {
     const uses = this.usesSegments(job);
-    if (uses && !segmentsAllowed) this.change(job, CHUNKS, now);
-    if (!uses && segmentsAllowed && job.dirty.size > 0 && mayUseSegments(job.spec.tasks))
+    if (uses && !segmentsAllowed) this.change(job, CHUNK_LAYOUT, now);
+    if (
+      !uses &&
+      segmentsAllowed &&
+      job.finished.dirtyChunks.size > 0 &&
+      mayUseSegments(job.spec.tasks)
+    )
       this.change(job, { kind: 'segments', split: 0 }, now);
   }
 
   private change(job: Job, layout: Layout, now: number): void {
     const records = this.of(job);
     records.layout = layout;
-    records.toRewrite = job.markAllDirty(now);
+    records.toRewrite = job.finished.markAllDirty(now);
   }
 
   /** The records that make a chunk durable. Null: they did not fit, and from now on the job's are cut smaller. */
   recordsFor(job: Job, chunk: number, now: number): Extract<ChunkRecords, { kind: 'fits' }> | null {
     const { layout } = this.of(job);
-    const result = recordsOfChunk(job.finished, job.spec.tasks, chunk, layout, this.valueBytes);
+    const result = recordsOfChunk(
+      job.finished.bits,
+      job.spec.tasks,
+      chunk,
+      layout,
+      this.valueBytes,
+    );
     if (result.kind === 'fits') return result;
-    this.change(job, finer(layout), now);
+    this.change(job, finerLayout(layout), now);
     return null;
   }
 
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -104,7 +104,8 @@
   ): Machine | null {
     const { table, stopper, stats } = this.deps;
     const taskNumber = job.peekNextTask();
-    const choice = taskNumber < 0 ? null : candidates.selectBest();
+    if (taskNumber === null) return null;
+    const choice = candidates.selectBest();
     if (!choice) return null;
     const { machine, victims } = choice;
     for (const victim of victims) stopper.stop(victim, 0, 'preempted');
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -8,7 +8,7 @@
 import { expireFailedMachines, recordFailure } from '../src/placement/failure-tracking.js';
 import type { Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
-import { planRentals, type Pool } from '../src/autoscaler/scaling-plan.js';
+import { planScaleOut, type Pool } from '../src/autoscaler/scaling-plan.js';
 import { RunTimeSamples } from '../src/placement/run-time-samples.js';
 import { detectStragglers } from '../src/placement/straggler-detection.js';
 import { finishGoals, servingOrder, urgency } from '../src/placement/job-order.js';
@@ -77,7 +77,7 @@
   const job = new Job(0, spec(), 1, 0, true, 0);
   job.finish(3, 100);
   assert.equal(job.isDurable(3), false);
-  job.dirty.clear();
+  job.finished.dirtyChunks.clear();
   assert.deepEqual([job.isDurable(3), job.isDurable(4)], [true, false]);
 });
 
@@ -112,28 +112,28 @@
   assert.deepEqual(order, ['service', 'small', 'big', 'second', 'late']);
 });
 
-test('rentals: ordinary machines for what needs them, cheap ones for the rest, refused pools left alone', () => {
+test('scale-out: ordinary machines for what needs them, cheap ones for the rest, unavailable pools left alone', () => {
   const type = machineType(32);
-  const pool = (zone: string, spot: boolean, refusedUntil = 0): Pool => ({
+  const pool = (zone: string, spot: boolean, unavailableUntil = 0): Pool => ({
     type,
     zone,
     spot,
-    home: zone === 'a',
-    count: 0,
-    refusedUntil,
+    hasControllers: zone === 'a',
+    machineCount: 0,
+    unavailableUntil,
   });
   const pools = [pool('a', false), pool('b', false), pool('a', true), pool('b', true, 99)];
   const demand = {
-    ordinary: 100,
-    any: 160,
-    arriving: 0,
+    ordinaryCpus: 100,
+    spotEligibleCpus: 160,
+    arrivingCpusPerS: 0,
     bootS: 25,
-    biggestCpus: 32,
-    usable: () => true,
+    largestMachineCpus: 32,
+    isUsable: () => true,
   };
-  const plan = planRentals({ pools, demand, saveMoney: true, spareShare: 0, now: 10 });
+  const plan = planScaleOut({ pools, demand, saveMoney: true, spareShare: 0, now: 10 });
   const sum = (spot: boolean): number =>
-    [...plan].reduce((n, [p, c]) => n + (p.spot === spot ? c : 0), 0);
+    [...plan].reduce((n, [chosen, c]) => n + (chosen.spot === spot ? c : 0), 0);
   assert.equal(sum(false), 4);
   assert.equal(sum(true), 5);
   assert.equal(plan.get(pools[3]), undefined);
@@ -226,7 +226,7 @@
   });
   addMachines(table, 200, machineType(64));
   const services = Array.from({ length: 300 }, (_, i) => {
-    const s = spec({
+    const jobSpec = spec({
       id: `run-${i}`,
       kind: 'service',
       priority: 0,
@@ -234,7 +234,7 @@
       spread: true,
       spot: false,
     });
-    return jobs.add(s, 1, 0, true, 0);
+    return jobs.add(jobSpec, 1, 0, true, 0);
   });
   for (let i = 0; i < 20; i++) placement.runSchedulingCycle();
   assert.ok(
--- a/test/sim/cloud-watch.ts
+++ b/test/sim/cloud-watch.ts
@@ -1,7 +1,8 @@
 /** What must hold of the requests to the cloud while the duties are on, in a whole simulated cluster. */
-import { INTENTS, type Intent } from '@millring/duties';
+import { INTENTS_PREFIX, type Intent } from '@millring/duties';
 import type { Body } from '../../src/wire/cbor.js';
 import type { Cluster } from './cluster.js';
+import { decodeCloudRequest } from './wire/cloud.js';
 
 const LEVEL = 3;
 /** As in the operators' file. */
@@ -59,7 +60,8 @@
     if (state.revision === this.revisionSeen) return;
     this.revisionSeen = state.revision;
     for (const [key, { value }] of state.items)
-      if (key.startsWith(INTENTS)) this.intents.set(key.slice(INTENTS.length), value as Intent);
+      if (key.startsWith(INTENTS_PREFIX))
+        this.intents.set(key.slice(INTENTS_PREFIX.length), value as Intent);
     this.checkOpen();
   }
 
@@ -67,7 +69,7 @@
   private checkOpen(): void {
     const seen = new Set<string>();
     for (const [key, { value }] of this.cluster.state.items) {
-      const intent = key.startsWith(INTENTS) ? (value as Intent) : null;
+      const intent = key.startsWith(INTENTS_PREFIX) ? (value as Intent) : null;
       if (intent?.outcome !== null) continue;
       for (const subject of subjectsOf(intent)) {
         if (seen.has(subject)) this.cluster.rules.break('opened_twice', subject);
@@ -78,8 +80,9 @@
 
   private asked(path: string, body: Body): void {
     this.readIntents();
-    if (path === '/machines/delete') this.deleted(body.stones as string[]);
-    if (path === '/machines') this.rented(body.hire as string);
+    const request = decodeCloudRequest(path, body);
+    if (request.kind === 'delete') this.deleted(request.machines);
+    if (request.kind === 'rent') this.rented(request.request);
   }
 
   private rented(request: string): void {
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -6,17 +6,29 @@
 import type { Log, Reply } from '../../src/runtime.js';
 import { defaultOperatorSettings } from '../../src/settings/operator.js';
 import type { Objective, PlatformSettings } from '../../src/settings/platform.js';
-import type { PeerMessage } from '../../src/peers/peers.js';
+import type { PeerMessage } from '../../src/peers/peer-messages.js';
 import type { Body } from '../../src/wire/cbor.js';
 import { CloudService, type CloudMachine, TYPES } from './cloud.js';
 import type { ClusterConfig } from './cluster-config.js';
 import { VirtualClock } from './clock.js';
 import { GANG_PEER_MS, GANG_WAIT_MS, GangCoordinator } from './gang-coordinator.js';
+import { randomJob } from './jobs.js';
 import { Network } from './network.js';
 import { type ProcessLife, simulatedRuntime } from './simulated-runtime.js';
 import { SeededRandom } from './random.js';
 import { type Room, Rules, jobFacts } from './rules.js';
 import { StateService } from './state-service.js';
+import {
+  type JobReply,
+  type JobSubmission,
+  type UserRequest,
+  cancelRequest,
+  decodeJobReply,
+  pollRequest,
+  submitRequest,
+  userOperation,
+} from './wire/users.js';
+import { HEARTBEAT_PATH } from './wire/workers.js';
 import { POLL_MS, Worker } from './worker.js';
 import { quietLog } from './quiet-log.js';
 import { withoutGate } from './without-gate.js';
@@ -26,6 +38,7 @@
 export const LEASE_MS = 8000;
 export const CANCEL_MS = 22_000;
 const CLOUD_RPS = 5;
+const USER_TIMEOUT_MS = 5000;
 
 interface Life extends ProcessLife {
   node: ControllerNode;
@@ -87,23 +100,23 @@
       handler: (_m, p, b) => this.cloud.handle(p, b),
       hangsUntil: 0,
     });
-    for (const n of this.names) this.startNode(n);
+    for (const name of this.names) this.startNode(name);
     for (let i = 0; i < (config.ordinaryUp ?? 4); i++)
       this.cloud.add('t16', zones[(i + 1) % zones.length], false, true);
   }
 
   private cpusOf(machine: CloudMachine): number {
-    return (this.config.types ?? TYPES).find((type) => type.name === machine.type)!.vcpus;
+    return (this.config.types ?? TYPES).find((type) => type.name === machine.type)!.cpus;
   }
 
-  private bootWorker(m: CloudMachine): Worker {
-    const w = new Worker(this.net, this.random, this.rules, this.gangs, {
-      id: m.id,
-      address: `w-${m.id}:9000`,
-      type: m.type,
-      cpus: this.cpusOf(m),
-      zone: m.zone,
-      spot: m.spot,
+  private bootWorker(machine: CloudMachine): Worker {
+    const worker = new Worker(this.net, this.random, this.rules, this.gangs, {
+      id: machine.id,
+      address: `w-${machine.id}:9000`,
+      type: machine.type,
+      cpus: this.cpusOf(machine),
+      zone: machine.zone,
+      spot: machine.spot,
       reportMs: this.config.reportMs ?? REPORT_MS,
       leaseMs: this.config.leaseMs ?? LEASE_MS,
       pollMs: this.config.pollMs ?? POLL_MS,
@@ -113,7 +126,7 @@
     });
     this.faultyNext = false;
     this.slowNext = 1;
-    return w;
+    return worker;
   }
 
   /** What the settings of a node say otherwise, from its next start on. */
@@ -146,8 +159,8 @@
       cloud: 'cloud:1',
       state: 'state:1',
       nodes: this.names.length,
-      teams: ['t0', 't1'].map((t) => ({
-        name: t,
+      teams: ['t0', 't1'].map((task) => ({
+        name: task,
         cpus: 16,
         gpus: 0,
         cpusMax: limit,
@@ -173,10 +186,10 @@
   /** How far a node's time of day is off. */
   readonly wallSkewMs = new Map<string, number>();
 
-  private listener: (m: PeerMessage) => void = () => undefined;
+  private listener: (message: PeerMessage) => void = () => undefined;
 
   /** Shows each message that a controller sends to the others. */
-  listen(listener: (m: PeerMessage) => void): void {
+  listen(listener: (message: PeerMessage) => void): void {
     this.listener = listener;
   }
 
@@ -186,7 +199,8 @@
       ...quietLog,
       info: (fields, text) => this.config.log?.(name, text, fields),
       error: (fields, text) => {
-        if (text === TEAM_USAGE_VIOLATION) throw new Error(`${name}: ${text}: ${JSON.stringify(fields)}`);
+        if (text === TEAM_USAGE_VIOLATION)
+          throw new Error(`${name}: ${text}: ${JSON.stringify(fields)}`);
       },
     };
   }
@@ -201,12 +215,13 @@
       log: this.logOf(name),
       seen: this.ungated.has(name) ? withoutGate : undefined,
     });
-    const tell = (m: PeerMessage): void => {
-      this.listener(m);
-      for (const [other, l] of this.lives)
+    const tell = (message: PeerMessage): void => {
+      this.listener(message);
+      for (const [other, target] of this.lives)
         if (other !== name)
           this.net.tell(`${name}:80`, `${other}:80`, () => {
-            if (l.alive && l.frozenUntil <= this.clock.time) l.node.handlePeerMessage(m);
+            if (target.alive && target.frozenUntil <= this.clock.time)
+              target.node.handlePeerMessage(message);
           });
     };
     const operator = defaultOperatorSettings();
@@ -243,10 +258,18 @@
     path: string,
     body: Body,
   ): Promise<Reply> {
-    if (path === '/agent/beat') return node.handleHeartbeat(body);
-    const id = path.split('/')[3];
-    if (method === 'GET') return node.api.poll(id);
-    return path.endsWith('/withdraw') ? node.api.cancel(id) : node.api.submit(body);
+    if (path === HEARTBEAT_PATH) return node.handleHeartbeat(body);
+    const operation = userOperation(method, path);
+    switch (operation?.kind) {
+      case 'submit':
+        return node.api.submit(body);
+      case 'poll':
+        return node.api.poll(operation.id);
+      case 'cancel':
+        return node.api.cancel(operation.id);
+      default:
+        throw new Error(`unknown request to a controller: ${method} ${path}`);
+    }
   }
 
   crash(name: string, downMs: number): void {
@@ -271,8 +294,8 @@
   }
 
   hostsOf(machines: (id: string) => boolean): (host: string) => boolean {
-    return (h) => {
-      const id = /^w-(.*):9000$/.exec(h)?.[1];
+    return (host) => {
+      const id = /^w-(.*):9000$/.exec(host)?.[1];
       return id !== undefined && machines(id);
     };
   }
@@ -314,7 +337,7 @@
     for (const id of this.running().slice(0, count)) {
       void this.cancel(id, via);
       for (const [task, places] of this.rules.on)
-        if (task.startsWith(`${id}/`)) for (const p of places) this.hang(p.machine, hangMs);
+        if (task.startsWith(`${id}/`)) for (const place of places) this.hang(place.machine, hangMs);
     }
   }
 
@@ -365,61 +388,27 @@
 
   // Users.
 
-  jobBody(over: Body = {}): Body {
-    const service = this.random.chance(0.4);
-    const id = `run-${String(this.nextJob++).padStart(6, '0')}`;
-    return {
-      id,
-      grist: service ? 'desk' : 'batch',
-      miller: this.random.pick(['t0', 't1']),
-      grind: service ? 'daemon' : 'array',
-      precedence: service ? 'production' : 'normal',
-      sacks: service ? this.random.pick([1, 3]) : this.random.int(1, 14),
-      vcpus: 2,
-      gpus: 0,
-      ram_gb: 4,
-      seed: `img-${this.random.int(0, 2)}`,
-      image_gb: 1,
-      stone_kinds: null,
-      yard: null,
-      one_zone: !service && this.random.chance(0.2),
-      scatter: service,
-      loaned_stones: !service,
-      grind_s: service ? 0 : this.random.between(2, 9),
-      bin_every_s: 0,
-      bin_s: 0,
-      due_s: service ? null : 60,
-      ...over,
-    };
+  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
+    return { ...randomJob(this.nextJob++, this.random), ...over };
   }
 
-  private ask(method: string, path: string, body: Body | null, via?: string): Promise<Reply> {
-    return this.net.send(
-      'user',
-      `${via ?? this.random.pick(this.names)}:80`,
-      method,
-      path,
-      body,
-      5000,
+  private async ask({ method, path, body }: UserRequest, via?: string): Promise<JobReply> {
+    const node = via ?? this.random.pick(this.names);
+    return decodeJobReply(
+      await this.net.send('user', `${node}:80`, method, path, body, USER_TIMEOUT_MS),
     );
   }
 
   /** Asks, through `via` or any node, until there is an answer that stands. */
-  private async insist(
-    id: string,
-    method: string,
-    path: string,
-    b: Body | null,
-    via?: string,
-  ): Promise<Reply> {
+  private async insist(id: string, request: UserRequest, via?: string): Promise<JobReply> {
     for (let i = 0; ; i++) {
       const asked = this.clock.time;
-      const r = await this.ask(method, path, b, via);
-      if (r.status === 200 || r.status === 201) {
-        this.rules.told(id, r.status, r.body.condition, asked);
-        return r;
+      const reply = await this.ask(request, via);
+      if (reply.job) {
+        this.rules.told(id, reply, asked);
+        return reply;
       }
-      if (r.status === 400 || r.status === 422 || i > 60) return r;
+      if (reply.status === 400 || reply.status === 422 || i > 60) return reply;
       await this.later(1000);
     }
   }
@@ -427,42 +416,42 @@
   /** The user calls the job off. */
   async cancel(id: string, via?: string): Promise<void> {
     this.rules.jobs.get(id)!.cancelAsked = true;
-    await this.insist(id, 'POST', `/v1/jobs/${id}/withdraw`, null, via);
+    await this.insist(id, cancelRequest(id), via);
   }
 
   private later(ms: number): Promise<void> {
     return new Promise((done) => this.clock.after(ms, done));
   }
 
-  async question(id: string): Promise<Reply> {
+  async question(id: string): Promise<JobReply> {
     const asked = this.clock.time;
-    const r = await this.ask('GET', `/v1/jobs/${id}`, null);
-    this.rules.told(id, r.status, r.body.condition, asked);
-    return r;
+    const reply = await this.ask(pollRequest(id));
+    this.rules.told(id, reply, asked);
+    return reply;
   }
 
   /** The same submission once more. */
-  async repeat(id: string): Promise<Reply> {
+  async repeat(id: string): Promise<JobReply> {
     const asked = this.clock.time;
-    const r = await this.ask('POST', '/v1/jobs', this.rules.jobs.get(id)!.spec);
-    this.rules.told(id, r.status, r.body.condition, asked);
-    if (r.status === 400 || r.status === 422) this.rules.break('forgotten', id);
-    return r;
+    const reply = await this.ask(submitRequest(this.rules.jobs.get(id)!.spec));
+    this.rules.told(id, reply, asked);
+    if (reply.status === 400 || reply.status === 422) this.rules.break('forgotten', id);
+    return reply;
   }
 
   /** Submits with retries, polls until the end; cancels after a while if asked to. */
-  async user(body: Body, cancelAfterMs: number | null): Promise<void> {
-    const id = body.id as string;
-    const facts = jobFacts(body, this.clock.time);
+  async user(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
+    const { id } = job;
+    const facts = jobFacts(job, this.clock.time);
     this.rules.jobs.set(id, facts);
-    const first = await this.insist(id, 'POST', '/v1/jobs', body);
+    const first = await this.insist(id, submitRequest(job));
     if (first.status === 422 && facts.toldAccepted) this.rules.break('forgotten', id);
     if (!facts.toldAccepted) return;
     if (cancelAfterMs !== null) this.clock.after(cancelAfterMs, () => void this.cancel(id));
     for (;;) {
       await this.later(this.random.between(2000, 5000));
       await this.question(id);
-      if (this.random.chance(0.03)) void this.insist(id, 'POST', '/v1/jobs', body);
+      if (this.random.chance(0.03)) void this.insist(id, submitRequest(job));
     }
   }
 
@@ -474,8 +463,8 @@
   private rooms(): Room[] {
     const used = new Map<string, number>();
     for (const [task, places] of this.rules.on)
-      for (const p of places)
-        used.set(p.machine, (used.get(p.machine) ?? 0) + this.rules.cpusOf(task));
+      for (const place of places)
+        used.set(place.machine, (used.get(place.machine) ?? 0) + this.rules.cpusOf(task));
     return [...this.cloud.machines.values()]
       .filter((m) => m.worker && !m.worker.config.faulty)
       .map((m) => ({ ...m, machine: m.id, freeCpus: this.cpusOf(m) - (used.get(m.id) ?? 0) }));
