--- a/src/placement/gang-relocation.ts
+++ b/src/placement/gang-relocation.ts
@@ -18,8 +18,7 @@
   log: Log;
   /** Within this time the tasks of a running gang notice that one of them is gone. */
   gangPeerS: number;
-  /** The workers' heartbeat interval. */
-  reportS: number;
+  heartbeatIntervalS: number;
   now(): number;
   /** May the machine be given work? */
   isUsable(machine: Machine): boolean;
@@ -42,8 +41,8 @@
       return true;
     }
     if (state !== 'running') return false;
-    const { gangPeerS, reportS } = this.deps;
-    const latestS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * reportS;
+    const { gangPeerS, heartbeatIntervalS } = this.deps;
+    const latestS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * heartbeatIntervalS;
     if (leftS > latestS && !this.canRelocate(gang, attempt.machine)) return false;
     this.stopWithCheckpoint(gang, reason, leftS);
     return true;
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -14,7 +14,7 @@
 /** The goals that the platform's objectives state for finishing jobs. */
 export function finishGoals(objectives: Objective[]): FinishGoals {
   const goals: FinishGoals = new Map();
-  for (const { kind, cls: jobClass, withinS } of objectives) {
+  for (const { kind, jobClass, withinS } of objectives) {
     if (kind !== 'finished' || jobClass === null || withinS === null) continue;
     const ofClass = [...(goals.get(jobClass) ?? []), withinS];
     goals.set(
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -90,7 +90,7 @@
     const relocation = new GangRelocation({
       ...shared,
       gangPeerS: settings.gangPeerS,
-      reportS: settings.reportS,
+      heartbeatIntervalS: settings.heartbeatIntervalS,
       isUsable: (machine) => machines.isUsable(machine),
     });
     const { stopper, gangs } = this;
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -3,10 +3,10 @@
 import { Agent, request } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
 import { test } from 'node:test';
-import { httpServer } from '../src/http-server.js';
+import { createHttpServer } from '../src/http/http-server.js';
 import type { ControllerNode } from '../src/node.js';
 import type { Log } from '../src/runtime.js';
-import { shareSockets } from '../src/sockets.js';
+import { allocateSockets } from '../src/http/socket-allocation.js';
 import { encode } from '../src/wire/cbor.js';
 import { quietLog } from './sim/quiet-log.js';
 import { HEARTBEAT_PATH } from './sim/wire/workers.js';
@@ -17,7 +17,7 @@
 function answering(status: number): ControllerNode {
   return {
     handleHeartbeat: () => ({ status, body: {} }),
-    unhealthyReason: () => null,
+    health: () => ({ kind: 'healthy' }),
   } as Partial<ControllerNode> as ControllerNode;
 }
 
@@ -45,7 +45,7 @@
   fn: (port: number) => Promise<void>,
   log: Log = quietLog,
 ): Promise<void> {
-  const server = httpServer(node, LIMIT, log);
+  const server = createHttpServer(node, LIMIT, log);
   await new Promise<void>((done) => server.listen(0, '127.0.0.1', done));
   try {
     await fn((server.address() as AddressInfo).port);
@@ -56,15 +56,19 @@
 }
 
 test('with more workers than sockets each is answered, and health checks still get through', async () => {
-  const shares = shareSockets(LIMIT);
+  const shares = allocateSockets(LIMIT);
   await served(answering(200), async (port) => {
     const agents: Agent[] = [];
-    for (let i = 0; i < 2 * shares.inbound; i++) {
+    for (let i = 0; i < 2 * shares.maxInbound; i++) {
       const agent = new Agent({ keepAlive: true, maxSockets: 1 });
       agents.push(agent);
       const [status, connection] = await ask(port, 'POST', HEARTBEAT_PATH, agent);
       assert.equal(status, 200);
-      assert.equal(connection, i < shares.workersKept ? 'keep-alive' : 'close', `worker ${i}`);
+      assert.equal(
+        connection,
+        i < shares.maxKeptWorkerConnections ? 'keep-alive' : 'close',
+        `worker ${i}`,
+      );
     }
     const health = await ask(port, 'GET', '/healthz', new Agent());
     assert.equal(health[0], 200);
@@ -104,7 +108,7 @@
       reports++;
       return { status: 200, body: {} };
     },
-    unhealthyReason: () => null,
+    health: () => ({ kind: 'healthy' }),
   } as Partial<ControllerNode> as ControllerNode;
   const log = { ...quietLog, info: (_fields: object, text: string) => void lines.push(text) };
   await served(
@@ -141,7 +145,7 @@
       if (body !== null) throw new Error('a fault of our own');
       return { status: 400, body: {} };
     },
-    unhealthyReason: () => null,
+    health: () => ({ kind: 'healthy' }),
   } as Partial<ControllerNode> as ControllerNode;
   await served(faulty, async (port) => {
     const agent = new Agent({ keepAlive: true });
@@ -157,10 +161,11 @@
 
 test('what is shared out stays within the limit, at every size of a process', () => {
   for (const limit of [60, 400, 1000, 1308, 1923, 20_000]) {
-    const shares = shareSockets(limit);
-    assert.ok(shares.inbound + shares.backlog + shares.toWorkers < limit, String(limit));
+    const shares = allocateSockets(limit);
+    assert.ok(shares.maxInbound + shares.backlog + shares.maxToWorkers < limit, String(limit));
     assert.ok(
-      shares.workersKept < shares.inbound && shares.requests < shares.toWorkers,
+      shares.maxKeptWorkerConnections < shares.maxInbound &&
+        shares.maxRequestsToWorkers < shares.maxToWorkers,
       String(limit),
     );
   }
