--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -2,7 +2,7 @@
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import type { Socket } from 'node:net';
 import { AcceptQueue } from './accept-queue.js';
-import type { Answer } from '../jobs/api.js';
+import type { Answer } from '../jobs/answers.js';
 import type { ControllerNode } from '../node.js';
 import type { Log } from '../runtime.js';
 import { allocateSockets } from './socket-allocation.js';
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -84,7 +84,7 @@
         completionWriter.noteWritten(job, recordNumber);
       },
       orphanFound: (key) => {
-        completionWriter.leftOver(key);
+        completionWriter.recordOrphan(key);
       },
     });
   }
