--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -11,7 +11,7 @@
   clock: Clock;
   lifecycle: TermLifecycle;
   jobs: JobTable;
-  placement: Pick<Placement, 'jobAdded' | 'jobEnded' | 'cancelled'>;
+  placement: Pick<Placement, 'jobAdded' | 'jobEnded' | 'jobCancelled'>;
   cycles: CycleScheduler;
   /** Is it known that the job is cancelled, whatever its record says as last read? */
   isCancelled(id: string): boolean;
@@ -61,7 +61,7 @@
   private markCancelled(job: Job): void {
     if (job.jobCancelled) return;
     job.jobCancelled = true;
-    this.deps.placement.cancelled(job);
+    this.deps.placement.jobCancelled(job);
     this.deps.cycles.request();
   }
 }
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -197,7 +197,12 @@
 
   private demand(): Demand {
     const wantedCpus = (job: Job): number => this.placement.wantedCpus(job);
-    return demandOf(this.jobs.all(), wantedCpus, this.placement.arriving(), this.deps.types);
+    return demandOf(
+      this.jobs.all(),
+      wantedCpus,
+      this.placement.serviceCpusPerSecond(),
+      this.deps.types,
+    );
   }
 
   private forgetMachine(machine: Machine): void {
--- /dev/null
+++ b/src/placement/gang-state.ts
@@ -0,0 +1,47 @@
+/** The state of a gang, whose tasks run at the same time or not at all. Pure functions over one job's attempts. */
+import type { Job } from '../jobs/job-table.js';
+import type { TaskAttempt } from '../workers/task-attempt.js';
+
+/**
+ * - absent: no task of it can be on any machine.
+ * - starting: tasks of one attempt fetch their image or wait for each other; none has begun.
+ * - running: at least one task runs, so all of them have begun.
+ * - stopping: a stop was requested, or tasks of different attempts remain; nothing starts until all have ended.
+ */
+export type GangState = 'absent' | 'starting' | 'running' | 'stopping';
+
+/** All attempts of the job's tasks that may be on machines. */
+export function attemptsOf(job: Job): TaskAttempt[] {
+  return [...job.attempts.values()].flat();
+}
+
+/** Derives the gang's state from its attempts. */
+export function gangState(job: Job): GangState {
+  const attempts = attemptsOf(job);
+  if (attempts.length === 0) return 'absent';
+  const { attempt: number } = attempts[0];
+  const isMixed = attempts.length > job.attempts.size || attempts.some((a) => a.attempt !== number);
+  const isStopped = attempts.some((a) => a.stop !== null && !a.stop.replaced);
+  if (isMixed || isStopped || job.gangAttemptAborted) return 'stopping';
+  const hasBegun = attempts.some((a) => a.state === 'running' || a.state === 'saving');
+  return hasBegun ? 'running' : 'starting';
+}
+
+/** The attempt number by which workers tell which tasks belong to the same start of the gang. */
+export function gangAttempt(job: Job): number | null {
+  return attemptsOf(job)[0]?.attempt ?? null;
+}
+
+/** Numbers of the tasks that are on no machine. */
+export function missingTasks(job: Job): number[] {
+  const missing: number[] = [];
+  for (let taskNumber = 0; taskNumber < job.spec.tasks; taskNumber++)
+    if (!job.attempts.has(taskNumber)) missing.push(taskNumber);
+  return missing;
+}
+
+/** Milliseconds until the first waiting task gives up; Infinity while none waits. */
+export function waitLeftMs(job: Job, gangWaitMs: number, now: number): number {
+  const waiting = attemptsOf(job).filter((attempt) => attempt.state === 'waiting');
+  return Math.min(Infinity, ...waiting.map((a) => a.waitingSince + gangWaitMs - now));
+}
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -2,6 +2,7 @@
 import type { TrackedJob } from '../jobs/tracked-job.js';
 import type { Transitions } from '../state-machine.js';
 import type { ExitCause } from '../wire/model.js';
+import type { StopReason } from './stop-reason.js';
 import type { TrackedMachine } from './tracked-machine.js';
 
 /**
@@ -40,7 +41,7 @@
 export interface StopRequest {
   /** Seconds that the task may take to save. */
   graceS: number;
-  reason: string;
+  reason: StopReason;
   /** Of a gathering gang: only this task leaves its machine, and is started again under the same attempt. */
   replaced: boolean;
 }
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -103,10 +103,6 @@
     return false;
   }
 
-  private later(ms: number): Promise<void> {
-    return new Promise((done) => this.clock.after(ms, done));
-  }
-
   private isUnavailable(from: string): boolean {
     return this.clock.time < this.downUntil || this.clock.time < (this.refusedUntil.get(from) ?? 0);
   }
@@ -139,7 +135,8 @@
   async handle(method: string, path: string, body: Body, from: string): Promise<Reply> {
     const reply = await this.answer(method, path, body, from);
     const slow = this.slowReads && this.clock.time < this.slowReads.until ? this.slowReads.byMs : 0;
-    if (slow > 0 && method === 'GET') await this.later(slow);
+    if (slow > 0 && method === 'GET')
+      await new Promise<void>((done) => this.clock.after(slow, done));
     return reply;
   }
 
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -4,7 +4,7 @@
  * are drawn from the seed; what meets what is decided by real time as well, so that a run does not repeat exactly.
  */
 import { setTimeout as delay } from 'node:timers/promises';
-import { USAGE_FAULT } from '../../src/placement/usage-audit.js';
+import { TEAM_USAGE_VIOLATION } from '../../src/placement/usage-audit.js';
 import { BATCH, GANG, SERVICE, jobId } from '../sim/jobs.js';
 import { SeededRandom } from '../sim/random.js';
 import { type ObservedJob, observedJob } from '../sim/observed-job.js';
@@ -206,7 +206,7 @@
     const logs = this.deployment.logs();
     // The service goes on after a broken invariant; a test must not.
     for (const { name, text } of logs)
-      if (text.includes(USAGE_FAULT)) invariants.recordViolation('usage_fault', name);
+      if (text.includes(TEAM_USAGE_VIOLATION)) invariants.recordViolation('usage_fault', name);
     return {
       seed: this.seed,
       machines: 4 * this.size.machinesPerPool,
