--- a/src/jobs/job-table.ts
+++ b/src/jobs/job-table.ts
@@ -3,8 +3,6 @@
 import type { Job } from './job.js';
 import { TrackedJob } from './tracked-job.js';
 
-export type { Job } from './job.js';
-
 /** Tasks of a job, as its users are told. */
 export interface Progress {
   done: number;
--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -1,5 +1,6 @@
 /** Takes live jobs into the leader's tables, and out of them once they have ended. */
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import { readLive } from '../jobs/records.js';
 import type { Placement } from '../placement/placement.js';
 import type { Clock } from '../runtime.js';
--- a/src/placement/attempt-accounting.ts
+++ b/src/placement/attempt-accounting.ts
@@ -1,5 +1,5 @@
 /** What changes when an attempt is added to the machine table, and when it has left its machine. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Log } from '../runtime.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
--- a/src/placement/demand-history.ts
+++ b/src/placement/demand-history.ts
@@ -1,5 +1,5 @@
 /** How much capacity services and gangs have asked for lately; older demand decays. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 
 /** Time constant of the exponential decay. */
 const DECAY_TIME_S = 40;
--- a/src/placement/failure-tracking.ts
+++ b/src/placement/failure-tracking.ts
@@ -1,5 +1,5 @@
 /** Tells jobs that fail by themselves from machines that fail the tasks of several jobs. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 
--- a/src/placement/gang-capacity.ts
+++ b/src/placement/gang-capacity.ts
@@ -1,5 +1,5 @@
 /** How many tasks of a gang find free capacity, on one machine, in a zone and in all. Pure functions. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import { ROUNDING_TOLERANCE } from './resources.js';
 
--- a/src/placement/gang-relocation.ts
+++ b/src/placement/gang-relocation.ts
@@ -1,5 +1,5 @@
 /** Moves gangs off machines: all their tasks stop at the same time, so that they save and start again together. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Log } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -1,5 +1,5 @@
 /** Starts, completes and aborts gangs. All tasks find capacity before anything is started or stopped. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { StopReason } from '../workers/stop-reason.js';
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -1,5 +1,5 @@
 /** The state of a gang, whose tasks run at the same time or not at all. Pure functions over one job's attempts. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 
 /**
--- a/src/placement/guaranteed-jobs.ts
+++ b/src/placement/guaranteed-jobs.ts
@@ -1,5 +1,6 @@
 /** Which jobs are within their team's guaranteed CPUs. */
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import { ROUNDING_TOLERANCE } from './resources.js';
 import type { TeamUsage } from './team-usage.js';
 
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -1,5 +1,5 @@
 /** The order in which waiting jobs are served. Pure functions. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Objective } from '../settings/platform.js';
 
 /** Tasks of one job differ: a goal is given up only when even a task this much shorter would miss it. */
--- a/src/placement/machine-candidates.ts
+++ b/src/placement/machine-candidates.ts
@@ -1,5 +1,5 @@
 /** Scores the machines that a job's tasks may start on, and selects the best. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { JobSpec } from '../wire/model.js';
 import type { Machine } from '../workers/machine.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
--- a/src/placement/machine-constraints.ts
+++ b/src/placement/machine-constraints.ts
@@ -1,5 +1,5 @@
 /** Which machines a job's tasks fit on at all: types, zones, spot machines and free capacity. Pure functions. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { JobSpec } from '../wire/model.js';
 import type { Machine } from '../workers/machine.js';
 import { ROUNDING_TOLERANCE } from './resources.js';
--- a/src/placement/machine-drain.ts
+++ b/src/placement/machine-drain.ts
@@ -1,5 +1,5 @@
 /** Moves tasks off machines that go away (the paper's Listing 3). */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -1,5 +1,6 @@
 /** Decides which task goes where, when, and instead of what. Sends nothing: it places and stops attempts in the table. */
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { Runtime } from '../runtime.js';
 import { moneyCounts } from '../settings/money.js';
 import type { OperatorSettings } from '../settings/operator.js';
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,5 +1,5 @@
 /** Which running tasks may be stopped in favour of a waiting job. Decides only; callers do the stopping. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import type { GuaranteedJobs } from './guaranteed-jobs.js';
 import type { TeamUsage } from './team-usage.js';
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -2,7 +2,8 @@
  * Capacity that some jobs leave to others. Each reservation delays a job for a bounded time only: whoever has
  * started nothing for `MAX_YIELD_MS` ignores all of them, so that no job waits for long beside free capacity.
  */
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
 import { placementGroups } from './gang-capacity.js';
 import {
--- a/src/placement/run-time-prediction.ts
+++ b/src/placement/run-time-prediction.ts
@@ -1,5 +1,5 @@
 /** What is known of how long tasks run, from a job's own finished tasks and from its class. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import { RunTimeEstimator } from './run-time-estimator.js';
--- a/src/placement/scheduling-cycle-runner.ts
+++ b/src/placement/scheduling-cycle-runner.ts
@@ -1,5 +1,6 @@
 /** Runs scheduling cycles: serves all waiting jobs in order, within bounds. */
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
 import type { DemandHistory } from './demand-history.js';
 import { expireFailedMachines } from './failure-tracking.js';
--- a/src/placement/straggler-detection.ts
+++ b/src/placement/straggler-detection.ts
@@ -2,7 +2,7 @@
  * Detects stragglers, machines that run tasks slowly. The paper (section 5.5, Listing 2) leaves detection open. Workers
  * report no CPU use, so a machine is flagged when tasks of several jobs run longer on it than the same jobs elsewhere.
  */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import type { RunTimeSamples } from './run-time-samples.js';
--- a/src/placement/straggler-relocation.ts
+++ b/src/placement/straggler-relocation.ts
@@ -1,5 +1,5 @@
 /** Flags stragglers, and moves young tasks off them. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Log } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Machine } from '../workers/machine.js';
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -1,5 +1,6 @@
 /** Places the tasks of arrays and services, each on its own. */
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { AttemptStopper } from './attempt-stopper.js';
--- a/src/placement/unconfirmed-usage.ts
+++ b/src/placement/unconfirmed-usage.ts
@@ -1,5 +1,5 @@
 /** What tasks of earlier leadership terms may use on machines that have not reported yet. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import { NO_RESOURCES, type Resources, addResources, scaleResources } from './resources.js';
 
 /** Once all machines are reconciled, nothing can run where no heartbeat has shown it. */
--- a/src/placement/usable-machines.ts
+++ b/src/placement/usable-machines.ts
@@ -1,5 +1,5 @@
 /** Which machines may be given work. */
-import type { Job } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import { ROUNDING_TOLERANCE } from './resources.js';
