--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -14,23 +14,10 @@
 import { finishGoals, servingOrder, urgency } from '../src/placement/job-order.js';
 import type { MachineType } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
+import { machineType } from './sim/machine-type.js';
 import { quietLog } from './sim/quiet-log.js';
 import type { TaskAttempt } from '../src/workers/task-attempt.js';
 
-function machineType(cpus: number): MachineType {
-  return {
-    name: 'm',
-    cpus,
-    gpus: 0,
-    memoryGb: 256,
-    fetchGbPerS: 1,
-    price: 2,
-    spotPrice: 0.6,
-    bootS: 20,
-    zones: ['a', 'b'],
-  };
-}
-
 test('a gang moves whole or not at all: only if all of it fits elsewhere and all its machines answer', () => {
   const table = new MachineTable(100, 10_000, () => undefined, {
     attemptAdded: (attempt) => attempt.job?.addAttempt(attempt),
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -2,6 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planScaleOut, type Pool } from '../src/autoscaler/scaling-plan.js';
+import { machineType } from './sim/machine-type.js';
 
 test('scale-out: ordinary machines for what needs them, cheap ones for the rest, unavailable pools left alone', () => {
   const type = machineType(32);
