--- a/eslint.config.js
+++ b/eslint.config.js
@@ -24,7 +24,7 @@
         { allowNumber: true, allowBoolean: true },
       ],
       '@typescript-eslint/naming-convention': [
-        'warn',
+        'error',
         { selector: 'typeLike', format: ['PascalCase'] },
         { selector: 'function', format: ['camelCase'] },
         { selector: 'classMethod', format: ['camelCase'] },
@@ -38,7 +38,7 @@
         { selector: 'variable', format: ['camelCase'], leadingUnderscore: 'allow' },
       ],
       'no-restricted-syntax': [
-        'warn',
+        'error',
         ...[
           'FunctionDeclaration > Identifier.params[name=/^.$/]',
           'MethodDefinition > FunctionExpression > Identifier.params[name=/^.$/]',
@@ -49,9 +49,9 @@
       ],
       'object-shorthand': 'error',
       eqeqeq: 'error',
-      'max-lines': ['warn', 300],
-      'max-lines-per-function': ['warn', 50],
-      complexity: ['warn', 12],
+      'max-lines': ['error', 300],
+      'max-lines-per-function': ['error', 50],
+      complexity: ['error', 12],
     },
   },
   {
@@ -59,7 +59,7 @@
     plugins: { jsdoc },
     rules: {
       'jsdoc/require-jsdoc': [
-        'warn',
+        'error',
         {
           publicOnly: true,
           require: { ClassDeclaration: true, FunctionDeclaration: true },
@@ -70,7 +70,6 @@
           ],
         },
       ],
-      'jsdoc/require-file-overview': 'off',
     },
   },
   {
