--- a/src/heartbeat-endpoint.ts
+++ b/src/heartbeat-endpoint.ts
@@ -1,6 +1,6 @@
 /** How a controller node answers workers' heartbeats, whatever its role. */
 import type { Cancellations } from './jobs/cancellations.js';
-import type { Answer } from './jobs/api.js';
+import type { Answer } from './jobs/answers.js';
 import type { LeaderTerm } from './leadership/leader-term.js';
 import type { Leadership } from './leadership/leadership.js';
 import type { LeaseExtender } from './leadership/lease-extension.js';
--- a/src/http/user-app.ts
+++ b/src/http/user-app.ts
@@ -1,7 +1,8 @@
 /** The HTTP routes for users and health checks. */
 import express, { type NextFunction, type Request, type Response } from 'express';
 import type { Health } from '../health.js';
-import type { Answer, JobsApi } from '../jobs/api.js';
+import type { Answer } from '../jobs/answers.js';
+import type { JobsApi } from '../jobs/api.js';
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 import { userPaths } from '../wire/users.js';
 
--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -1,5 +1,6 @@
 /** Takes live jobs into the leader's tables, and out of them once they have ended. */
-import type { Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import type { JobTable } from '../jobs/job-table.js';
 import { readLive } from '../jobs/records.js';
 import type { Placement } from '../placement/placement.js';
 import type { Clock } from '../runtime.js';
@@ -11,7 +12,7 @@
   clock: Clock;
   lifecycle: TermLifecycle;
   jobs: JobTable;
-  placement: Pick<Placement, 'jobAdded' | 'jobEnded' | 'cancelled'>;
+  placement: Pick<Placement, 'jobAdded' | 'jobEnded' | 'jobCancelled'>;
   cycles: CycleScheduler;
   /** Is it known that the job is cancelled, whatever its record says as last read? */
   isCancelled(id: string): boolean;
@@ -30,7 +31,8 @@
     if (known && known.version >= version) return;
     const createdInThisTerm = version > this.deps.lifecycle.epoch && !record.cancelled;
     const job =
-      known ?? jobs.add(record.spec, version, record.at, createdInThisTerm, this.deps.clock.now());
+      known ??
+      jobs.add(record.spec, version, record.acceptedAt, createdInThisTerm, this.deps.clock.now());
     job.version = version;
     if (!known) placement.jobAdded(job);
     if (record.cancelled || this.deps.isCancelled(id)) this.markCancelled(job);
@@ -38,7 +40,7 @@
 
   /** Only the leader removes live records, once the job has ended: this was our own write, whose response was lost. */
   recordRemoved(job: Job): void {
-    job.ended = 'yes';
+    job.endState = 'ended';
     this.forgetJob(job);
   }
 
@@ -60,7 +62,7 @@
   private markCancelled(job: Job): void {
     if (job.jobCancelled) return;
     job.jobCancelled = true;
-    this.deps.placement.cancelled(job);
+    this.deps.placement.jobCancelled(job);
     this.deps.cycles.request();
   }
 }
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -4,7 +4,8 @@
 import { demandOf } from '../autoscaler/demand.js';
 import type { Demand } from '../autoscaler/scaling-plan.js';
 import { CompletionWriter } from '../jobs/completion-writer.js';
-import { type Job, JobTable } from '../jobs/job-table.js';
+import type { Job } from '../jobs/job.js';
+import { JobTable } from '../jobs/job-table.js';
 import { Placement } from '../placement/placement.js';
 import { allocateSockets } from '../http/socket-allocation.js';
 import { CommandSender } from '../workers/command-sender.js';
@@ -196,7 +197,12 @@
 
   private demand(): Demand {
     const wantedCpus = (job: Job): number => this.placement.wantedCpus(job);
-    return demandOf(this.jobs.all(), wantedCpus, this.placement.arriving(), this.deps.types);
+    return demandOf(
+      this.jobs.all(),
+      wantedCpus,
+      this.placement.serviceCpusPerSecond(),
+      this.deps.types,
+    );
   }
 
   private forgetMachine(machine: Machine): void {
--- /dev/null
+++ b/test/invariants.test.ts
@@ -0,0 +1,112 @@
+/** The checker of the quota invariant, with planted breaches: what it does not see no run of the cluster can find. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { Cluster } from './sim/cluster.js';
+import { BATCH, PLAIN_ARRAY } from './sim/jobs.js';
+import { Invariants } from './sim/invariants.js';
+import { observedJob } from './sim/observed-job.js';
+import type { JobSubmission } from './sim/wire/users.js';
+
+const LIMIT = 4;
+const CANCEL_MS = 20_000;
+const WAITING_LIMIT_MS = 90_000;
+
+interface Planted {
+  invariants: Invariants;
+  clock: { now: number };
+}
+
+const JOB: JobSubmission = {
+  ...PLAIN_ARRAY,
+  id: 'run-1',
+  team: 't0',
+  tasks: 5,
+  memoryGb: 1,
+  imageGb: 0,
+};
+
+function withJob(over: Partial<JobSubmission> = {}): Planted {
+  const clock = { now: 0 };
+  const invariants = new Invariants(() => clock.now, CANCEL_MS, new Map([['t0', LIMIT]]));
+  const facts = observedJob({ ...JOB, ...over }, 0);
+  invariants.jobs.set(JOB.id, { ...facts, reportedAccepted: true });
+  return { invariants, clock };
+}
+
+const place = (machine: string): Parameters<Invariants['taskStarted']>[1] => ({
+  machine,
+  type: 't',
+  zone: 'a',
+  spot: false,
+});
+
+test('a task beyond the limit is a breach at the moment it has its image', () => {
+  const { invariants } = withJob();
+  invariants.taskStarted('run-1/0', place('m1'));
+  invariants.taskStarted('run-1/1', place('m1'));
+  assert.deepEqual(invariants.violations, []);
+  invariants.taskStarted('run-1/2', place('m2'));
+  assert.deepEqual(invariants.violations, ['0 quota: t0 by run-1/2']);
+});
+
+test('a second copy of a task counts beside the first, and until it has left its own machine', () => {
+  const { invariants } = withJob();
+  invariants.taskStarted('run-1/0', place('m1'));
+  invariants.taskStarted('run-1/0', place('m2'));
+  assert.equal(invariants.usedCpus('t0'), 4);
+  invariants.taskLeft('run-1/0', 'm1', false);
+  assert.equal(invariants.usedCpus('t0'), 2);
+  invariants.taskStarted('run-1/1', place('m1'));
+  invariants.taskStarted('run-1/2', place('m1'));
+  assert.ok(invariants.violations.some((broken) => broken.includes('quota')));
+});
+
+test('an end makes room once, however often it is told', () => {
+  const { invariants } = withJob();
+  invariants.taskStarted('run-1/0', place('m1'));
+  invariants.taskStarted('run-1/1', place('m1'));
+  invariants.taskLeft('run-1/0', 'm1', true);
+  invariants.taskLeft('run-1/0', 'm1', true);
+  assert.equal(invariants.usedCpus('t0'), 2);
+});
+
+test('a task that saves counts until it exits', async () => {
+  const cluster = new Cluster({ seed: 1, ordinaryUp: 4 });
+  await cluster.run(4);
+  const saving: Partial<JobSubmission> = {
+    ...BATCH,
+    team: 't0',
+    tasks: 1,
+    durationS: 60,
+    checkpointEveryS: 1,
+    checkpointS: 3,
+  };
+  void cluster.users.run(cluster.users.newJob(saving), null);
+  await cluster.run(12);
+  const [[task, [{ machine }]]] = [...cluster.invariants.placesByTask];
+  const worker = cluster.cloud.machines.get(machine)!.worker!;
+  worker.preemptionDeadline = cluster.clock.time + 15_000;
+  let saved = 0;
+  for (let i = 0; i < 100; i++) {
+    await cluster.run(0.1);
+    if (!worker.tasks.isSaving(task)) continue;
+    saved++;
+    assert.ok(cluster.invariants.usedCpus('t0') >= 2, 'it counts while it saves');
+  }
+  assert.ok(saved >= 20, `${saved} looks while it saved`);
+  assert.deepEqual(cluster.invariants.violations, []);
+});
+
+test('a gang that does not fit under the limit as a whole does not wait in vain, one that fits does', () => {
+  const rooms = [{ ...place('m1'), freeCpus: 64 }];
+  for (const [tasks, waits] of [
+    [3, false],
+    [2, true],
+  ] as const) {
+    const { invariants, clock } = withJob({ kind: 'gang', tasks });
+    invariants.checkWaiting(rooms, []);
+    clock.now = WAITING_LIMIT_MS + 1;
+    invariants.checkWaiting(rooms, []);
+    assert.equal(invariants.violations.length > 0, waits, `${tasks} tasks`);
+  }
+});
--- /dev/null
+++ b/test/sim/client-runtime.ts
@@ -0,0 +1,24 @@
+/** The runtime of programs beside the controllers, such as operators' commands. */
+import type { Runtime } from '../../src/runtime.js';
+import type { VirtualClock } from './clock.js';
+import type { Network } from './network.js';
+import { quietLog } from './quiet-log.js';
+
+/** Sends from a host that no controller has. */
+export function clientRuntime({
+  clock,
+  network,
+}: {
+  clock: VirtualClock;
+  network: Network;
+}): Runtime {
+  return {
+    clock: clock.host(1, () => true),
+    http: {
+      send: (to, method, path, body, timeoutMs) =>
+        network.send('n9:80', to, method, path, body, timeoutMs),
+    },
+    log: quietLog,
+    random: () => 0.5,
+  };
+}
