--- a/src/autoscaler/cloud-inventory.ts
+++ b/src/autoscaler/cloud-inventory.ts
@@ -26,7 +26,7 @@
   private lastReadAt = -Infinity;
   private isReading = false;
 
-  /** `startedAt`: when this leader took over. */
+  /** `startedAt`: when the leader's term began. */
   constructor(
     private readonly deps: CloudInventoryDependencies,
     private readonly deletion: MachineDeletion,
--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -9,11 +9,11 @@
 import type { MachineLiveness } from './machine-liveness.js';
 import type { ZonePartitions } from './zone-partitions.js';
 
-/** How long after a takeover machines have to answer before they count as holding it up. */
+/** How long after a failover machines have to answer before they count as holding it up. */
 const RECONCILIATION_GRACE_MS = 2000;
-/** Of the machines in reachable zones: so many must have answered a takeover before the others may be declared dead. */
+/** Of the machines in reachable zones: so many must have answered after a failover before the others may be declared dead. */
 const RECONCILED_SHARE_THRESHOLD = 0.85;
-/** Failed probes after which a machine counts as holding up a takeover. */
+/** Failed probes after which a machine counts as holding up a failover. */
 const MIN_FAILED_PROBES = 2;
 const MIN_FAILED_PROBES_WHILE_LAGGING = 3;
 /** Of so many machines some are heard at any moment: when none is, this controller is cut off itself. */
@@ -59,7 +59,7 @@
 export class FailureDetector {
   private readonly budget: DeletionBudget;
 
-  /** `startedAt`: when this leader took over. */
+  /** `startedAt`: when the leader's term began. */
   constructor(
     private readonly deps: FailureDetectorDependencies,
     private readonly liveness: MachineLiveness,
@@ -136,7 +136,7 @@
   }
 
   /**
-   * After a takeover all jobs of former leaders wait for the last machine to answer. Where nearly all have answered, one
+   * After a failover all jobs of former leaders wait for the last machine to answer. Where nearly all have answered, one
    * that has not is likely dead, and is not given the time that an unreachable machine has otherwise. While we lag it
    * takes more failed probes, since answers may wait unread. Nor do all zones wait for a partitioned one whose leases
    * nobody can extend.
@@ -162,7 +162,7 @@
    * A partition heals, and then the zone's machines are worth more than new ones: they are up, hold the images, and may
    * be the only place for replicas that have to be spread. So they are left alone, and the end of their leases is the
    * proof. Only shortly before that a deletion is quicker, for replicas that can then run elsewhere at once; and in a
-   * takeover that waits for nothing else, unless some controller may extend the leases.
+   * failover that waits for nothing else, unless some controller may extend the leases.
    */
   private isDeadInPartitionedZone(
     machine: Machine,
--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -1,5 +1,5 @@
 /**
- * What the nodes vouch for to each other, so that without the state service they still know two things: which
+ * What the nodes attest to each other, so that without the state service they still know two things: which
  * cancellations were confirmed, and that no other node has been elected. Each node tells all others, every now and
  * then, what it confirmed of late and the highest epoch it knows of; and for each of them the time, by that one's own
  * clock, of the last message it had from it. Whoever reads its own time there knows that the attestation was made after
@@ -28,7 +28,7 @@
   notElectedUntil: number;
 }
 
-/** What this node vouches for, and what the others vouch for to it. */
+/** What this node attests, and what the others attest to it. */
 export class Attestations {
   private readonly coverageByPeer = new Map<string, Coverage>();
   private readonly lastReceived = new Map<string, MessageOrigin>();
