--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -21,7 +21,9 @@
 /** What the process tells its parent. */
 export type DutyProcessMessage =
   | { kind: 'state'; duty: string; to: string; token: number | null }
-  | { kind: 'checked'; at: number };
+  | { kind: 'checked'; at: number }
+  /** The provider's answer to what was sent after a check; a status of 0 stands for none. */
+  | { kind: 'answered'; at: number; status: number };
 
 const SOCKETS = 16;
 
@@ -68,6 +70,9 @@
       http: runtime.http,
       address: providerAddress,
       beforeSending,
+      onReply: ({ status }) => {
+        tell({ kind: 'answered', at: performance.now(), status });
+      },
     }),
     maxTransactionOps: 12,
     mayHold: () => true,
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -104,8 +104,16 @@
     ).length;
   }
 
-  until(what: string, holds: () => boolean): Promise<void> {
-    return waitUntil(what, holds, { everyMs: 20, patienceMs: PATIENCE_MS });
+  /** A failure tells what the processes and the provider did. */
+  async until(what: string, holds: () => boolean): Promise<void> {
+    try {
+      await waitUntil(what, holds, { everyMs: 20, patienceMs: PATIENCE_MS });
+    } catch (error) {
+      const running = [...this.children].map(([name, child]) => [name, child.exitCode]);
+      const history = { running, messages: this.messages, calls: this.provider.calls };
+      console.log(JSON.stringify(history, null, 1));
+      throw error;
+    }
   }
 
   /** Another process has taken the duty; its name. */
