--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -93,13 +93,13 @@
     return { key: holderKey(this.duty), version: this.grant?.version ?? NO_VERSION };
   }
 
-  private transitionTo(next: HolderState, why: string): void {
+  private transitionTo(next: HolderState, reason: string): void {
     if (next === this.current) return;
     if (!isAllowedTransition(this.current, next))
       throw new Error(`duty ${this.duty}: ${this.current} -> ${next}`);
     const { log } = this.deps.environment;
     log.info(
-      { duty: this.duty, from: this.current, to: next, token: this.grant?.token, why },
+      { duty: this.duty, from: this.current, to: next, token: this.grant?.token, why: reason },
       'duty',
     );
     this.current = next;
@@ -130,9 +130,9 @@
     this.recordStale(permit.token, 'the record has another holder');
   }
 
-  private recordStale(token: number, why: string): void {
+  private recordStale(token: number, reason: string): void {
     this.counts.refused++;
-    if (this.mayBeHeld() && token === this.grant?.token) this.transitionTo('lost', why);
+    if (this.mayBeHeld() && token === this.grant?.token) this.transitionTo('lost', reason);
   }
 
   /** Brings the state up to date with the membership and the view. */
@@ -194,10 +194,10 @@
   }
 
   /** Hands the duty over in order: begins nothing new, lets what is on its way end, then frees the record. */
-  async release(why: string): Promise<void> {
+  async release(reason: string): Promise<void> {
     this.refresh();
     if (!this.mayBeHeld()) return;
-    this.transitionTo('releasing', why);
+    this.transitionTo('releasing', reason);
     const { environment } = this.deps;
     const drainUntil = environment.clock.now() + MAX_DRAIN_MS;
     while (this.inFlight > 0 && environment.clock.now() < drainUntil)
