--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -18,7 +18,7 @@
  * - `not-held`: not begun, since the duty is not surely held.
  * - `stale`: the provider rejected it, since this holder was replaced.
  */
-export type Performed<T> =
+export type PerformResult<T> =
   { kind: 'performed'; value: T } | { kind: 'not-held' } | { kind: 'stale' };
 
 /** With what the duty was acquired. */
@@ -110,7 +110,7 @@
    * The only way to act. The holder is checked right before the action begins; what happens between this check and the
    * arrival of a request is the other side's to reject, by the permit's token or precondition.
    */
-  async perform<T>(action: (permit: Permit) => Promise<T>): Promise<Performed<T>> {
+  async perform<T>(action: (permit: Permit) => Promise<T>): Promise<PerformResult<T>> {
     if (!this.isHeld() || !this.grant) return { kind: 'not-held' };
     const permit = new Permit(this.duty, this.grant.token, this.precondition());
     this.inFlight++;
@@ -202,12 +202,12 @@
     const drainUntil = environment.clock.now() + MAX_DRAIN_MS;
     while (this.inFlight > 0 && environment.clock.now() < drainUntil)
       await sleep(environment, DRAIN_POLL_MS);
-    while (!(await this.freeRecord())) await sleep(environment, RELEASE_RETRY_MS);
+    while (!(await this.removeOwnRecord())) await sleep(environment, RELEASE_RETRY_MS);
     this.transitionTo('vacant', 'released');
   }
 
   /** True once the record is surely not ours any more: a removal that is executed late finds another version. */
-  private async freeRecord(): Promise<boolean> {
+  private async removeOwnRecord(): Promise<boolean> {
     if (this.deps.membership.currentLease() !== this.grant?.leaseId) return true;
     const result = await this.record.remove(this.grant.version);
     return result.kind === 'committed' || result.kind === 'conflict';
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -1,6 +1,6 @@
 /** Duties that exactly one controller performs at a time, under leases and fencing tokens. See docs/duties.md. */
 export { DUTIES, type Duty, isDuty } from './duty.js';
-export { type DutyHolder, type Performed } from './holder.js';
+export { type DutyHolder, type PerformResult } from './holder.js';
 export { IntentLog, type IntentLogDependencies, type IntentResult } from './intent-log.js';
 export { MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST } from './limits.js';
 export { type DutyCounters, DutyMember, type DutyMemberDependencies } from './member.js';
