--- a/packages/duties/src/cleaner.ts
+++ b/packages/duties/src/cleaner.ts
@@ -1,6 +1,6 @@
 /** Removes the records of resolved intents, while this process holds the duty `clean-up`. */
 import type { Environment, StateAccess } from '@millring/state-access';
-import { FirstSeen } from './first-seen.js';
+import { FirstSeenTracker } from './first-seen-tracker.js';
 import type { DutyHolder } from './holder.js';
 import type { Permit } from './permit.js';
 import { intentKey } from './records.js';
@@ -23,7 +23,7 @@
 
 /** Removes at most one transaction's worth of records at a time. */
 export class IntentCleaner {
-  private readonly resolved = new FirstSeen();
+  private readonly resolved = new FirstSeenTracker();
   private isRemoving = false;
   private notBefore = 0;
 
--- a/packages/duties/src/first-seen.ts
+++ b/packages/duties/src/first-seen-tracker.ts
@@ -1,5 +1,5 @@
 /** Remembers since when each of a changing set of names has been known, by the steady clock. */
-export class FirstSeen {
+export class FirstSeenTracker {
   private readonly seenAt = new Map<string, number>();
 
   /** How many names are remembered. */
@@ -18,7 +18,7 @@
   }
 
   /** For how long the name seen first has been known; 0 if there is none. */
-  longestMs(now: number): number {
+  oldestAgeMs(now: number): number {
     return now - Math.min(now, ...this.seenAt.values());
   }
 
--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -4,7 +4,7 @@
 import { DUTIES, type Duty } from './duty.js';
 import { DutyBalancer } from './duty-balancer.js';
 import { IntentExecutor } from './executor.js';
-import { FirstSeen } from './first-seen.js';
+import { FirstSeenTracker } from './first-seen-tracker.js';
 import { DutyHolder } from './holder.js';
 import { MemberTracker } from './member-tracker.js';
 import { Membership } from './membership.js';
@@ -55,7 +55,7 @@
   private readonly balancer: DutyBalancer;
   private readonly executor: IntentExecutor;
   private readonly cleaner: IntentCleaner;
-  private readonly openIntents = new FirstSeen();
+  private readonly openIntents = new FirstSeenTracker();
   private lastReportAt: number;
 
   constructor(private readonly deps: DutyMemberDependencies) {
@@ -171,7 +171,7 @@
       acquired: sum((holder) => holder.counters().acquired),
       refused: sum((holder) => holder.counters().refused),
       openIntents: this.openIntents.count(),
-      oldestOpenMs: this.openIntents.longestMs(now),
+      oldestOpenMs: this.openIntents.oldestAgeMs(now),
     };
   }
 
