--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -48,7 +48,7 @@
 
 /** For one decider and its term. */
 export class IntentLog {
-  private awaited = 0;
+  private pending = 0;
 
   constructor(private readonly deps: IntentLogDependencies) {}
 
@@ -68,7 +68,7 @@
    * changes nothing.
    */
   open(duty: Duty, action: IntentAction): Promise<IntentResult> {
-    return this.countAwaited(this.store(duty, action));
+    return this.countWhilePending(this.store(duty, action));
   }
 
   private async store(duty: Duty, action: IntentAction): Promise<IntentResult> {
@@ -113,18 +113,18 @@
 
   /** How many intents this decider waits for: all that are open, since it restored those of former deciders. */
   pendingCount(): number {
-    return this.awaited;
+    return this.pending;
   }
 
   /** Waits for the outcome of an intent that is stored since `version`. */
   async awaitOutcome(id: string, version: number): Promise<IntentResult> {
-    return this.countAwaited(this.awaitInView(id, version));
+    return this.countWhilePending(this.awaitInView(id, version));
   }
 
-  private async countAwaited(pending: Promise<IntentResult>): Promise<IntentResult> {
-    this.awaited++;
-    const result = await pending;
-    this.awaited--;
+  private async countWhilePending(operation: Promise<IntentResult>): Promise<IntentResult> {
+    this.pending++;
+    const result = await operation;
+    this.pending--;
     return result;
   }
 
