--- a/packages/duties/src/duty-balancer.ts
+++ b/packages/duties/src/duty-balancer.ts
@@ -77,7 +77,7 @@
     const { members, self, settleMs } = this.deps;
     const views = members.memberViews();
     const delayMs = acquisitionDelayMs(duty, self, views, settleMs);
-    const wasHeldLately = now - (this.lastHeldAt.get(duty) ?? -Infinity) < settleMs;
-    return wasHeldLately && views.length > 1 ? delayMs + settleMs : delayMs;
+    const wasHeldRecently = now - (this.lastHeldAt.get(duty) ?? -Infinity) < settleMs;
+    return wasHeldRecently && views.length > 1 ? delayMs + settleMs : delayMs;
   }
 }
