--- a/packages/duties/src/holder-record.ts
+++ b/packages/duties/src/holder-record.ts
@@ -41,14 +41,17 @@
    */
   async claim(leaseId: number): Promise<Claim | null> {
     const { environment, store, view, self, process } = this.deps;
-    const last = view.token(this.duty);
-    const token = last.kind === 'present' ? last.value.token + 1 : 1;
+    const previousToken = view.token(this.duty);
+    const token = previousToken.kind === 'present' ? previousToken.value.token + 1 : 1;
     const holder: HolderRecord = { controller: self, process, token };
     const result = await store.compareAndSwap(
       [
         { key: holderKey(this.duty), version: 0 },
         { key: holdKey(this.duty), version: 0 },
-        { key: tokenKey(this.duty), version: last.kind === 'present' ? last.version : 0 },
+        {
+          key: tokenKey(this.duty),
+          version: previousToken.kind === 'present' ? previousToken.version : 0,
+        },
       ],
       [
         {
