--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -164,8 +164,8 @@
   counters(): DutyCounters {
     const now = this.deps.environment.clock.now();
     const holders = [...this.holders.values()];
-    const sum = (of: (holder: DutyHolder) => number): number =>
-      holders.reduce((total, holder) => total + of(holder), 0);
+    const sum = (counterOf: (holder: DutyHolder) => number): number =>
+      holders.reduce((total, holder) => total + counterOf(holder), 0);
     return {
       held: holders.filter((holder) => holder.isHeld()).map((holder) => holder.duty),
       acquired: sum((holder) => holder.counters().acquired),
