--- a/packages/duties/src/operator.ts
+++ b/packages/duties/src/operator.ts
@@ -46,7 +46,7 @@
   | { kind: 'status'; duties: DutyStatus[]; members: string[]; unreadable: string[] }
   | { kind: 'unreachable' };
 
-const SILENT_LOG: Pick<Environment['log'], 'error'> = { error: () => undefined };
+const NO_OP_LOG: Pick<Environment['log'], 'error'> = { error: () => undefined };
 
 /** Works with or without a leader. */
 export class DutyOperator {
@@ -99,18 +99,18 @@
     if (holder.kind === 'absent')
       return { kind: 'refused', reason: `nobody holds ${duty}, and it is not on hold` };
     const key = holderKey(duty);
-    const who = holder.kind === 'present' ? holder.value.controller : 'an unknown holder';
+    const holderName = holder.kind === 'present' ? holder.value.controller : 'an unknown holder';
     return this.write(
       [{ key, version: holder.version }],
       [{ remove: key }],
-      `${duty} was taken from ${who}`,
+      `${duty} was taken from ${holderName}`,
     );
   }
 
   private async read(): Promise<DutiesView | null> {
     const read = await this.deps.store.scan(DUTIES_PREFIX);
     if (!read) return null;
-    const view = new DutiesView(SILENT_LOG);
+    const view = new DutiesView(NO_OP_LOG);
     view.load(read.pairs, read.revision);
     return view;
   }
@@ -138,7 +138,7 @@
   const holder = view.holder(duty);
   const token = view.token(duty);
   const hold = view.hold(duty);
-  const opened = [...view.intents()]
+  const openedTimes = [...view.intents()]
     .filter(([, { value }]) => value.duty === duty && value.outcome === null)
     .map(([, { value }]) => value.openedMs);
   return {
@@ -146,7 +146,7 @@
     holder: holder.kind === 'present' ? holder.value : null,
     token: token.kind === 'present' ? token.value.token : 0,
     hold: hold.kind === 'present' ? hold.value : null,
-    openIntents: opened.length,
-    oldestOpenedMs: opened.length > 0 ? Math.min(...opened) : null,
+    openIntents: openedTimes.length,
+    oldestOpenedMs: openedTimes.length > 0 ? Math.min(...openedTimes) : null,
   };
 }
