--- a/packages/duties/src/record-watch.ts
+++ b/packages/duties/src/record-watch.ts
@@ -35,20 +35,20 @@
     while (this.deps.isActive()) {
       if (view.knownRevision() < 0) await this.reload();
       if (view.knownRevision() < 0) {
-        await this.pause();
+        await this.waitBeforeRetry();
         continue;
       }
-      const answer = await store.watch(DUTIES_PREFIX, view.knownRevision(), WATCH_TIMEOUT_MS);
-      if (answer.kind === 'events') {
-        view.apply(answer.events, answer.revision);
+      const result = await store.watch(DUTIES_PREFIX, view.knownRevision(), WATCH_TIMEOUT_MS);
+      if (result.kind === 'events') {
+        view.apply(result.events, result.revision);
         this.deps.onChange();
-      } else if (answer.kind === 'compacted') await this.reload();
-      else await this.pause();
+      } else if (result.kind === 'compacted') await this.reload();
+      else await this.waitBeforeRetry();
     }
     this.isRunning = false;
   }
 
-  private pause(): Promise<void> {
+  private waitBeforeRetry(): Promise<void> {
     const { environment } = this.deps;
     return sleep(environment, RETRY_MS * (1 + environment.random()));
   }
