--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -92,8 +92,8 @@
     }),
   );
 
-function isActionOfDuty(of: Duty, action: 'rent' | 'delete'): boolean {
-  return action === 'rent' ? of === 'rent' : of === 'return' || of === 'reclaim';
+function isActionOfDuty(owner: Duty, action: 'rent' | 'delete'): boolean {
+  return action === 'rent' ? owner === 'rent' : owner === 'return' || owner === 'reclaim';
 }
 
 /** Who holds a duty. The version of the record is a precondition of every write that the holder makes as such. */
