--- a/packages/duties/src/view.ts
+++ b/packages/duties/src/view.ts
@@ -168,10 +168,11 @@
     const name = section ? key.slice(section.prefix.length) : key;
     const reason = section ? section.put(name, value, version) : 'unknown kind of record';
     if (reason !== null) this.logOnce(key, version, reason);
-    else if (section && this.isMisplaced(section, name)) this.logOnce(key, version, 'unknown duty');
+    else if (section && this.hasUnknownDuty(section, name))
+      this.logOnce(key, version, 'unknown duty');
   }
 
-  private isMisplaced(section: RecordSection<unknown>, name: string): boolean {
+  private hasUnknownDuty(section: RecordSection<unknown>, name: string): boolean {
     const sectionsByDuty: unknown[] = [this.holderSection, this.tokenSection, this.holdSection];
     return sectionsByDuty.includes(section) && !isDuty(name);
   }
