--- a/packages/state-access/src/index.ts
+++ b/packages/state-access/src/index.ts
@@ -108,5 +108,5 @@
 
 /** Resolves after `ms` of the environment's clock. */
 export function sleep(environment: Environment, ms: number): Promise<void> {
-  return new Promise((done) => environment.clock.after(ms, done));
+  return new Promise((resolve) => environment.clock.after(ms, resolve));
 }
