--- a/packages/duties/test/duty-assignment.test.ts
+++ b/packages/duties/test/duty-assignment.test.ts
@@ -6,8 +6,8 @@
 
 const SETTLE_MS = 10_000;
 
-function member(name: string, over: Partial<MemberView> = {}): MemberView {
-  return { name, settled: true, isLeader: false, duties: DUTIES, heldCount: 0, ...over };
+function member(name: string, overrides: Partial<MemberView> = {}): MemberView {
+  return { name, settled: true, isLeader: false, duties: DUTIES, heldCount: 0, ...overrides };
 }
 
 function ranking(duty: Duty, members: MemberView[]): string[] {
--- a/packages/duties/test/records.test.ts
+++ b/packages/duties/test/records.test.ts
@@ -17,7 +17,7 @@
 
 test('intents: each field is checked, and the action has to fit the duty', () => {
   assert.equal(parseIntent(INTENT).kind, 'valid');
-  const wrong: object[] = [
+  const invalidFields: object[] = [
     { duty: 'dance' },
     { duty: 'rent' },
     { action: { kind: 'burn', machines: ['m-1'] } },
@@ -33,8 +33,12 @@
     { token: 3 },
     { id: '' },
   ];
-  for (const over of wrong)
-    assert.equal(parseIntent({ ...INTENT, ...over }).kind, 'invalid', JSON.stringify(over));
+  for (const overrides of invalidFields)
+    assert.equal(
+      parseIntent({ ...INTENT, ...overrides }).kind,
+      'invalid',
+      JSON.stringify(overrides),
+    );
   assert.equal(parseIntent({ ...INTENT, outcome: { kind: 'deleted' }, token: 3 }).kind, 'valid');
 });
 
@@ -48,12 +52,12 @@
 });
 
 test('a view keeps what it does not understand apart, and forgets it once it is gone', () => {
-  const told: object[] = [];
-  const view = new DutiesView({ error: (fields) => told.push(fields) });
+  const logged: object[] = [];
+  const view = new DutiesView({ error: (fields) => logged.push(fields) });
   view.load([{ key: 'duties/holders/rent', value: 7, version: 3 }], 3);
   assert.deepEqual(view.holder('rent'), { kind: 'unreadable', version: 3 });
   view.load([{ key: 'duties/holders/rent', value: 7, version: 3 }], 4);
-  assert.equal(told.length, 1);
+  assert.equal(logged.length, 1);
   assert.deepEqual(view.unreadable(), ['duties/holders/rent']);
   view.apply([{ key: 'duties/holders/rent', value: null, version: 5, deleted: true }], 5);
   assert.deepEqual(view.holder('rent'), { kind: 'absent' });
