--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -38,7 +38,7 @@
 }
 
 /** Without a grant nothing may be written: no record ever has this version. */
-const NO_VERSION = Number.MAX_SAFE_INTEGER;
+const NEVER_MATCHING_VERSION = Number.MAX_SAFE_INTEGER;
 const RELEASE_RETRY_MS = 200;
 const DRAIN_POLL_MS = 50;
 /** The view may still show a record that was removed a moment ago. */
@@ -90,7 +90,7 @@
   }
 
   private precondition(): Precondition {
-    return { key: holderKey(this.duty), version: this.grant?.version ?? NO_VERSION };
+    return { key: holderKey(this.duty), version: this.grant?.version ?? NEVER_MATCHING_VERSION };
   }
 
   private transitionTo(next: HolderState, reason: string): void {
