--- a/packages/state-access/src/parsed.ts
+++ b/packages/state-access/src/parsed.ts
@@ -1,10 +1,10 @@
-/** Checks of stored records by schemas, where they enter. */
+/** Validation of stored records against schemas, at the point where they are read. */
 import * as z from 'zod/mini';
 
-/** A record that fits its schema, or the first reason why it doesn't, with the path of the field. */
+/** A record that matches its schema, or the first violation, with the path of the field. */
 export type Parsed<T> = { kind: 'valid'; value: T } | { kind: 'invalid'; reason: string };
 
-/** Checks a stored value by a schema. Never throws. */
+/** Validates a stored value against a schema. Never throws. */
 export function parseRecord<T>(schema: z.ZodMiniType<T>, value: unknown): Parsed<T> {
   const result = schema.safeParse(value);
   if (result.success) return { kind: 'valid', value: result.data };
