--- a/packages/duties/src/duty-assignment.ts
+++ b/packages/duties/src/duty-assignment.ts
@@ -1,30 +1,36 @@
-/** Which controller should hold which duty: pure functions, with hysteresis against flapping. */
+/** Pure functions that decide which controller should hold which duty, with hysteresis against flapping. */
 import { DUTIES, type Duty } from './duty.js';
 
-/** A member as duties are assigned to it. */
+/** The properties of a member that the assignment of duties depends on. */
 export interface MemberView {
   name: string;
-  /** It has been there for long enough to be relied on. */
+  /** Whether it has been a member for long enough to be considered reliable. */
   settled: boolean;
   isLeader: boolean;
   /** The duties that it may hold. */
   duties: readonly Duty[];
-  /** How many duties it holds. */
+  /** Number of duties that it holds. */
   heldCount: number;
 }
 
-/** The leader has other work, which counts as this many duties. */
+/** Load of the leader's other work, expressed as a number of duties. */
 const LEADER_LOAD_IN_DUTIES = 2;
-/** Gives each candidate the time to acquire a duty before the next one tries. */
+/** Delay between successive candidates, so that each has time to acquire a duty before the next one tries. */
 const DELAY_PER_RANK_MS = 400;
-/** Moving a duty costs a pause, so it must make the spread better by more than one duty. */
+/**
+ * Smallest difference in load, in duties, at which a duty is moved. The duty pauses during a move, so the move must
+ * improve the balance by more than one duty.
+ */
 const MIN_LOAD_DIFFERENCE = 2;
 
 function loadOf(member: MemberView): number {
   return member.heldCount + (member.isLeader ? LEADER_LOAD_IN_DUTIES : 0);
 }
 
-/** Settled members first, then the least loaded ones; ties in an order that differs from duty to duty. */
+/**
+ * Sorts the members that may hold the duty: settled members first, then by ascending load. The order of members that
+ * tie differs between duties.
+ */
 function rankCandidates(duty: Duty, members: readonly MemberView[]): MemberView[] {
   const offset = DUTIES.indexOf(duty);
   const eligible = members.filter((member) => member.duties.includes(duty));
@@ -38,9 +44,9 @@
 }
 
 /**
- * How long a controller waits from a vacancy on before it acquires the duty. All members may see a vacancy at once;
- * those that are less suited come later, and find it taken. One that is not settled also waits `settleMs`, unless
- * nobody is settled.
+ * Returns the time in milliseconds that a controller waits after a duty became vacant before it acquires the duty. All
+ * members may see a vacancy at once; those with a lower rank wait longer and find the duty held by another member. A
+ * member that is not settled additionally waits `settleMs`, unless no candidate is settled.
  */
 export function acquisitionDelayMs(
   duty: Duty,
@@ -56,7 +62,7 @@
   return rank * DELAY_PER_RANK_MS + (own.settled || !anySettled ? 0 : settleMs);
 }
 
-/** A duty that `self` should hand over for the sake of an even spread, or null. */
+/** Returns a duty that `self` should hand over to balance the load between the members, or null if there is none. */
 export function dutyToHandOver(
   self: string,
   held: readonly Duty[],
--- a/packages/duties/src/duty-balancer.ts
+++ b/packages/duties/src/duty-balancer.ts
@@ -1,33 +1,37 @@
-/** Decides when this process acquires a vacant duty, and when it hands one over for the sake of an even spread. */
+/** Decides when this process acquires a vacant duty, and when it hands one over to balance the load. */
 import type { Environment } from '@millring/state-access';
 import { DUTIES, type Duty } from './duty.js';
 import { acquisitionDelayMs, dutyToHandOver } from './duty-assignment.js';
 import type { DutyHolder } from './holder.js';
 import type { MemberTracker } from './member-tracker.js';
 
-/** What balancing needs of its process and of the settings. */
+/** Dependencies of `DutyBalancer`: components of the process and values of the settings. */
 export interface DutyBalancerDependencies {
   environment: Environment;
   members: MemberTracker;
-  /** The holders of all duties, in their order. */
+  /** The holders of all duties, in the order of `DUTIES`. */
   holders: ReadonlyMap<Duty, DutyHolder>;
   /** Name of this controller. */
   self: string;
   /** The duties that this process may hold. */
   duties: readonly Duty[];
+  /** Time in milliseconds after which a member counts as settled. */
   settleMs: number;
-  /** The least time between two moves of a duty by this process. */
+  /** Minimum time in milliseconds between two moves of duties by this process. */
   rebalanceMs: number;
 }
 
 const ACQUIRE_RETRY_MS = 500;
-/** Controllers that start or are turned on together see each other before the first of them acquires anything. */
+/**
+ * Time that this process must have been a member before it acquires a duty, so that controllers that are started or
+ * enabled together see each other first.
+ */
 const JOIN_DELAY_MS = 1000;
 
-/** To be called several times a second. */
+/** Its methods must be called several times a second. */
 export class DutyBalancer {
   private readonly vacantSince = new Map<Duty, number>();
-  /** When this process was last seen to hold the duty. */
+  /** When this process was last observed to hold the duty, by the steady clock. */
   private readonly lastHeldAt = new Map<Duty, number>();
   private lastMovedAt: number;
 
@@ -35,12 +39,12 @@
     this.lastMovedAt = deps.environment.clock.now();
   }
 
-  /** Brings all holders up to date, and acquires the vacant duties whose turn it is. */
+  /** Refreshes all holders and acquires each vacant duty for which this process's delay has passed. */
   acquireVacant(): void {
     for (const holder of this.deps.holders.values()) this.acquireIfDue(holder);
   }
 
-  /** Hands over one duty if that spreads them more evenly, at most once in each interval. */
+  /** Hands over one duty if this improves the balance, at most once per `rebalanceMs`. */
   rebalance(): void {
     const { environment, holders, members, rebalanceMs, self } = this.deps;
     const now = environment.clock.now();
@@ -49,7 +53,7 @@
     const duty = dutyToHandOver(self, held, members.memberViews());
     if (duty === null) return;
     this.lastMovedAt = now;
-    void holders.get(duty)?.release('handed over for an even spread');
+    void holders.get(duty)?.release('handed over to balance the duties');
   }
 
   private acquireIfDue(holder: DutyHolder): void {
@@ -72,7 +76,10 @@
     void holder.acquire();
   }
 
-  /** Whoever just had the duty goes last: it was taken away for a reason. */
+  /**
+   * Returns the delay before this process acquires the duty. A process that held the duty within the last `settleMs`
+   * waits for another `settleMs` if there are other members: the duty was taken from it for a reason.
+   */
   private delayMs(duty: Duty, now: number): number {
     const { members, self, settleMs } = this.deps;
     const views = members.memberViews();
--- a/packages/duties/src/duty.ts
+++ b/packages/duties/src/duty.ts
@@ -2,16 +2,16 @@
 
 /**
  * - `rent`: requests machines from the cloud.
- * - `return`: deletes machines that stand idle.
- * - `reclaim`: deletes machines that are dead, so that their tasks can start elsewhere.
- * - `clean-up`: removes records that nobody needs any more.
+ * - `return`: deletes idle machines.
+ * - `reclaim`: deletes machines that are unreachable, faulty or failed to boot, so that tasks can start elsewhere.
+ * - `clean-up`: removes records that are no longer needed.
  */
 export const DUTIES = ['rent', 'return', 'reclaim', 'clean-up'] as const;
 
-/** The name of a duty, as records, settings and operators write it. */
+/** The name of a duty, as used in records, in settings and by operators. */
 export type Duty = (typeof DUTIES)[number];
 
-/** Whether some duty has this name. */
+/** Whether a duty with this name exists. */
 export function isDuty(name: string): name is Duty {
   return (DUTIES as readonly string[]).includes(name);
 }
