--- a/packages/duties/src/cleaner.ts
+++ b/packages/duties/src/cleaner.ts
@@ -1,4 +1,4 @@
-/** Removes the records of resolved intents, while this process holds the duty `clean-up`. */
+/** Removes the records of resolved intents while this process holds the duty `clean-up`. */
 import type { Environment, StateAccess } from '@millring/state-access';
 import { FirstSeenTracker } from './first-seen-tracker.js';
 import type { DutyHolder } from './holder.js';
@@ -6,22 +6,22 @@
 import { intentKey } from './records.js';
 import type { DutiesView } from './view.js';
 
-/** What the cleaner needs of its process and of the settings. */
+/** Dependencies of `IntentCleaner`: components of the process and values of the settings. */
 export interface CleanerDependencies {
   environment: Environment;
   store: StateAccess;
   view: DutiesView;
-  /** Of the duty `clean-up`. */
+  /** The holder of the duty `clean-up`. */
   holder: DutyHolder;
-  /** How long the record of a resolved intent stays. */
+  /** Time in milliseconds for which the record of a resolved intent is kept. */
   retentionMs: number;
-  /** Changes in one transaction, at most. */
+  /** Maximum number of changes in one transaction. */
   maxTransactionOps: number;
 }
 
 const REMOVAL_INTERVAL_MS = 1000;
 
-/** Removes at most one transaction's worth of records at a time. */
+/** Removes records in batches of at most one transaction. */
 export class IntentCleaner {
   private readonly resolved = new FirstSeenTracker();
   private isRemoving = false;
@@ -29,7 +29,10 @@
 
   constructor(private readonly deps: CleanerDependencies) {}
 
-  /** To be called several times a second, by every member: resolved intents are timed from when they are seen. */
+  /**
+   * To be called several times a second by every member, whether or not it holds the duty: the retention time of a
+   * resolved intent counts from when this process first saw it.
+   */
   tick(): void {
     const { environment, holder, retentionMs, maxTransactionOps } = this.deps;
     const now = environment.clock.now();
@@ -53,7 +56,7 @@
     this.notBefore = this.deps.environment.clock.now() + REMOVAL_INTERVAL_MS;
   }
 
-  /** Resolved intents never change, so the duty's own precondition is enough. */
+  /** Uses the duty's precondition only: resolved intents never change, so their versions need no check. */
   private async write(ids: string[], permit: Permit): Promise<void> {
     const changes = ids.map((id) => ({ remove: intentKey(id) }));
     const result = await this.deps.store.compareAndSwap([permit.precondition], changes);
--- a/packages/duties/src/executor.ts
+++ b/packages/duties/src/executor.ts
@@ -7,7 +7,7 @@
 import { type Intent, type Outcome, intentKey } from './records.js';
 import type { DutiesView, Versioned } from './view.js';
 
-/** What the executor needs of its process. */
+/** Dependencies of `IntentExecutor`: components of the process. */
 export interface ExecutorDependencies {
   environment: Environment;
   store: StateAccess;
@@ -18,28 +18,29 @@
 
 const INITIAL_BACKOFF_MS = 500;
 const MAX_BACKOFF_MS = 10_000;
-/** Of all duties together: each request may take seconds to be answered. */
+/** Maximum number of requests in flight, for all duties together. A response may take seconds. */
 const MAX_IN_FLIGHT = 4;
 
-/** How far this process is with an intent. */
+/** This process's progress in performing one intent. */
 interface Execution {
   isInFlight: boolean;
   failures: number;
+  /** Time of the next attempt at the earliest, by the steady clock. */
   notBefore: number;
-  /** The provider's answer, while it is not stored yet. */
+  /** The outcome reported by the provider, until it is stored; null before that. */
   outcome: Outcome | null;
 }
 
 /**
- * Repeats each open intent with exponential backoff until its outcome is stored. Repeating is harmless: the provider
- * grants a request name once, and no task runs on a machine that an intent deletes.
+ * Repeats each open intent with exponential backoff until its outcome is stored. Repetition is harmless: the provider
+ * fulfills each request name only once, and no task runs on a machine that an intent deletes.
  */
 export class IntentExecutor {
   private readonly executions = new Map<string, Execution>();
 
   constructor(private readonly deps: ExecutorDependencies) {}
 
-  /** To be called several times a second; begins what is due. */
+  /** To be called several times a second. Starts the attempts that are due. */
   tick(): void {
     const { view, environment, provider } = this.deps;
     this.forgetResolved();
@@ -84,7 +85,7 @@
     execution.notBefore = environment.clock.now() + backoffMs * (0.5 + environment.random() / 2);
   }
 
-  /** True once the outcome is stored. */
+  /** Performs the intent and stores its outcome. Returns true once the outcome is stored. */
   private async attempt(
     id: string,
     intent: Versioned<Intent>,
@@ -103,6 +104,7 @@
     return result.kind === 'committed';
   }
 
+  /** Sends the action to the provider. Returns null if the provider is unavailable. */
   private async request({ id, action }: Intent, permit: Permit): Promise<Outcome | null> {
     const { provider } = this.deps;
     const result =
--- a/packages/duties/src/limits.ts
+++ b/packages/duties/src/limits.ts
@@ -1,7 +1,7 @@
-/** Limits of one request to the cloud. */
+/** Limits on the size of one request to the cloud. */
 
-/** Machines that one request may ask for. */
+/** Maximum number of machines that one request may rent. */
 export const MAX_MACHINES_PER_REQUEST = 50;
 
-/** Machines that one deletion may name. */
+/** Maximum number of machines that one request may delete. */
 export const MAX_MACHINES_PER_DELETION = 100;
