--- a/packages/duties/src/holder-record.ts
+++ b/packages/duties/src/holder-record.ts
@@ -1,43 +1,46 @@
-/** Writes the record that names the holder of a duty, and the fencing token that belongs to it. */
+/** Writes the record that names the holder of a duty, together with the duty's fencing token. */
 import type { CompareAndSwapResult, Environment, StateAccess } from '@millring/state-access';
 import type { Duty } from './duty.js';
 import { type HolderRecord, holdKey, holderKey, tokenKey } from './records.js';
 import type { DutiesView } from './view.js';
 
-/** What writing the record needs of its process. */
+/** Dependencies of `DutyHolderRecord`: components of the process. */
 export interface HolderRecordDependencies {
   environment: Environment;
   store: StateAccess;
   view: DutiesView;
   /** Name of this controller. */
   self: string;
-  /** Tells this process apart from all others of this controller. */
+  /** Id that distinguishes this process from all others of this controller. */
   process: string;
 }
 
-/** A claim that was stored. */
+/** A stored claim to a duty. */
 export interface Claim {
   /** The fencing token. */
   token: number;
-  /** Of the holder's record: the precondition of every write of the holder. */
+  /** Version of the holder record: a precondition of every write that the holder makes. */
   version: number;
 }
 
-/** The record of one duty. */
+/** The holder record of one duty. */
 export class DutyHolderRecord {
   constructor(
     private readonly duty: Duty,
     private readonly deps: HolderRecordDependencies,
   ) {}
 
-  /** The stored token can't be read. That is an operator's matter: guessing a token could repeat one. */
+  /**
+   * Whether the stored token can't be read. An operator must resolve this: a guessed token could repeat an earlier one.
+   */
   isTokenUnreadable(): boolean {
     return this.deps.view.token(this.duty).kind === 'unreadable';
   }
 
   /**
-   * Raises the token and names this process in one transaction, which fails if another holder or an operator was faster.
-   * The record is attached to the lease. Null if it failed, or without a response: then the claim may be stored yet.
+   * Raises the token and names this process as the holder in one transaction, which fails if another holder or an
+   * operator was faster. The record is attached to the lease. Returns null if the transaction failed or there was no
+   * response; in the latter case the claim may be stored already or later.
    */
   async claim(leaseId: number): Promise<Claim | null> {
     const { environment, store, view, self, process } = this.deps;
@@ -64,7 +67,7 @@
     return result.kind === 'committed' ? { token, version: result.revision } : null;
   }
 
-  /** Removes the record if it still has this version. */
+  /** Removes the holder record if it still has this version. */
   remove(version: number): Promise<CompareAndSwapResult> {
     const key = holderKey(this.duty);
     return this.deps.store.compareAndSwap([{ key, version }], [{ remove: key }]);
--- a/packages/duties/src/holder-state.ts
+++ b/packages/duties/src/holder-state.ts
@@ -1,12 +1,12 @@
-/** The states of one duty at one controller process. */
+/** The states of one duty in one controller process. */
 
 /**
  * - `vacant`: this process does not hold the duty.
- * - `acquiring`: a claim is on its way.
- * - `held`: the lease is surely valid, counted by this process's own steady clock.
- * - `suspended`: the lease may have expired, so nothing may be done; it may still turn out to be valid.
- * - `releasing`: handed over in order; nothing new is begun.
- * - `lost`: the duty ended without this process's doing.
+ * - `acquiring`: a claim was sent and its result is not known yet.
+ * - `held`: the lease is guaranteed to be valid, by this process's own steady clock.
+ * - `suspended`: the lease may have expired, so no action may be performed; it may still turn out to be valid.
+ * - `releasing`: an orderly hand-over is in progress; no new action is started.
+ * - `lost`: this process no longer holds the duty, without having released it.
  */
 export type HolderState = 'vacant' | 'acquiring' | 'held' | 'suspended' | 'releasing' | 'lost';
 
@@ -19,7 +19,7 @@
   lost: ['vacant'],
 };
 
-/** Whether the state machine has this transition. */
+/** Whether the state machine allows this transition. */
 export function isAllowedTransition(from: HolderState, to: HolderState): boolean {
   return ALLOWED_TRANSITIONS[from].includes(to);
 }
--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -1,4 +1,4 @@
-/** One duty at one controller process: acquires it, knows at any moment whether it is held, and hands it over. */
+/** One duty in one controller process: acquires it, determines at any time whether it is held, and releases it. */
 import { type Precondition, sleep } from '@millring/state-access';
 import type { Duty } from './duty.js';
 import { DutyHolderRecord, type HolderRecordDependencies } from './holder-record.js';
@@ -7,46 +7,50 @@
 import { Permit, StaleTokenError } from './permit.js';
 import { holderKey } from './records.js';
 
-/** What a holder needs of its process. */
+/** Dependencies of `DutyHolder`: components of the process. */
 export interface HolderDependencies extends HolderRecordDependencies {
   membership: Membership;
 }
 
 /**
- * What became of an action.
+ * The result of an action.
  *
- * - `not-held`: not begun, since the duty is not surely held.
- * - `stale`: the provider rejected it, since this holder was replaced.
+ * - `not-held`: the action was not started, because the duty is not guaranteed to be held.
+ * - `stale`: the provider rejected the action, because this holder was replaced.
  */
 export type PerformResult<T> =
   { kind: 'performed'; value: T } | { kind: 'not-held' } | { kind: 'stale' };
 
-/** With what the duty was acquired. */
+/** The claim and the lease under which the duty is held. */
 interface Grant {
   /** The fencing token. */
   token: number;
-  /** Of the holder's record: the precondition of every write. */
+  /** Version of the holder record: a precondition of every write. */
   version: number;
   leaseId: number;
 }
 
-/** How often actions were begun or rejected since the process started. */
+/** Counters since the process started. */
 export interface HolderCounters {
+  /** Number of times that this process acquired the duty. */
   acquired: number;
-  /** Actions of a holder that was replaced. */
+  /** Number of actions rejected because this holder had been replaced. */
   refused: number;
 }
 
-/** Without a grant nothing may be written: no record ever has this version. */
+/** A version that no record ever has: without a grant, the precondition of every write fails. */
 const NEVER_MATCHING_VERSION = Number.MAX_SAFE_INTEGER;
 const RELEASE_RETRY_MS = 200;
 const DRAIN_POLL_MS = 50;
-/** The view may still show a record that was removed a moment ago. */
+/**
+ * Minimum time between two attempts to remove an orphaned claim: the view may still contain a record that was removed a
+ * moment ago.
+ */
 const ORPHAN_RETRY_MS = 1000;
-/** Actions on their way end within the timeouts of their requests; a hand-over does not wait for longer. */
+/** Maximum time that a release waits for actions in flight, which end within the timeouts of their requests. */
 const MAX_DRAIN_MS = 6000;
 
-/** The state machine of a duty: every change of state goes through `transitionTo`. */
+/** The state machine of a duty. Every change of state goes through `transitionTo`. */
 export class DutyHolder {
   private current: HolderState = 'vacant';
   private grant: Grant | null = null;
@@ -62,20 +66,20 @@
     this.record = new DutyHolderRecord(duty, deps);
   }
 
-  /** As last decided; `isHeld` looks at the clock. */
+  /** The state after the last transition. Unlike `isHeld`, this does not check the clock. */
   state(): HolderState {
     return this.current;
   }
 
-  /** Since the process started. */
+  /** Counters since the process started. */
   counters(): Readonly<HolderCounters> {
     return this.counts;
   }
 
-  /** The clock is asked each time: after a pause of the process, timers come late. */
+  /** Whether the duty is held now. Each call checks the clock, since timers fire late after a pause of the process. */
   isHeld(): boolean {
     if (this.current === 'held' && !this.hasValidLease())
-      this.transitionTo('suspended', 'the lease may have ended');
+      this.transitionTo('suspended', 'the lease may have expired');
     return this.current === 'held';
   }
 
@@ -96,7 +100,7 @@
   private transitionTo(next: HolderState, reason: string): void {
     if (next === this.current) return;
     if (!isAllowedTransition(this.current, next))
-      throw new Error(`duty ${this.duty}: ${this.current} -> ${next}`);
+      throw new Error(`duty ${this.duty}: invalid state transition ${this.current} -> ${next}`);
     const { log } = this.deps.environment;
     log.info(
       { duty: this.duty, from: this.current, to: next, token: this.grant?.token, why: reason },
@@ -107,8 +111,9 @@
   }
 
   /**
-   * The only way to act. The holder is checked right before the action begins; what happens between this check and the
-   * arrival of a request is the other side's to reject, by the permit's token or precondition.
+   * Performs an action if the duty is held; there is no other way to act. The duty is checked immediately before the
+   * action starts. If it is lost between this check and the arrival of a request, the receiver must reject the request,
+   * based on the permit's token or precondition.
    */
   async perform<T>(action: (permit: Permit) => Promise<T>): Promise<PerformResult<T>> {
     if (!this.isHeld() || !this.grant) return { kind: 'not-held' };
@@ -125,9 +130,9 @@
     }
   }
 
-  /** To be called when a write under a permit found another holder, or none, in the record. */
+  /** To be called when a write under a permit failed because the record names another holder or does not exist. */
   recordConflict(permit: Permit): void {
-    this.recordStale(permit.token, 'the record has another holder');
+    this.recordStale(permit.token, 'the holder record changed or no longer exists');
   }
 
   private recordStale(token: number, reason: string): void {
@@ -135,19 +140,22 @@
     if (this.mayBeHeld() && token === this.grant?.token) this.transitionTo('lost', reason);
   }
 
-  /** Brings the state up to date with the membership and the view. */
+  /** Updates the state from the membership and the view. */
   refresh(): void {
-    if (this.current === 'lost') this.transitionTo('vacant', 'lost');
+    if (this.current === 'lost') this.transitionTo('vacant', 'the duty was lost');
     if (!this.mayBeHeld()) return;
     if (this.deps.membership.currentLease() !== this.grant?.leaseId)
-      this.transitionTo('lost', 'the lease has ended');
+      this.transitionTo('lost', 'the lease expired or was revoked');
     else if (!this.isNamedInRecord())
-      this.transitionTo('lost', 'the record has another holder, or is gone');
+      this.transitionTo('lost', 'the holder record changed or no longer exists');
     else if (!this.isHeld() && this.hasValidLease())
       this.transitionTo('held', 'the lease is valid');
   }
 
-  /** A view from before our claim tells nothing about it. */
+  /**
+   * Whether the holder record is the one that this process wrote. Returns true as long as the view is older than this
+   * process's claim and therefore can't contain it.
+   */
   private isNamedInRecord(): boolean {
     const { view } = this.deps;
     if (!this.grant || view.knownRevision() < this.grant.version) return true;
@@ -155,33 +163,36 @@
     return entry.kind === 'present' && entry.version === this.grant.version;
   }
 
-  /** Nobody holds the duty, and nothing keeps this process from acquiring it. */
+  /** Whether no controller holds the duty and nothing prevents this process from acquiring it. */
   isVacant(): boolean {
     const { view } = this.deps;
     if (this.current !== 'vacant' || view.knownRevision() < 0) return false;
     return view.holder(this.duty).kind === 'absent' && view.hold(this.duty).kind === 'absent';
   }
 
-  /** Tries once; does nothing unless the duty is vacant and the lease valid. */
+  /**
+   * Tries once to acquire the duty. Does nothing unless the duty is vacant, the lease is valid and the stored token can
+   * be read.
+   */
   async acquire(): Promise<void> {
     const { membership } = this.deps;
     const leaseId = membership.currentLease();
     if (!this.isVacant() || leaseId === null || !membership.isValid()) return;
     if (this.record.isTokenUnreadable()) return;
-    this.transitionTo('acquiring', 'vacant');
+    this.transitionTo('acquiring', 'the duty is vacant');
     const claim = await this.record.claim(leaseId);
-    // Without a response the claim may be stored, or come to be: see `removeOrphanedClaim`.
+    // Without a response the claim may be stored already or later: see `removeOrphanedClaim`.
     if (claim === null) {
-      this.transitionTo('vacant', 'not acquired');
+      this.transitionTo('vacant', 'the claim failed or got no response');
       return;
     }
     this.grant = { ...claim, leaseId };
     this.counts.acquired++;
-    this.transitionTo('held', 'acquired');
+    this.transitionTo('held', 'the claim is stored');
     this.refresh();
   }
 
-  /** Removes a claim of this very process whose response was lost: nobody acts on it. */
+  /** Removes a stored claim of this process whose response was lost: no process acts on such a claim. */
   async removeOrphanedClaim(): Promise<void> {
     const { environment, process, view } = this.deps;
     const entry = view.holder(this.duty);
@@ -193,7 +204,10 @@
     await this.record.remove(entry.version);
   }
 
-  /** Hands the duty over in order: begins nothing new, lets what is on its way end, then frees the record. */
+  /**
+   * Releases the duty in an orderly way: starts no new actions, waits for those in flight to end, then removes the
+   * holder record.
+   */
   async release(reason: string): Promise<void> {
     this.refresh();
     if (!this.mayBeHeld()) return;
@@ -206,7 +220,10 @@
     this.transitionTo('vacant', 'released');
   }
 
-  /** True once the record is surely not ours any more: a removal that is executed late finds another version. */
+  /**
+   * Removes the holder record. Returns true once the record is guaranteed not to belong to this process any more; a
+   * removal that is executed late has no effect, since the record then has another version.
+   */
   private async removeOwnRecord(): Promise<boolean> {
     if (this.deps.membership.currentLease() !== this.grant?.leaseId) return true;
     const result = await this.record.remove(this.grant.version);
