--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -1,6 +1,6 @@
 /**
- * A write-ahead log of decisions: the decider stores an intent before anything is done about it, then waits for the
- * outcome that the holder of the duty stores.
+ * A write-ahead log of decisions. The decider stores an intent before any action is taken, then waits for the outcome,
+ * which the holder of the duty stores.
  */
 import {
   type Environment,
@@ -19,26 +19,30 @@
 } from './records.js';
 import type { DutiesView, Versioned } from './view.js';
 
-/** What the log needs of the decider. */
+/** Dependencies of `IntentLog`, supplied by the decider. */
 export interface IntentLogDependencies {
   environment: Environment;
   store: StateAccess;
-  /** As kept by this controller's `DutyMember`. */
+  /** The view that this controller's `DutyMember` keeps up to date. */
   view: DutiesView;
-  /** The decider's term has not ended. */
+  /** Whether the decider's term has not ended. */
   isActive(): boolean;
-  /** A new name each time, unique for ever across all deciders. */
+  /** Returns a new id on each call. Ids are never reused by any decider. */
   newId(): string;
-  /** Of each new intent: the decider's term and the cluster's level. Null: none may be opened now. */
+  /**
+   * The preconditions for storing a new intent: the decider's term and the cluster's feature level. Returns null if no
+   * intent may be opened now.
+   */
   preconditions(): Precondition[] | null;
 }
 
 /**
- * What became of an intent.
+ * The result of an intent.
  *
  * - `resolved`: a holder has stored the outcome.
- * - `not-stored`: surely not stored, so nothing will be done.
- * - `indeterminate`: the decider's term is over, or the record is gone; the cloud's list of machines will tell.
+ * - `not-stored`: the intent is guaranteed not to be stored, so no action will be taken.
+ * - `indeterminate`: the decider's term has ended or the record no longer exists; whether the action was performed must
+ *   be read from the cloud's list of machines.
  */
 export type IntentResult =
   { kind: 'resolved'; outcome: Outcome } | { kind: 'not-stored' } | { kind: 'indeterminate' };
@@ -46,13 +50,16 @@
 const RETRY_MS = 200;
 const VIEW_POLL_MS = 50;
 
-/** For one decider and its term. */
+/** The intent log of one decider for one term. */
 export class IntentLog {
+  /** Number of intents whose outcome is being waited for. */
   private pending = 0;
 
   constructor(private readonly deps: IntentLogDependencies) {}
 
-  /** All valid intents that are stored; null if they could not be read. To be called before the first decision. */
+  /**
+   * Reads all valid stored intents. Returns null if they could not be read. To be called before the first decision.
+   */
   async readAll(): Promise<Versioned<Intent>[] | null> {
     const read = await this.deps.store.scan(INTENTS_PREFIX);
     if (!read) return null;
@@ -63,9 +70,9 @@
   }
 
   /**
-   * Stores a new intent and resolves once its outcome is known, or can't be any more. A write without a response is sent
-   * again as it was: it is stored once, and if a late copy stores it anew after its record was removed, doing it again
-   * changes nothing.
+   * Stores a new intent and resolves once its outcome is known, or can no longer become known. A write without a
+   * response is repeated unchanged: the intent is stored only once, and if a delayed copy of the write stores it again
+   * after its record was removed, performing it again changes nothing.
    */
   open(duty: Duty, action: IntentAction): Promise<IntentResult> {
     return this.countWhilePending(this.store(duty, action));
@@ -92,7 +99,7 @@
       );
       if (result.kind === 'committed') return this.awaitInView(id, result.revision);
       if (result.kind === 'conflict' && result.failed.includes(key)) return this.awaitStored(id);
-      // The other preconditions never hold again once they don't, neither for this request nor for one on its way.
+      // Once one of the other preconditions fails it never holds again, for this request or for one still in flight.
       if (result.kind === 'conflict' || result.kind === 'invalid') return { kind: 'not-stored' };
       mayBeStored ||= result.kind === 'indeterminate';
       if (!mayBeStored) return { kind: 'not-stored' };
@@ -111,12 +118,15 @@
     return { kind: 'indeterminate' };
   }
 
-  /** How many intents this decider waits for: all that are open, since it restored those of former deciders. */
+  /**
+   * Number of intents whose outcome this decider waits for. These are all open intents, since it restored those of
+   * earlier deciders.
+   */
   pendingCount(): number {
     return this.pending;
   }
 
-  /** Waits for the outcome of an intent that is stored since `version`. */
+  /** Waits for the outcome of an intent that was stored with `version`. */
   async awaitOutcome(id: string, version: number): Promise<IntentResult> {
     return this.countWhilePending(this.awaitInView(id, version));
   }
