--- a/packages/duties/src/member-tracker.ts
+++ b/packages/duties/src/member-tracker.ts
@@ -1,37 +1,40 @@
-/** Follows which controller processes are members, and since when. */
+/** Tracks which controller processes are members, and since when. */
 import type { Environment } from '@millring/state-access';
 import { DUTIES, type Duty } from './duty.js';
 import type { MemberView } from './duty-assignment.js';
 import type { DutiesView } from './view.js';
 
-/** What following the members needs of its process and of the settings. */
+/** Dependencies of `MemberTracker`: components of the process and values of the settings. */
 export interface MemberTrackerDependencies {
   environment: Environment;
   view: DutiesView;
   /** Name of this controller. */
   self: string;
-  /** A controller counts as settled once the same process has been a member for so long. */
+  /** A controller counts as settled once the same process has been a member for this time, in milliseconds. */
   settleMs: number;
-  /** The leader, as far as is known. */
+  /** Name of the leader as last known to this process; null if unknown. */
   leader(): string | null;
-  /** This process is about to hold the duty. */
+  /** Whether this process is acquiring the duty. */
   isAcquiring(duty: Duty): boolean;
 }
 
 interface KnownMember {
   process: string;
   duties: readonly Duty[];
-  /** By the steady clock. */
+  /** When this process first saw the member, by the steady clock. */
   since: number;
 }
 
-/** Times count from when this process saw a member first, so that no clocks are compared. */
+/**
+ * The time of a membership counts from when this process first saw the member, so that clocks of different machines are
+ * never compared.
+ */
 export class MemberTracker {
   private readonly known = new Map<string, KnownMember>();
 
   constructor(private readonly deps: MemberTrackerDependencies) {}
 
-  /** Takes over what the view shows now. */
+  /** Updates the known members from the view. */
   update(): void {
     const { environment, view } = this.deps;
     const now = environment.clock.now();
@@ -44,13 +47,13 @@
     for (const name of this.known.keys()) if (!present.has(name)) this.known.delete(name);
   }
 
-  /** This process has been seen as a member for at least `durationMs`. */
+  /** Whether this process has been known as a member for at least `durationMs`. */
   isSelfKnownFor(durationMs: number, now: number): boolean {
     const self = this.known.get(this.deps.self);
     return self !== undefined && now - self.since >= durationMs;
   }
 
-  /** The members as duties are assigned to them. */
+  /** The known members, with the properties that the assignment of duties depends on. */
   memberViews(): MemberView[] {
     const { environment, settleMs } = this.deps;
     const now = environment.clock.now();
@@ -64,7 +67,7 @@
     }));
   }
 
-  /** What this process is about to hold counts as well. */
+  /** Number of duties that the controller holds; for this process, including those that it is acquiring. */
   private countHeldBy(name: string): number {
     const isSelf = name === this.deps.self;
     return DUTIES.filter(
--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -1,4 +1,4 @@
-/** A controller process as a member of those that share the duties: composes all that this takes. */
+/** A controller process that shares the duties with others: creates and runs the components that this requires. */
 import type { Environment, StateAccess } from '@millring/state-access';
 import { IntentCleaner } from './cleaner.js';
 import { DUTIES, type Duty } from './duty.js';
@@ -13,39 +13,44 @@
 import type { DutySettings } from './settings.js';
 import { DutiesView } from './view.js';
 
-/** What a member needs of its process and of the settings. */
+/** Dependencies of `DutyMember`: components of the process and values of the settings. */
 export interface DutyMemberDependencies {
   environment: Environment;
   store: StateAccess;
   /** Name of this controller. */
   self: string;
-  /** Tells this process apart from all others of this controller. */
+  /** Id that distinguishes this process from all others of this controller. */
   process: string;
   settings: DutySettings;
   provider: MachineProvider;
-  /** Changes in one transaction, at most. */
+  /** Maximum number of changes in one transaction. */
   maxTransactionOps: number;
-  /** The cluster's level lets duties be held, and this controller may serve. */
+  /** Whether the cluster's feature level allows duties to be held and this controller may serve. */
   mayHold(): boolean;
-  /** The leader, as far as is known. */
+  /** Name of the leader as last known to this process; null if unknown. */
   leader(): string | null;
 }
 
-/** Counters for the log and for operators. */
+/** Counters of one process, for the log and for operators. */
 export interface DutyCounters {
   /** The duties that this process holds. */
   held: Duty[];
   acquired: number;
-  /** Actions that were rejected since another holder had replaced this process. */
+  /** Number of actions that were rejected because another holder had replaced this process. */
   refused: number;
   openIntents: number;
-  /** By our steady clock since it was first seen; 0 if none is open. */
+  /**
+   * Time in milliseconds since this process first saw the oldest open intent, by its steady clock; 0 if none is open.
+   */
   oldestOpenMs: number;
 }
 
 const TICK_MS = 100;
 
-/** Joins, acquires, acts and hands over while `mayHold` is true, and leaves in order once it is not. */
+/**
+ * While `mayHold` returns true, joins the members, acquires duties, performs their actions and hands duties over.
+ * Leaves in an orderly way once it returns false.
+ */
 export class DutyMember {
   readonly view: DutiesView;
   private readonly membership: Membership;
@@ -148,19 +153,19 @@
     });
   }
 
-  /** The holder of each duty lasts as long as the process, whether or not the duty is held. */
+  /** The `DutyHolder` of a duty. It exists as long as the process, whether or not the duty is held. */
   holder(duty: Duty): DutyHolder {
     const holder = this.holders.get(duty);
-    if (!holder) throw new Error(`${duty}: no holder`);
+    if (!holder) throw new Error(`duty ${duty} has no DutyHolder`);
     return holder;
   }
 
-  /** Begins to take part, for as long as the process lives. */
+  /** Starts taking part in the duties, until the process ends. */
   run(): void {
     this.tick();
   }
 
-  /** Since the process started. */
+  /** Counters since the process started. */
   counters(): DutyCounters {
     const now = this.deps.environment.clock.now();
     const holders = [...this.holders.values()];
@@ -183,7 +188,7 @@
     });
   }
 
-  /** Does whatever is due now. */
+  /** Runs one cycle of membership, assignment, actions and reporting. */
   private step(): void {
     if (!this.membership.isMember()) void this.membership.run();
     this.watch.ensureRunning();
@@ -197,9 +202,13 @@
     this.report();
   }
 
-  /** Hands everything over in order. */
+  /** Releases all duties, then leaves the members. */
   private async leave(): Promise<void> {
-    await Promise.all([...this.holders.values()].map((holder) => holder.release('duties are off')));
+    await Promise.all(
+      [...this.holders.values()].map((holder) =>
+        holder.release('this process may not hold duties'),
+      ),
+    );
     await this.membership.leave();
     for (const holder of this.holders.values()) holder.refresh();
   }
@@ -216,6 +225,6 @@
     const now = environment.clock.now();
     if (now - this.lastReportAt < settings.report_s * 1000) return;
     this.lastReportAt = now;
-    environment.log.info(this.counters(), 'duties');
+    environment.log.info(this.counters(), 'duty counters');
   }
 }
--- a/packages/duties/src/membership.ts
+++ b/packages/duties/src/membership.ts
@@ -1,15 +1,18 @@
-/** One lease for each controller process that takes part in the duties; what it holds is attached to it. */
+/**
+ * One lease for each controller process that takes part in the duties. The records of the duties that the process holds
+ * are attached to this lease.
+ */
 import { type Environment, type StateAccess, sleep } from '@millring/state-access';
 import type { Duty } from './duty.js';
 import { memberKey } from './records.js';
 
-/** What a membership needs of its process and of the settings. */
+/** Dependencies of `Membership`: components of the process and values of the settings. */
 export interface MembershipDependencies {
   environment: Environment;
   store: StateAccess;
   /** Name of this controller. */
   self: string;
-  /** Tells this process apart from all others of this controller. */
+  /** Id that distinguishes this process from all others of this controller. */
   process: string;
   leaseMs: number;
   /** The duties that this process may hold. */
@@ -18,39 +21,40 @@
 
 /** Steady clocks of different machines drift apart by at most this factor. */
 const MAX_CLOCK_DRIFT_FACTOR = 1.001;
-/** Between a look at the clock and what rests on it. */
+/** Allowance for the time between reading the clock and acting on the result. */
 const VALIDITY_MARGIN_MS = 20;
 const RENEWALS_PER_LEASE = 4;
 const RETRY_MS = 200;
 
 type MembershipState = 'out' | 'member' | 'leaving';
 
-/** Holds the process's lease and member record, and tells for how long the lease is surely valid. */
+/** Maintains the process's lease and member record, and determines until when the lease is guaranteed to be valid. */
 export class Membership {
   private leaseId: number | null = null;
+  /** Time by the steady clock until which the lease is guaranteed to be valid. */
   private validUntil = -Infinity;
   private state: MembershipState = 'out';
-  /** Counts the times that this process has joined. */
+  /** Number of times that this process has joined. */
   private term = 0;
 
   constructor(private readonly deps: MembershipDependencies) {}
 
-  /** The lease is surely valid at this very moment, by this process's own clock. */
+  /** Whether the lease is guaranteed to be valid now, by this process's own clock. */
   isValid(): boolean {
     return this.leaseId !== null && this.deps.environment.clock.now() < this.validUntil;
   }
 
-  /** Whatever is attached to another lease than this one is no longer held. Null between leases. */
+  /** Id of the current lease; null between leases. A duty attached to any other lease is no longer held. */
   currentLease(): number | null {
     return this.leaseId;
   }
 
-  /** From `run` until `leave` has ended. */
+  /** Whether this process is a member: from the call of `run` until `leave` has completed. */
   isMember(): boolean {
     return this.state !== 'out';
   }
 
-  /** Grants leases and renews them until `leave`. */
+  /** Obtains a lease and renews it, and obtains a new one if it expires, until `leave` is called. */
   async run(): Promise<void> {
     if (this.state !== 'out') return;
     this.state = 'member';
@@ -66,7 +70,7 @@
     }
   }
 
-  /** Revokes the lease, and with it whatever is attached to it. */
+  /** Revokes the lease, which removes all records attached to it. */
   async leave(): Promise<void> {
     if (this.state !== 'member') return;
     this.state = 'leaving';
@@ -76,7 +80,7 @@
     this.state = 'out';
   }
 
-  /** False for a loop of an earlier term that has slept while this process left and joined again. */
+  /** Returns false to the loop of an earlier term that slept while this process left and joined again. */
   private isMemberInTerm(term: number): boolean {
     return this.state === 'member' && this.term === term;
   }
@@ -99,7 +103,10 @@
     return false;
   }
 
-  /** Counted by our own clock from when the request was sent, with the drift taken off. */
+  /**
+   * Extends the validity, which counts by this process's own clock from when the request was sent and is reduced by the
+   * maximum clock drift and `VALIDITY_MARGIN_MS`.
+   */
   private extendValidity(sentAt: number): void {
     const validForMs = this.deps.leaseMs / MAX_CLOCK_DRIFT_FACTOR - VALIDITY_MARGIN_MS;
     this.validUntil = Math.max(this.validUntil, sentAt + validForMs);
