--- a/packages/duties/src/operator.ts
+++ b/packages/duties/src/operator.ts
@@ -1,4 +1,4 @@
-/** What operators see of the duties and do about them: conditional writes like any other. */
+/** The operators' status of the duties and changes to them, which are conditional writes like any others. */
 import type { Mutation, Environment, Precondition, StateAccess } from '@millring/state-access';
 import { DUTIES, type Duty } from './duty.js';
 import {
@@ -10,49 +10,52 @@
 } from './records.js';
 import { DutiesView } from './view.js';
 
-/** What an operator's command needs. */
+/** Dependencies of `DutyOperator`, supplied by an operator's command. */
 export interface DutyOperatorDependencies {
   store: StateAccess;
-  /** Named in the records that the operator writes. */
+  /** Name of the operator, stored in the records that the command writes. */
   by: string;
   /** Time of day in milliseconds. */
   wallMs(): number;
 }
 
-/** One duty as operators see it; its fields are part of the commands' JSON output. */
+/** Status of one duty for operators. Its fields are part of the commands' JSON output. */
 export interface DutyStatus {
   duty: Duty;
   holder: HolderRecord | null;
-  /** The highest token that was ever given; 0 before the first. */
+  /** The highest fencing token issued so far; 0 before the first one. */
   token: number;
-  /** Set while an operator keeps everyone from holding it. */
+  /** Set while the duty is on hold, so that no controller may hold it. */
   hold: HoldRecord | null;
   openIntents: number;
-  /** By the time of day of whoever opened it; null if none is open. */
+  /** When the oldest open intent was opened, by the time of day of its decider; null if none is open. */
   oldestOpenedMs: number | null;
 }
 
 /**
- * What became of a change; part of the commands' JSON output.
+ * The result of a change. Part of the commands' JSON output.
  *
  * - `refused`: nothing was changed.
- * - `unreachable`: the state service was not reached, or did not answer; nothing is known of the change.
+ * - `unreachable`: the state service could not be reached or did not respond; whether the change was made is unknown.
  */
 export type DutyResult =
   { kind: 'done'; text: string } | { kind: 'refused'; reason: string } | { kind: 'unreachable' };
 
-/** What was read; part of the commands' JSON output. `unreadable` has keys of records that are not acted on. */
+/**
+ * The result of reading the status. Part of the commands' JSON output. `unreadable` contains the keys of records that
+ * controllers ignore.
+ */
 export type DutyStatusResult =
   | { kind: 'status'; duties: DutyStatus[]; members: string[]; unreadable: string[] }
   | { kind: 'unreachable' };
 
 const NO_OP_LOG: Pick<Environment['log'], 'error'> = { error: () => undefined };
 
-/** Works with or without a leader. */
+/** The operators' commands on duties. They work with or without a leader. */
 export class DutyOperator {
   constructor(private readonly deps: DutyOperatorDependencies) {}
 
-  /** Reads everything anew. */
+  /** Reads the status of all duties from the state service. */
   async status(): Promise<DutyStatusResult> {
     const view = await this.read();
     if (!view) return { kind: 'unreachable' };
@@ -64,7 +67,7 @@
     };
   }
 
-  /** Puts the duty on hold: nobody holds it until it is released. Refused if it is on hold already. */
+  /** Puts the duty on hold: no controller holds it until it is released. Refused if the duty is on hold already. */
   async hold(duty: Duty): Promise<DutyResult> {
     const view = await this.read();
     if (!view) return { kind: 'unreachable' };
@@ -74,7 +77,7 @@
     const value: HoldRecord = { by: this.deps.by, sinceMs: this.deps.wallMs() };
     const preconditions: Precondition[] = [{ key: holdKey(duty), version: 0 }];
     const changes: Mutation[] = [{ put: holdKey(duty), value }];
-    // Also a record that can't be read: this build knows no holder that would act on it.
+    // A record that can't be read is removed as well: this build knows no holder that would act on it.
     if (holder.kind !== 'absent') {
       preconditions.push({ key: holderKey(duty), version: holder.version });
       changes.push({ remove: holderKey(duty) });
@@ -82,7 +85,7 @@
     return this.write(preconditions, changes, `${duty} is on hold`);
   }
 
-  /** Ends an operator's hold, or else takes the duty from its holder. Refused if there is neither. */
+  /** Ends an operator's hold or, if there is none, revokes the duty from its holder. Refused if there is neither. */
   async release(duty: Duty): Promise<DutyResult> {
     const view = await this.read();
     if (!view) return { kind: 'unreachable' };
--- a/packages/duties/src/permit.ts
+++ b/packages/duties/src/permit.ts
@@ -1,24 +1,24 @@
-/** What an action of a duty carries: proof that its holder was checked, and the fencing token. */
+/** Permits, which prove to an action of a duty that its holder was checked and supply the fencing token. */
 import type { Precondition } from '@millring/state-access';
 import type { Duty } from './duty.js';
 
 /**
- * Only a holder makes these (the package's index exports the type alone), and only for the time of one action. So code
- * that needs one can't act without a check of the holder.
+ * A permit for one action of a duty. Only a `DutyHolder` creates permits (the package's index exports the type alone),
+ * each for the duration of one action. Code that requires a permit therefore can't act unless the holder was checked.
  */
 export class Permit {
   readonly #precondition: Precondition;
 
   constructor(
     readonly duty: Duty,
-    /** The fencing token: it rises with every change of the holder. */
+    /** The fencing token, which increases with every change of the holder. */
     readonly token: number,
     precondition: Precondition,
   ) {
     this.#precondition = precondition;
   }
 
-  /** Belongs into every transaction of the action: it fails once the duty has another holder, or none. */
+  /** To be included in every transaction of the action: it fails once the duty has another holder, or none. */
   get precondition(): Precondition {
     return this.#precondition;
   }
@@ -31,6 +31,6 @@
     readonly token: number,
     readonly newest: number,
   ) {
-    super(`${duty}: token ${token} is stale, ${newest} was seen`);
+    super(`duty ${duty}: fencing token ${token} is stale, the highest token seen is ${newest}`);
   }
 }
--- a/packages/duties/src/provider.ts
+++ b/packages/duties/src/provider.ts
@@ -1,27 +1,32 @@
-/** Whatever requests and deletes machines, as the holder of a duty sees it. */
+/** Interface through which the holder of a duty requests and deletes machines. */
 import type { Permit } from './permit.js';
 import type { RentAction } from './records.js';
 
 /**
- * - `rented`: the machines of the request; they may be fewer than asked for.
- * - `no-capacity`: the provider has none of this kind at the moment.
- * - `unavailable`: rejected for now, or no answer; the same request may be sent again.
+ * The result of a request for machines.
+ *
+ * - `rented`: the machines rented for the request, possibly fewer than requested.
+ * - `no-capacity`: the provider currently has no machines of this kind.
+ * - `unavailable`: temporarily rejected, or no response; the same request may be repeated.
  */
 export type RentResult =
   { kind: 'rented'; machines: string[] } | { kind: 'no-capacity' } | { kind: 'unavailable' };
 
-/** `deleted`: the machines and everything on them are gone. `unavailable`: may be sent again. */
+/**
+ * The result of a deletion. `deleted`: the machines and everything on them no longer exist. `unavailable`: the request
+ * may be repeated.
+ */
 export type DeleteResult = { kind: 'deleted' } | { kind: 'unavailable' };
 
 /**
- * A provider that checks fencing tokens throws `StaleTokenError` for one that is lower than another that it has seen.
- * One that doesn't relies on intents: see docs/duties.md.
+ * A provider that checks fencing tokens throws `StaleTokenError` for a token lower than the highest that it has seen.
+ * With a provider that doesn't check them, safety relies on intents: see docs/duties.md.
  */
 export interface MachineProvider {
-  /** Takes one call from the budget; false if none is left now. */
+  /** Takes one call from the call budget. Returns false if none is left at the moment. */
   tryAcquireCall(): boolean;
-  /** A repeated `request` gets no further machines, but the same answer. */
+  /** Rents machines. Repeating the same `request` rents no further machines and returns the same response. */
   rent(permit: Permit, request: string, action: RentAction): Promise<RentResult>;
-  /** Names that the provider does not know, or no longer, are passed over. */
+  /** Deletes machines. Names that the provider does not know, or no longer knows, are ignored. */
   delete(permit: Permit, machines: readonly string[]): Promise<DeleteResult>;
 }
