--- a/packages/duties/src/record-watch.ts
+++ b/packages/duties/src/record-watch.ts
@@ -3,28 +3,31 @@
 import { DUTIES_PREFIX } from './records.js';
 import type { DutiesView } from './view.js';
 
-/** What watching the records needs of its process. */
+/** Dependencies of `RecordWatch`: components of the process. */
 export interface RecordWatchDependencies {
   environment: Environment;
   store: StateAccess;
   view: DutiesView;
-  /** The loop ends once this is false. */
+  /** The loop ends once this returns false. */
   isActive(): boolean;
-  /** Called after changes have come in, so that they are acted on at once. */
+  /** Called after changes were applied to the view, so that the process reacts to them immediately. */
   onChange(): void;
 }
 
-/** A response that is lost costs this and the client's timeout: so long an operator's hold may go unnoticed. */
+/**
+ * Maximum time that a watch waits for changes. If its response is lost, an operator's hold may go unnoticed for this
+ * time plus the client's timeout.
+ */
 const WATCH_TIMEOUT_MS = 3000;
 const RETRY_MS = 300;
 
-/** Reads all records once, then watches for changes. */
+/** Reads all records, then watches for changes. */
 export class RecordWatch {
   private isRunning = false;
 
   constructor(private readonly deps: RecordWatchDependencies) {}
 
-  /** Runs the loop unless it runs already. */
+  /** Starts the loop unless it is running already. */
   ensureRunning(): void {
     if (!this.isRunning) void this.run();
   }
--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -1,31 +1,31 @@
-/** The records of duties in the state service, and the schemas that each is checked by where it is read. */
+/** The records of duties in the state service, and the schemas that validate them when they are read. */
 import { type Parsed, parseRecord } from '@millring/state-access';
 import * as z from 'zod/mini';
 import { DUTIES, type Duty } from './duty.js';
 import { MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST } from './limits.js';
 
-/** Of all keys. */
+/** Prefix of all keys. */
 export const DUTIES_PREFIX = 'duties/';
-/** Who holds which duty. */
+/** Prefix of the holder records. */
 export const HOLDERS_PREFIX = `${DUTIES_PREFIX}holders/`;
-/** The fencing tokens. */
+/** Prefix of the fencing tokens. */
 export const TOKENS_PREFIX = `${DUTIES_PREFIX}tokens/`;
-/** Duties that operators have put on hold. */
+/** Prefix of the records of duties that operators have put on hold. */
 export const HOLDS_PREFIX = `${DUTIES_PREFIX}holds/`;
-/** The controller processes that take part. */
+/** Prefix of the records of the controller processes that take part. */
 export const MEMBERS_PREFIX = `${DUTIES_PREFIX}members/`;
-/** The intents, open and resolved. */
+/** Prefix of the intents, open and resolved. */
 export const INTENTS_PREFIX = `${DUTIES_PREFIX}intents/`;
 
-/** Attached to the lease of the process that holds the duty. */
+/** Key of a holder record, which is attached to the lease of the process that holds the duty. */
 export const holderKey = (duty: Duty): string => HOLDERS_PREFIX + duty;
-/** Attached to no lease: it must outlive every holder. */
+/** Key of a fencing token, which is attached to no lease: it must outlive every holder. */
 export const tokenKey = (duty: Duty): string => TOKENS_PREFIX + duty;
-/** Put there by an operator: while it exists nobody holds the duty. */
+/** Key of an operator's hold. While it exists, no controller holds the duty. */
 export const holdKey = (duty: Duty): string => HOLDS_PREFIX + duty;
-/** Attached to the lease of the process that wrote it. */
+/** Key of a member record, which is attached to the lease of the process that wrote it. */
 export const memberKey = (controller: string): string => MEMBERS_PREFIX + controller;
-/** Attached to no lease: it must outlive its decider and its holder. */
+/** Key of an intent, which is attached to no lease: it must outlive its decider and its holder. */
 export const intentKey = (id: string): string => INTENTS_PREFIX + id;
 
 const MAX_NAME_LENGTH = 200;
@@ -40,7 +40,7 @@
 const tokenSchema = z.object({
   token,
   controller: name,
-  /** By the holder's time of day: shown to operators, nothing rests on it. */
+  /** Time of day in milliseconds at the holder. Only shown to operators; no decision depends on it. */
   sinceMs: z.number(),
 });
 
@@ -76,11 +76,11 @@
     id: name,
     duty,
     action: z.discriminatedUnion('kind', [rentSchema, deleteSchema]),
-    /** By the opener's time of day: shown to operators, nothing rests on it. */
+    /** Time of day in milliseconds at the decider. Only shown to operators; no decision depends on it. */
     openedMs: z.number(),
-    /** Null while it is open. */
+    /** Null while the intent is open. */
     outcome: z.nullable(outcomeSchema),
-    /** The token that it was resolved under. */
+    /** The fencing token under which the intent was resolved; null while it is open. */
     token: z.nullable(token),
   })
   .check(
@@ -96,32 +96,32 @@
   return action === 'rent' ? owner === 'rent' : owner === 'return' || owner === 'reclaim';
 }
 
-/** Who holds a duty. The version of the record is a precondition of every write that the holder makes as such. */
+/** The holder of a duty. The record's version is a precondition of every write that the holder makes as such. */
 export type HolderRecord = z.infer<typeof holderSchema>;
-/** The fencing token given last: it only ever rises. */
+/** The latest fencing token of a duty. It only ever increases. */
 export type TokenRecord = z.infer<typeof tokenSchema>;
-/** An operator keeps everyone from holding the duty. */
+/** An operator's hold, which prevents all controllers from holding the duty. */
 export type HoldRecord = z.infer<typeof holdSchema>;
-/** A controller process that takes part. */
+/** A controller process that takes part in the duties. */
 export type MemberRecord = z.infer<typeof memberSchema>;
 /** An action on machines, stored before the first request that performs it, and never withdrawn. */
 export type Intent = z.infer<typeof intentSchema>;
-/** What is to be done. */
+/** The action of an intent: rents or deletes machines. */
 export type IntentAction = Intent['action'];
 /** Requests machines of one kind. */
 export type RentAction = Extract<IntentAction, { kind: 'rent' }>;
-/** What came of an intent, stored once. */
+/** The outcome of an intent, stored only once. */
 export type Outcome = NonNullable<Intent['outcome']>;
 
-/** Checks a stored value. */
+/** Validates a stored holder record. */
 export const parseHolder = (value: unknown): Parsed<HolderRecord> =>
   parseRecord(holderSchema, value);
-/** Checks a stored value. */
+/** Validates a stored fencing token. */
 export const parseToken = (value: unknown): Parsed<TokenRecord> => parseRecord(tokenSchema, value);
-/** Checks a stored value. */
+/** Validates a stored hold. */
 export const parseHold = (value: unknown): Parsed<HoldRecord> => parseRecord(holdSchema, value);
-/** Checks a stored value. */
+/** Validates a stored member record. */
 export const parseMember = (value: unknown): Parsed<MemberRecord> =>
   parseRecord(memberSchema, value);
-/** Checks a stored value. */
+/** Validates a stored intent. */
 export const parseIntent = (value: unknown): Parsed<Intent> => parseRecord(intentSchema, value);
--- a/packages/duties/src/settings.ts
+++ b/packages/duties/src/settings.ts
@@ -1,4 +1,4 @@
-/** The operators' settings of the duties. */
+/** The operators' settings for the duties. */
 import type { Duty } from './duty.js';
 
 /** Fields are named as in the operators' settings file. */
@@ -7,14 +7,16 @@
   mode: 'off' | 'on';
   /** The duties that this controller may hold. */
   held_here: Duty[];
-  /** How long a holder that is no longer heard keeps its duties. */
+  /** Lease duration in seconds: the time for which an unreachable holder keeps its duties. */
   lease_s: number;
-  /** A controller counts as settled once it has been a member for so long; others go before one that has not. */
+  /**
+   * Time in seconds after which a member counts as settled. Settled members acquire duties before those that are not.
+   */
   settle_s: number;
-  /** No controller gives up a duty for the sake of an even spread more often than this. */
+  /** Minimum time in seconds between two hand-overs that one controller makes to balance the load. */
   rebalance_s: number;
-  /** How long the record of a finished action stays. */
+  /** Time in seconds for which the record of a resolved intent is kept. */
   retention_s: number;
-  /** How often counters are logged. */
+  /** Interval in seconds at which counters are logged. */
   report_s: number;
 }
--- a/packages/duties/src/view.ts
+++ b/packages/duties/src/view.ts
@@ -1,4 +1,4 @@
-/** What is stored about duties, by a scan and the changes since then. Malformed records are never acted on. */
+/** The stored records of duties, from a scan and the changes since then. Invalid records are never acted on. */
 import type { Environment, KeyValue, Parsed, WatchEvent } from '@millring/state-access';
 import { type Duty, isDuty } from './duty.js';
 import {
@@ -25,7 +25,10 @@
   version: number;
 }
 
-/** `unreadable`: something is stored there that this build does not understand, and must not replace. */
+/**
+ * The record stored under one key. `unreadable`: it exists, but this build does not understand it and must not replace
+ * it.
+ */
 export type Entry<T> =
   | { kind: 'absent' }
   | { kind: 'unreadable'; version: number }
@@ -33,7 +36,7 @@
 
 const ABSENT = { kind: 'absent' } as const;
 
-/** The records of one kind, by the part of their keys after the prefix. */
+/** The records of one kind, indexed by the part of the key after the prefix. */
 class RecordSection<T> {
   private readonly entries = new Map<string, Entry<T>>();
 
@@ -56,7 +59,7 @@
       .map(([name]) => name);
   }
 
-  /** Null, or why the record is not understood. */
+  /** Stores a record. Returns null, or the reason why the record is invalid. */
   put(name: string, value: unknown, version: number): string | null {
     const parsed = this.parse(value);
     if (parsed.kind === 'valid') {
@@ -76,7 +79,7 @@
   }
 }
 
-/** Read by all parts of a member; whoever watches the records keeps it up to date. */
+/** A view of the stored records that all components of a member read. `RecordWatch` keeps it up to date. */
 export class DutiesView {
   private readonly holderSection = new RecordSection<HolderRecord>(HOLDERS_PREFIX, parseHolder);
   private readonly tokenSection = new RecordSection<TokenRecord>(TOKENS_PREFIX, parseToken);
@@ -95,12 +98,12 @@
 
   constructor(private readonly log: Pick<Environment['log'], 'error'>) {}
 
-  /** Everything up to this revision is in; -1 before the first scan. */
+  /** Revision up to which the view contains all changes; -1 before the first scan. */
   knownRevision(): number {
     return this.revision;
   }
 
-  /** Who holds the duty. */
+  /** The holder of the duty. */
   holder(duty: Duty): Entry<HolderRecord> {
     return this.holderSection.get(duty);
   }
@@ -115,35 +118,35 @@
     return this.holdSection.get(duty);
   }
 
-  /** The controller processes that take part, by controller. */
+  /** The controller processes that take part, each with the name of its controller. */
   members(): Iterable<[string, Versioned<MemberRecord>]> {
     return this.memberSection.present();
   }
 
-  /** Open or resolved. */
+  /** The intent with this id, open or resolved. */
   intent(id: string): Entry<Intent> {
     return this.intentSection.get(id);
   }
 
-  /** It is stored, and its outcome is not. */
+  /** Whether the intent is stored and has no outcome yet. */
   isOpen(id: string): boolean {
     const entry = this.intent(id);
     return entry.kind === 'present' && entry.value.outcome === null;
   }
 
-  /** In the order in which they came to be known. */
+  /** All intents, in the order in which they became known. */
   intents(): Iterable<[string, Versioned<Intent>]> {
     return this.intentSection.present();
   }
 
-  /** Keys of records that this build does not understand. */
+  /** The keys of all records that this build does not understand. */
   unreadable(): string[] {
     return this.sections.flatMap((section) =>
       section.unreadable().map((name) => section.prefix + name),
     );
   }
 
-  /** Replaces all that was known. */
+  /** Replaces the contents of the view. */
   load(pairs: Iterable<KeyValue>, revision: number): void {
     for (const section of this.sections) section.clear();
     for (const { key, value, version } of pairs) this.put(key, value, version);
@@ -186,6 +189,6 @@
     const subject = `${key}@${version}`;
     if (this.loggedRecords.has(subject)) return;
     this.loggedRecords.add(subject);
-    this.log.error({ key, reason }, 'record of duties is not acted on');
+    this.log.error({ key, reason }, 'ignoring an invalid or unknown duty record');
   }
 }
