--- a/packages/duties/test/duty-assignment.test.ts
+++ b/packages/duties/test/duty-assignment.test.ts
@@ -1,4 +1,4 @@
-/** Which controller takes or gives up which duty. */
+/** Tests which controller acquires or hands over which duty. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Duty } from '../src/duty.js';
@@ -18,7 +18,7 @@
   return delays.sort((a, b) => a.ms - b.ms).map(({ name }) => name);
 }
 
-test('no two controllers acquire a duty at the same time, and not all duties go to the same one', () => {
+test('candidates acquire a duty at different times, and not all duties go to the same controller', () => {
   const members = [member('n0'), member('n1'), member('n2')];
   for (const duty of DUTIES) {
     const delays = members.map(({ name }) => acquisitionDelayMs(duty, name, members, SETTLE_MS));
@@ -27,7 +27,7 @@
   assert.ok(new Set(DUTIES.map((duty) => ranking(duty, members)[0])).size > 1);
 });
 
-test('the least loaded goes first, the leader counts as loaded, and who is not settled comes last', () => {
+test('the least loaded member goes first, the leader counts as loaded, and an unsettled member goes last', () => {
   const members = [
     member('leader', { isLeader: true }),
     member('new', { settled: false }),
@@ -38,20 +38,20 @@
   assert.ok(acquisitionDelayMs('return', 'new', members, SETTLE_MS) > SETTLE_MS);
 });
 
-test('where nobody is settled nobody waits for that', () => {
+test('if no member is settled, none waits for the settle time', () => {
   const members = [member('n0', { settled: false }), member('n1', { settled: false })];
   assert.ok(
     members.every(({ name }) => acquisitionDelayMs('rent', name, members, SETTLE_MS) < SETTLE_MS),
   );
 });
 
-test('who may not hold a duty keeps nobody waiting, and gets none handed over', () => {
+test('a member that may not hold a duty delays no other member, and no duty is handed over to it', () => {
   const members = [member('n0', { duties: [] }), member('n1', { heldCount: 4 })];
   assert.equal(acquisitionDelayMs('rent', 'n1', members, SETTLE_MS), 0);
   assert.equal(dutyToHandOver('n1', DUTIES, members), null);
 });
 
-test('a duty is handed over only where that makes the spread more even, so that it comes to rest', () => {
+test('a duty is handed over only if this improves the balance, so that the assignment becomes stable', () => {
   const holds = new Map([
     ['n0', [...DUTIES]],
     ['n1', []],
--- a/packages/duties/test/records.test.ts
+++ b/packages/duties/test/records.test.ts
@@ -1,4 +1,4 @@
-/** What is taken for a record, and what is left alone. */
+/** Tests which stored values are accepted as records, and which state transitions are allowed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isAllowedTransition, type HolderState } from '../src/holder-state.js';
@@ -15,7 +15,7 @@
   token: null,
 };
 
-test('intents: each field is checked, and the action has to fit the duty', () => {
+test('an intent with an invalid field, or with an action that does not match its duty, is rejected', () => {
   assert.equal(parseIntent(INTENT).kind, 'valid');
   const invalidFields: object[] = [
     { duty: 'dance' },
@@ -42,7 +42,7 @@
   assert.equal(parseIntent({ ...INTENT, outcome: { kind: 'deleted' }, token: 3 }).kind, 'valid');
 });
 
-test('tokens are whole numbers from 1 on', () => {
+test('a fencing token that is not an integer of at least 1 is rejected', () => {
   const holder = { controller: 'n0', process: 'p', token: 1 };
   assert.equal(parseHolder(holder).kind, 'valid');
   for (const token of [0, -1, 1.5, '1', null]) {
@@ -51,7 +51,7 @@
   }
 });
 
-test('a view keeps what it does not understand apart, and forgets it once it is gone', () => {
+test('a view reports a record that it cannot read, logs it once, and drops it when it is removed', () => {
   const logged: object[] = [];
   const view = new DutiesView({ error: (fields) => logged.push(fields) });
   view.load([{ key: 'duties/holders/rent', value: 7, version: 3 }], 3);
@@ -64,7 +64,7 @@
   assert.equal(view.knownRevision(), 5);
 });
 
-test('a duty that was lost or suspended is never acted on without being acquired or confirmed again', () => {
+test('a lost or suspended duty cannot be held without being acquired or confirmed again', () => {
   const forbidden: [HolderState, HolderState][] = [
     ['vacant', 'held'],
     ['lost', 'held'],
