--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -104,7 +104,7 @@
     const { log } = this.deps.environment;
     log.info(
       { duty: this.duty, from: this.current, to: next, token: this.grant?.token, why: reason },
-      'duty',
+      'duty state changed',
     );
     this.current = next;
     if (next === 'vacant' || next === 'lost') this.grant = null;
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -32,7 +32,7 @@
 }
 
 function noteState(fields: object, text: string): void {
-  if (text !== 'duty') return;
+  if (text !== 'duty state changed') return;
   const { duty, to, token } = fields as { duty: string; to: string; token?: number };
   tell({ kind: 'state', duty, to, token: token ?? null });
 }
--- a/test/sim/duty-scenarios.ts
+++ b/test/sim/duty-scenarios.ts
@@ -37,7 +37,7 @@
   const states = group.lines
     .filter(
       ({ name, text, fields }) =>
-        name === old && text === 'duty' && 'duty' in fields && fields.duty === duty,
+        name === old && text === 'duty state changed' && 'duty' in fields && fields.duty === duty,
     )
     .map(({ fields }) => (fields as { to: string }).to);
   const lost = states.indexOf('lost');
