--- a/packages/duties/src/holder-record.ts
+++ b/packages/duties/src/holder-record.ts
@@ -40,7 +40,7 @@
   /**
    * Raises the token and names this process as the holder in one transaction, which fails if another holder or an
    * operator was faster. The record is attached to the lease. Returns null if the transaction failed or there was no
-   * response; in the latter case the claim may be stored already or later.
+   * response; in the latter case the claim may already be stored, or may still be stored.
    */
   async claim(leaseId: number): Promise<Claim | null> {
     const { environment, store, view, self, process } = this.deps;
--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -181,7 +181,7 @@
     if (this.record.isTokenUnreadable()) return;
     this.transitionTo('acquiring', 'the duty is vacant');
     const claim = await this.record.claim(leaseId);
-    // Without a response the claim may be stored already or later: see `removeOrphanedClaim`.
+    // Without a response the claim may already be stored, or may still be stored: see `removeOrphanedClaim`.
     if (claim === null) {
       this.transitionTo('vacant', 'the claim failed or got no response');
       return;
--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -48,7 +48,7 @@
 const TICK_MS = 100;
 
 /**
- * While `mayHold` returns true, joins the members, acquires duties, performs their actions and hands duties over.
+ * While `mayHold` returns true, joins the membership, acquires duties, performs their actions and hands duties over.
  * Leaves in an orderly way once it returns false.
  */
 export class DutyMember {
@@ -202,7 +202,7 @@
     this.report();
   }
 
-  /** Releases all duties, then leaves the members. */
+  /** Releases all duties, then ends the membership. */
   private async leave(): Promise<void> {
     await Promise.all(
       [...this.holders.values()].map((holder) =>
--- a/packages/duties/src/operator.ts
+++ b/packages/duties/src/operator.ts
@@ -85,7 +85,7 @@
     return this.write(preconditions, changes, `${duty} is on hold`);
   }
 
-  /** Ends an operator's hold or, if there is none, revokes the duty from its holder. Refused if there is neither. */
+  /** Ends an operator's hold or, if there is none, takes the duty from its holder. Refused if there is neither. */
   async release(duty: Duty): Promise<DutyResult> {
     const view = await this.read();
     if (!view) return { kind: 'unreachable' };
--- a/packages/duties/src/view.ts
+++ b/packages/duties/src/view.ts
@@ -134,7 +134,7 @@
     return entry.kind === 'present' && entry.value.outcome === null;
   }
 
-  /** All intents, in the order in which they became known. */
+  /** All valid intents, in the order in which they became known. */
   intents(): Iterable<[string, Versioned<Intent>]> {
     return this.intentSection.present();
   }
