--- a/packages/duties/src/record-watch.ts
+++ b/packages/duties/src/record-watch.ts
@@ -3,28 +3,31 @@
 import { DUTIES_PREFIX } from './records.js';
 import type { DutiesView } from './view.js';
 
-/** What watching the records needs of its process. */
+/** Dependencies of `RecordWatch`: components of the process. */
 export interface RecordWatchDependencies {
   environment: Environment;
   store: StateAccess;
   view: DutiesView;
-  /** The loop ends once this is false. */
+  /** The loop ends once this returns false. */
   isActive(): boolean;
-  /** Called after changes have come in, so that they are acted on at once. */
+  /** Called after changes were applied to the view, so that the process reacts to them immediately. */
   onChange(): void;
 }
 
-/** A response that is lost costs this and the client's timeout: so long an operator's hold may go unnoticed. */
+/**
+ * Maximum time that a watch waits for changes. If its response is lost, an operator's hold may go unnoticed for this
+ * time plus the client's timeout.
+ */
 const WATCH_TIMEOUT_MS = 3000;
 const RETRY_MS = 300;
 
-/** Reads all records once, then watches for changes. */
+/** Reads all records, then watches for changes. */
 export class RecordWatch {
   private isRunning = false;
 
   constructor(private readonly deps: RecordWatchDependencies) {}
 
-  /** Runs the loop unless it runs already. */
+  /** Starts the loop unless it is running already. */
   ensureRunning(): void {
     if (!this.isRunning) void this.run();
   }
@@ -35,20 +38,20 @@
     while (this.deps.isActive()) {
       if (view.knownRevision() < 0) await this.reload();
       if (view.knownRevision() < 0) {
-        await this.pause();
+        await this.waitBeforeRetry();
         continue;
       }
-      const answer = await store.watch(DUTIES_PREFIX, view.knownRevision(), WATCH_TIMEOUT_MS);
-      if (answer.kind === 'events') {
-        view.apply(answer.events, answer.revision);
+      const result = await store.watch(DUTIES_PREFIX, view.knownRevision(), WATCH_TIMEOUT_MS);
+      if (result.kind === 'events') {
+        view.apply(result.events, result.revision);
         this.deps.onChange();
-      } else if (answer.kind === 'compacted') await this.reload();
-      else await this.pause();
+      } else if (result.kind === 'compacted') await this.reload();
+      else await this.waitBeforeRetry();
     }
     this.isRunning = false;
   }
 
-  private pause(): Promise<void> {
+  private waitBeforeRetry(): Promise<void> {
     const { environment } = this.deps;
     return sleep(environment, RETRY_MS * (1 + environment.random()));
   }
--- a/packages/duties/test/records.test.ts
+++ b/packages/duties/test/records.test.ts
@@ -1,4 +1,4 @@
-/** What is taken for a record, and what is left alone. */
+/** Tests which stored values are accepted as records, and which state transitions are allowed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isAllowedTransition, type HolderState } from '../src/holder-state.js';
@@ -15,9 +15,9 @@
   token: null,
 };
 
-test('intents: each field is checked, and the action has to fit the duty', () => {
+test('an intent with an invalid field, or with an action that does not match its duty, is rejected', () => {
   assert.equal(parseIntent(INTENT).kind, 'valid');
-  const wrong: object[] = [
+  const invalidFields: object[] = [
     { duty: 'dance' },
     { duty: 'rent' },
     { action: { kind: 'burn', machines: ['m-1'] } },
@@ -33,12 +33,16 @@
     { token: 3 },
     { id: '' },
   ];
-  for (const over of wrong)
-    assert.equal(parseIntent({ ...INTENT, ...over }).kind, 'invalid', JSON.stringify(over));
+  for (const overrides of invalidFields)
+    assert.equal(
+      parseIntent({ ...INTENT, ...overrides }).kind,
+      'invalid',
+      JSON.stringify(overrides),
+    );
   assert.equal(parseIntent({ ...INTENT, outcome: { kind: 'deleted' }, token: 3 }).kind, 'valid');
 });
 
-test('tokens are whole numbers from 1 on', () => {
+test('a fencing token that is not an integer of at least 1 is rejected', () => {
   const holder = { controller: 'n0', process: 'p', token: 1 };
   assert.equal(parseHolder(holder).kind, 'valid');
   for (const token of [0, -1, 1.5, '1', null]) {
@@ -47,20 +51,20 @@
   }
 });
 
-test('a view keeps what it does not understand apart, and forgets it once it is gone', () => {
-  const told: object[] = [];
-  const view = new DutiesView({ error: (fields) => told.push(fields) });
+test('a view reports a record that it cannot read, logs it once, and drops it when it is removed', () => {
+  const logged: object[] = [];
+  const view = new DutiesView({ error: (fields) => logged.push(fields) });
   view.load([{ key: 'duties/holders/rent', value: 7, version: 3 }], 3);
   assert.deepEqual(view.holder('rent'), { kind: 'unreadable', version: 3 });
   view.load([{ key: 'duties/holders/rent', value: 7, version: 3 }], 4);
-  assert.equal(told.length, 1);
+  assert.equal(logged.length, 1);
   assert.deepEqual(view.unreadable(), ['duties/holders/rent']);
   view.apply([{ key: 'duties/holders/rent', value: null, version: 5, deleted: true }], 5);
   assert.deepEqual(view.holder('rent'), { kind: 'absent' });
   assert.equal(view.knownRevision(), 5);
 });
 
-test('a duty that was lost or suspended is never acted on without being acquired or confirmed again', () => {
+test('a lost or suspended duty cannot be held without being acquired or confirmed again', () => {
   const forbidden: [HolderState, HolderState][] = [
     ['vacant', 'held'],
     ['lost', 'held'],
