--- a/src/autoscaler/deletion-budget.ts
+++ b/src/autoscaler/deletion-budget.ts
@@ -1,25 +1,28 @@
-/** Limits how many machines that seem dead are deleted in a round, so that a misjudgement stays small. */
+/** Limits how many apparently dead machines are deleted in a round, to limit the damage of a false detection. */
 
-/** Of all machines: in a large cluster more of them may be deleted in a round. */
+/** Share of all machines that may be deleted in a round; in a large cluster this allows more than `minPerRound`. */
 const MAX_SHARE_PER_ROUND = 0.12;
 
-/** A sliding window over the last round's deletions. */
+/** A sliding window over the deletions of the last round. */
 export class DeletionBudget {
   private deletedAt: number[] = [];
 
-  /** `machineCount` is asked at each use; `roundMs` is the length of a round, `minPerRound` allowed in any cluster. */
+  /**
+   * `machineCount` is called at each use. `roundMs` is the length of a round, `minPerRound` the number of deletions
+   * allowed in a cluster of any size.
+   */
   constructor(
     private readonly machineCount: () => number,
     private readonly minPerRound: number,
     private readonly roundMs: number,
   ) {}
 
-  /** Forgets deletions older than a round; to be called before `tryAcquire` at a new time. */
+  /** Drops deletions older than a round. Must be called before `tryAcquire` whenever `now` has changed. */
   expire(now: number): void {
     this.deletedAt = this.deletedAt.filter((at) => now - at < this.roundMs);
   }
 
-  /** Takes one deletion from the budget; false if it is used up. */
+  /** Takes one deletion from the budget; returns false if the budget is used up. */
   tryAcquire(now: number): boolean {
     const perRound = Math.max(
       this.minPerRound,
--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -1,6 +1,6 @@
 /**
- * Decides which machines are declared dead. Their deletion by the cloud is the quick proof that nothing runs on them,
- * so their tasks can start elsewhere before the machines' leases expire.
+ * Decides which machines are declared dead. Once the cloud has deleted a machine, nothing can run on it any more, so
+ * its tasks can start elsewhere before its lease expires.
  */
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Machine } from '../workers/machine.js';
@@ -9,44 +9,61 @@
 import type { MachineLiveness } from './machine-liveness.js';
 import type { ZonePartitions } from './zone-partitions.js';
 
-/** How long after a failover machines have to answer before they count as holding it up. */
+/** Time after a failover within which machines have to respond before they count as delaying it. */
 const RECONCILIATION_GRACE_MS = 2000;
-/** Of the machines in reachable zones: so many must have answered after a failover before the others may be declared dead. */
+/**
+ * Share of the machines in reachable zones that must have responded after a failover before the others may be declared
+ * dead.
+ */
 const RECONCILED_SHARE_THRESHOLD = 0.85;
-/** Failed probes after which a machine counts as holding up a failover. */
+/** Failed probes after which a machine counts as delaying a failover. */
 const MIN_FAILED_PROBES = 2;
 const MIN_FAILED_PROBES_WHILE_LAGGING = 3;
-/** Of so many machines some are heard at any moment: when none is, this controller is cut off itself. */
+/**
+ * With at least this many machines, some are heard at any time. If none is heard for `TOTAL_SILENCE_MS`, this
+ * controller itself is isolated.
+ */
 const MIN_MACHINES_FOR_TOTAL_SILENCE = 30;
 const TOTAL_SILENCE_MS = 1500;
-/** More unreachable ordinary machines in reachable zones than both of these: this controller is cut off itself. */
+/**
+ * If the unreachable ordinary machines in reachable zones exceed both this share and this count, this controller itself
+ * is isolated.
+ */
 const OWN_PARTITION_UNREACHABLE_SHARE = 0.3;
 const OWN_PARTITION_UNREACHABLE_COUNT = 2;
-/** Of its lease: after this much of it a machine in a partitioned zone may be deleted for the sake of its replicas. */
+/**
+ * Share of the lease duration after which a machine in a partitioned zone may be deleted, so that its replicas can
+ * start elsewhere.
+ */
 const PARTITIONED_LEASE_SHARE = 0.8;
-/** A partition is not waited out for longer than this. */
+/** After this time without contact, a machine in a partitioned zone is declared dead. */
 const MAX_PARTITION_MS = 120_000;
-/** Spread replicas need so many reachable zones to find a place. */
+/** Spread replicas need at least this many reachable zones to be placed. */
 const MIN_REACHABLE_ZONES = 2;
 
-/** What the failure detector needs of the leader and of its settings. */
+/** Dependencies of the failure detector on the leader and its settings. */
 export interface FailureDetectorDependencies {
   table: MachineTable;
   operator: OperatorSettings;
   saveMoney: boolean;
-  /** Lease of a worker, in seconds. */
+  /** Duration of a worker's lease, in seconds. */
   leaseS: number;
   /** All zones that machines can be requested in. */
   zones: Set<string>;
-  /** Zones that seem partitioned from this controller by what other controllers say: silence there proves nothing. */
+  /**
+   * Zones that are partitioned from this controller according to the reports of other controllers. Missing heartbeats
+   * from these zones don't prove that a machine is dead.
+   */
   partitionedZones(): Set<string>;
   /** Until when the controllers in a partitioned zone may extend leases there; null if it has no controller. */
   leasesExtendableUntil(zone: string): number | null;
-  /** This controller's event loop lags: what seems silent may have messages that wait unread. */
+  /**
+   * Whether this controller's event loop lags; messages of machines that seem unreachable may then be waiting unread.
+   */
   isLagging(): boolean;
 }
 
-/** What holds for all machines in one round of judgement. */
+/** Conditions that apply to all machines in one evaluation. */
 interface Round {
   now: number;
   isLagging: boolean;
@@ -55,11 +72,11 @@
   partitionedZones: Set<string>;
 }
 
-/** Only the leader has one. */
+/** Runs on the leader only. */
 export class FailureDetector {
   private readonly budget: DeletionBudget;
 
-  /** `startedAt`: when the leader's term began. */
+  /** `startedAt` is the time at which the leader's term began. */
   constructor(
     private readonly deps: FailureDetectorDependencies,
     private readonly liveness: MachineLiveness,
@@ -74,7 +91,7 @@
     );
   }
 
-  /** Judges the zones, and returns the machines that are to be deleted now since they are dead or faulty. */
+  /** Updates the zone partitions and returns the machines to delete now because they are dead or faulty. */
   declareDeadMachines(now: number): Machine[] {
     const machines = [...this.deps.table.all()].filter(
       (machine) => machine.reported || machine.stored || machine.leaseExpired,
@@ -101,7 +118,10 @@
     };
   }
 
-  /** Many ordinary machines that become unreachable at once, in several zones, mean that this controller is cut off. */
+  /**
+   * Whether this controller itself is isolated, as indicated by many ordinary machines in several zones that become
+   * unreachable at once.
+   */
   private isSelfPartitioned(
     machines: readonly Machine[],
     reachable: readonly Machine[],
@@ -123,7 +143,7 @@
 
   private isDead(machine: Machine, round: Round): boolean {
     const { now } = round;
-    // Most likely taken by the cloud. Its deletion proves that, and can't hit a machine that lives.
+    // Most likely preempted by the cloud. Its deletion proves that, and can't affect a machine that still runs.
     if (machine.unlisted && this.liveness.isHeartbeatOverdue(machine, now)) return true;
     const isPreempted = machine.preemptionDeadline !== null && now > machine.preemptionDeadline;
     const holdsUpTakeover = this.holdsUpTakeover(machine, round);
@@ -136,10 +156,11 @@
   }
 
   /**
-   * After a failover all jobs of former leaders wait for the last machine to answer. Where nearly all have answered, one
-   * that has not is likely dead, and is not given the time that an unreachable machine has otherwise. While we lag it
-   * takes more failed probes, since answers may wait unread. Nor do all zones wait for a partitioned one whose leases
-   * nobody can extend.
+   * Whether the machine is probably dead and delays a failover. After a failover, all jobs of former leaders wait until
+   * the last machine has responded. Once nearly all machines have responded, one that has not is probably dead and does
+   * not get the time that an unreachable machine otherwise has. While this controller lags, more failed probes are
+   * required, since responses may be waiting unread. The other zones don't wait for a partitioned zone whose leases
+   * nobody can extend, either.
    */
   private holdsUpTakeover(machine: Machine, round: Round): boolean {
     const minFailures = round.isLagging ? MIN_FAILED_PROBES_WHILE_LAGGING : MIN_FAILED_PROBES;
@@ -159,10 +180,11 @@
   }
 
   /**
-   * A partition heals, and then the zone's machines are worth more than new ones: they are up, hold the images, and may
-   * be the only place for replicas that have to be spread. So they are left alone, and the end of their leases is the
-   * proof. Only shortly before that a deletion is quicker, for replicas that can then run elsewhere at once; and in a
-   * failover that waits for nothing else, unless some controller may extend the leases.
+   * Once a partition has healed, the zone's machines are worth more than new ones: they are up, have the images, and
+   * may be the only place for replicas that must be spread. They are therefore kept, and the expiry of their leases
+   * proves that nothing runs on them. They are deleted earlier in two cases: shortly before the leases expire, so
+   * that replicas can run elsewhere at once; and in a failover that waits for nothing else, unless a controller may
+   * extend the leases.
    */
   private isDeadInPartitionedZone(
     machine: Machine,
@@ -171,7 +193,7 @@
   ): boolean {
     const silentForMs = now - machine.lastHeardAt;
     if (silentForMs > MAX_PARTITION_MS) return true;
-    // Its tasks run elsewhere by now, so it is not worth its price.
+    // Its tasks already run elsewhere, so the machine is not worth its price.
     if (this.deps.saveMoney && machine.leaseExpired) return true;
     const waitMs = this.deps.leaseS * 1000 * PARTITIONED_LEASE_SHARE;
     const extendableUntil = this.deps.leasesExtendableUntil(machine.zone);
--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -1,27 +1,27 @@
-/** Judges from its heartbeats and command responses alone whether one machine can be reached. */
+/** Determines whether a machine is reachable, based only on its heartbeats and command responses. */
 import type { Machine } from '../workers/machine.js';
 
-/** Timing of heartbeats, as the settings give it. */
+/** Heartbeat timing from the settings. */
 export interface LivenessSettings {
-  /** Seconds between two heartbeats of a machine. */
+  /** Interval between two heartbeats of a machine, in seconds. */
   heartbeatIntervalS: number;
   /** Heartbeats missed in a row before a machine counts as unreachable. */
   missedHeartbeats: number;
 }
 
-/** Heartbeats are a quarter late at most, so a later one is overdue. */
+/** Heartbeats are late by at most a quarter of the interval; after this many intervals a heartbeat is overdue. */
 const OVERDUE_AFTER_INTERVALS = 1.27;
 const OVERDUE_SLACK_MS = 200;
-/** Without a heartbeat for this long, failed commands make a machine unreachable before its patience is used up. */
+/** After this many intervals without a heartbeat, failed commands make a machine unreachable before `patienceMs`. */
 const UNANSWERED_AFTER_INTERVALS = 1.6;
 const UNREACHABLE_AFTER_FAILED_COMMANDS = 2;
 const PATIENCE_SLACK_MS = 500;
 
-/** Stateless: everything it needs stands in the machine. */
+/** Stateless: all data it needs is stored in `Machine`. */
 export class MachineLiveness {
   private readonly overdueAfterMs: number;
   private readonly unansweredAfterMs: number;
-  /** How long a machine that answers nothing and sends nothing still counts as reachable. */
+  /** Time in milliseconds for which a machine that neither responds nor sends heartbeats still counts as reachable. */
   readonly patienceMs: number;
 
   constructor({ heartbeatIntervalS, missedHeartbeats }: LivenessSettings) {
@@ -30,12 +30,15 @@
     this.patienceMs = missedHeartbeats * heartbeatIntervalS * 1000 + PATIENCE_SLACK_MS;
   }
 
-  /** Its heartbeat is overdue: a probe tells sooner than further missing heartbeats would. */
+  /** Whether the heartbeat is overdue. A probe then detects a failure sooner than waiting for further heartbeats. */
   isHeartbeatOverdue(machine: Machine, now: number): boolean {
     return (machine.reported || machine.stored) && now - machine.lastHeardAt > this.overdueAfterMs;
   }
 
-  /** It sends nothing or receives nothing: it can't be given work, and only its deletion proves what it runs. */
+  /**
+   * Whether the machine sends or receives no messages. Such a machine can't be given work, and only its deletion proves
+   * that nothing runs on it.
+   */
   isUnreachable(machine: Machine, now: number): boolean {
     if (machine.leaseExpired) return true;
     if (!machine.reported && !machine.stored) return false;
@@ -51,7 +54,10 @@
     );
   }
 
-  /** Earlier than unreachable: a zone is judged as a whole before the first of its machines is judged by itself. */
+  /**
+   * Whether the machine may be unreachable. True earlier than `isUnreachable`, so that a zone is checked for a
+   * partition before the first of its machines is declared unreachable.
+   */
   isSuspected(machine: Machine, now: number): boolean {
     return (
       machine.leaseExpired ||
--- a/src/autoscaler/zone-partitions.ts
+++ b/src/autoscaler/zone-partitions.ts
@@ -1,10 +1,10 @@
-/** Detects zones that a network partition separates from this controller. */
+/** Detects zones that are partitioned from this controller. */
 import type { Machine } from '../workers/machine.js';
 import type { MachineLiveness } from './machine-liveness.js';
 
-/** A zone with fewer machines than this is not judged as a whole. */
+/** A zone with fewer machines than this never counts as partitioned. */
 const MIN_MACHINES_PER_ZONE = 4;
-/** Of a zone's machines, those that must be suspected; of all others, those that must be heard. */
+/** Share of a zone's machines that must be suspected, and share of the machines elsewhere that must be heard. */
 const ZONE_MAJORITY_SHARE = 0.7;
 const QUARANTINE_MS = 45_000;
 
@@ -13,33 +13,33 @@
   suspected: number;
 }
 
-/** Keeps which zones are partitioned, and which were until a short time ago. */
+/** Records which zones are partitioned, and which were until recently. */
 export class ZonePartitions {
   private partitioned = new Set<string>();
-  /** Until when machines requested in a zone would likely not reach this controller, by zone. */
+  /** Time until which machines requested in a zone would probably not reach this controller, by zone. */
   private readonly quarantinedUntil = new Map<string, number>();
 
   constructor(private readonly liveness: MachineLiveness) {}
 
-  /** As of the last `update`. */
+  /** Whether the zone was partitioned at the last `update`. */
   isPartitioned(zone: string): boolean {
     return this.partitioned.has(zone);
   }
 
-  /** It is partitioned, or was so recently that no machines should be requested there. */
+  /** Whether the zone is partitioned, or was so recently that no machines should be requested there. */
   isQuarantined(zone: string, now: number): boolean {
     return now < (this.quarantinedUntil.get(zone) ?? 0);
   }
 
-  /** How many zones are partitioned. */
+  /** Number of partitioned zones. */
   count(): number {
     return this.partitioned.size;
   }
 
-  /** Judges the zones of these machines anew. */
+  /** Redetermines which zones of these machines are partitioned. */
   update(machines: readonly Machine[], now: number): void {
     const partitioned = this.findPartitioned(machines, now);
-    // Machines of a zone that is back are not all heard at once: the others get the time for a heartbeat.
+    // The machines of a zone whose partition has healed are not all heard at once, so the rest get time for a heartbeat.
     for (const machine of machines)
       if (
         this.partitioned.has(machine.zone) &&
@@ -51,7 +51,10 @@
     for (const zone of partitioned) this.quarantinedUntil.set(zone, now + QUARANTINE_MS);
   }
 
-  /** Zones most of whose machines are suspected, as long as most machines elsewhere are heard: otherwise this controller is cut off. */
+  /**
+   * Returns the zones in which most machines are suspected, provided that most machines elsewhere are heard. Otherwise
+   * this controller itself is isolated, and no zone counts as partitioned.
+   */
   private findPartitioned(machines: readonly Machine[], now: number): Set<string> {
     const candidates = new Set<string>();
     const elsewhere: ZoneCounts = { machines: 0, suspected: 0 };
