--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -1,4 +1,4 @@
-/** Adapts the number of machines to the demand, and replaces machines that are dead. */
+/** Adapts the number of machines to the demand and replaces dead machines. */
 import type { Runtime } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
 import { hasBootTimedOut } from './boot-timeout.js';
@@ -13,7 +13,7 @@
 import type { Demand } from './scaling-plan.js';
 import { ZonePartitions } from './zone-partitions.js';
 
-/** What the autoscaler needs of the leader and of its settings; the parts' interfaces tell what each is for. */
+/** Dependencies of the autoscaler on the leader and its settings, described in the extended interfaces. */
 export interface AutoscalerDependencies
   extends
     CloudInventoryDependencies,
@@ -21,17 +21,17 @@
     Omit<FailureDetectorDependencies, 'zones'>,
     ScaleInDependencies,
     ScaleOutDependencies {
-  /** Seconds between two heartbeats of a machine. */
+  /** Interval between two heartbeats of a machine, in seconds. */
   heartbeatIntervalS: number;
-  /** What the jobs need at this moment. */
+  /** Current resource demand of the jobs. */
   demand(): Demand;
 }
 
 const PLANNING_INTERVAL_MS = 1000;
-/** A new leader knows by then which zones are partitioned. */
+/** Time after which a new leader knows which zones are partitioned. */
 const PARTITION_DETECTION_MS = 2500;
 
-/** Scales out ahead of need, scales in what stands idle, deletes what is dead. Only the leader has one. */
+/** Scales out ahead of demand, scales in idle machines and deletes dead ones. Runs on the leader only. */
 export class Autoscaler {
   private lastPlannedAt = -Infinity;
   private readonly startedAt: number;
@@ -66,7 +66,7 @@
     this.scaleIn = new ScaleIn(deps, this.deletion);
   }
 
-  /** Its zone is partitioned from this controller, as of the last planning. */
+  /** Whether the machine's zone was partitioned from this controller at the last planning. */
   isInPartitionedZone(machine: Machine): boolean {
     return this.zones.isPartitioned(machine.zone);
   }
@@ -81,12 +81,12 @@
     return this.liveness.isUnreachable(machine, now);
   }
 
-  /** The cloud has confirmed the deletion of the machine with this id. */
+  /** Whether the cloud has confirmed the deletion of the machine with this id. */
   isDeleted(id: string): boolean {
     return this.deletion.isDeleted(id);
   }
 
-  /** To be called several times a second; does what is due. */
+  /** Runs the actions that are due. Must be called several times a second. */
   tick(): void {
     const now = this.runtime.clock.now();
     this.inventory.readIfDue(now);
@@ -96,12 +96,12 @@
     if (this.knowsPartitions(now)) this.scale(now);
   }
 
-  /** Follows a deletion that a former leader began; `deleted` resolves to whether the machines are gone. */
+  /** Tracks a deletion that a former leader started; `deleted` resolves to whether the machines have been deleted. */
   restoreDeletion(ids: readonly string[], deleted: Promise<boolean>): void {
     this.deletion.restore(ids, deleted);
   }
 
-  /** Follows a request for machines that a former leader began. */
+  /** Tracks a request for machines that a former leader started. */
   restoreMachineRequest(
     type: string,
     zone: string,
@@ -120,7 +120,10 @@
       void this.deletion.delete(dead, 'reclaim', 'unreachable, faulty or boot timeout');
   }
 
-  /** Otherwise machines might be requested in a partitioned zone, and would be missing elsewhere. */
+  /**
+   * Whether partitioned zones are known. Scaling before that might request machines in a partitioned zone, which would
+   * then be missing elsewhere.
+   */
   private knowsPartitions(now: number): boolean {
     if (now - this.startedAt > PARTITION_DETECTION_MS) return true;
     for (const machine of this.deps.table.all()) if (machine.awaitingReconciliation) return false;
--- a/src/autoscaler/demand-smoothing.ts
+++ b/src/autoscaler/demand-smoothing.ts
@@ -1,10 +1,10 @@
-/** Smooths the demand, so that machines are not requested for a rise that passes before they are up. */
+/** Smooths the demand, so that no machines are requested for a rise that is over before they are up. */
 import type { Demand } from './scaling-plan.js';
 
-/** Of the difference to the demand, the part that the mean follows by in each step. */
+/** Share of the difference between demand and mean by which the mean changes in each step. */
 const RISE_SHARE_PER_STEP = 0.12;
 const FALL_SHARE_PER_STEP = 0.04;
-/** Below this share of the demand in capacity, a rise is followed at once. */
+/** If the capacity is below this share of the demand, the mean follows a rise at once. */
 const LOW_CAPACITY_SHARE = 0.4;
 
 interface Mean {
@@ -17,12 +17,12 @@
   private mean: Mean | null = null;
 
   /**
-   * The demand to plan for with `capacityCpus` up or booting. What a new leader finds waiting is a rise like any other:
-   * followed at once, it would get machines that come up too late for it.
+   * Returns the demand to plan for, given `capacityCpus` that are up or booting. The waiting work that a new leader
+   * finds is smoothed like any other rise: machines requested for it at once would come up too late.
    */
   smooth(demand: Demand, capacityCpus: number): Demand {
     const demandCpus = demand.ordinaryCpus + demand.spotEligibleCpus;
-    // With no job at all, what is left of the mean would keep machines for nobody.
+    // Without any demand, the remaining mean would keep machines that no job needs.
     if (demandCpus === 0) {
       this.mean = null;
       return demand;
--- a/src/autoscaler/demand.ts
+++ b/src/autoscaler/demand.ts
@@ -1,9 +1,9 @@
-/** What the jobs need of the cluster's machines: a pure function. */
+/** A pure function that computes the resources that the jobs need. */
 import type { Job } from '../jobs/job.js';
 import type { JobSpec, MachineType } from '../wire/model.js';
 import type { Demand } from './scaling-plan.js';
 
-/** Machines may take this much longer than their type's usual boot time. */
+/** Booting may take this many times the usual boot time of the machine type. */
 const BOOT_TIME_FACTOR = 1.3;
 
 function fitsType(spec: JobSpec, type: MachineType): boolean {
@@ -14,10 +14,10 @@
 }
 
 /**
- * Sums up what all jobs that are not cancelled need.
+ * Sums up the resources that all jobs that are not cancelled need.
  *
  * @param wantedCpus CPUs that a job's tasks need, waiting or running.
- * @param arrivingCpusPerS CPUs a second that services have asked for lately.
+ * @param arrivingCpusPerS Recent rate of CPUs requested by services, in CPUs per second.
  * @param types The catalog; must not be empty.
  */
 export function demandOf(
--- a/src/autoscaler/idle-machines.ts
+++ b/src/autoscaler/idle-machines.ts
@@ -1,11 +1,11 @@
-/** Which machines are surplus: pure, apart from the mark on the machine. */
+/** Determines which machines are surplus. Without side effects except for the mark on the machine. */
 import type { Machine } from '../workers/machine.js';
 import type { ScalingTargets } from './scaling-plan.js';
 
 /** A machine that was requested more recently than this is not surplus yet. */
 const MIN_AGE_MS = 60_000;
 
-/** CPUs of the machines that are not surplus. */
+/** CPUs of the machines that are not surplus, in total and on ordinary machines. */
 interface KeptCpus {
   total: number;
   ordinary: number;
@@ -23,8 +23,8 @@
 }
 
 /**
- * Marks machines beyond the targets as surplus: they take no new tasks, theirs run to their end, and then the machine
- * goes. When the demand comes back before that, they are taken into use again instead of others being requested.
+ * Marks machines beyond the targets as surplus. A surplus machine takes no new tasks and is deleted once its running
+ * tasks have ended. If the demand rises before that, it is used again instead of requesting another machine.
  *
  * @param machines All machines that are up and not being deleted.
  */
--- a/src/autoscaler/scale-in.ts
+++ b/src/autoscaler/scale-in.ts
@@ -1,4 +1,4 @@
-/** Deletes machines that stand idle. */
+/** Deletes idle machines. */
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -6,26 +6,29 @@
 import type { MachineDeletion } from './machine-deletion.js';
 import { type Demand, scalingTargets } from './scaling-plan.js';
 
-/** What scaling in needs of the leader and of its settings. */
+/** Dependencies of scaling in on the leader and its settings. */
 export interface ScaleInDependencies {
   table: MachineTable;
   operator: OperatorSettings;
   saveMoney: boolean;
 }
 
-/** Where money does not count: how long machines stand idle without any work in the cluster before they are deleted. */
+/** Without `saveMoney`: how long a machine must be idle, while the cluster has no work, before it is deleted. */
 const IDLE_TIMEOUT_WITHOUT_WORK_MS = 30_000;
-/** Sums of CPU shares are this far from exact, at most. */
+/** Maximum rounding error of a sum of CPU shares. */
 const CPU_ROUNDING = 1e-6;
 
-/** Where money counts, surplus machines go once they are empty; elsewhere machines go only when there is no work. */
+/**
+ * With `saveMoney`, deletes surplus machines once they are empty; otherwise deletes machines only if there is no
+ * work.
+ */
 export class ScaleIn {
   constructor(
     private readonly deps: ScaleInDependencies,
     private readonly deletion: MachineDeletion,
   ) {}
 
-  /** Marks surplus machines, and begins to delete those that have stood idle for long enough. */
+  /** Marks surplus machines, and starts to delete those that have been idle for long enough. */
   deleteIdle(demand: Demand, now: number): void {
     if (this.deps.saveMoney) this.deleteSurplus(demand, now);
     else if (demand.ordinaryCpus + demand.spotEligibleCpus === 0) this.deleteAllIdle(now);
@@ -42,7 +45,7 @@
     if (idle.length > 0) void this.deletion.delete(idle, 'return', 'surplus');
   }
 
-  /** Spare machines are insurance only while there is work. */
+  /** Deletes all idle machines, since spare machines are needed only while there is work. */
   private deleteAllIdle(now: number): void {
     const idle = this.machinesUp().filter((machine) =>
       isIdle(machine, IDLE_TIMEOUT_WITHOUT_WORK_MS, now),
--- a/src/autoscaler/scale-out.ts
+++ b/src/autoscaler/scale-out.ts
@@ -11,7 +11,7 @@
 import { type Demand, type Pool, planScaleOut } from './scaling-plan.js';
 import type { ZonePartitions } from './zone-partitions.js';
 
-/** What scaling out needs of the leader and of its settings. */
+/** Dependencies of scaling out on the leader and its settings. */
 export interface ScaleOutDependencies {
   runtime: Runtime;
   actions: MachineActions;
@@ -24,18 +24,18 @@
   isLeader(): boolean;
 }
 
-/** How long a pool without capacity, or whose request has an unknown outcome, is left alone. */
+/** How long nothing is requested from a pool that had no capacity or whose last request has an unknown outcome. */
 const NO_CAPACITY_BACKOFF_MS = 12_000;
-/** The same for a request that was rejected, which says nothing of the pool. */
+/** How long nothing is requested after a rejected request, which indicates nothing about the pool's capacity. */
 const REJECTED_BACKOFF_MS = 2000;
 
-/** Capacity in CPUs, up or booting. */
+/** CPUs of the machines that are up or booting. */
 export interface Capacity {
   ordinaryCpus: number;
   spotCpus: number;
 }
 
-/** The pools that machines are requested from, with at most one request at a time for each. */
+/** Manages the pools that machines are requested from, with at most one pending request for each pool. */
 export class ScaleOut {
   private readonly pools = new Map<string, Pool>();
   private readonly pendingRequests = new Set<Pool>();
@@ -59,7 +59,7 @@
           });
   }
 
-  /** Counts the machines of each pool anew, and blocks the pools of quarantined zones for `blockMs`. */
+  /** Recounts the machines of each pool, and blocks the pools of quarantined zones for `blockMs`. */
   updatePools(now: number, blockMs: number): Capacity {
     for (const pool of this.pools.values()) pool.machineCount = 0;
     for (const machine of this.deps.table.all()) {
@@ -77,7 +77,7 @@
     return capacity;
   }
 
-  /** Requests what the demand needs beyond the pools as last counted. */
+  /** Requests the machines that the demand needs beyond those counted by the last `updatePools`. */
   requestMissing(demand: Demand, now: number): void {
     const { saveMoney, operator } = this.deps;
     const plan = planScaleOut({
@@ -91,7 +91,7 @@
       if (!this.pendingRequests.has(pool)) void this.request(pool, count);
   }
 
-  /** Follows a request that a former leader began: until its result is known, nothing more is requested there. */
+  /** Tracks a request of a former leader. Until its result is known, nothing more is requested from that pool. */
   restore(
     type: string,
     zone: string,
@@ -103,7 +103,7 @@
     if (pool) void this.settle(pool, count, result);
   }
 
-  /** It is up or booting, and will stay. */
+  /** Whether the machine is up or booting and is not about to be removed. */
   private countsAsCapacity(machine: Machine, now: number): boolean {
     if (machine.deleting || machine.preemptionDeadline !== null) return false;
     if (machine.drainReason && machine.drainReason !== 'surplus') return false;
@@ -131,7 +131,7 @@
     const granted = result.kind === 'granted' ? result.ids.length : 0;
     log.info(
       { type: type.name, zone, spot, count, result: result.kind, granted },
-      'machines requested',
+      'machine request completed',
     );
     if (result.kind === 'granted') this.addMachines(pool, result.ids, now);
     if (granted < count)
--- a/src/autoscaler/scaling-plan.ts
+++ b/src/autoscaler/scaling-plan.ts
@@ -1,62 +1,64 @@
-/** How many machines the cluster should have, and how many to request from which pool: pure functions. */
+/** Pure functions that compute how many machines the cluster should have and how many to request from each pool. */
 import { MAX_MACHINES_PER_REQUEST } from '@millring/duties';
 import type { MachineType } from '../wire/model.js';
 
-/** Machines that can stand for each other. */
+/** Interchangeable machines of one type and zone, either all spot or all ordinary. */
 export interface Pool {
   type: MachineType;
   zone: string;
   spot: boolean;
-  /** In a zone with controllers, which extend its machines' leases during a partition. */
+  /** Whether the zone has controllers; these extend the leases of its machines during a partition. */
   hasControllers: boolean;
-  /** Machines that are up or booting, and will stay. */
+  /** Number of machines that are up or booting and not about to be removed. */
   machineCount: number;
-  /** Nothing is requested before this time, by the steady clock. */
+  /** No machines are requested from this pool before this time (monotonic clock, in milliseconds). */
   unavailableUntil: number;
 }
 
-/** What the jobs need, waiting and running tasks together. */
+/** Resources that the jobs need for their waiting and running tasks. */
 export interface Demand {
   /** CPUs of tasks that need ordinary machines. */
   ordinaryCpus: number;
   /** CPUs of tasks that may run on spot machines. */
   spotEligibleCpus: number;
-  /** CPUs a second that services have asked for lately. */
+  /** Recent rate of CPUs requested by services, in CPUs per second. */
   arrivingCpusPerS: number;
-  /** How long a machine takes until it is up, in seconds. */
+  /** Boot time of a machine, in seconds. */
   bootS: number;
   /** CPUs of the largest machine type. */
   largestMachineCpus: number;
-  /** Whether a task of some job fits the type: no other is requested. */
+  /** Whether a task of some job fits the type. Other types are not requested. */
   isUsable(type: MachineType): boolean;
 }
 
-/** What a plan is made from. */
+/** Input of `planScaleOut`. */
 export interface ScaleOutInput {
   pools: Pool[];
   demand: Demand;
   saveMoney: boolean;
-  /** Capacity to keep free, as a share of what is used; counts only with `saveMoney`. */
+  /** Capacity to keep free, as a share of the used capacity. Applies only with `saveMoney`. */
   spareShare: number;
-  /** By the steady clock. */
+  /** Current time by the monotonic clock, in milliseconds. */
   now: number;
 }
 
-/** CPUs that the cluster should have; `totalCpus` includes the ordinary machines' ones. */
+/** CPUs that the cluster should have; `totalCpus` includes `ordinaryCpus`. */
 export interface ScalingTargets {
   ordinaryCpus: number;
   totalCpus: number;
 }
 
-/** Of what services use. */
+/** Maximum spare capacity for arriving services, as a share of the ordinary demand. */
 const MAX_SPARE_SHARE_FOR_ARRIVALS = 0.2;
-/** Where money does not count: capacity for twice the work, and this on top. */
+/** Without `saveMoney`, the target is twice the demand plus `FREE_CAPACITY_EXTRA_CPUS`. */
 const FREE_CAPACITY_FACTOR = 2;
 const FREE_CAPACITY_EXTRA_CPUS = 100;
-/** Of the spot-eligible demand: so much may wait for spot machines where money counts. */
+/** Share of the spot-eligible demand that may wait for spot machines with `saveMoney`. */
 const SPOT_PATIENCE_SHARE = 0.2;
 
-/** The capacity to aim at. Without `saveMoney` it is ample, so that bursts find machines that are up. */
+/**
+ * Returns the target capacity. Without `saveMoney` it is ample, so that machines are already up when a burst arrives.
+ */
 export function scalingTargets(
   demand: Demand,
   saveMoney: boolean,
@@ -70,8 +72,8 @@
       : 0;
     return { ordinaryCpus: cpus, totalCpus: cpus };
   }
-  // A service that comes now must find room while another machine boots: half a machine more than is used, and a
-  // share, or what arrives in that time when services arrive in numbers.
+  // A service that arrives now must find free capacity while another machine boots. The spare capacity is half a
+  // machine plus a share of the demand, or the CPUs that arrive during the boot time when many services arrive.
   const spareCpus = Math.max(
     spareShare * ordinaryCpus,
     Math.min(MAX_SPARE_SHARE_FOR_ARRIVALS * ordinaryCpus, demand.arrivingCpusPerS * demand.bootS),
@@ -85,7 +87,7 @@
   return pools.reduce((sum, pool) => sum + pool.machineCount * pool.type.cpus, 0);
 }
 
-/** Machines to request, by pool. */
+/** Number of machines to request from each pool. */
 type MachineCounts = Map<Pool, number>;
 
 function plannedCpus(counts: MachineCounts): number {
@@ -93,8 +95,8 @@
 }
 
 /**
- * Spreads `missingCpus` over the pools. Where money counts, the cheapest pools first. Then zones with controllers, but
- * none beyond half of `targetCpus`, since replicas are spread; then the pools with the fewest machines.
+ * Spreads `missingCpus` over the pools. With `saveMoney`, the cheapest pools come first. Next come zones with
+ * controllers, each up to half of `targetCpus`, since replicas are spread; then the pools with the fewest machines.
  */
 function distribute(
   pools: readonly Pool[],
@@ -132,7 +134,7 @@
   return counts;
 }
 
-/** How many machines to request from which pool now: at most one request's worth for each. */
+/** Returns how many machines to request from each pool now, at most as many as one request may ask for. */
 export function planScaleOut(input: ScaleOutInput): Map<Pool, number> {
   const { demand, now, saveMoney } = input;
   const usable = input.pools.filter((pool) => demand.isUsable(pool.type));
@@ -150,7 +152,8 @@
     plan.set(pool, count);
     unmetCpus -= count * pool.type.cpus;
   }
-  // What spot machines can't give is requested as ordinary ones; where money counts only once much is missing.
+  // CPUs that spot machines can't provide are requested as ordinary machines; with `saveMoney` only once many CPUs
+  // are missing.
   if (unmetCpus <= patienceCpus || spot.some((pool) => pool.unavailableUntil <= now)) return plan;
   const insteadCpus = unmetCpus - patienceCpus;
   for (const [pool, count] of distribute(ordinary, insteadCpus, totalCpus, now, saveMoney))
