--- a/src/autoscaler/cloud-inventory.ts
+++ b/src/autoscaler/cloud-inventory.ts
@@ -1,4 +1,4 @@
-/** Keeps the machine table in step with the cloud's list of machines. */
+/** Keeps the machine table consistent with the cloud's list of machines. */
 import type { Runtime } from '../runtime.js';
 import type { ListedMachine, MachineType } from '../wire/model.js';
 import type { Machine } from '../workers/machine.js';
@@ -7,13 +7,13 @@
 import type { Cloud } from './cloud.js';
 import type { MachineDeletion } from './machine-deletion.js';
 
-/** What reading the cloud's list needs of the leader and of its settings. */
+/** Dependencies of the cloud inventory on the leader and its settings. */
 export interface CloudInventoryDependencies {
   runtime: Runtime;
   cloud: Cloud;
   table: MachineTable;
   types: MachineType[];
-  /** The cloud's list may be older than now by this much, in seconds. */
+  /** Maximum age of the data in the cloud's list, in seconds. */
   listLagS: number;
   isLeader(): boolean;
 }
@@ -21,19 +21,19 @@
 const MIN_LIST_INTERVAL_MS = 3000;
 const LIST_AGE_SLACK_MS = 1000;
 
-/** Adds unknown machines, marks those that the list lacks, and has failed ones deleted. */
+/** Adds unknown machines, marks machines that are missing from the list, and has failed machines deleted. */
 export class CloudInventory {
   private lastReadAt = -Infinity;
   private isReading = false;
 
-  /** `startedAt`: when the leader's term began. */
+  /** `startedAt` is the time at which the leader's term began. */
   constructor(
     private readonly deps: CloudInventoryDependencies,
     private readonly deletion: MachineDeletion,
     private readonly startedAt: number,
   ) {}
 
-  /** Reads the list again once the interval is over, which follows from the list's lag and length. */
+  /** Reads the list again once the interval has passed. The interval depends on the lag and the length of the list. */
   readIfDue(now: number): void {
     if (now - this.lastReadAt > this.intervalMs() && !this.isReading) void this.read(now);
   }
@@ -61,7 +61,7 @@
     if (failed.length > 0) void this.deletion.delete(failed, 'reclaim', 'failed');
   }
 
-  /** Null if the machine is of a type that the catalog lacks. */
+  /** Returns null if the catalog does not contain the machine's type. */
   private record(listed: ListedMachine, now: number): Machine | null {
     const machine = this.deps.table.get(listed.id) ?? this.add(listed, now);
     if (!machine) return null;
@@ -76,7 +76,8 @@
     if (!type) return null;
     const machine = table.add(listed.id, listed.endpoint, type, listed.zone, listed.spot, now);
     machine.rentedAt = now - listed.ageS * 1000;
-    // Up for long, but not among the stored machines: a former leader saw its lease expire. It may come back.
+    // A machine that has been up for a long time but is not stored: a former leader saw its lease expire. It may
+    // become reachable again.
     machine.leaseExpired = listed.state === 'running' && mustHaveBooted(listed.ageS, type.bootS);
     return machine;
   }
--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -1,6 +1,6 @@
 /**
- * Client of the cloud's interface. Every call, each page of a list included, takes from one budget, so that the cloud
- * refuses no calls, however many machines there are.
+ * Client of the cloud's API. All calls, including each page of a list, share one budget, so that the cloud rejects no
+ * calls, however many machines there are.
  */
 import { type Reply, type Runtime, sleep } from '../runtime.js';
 import { TokenBucket } from '../state-store/token-bucket.js';
@@ -17,20 +17,21 @@
 } from '../wire/cloud.js';
 
 const REQUEST_TIMEOUT_MS = 5000;
-/** Of the calls allowed per second, those that this controller plans with; the others are left to other controllers. */
+/** Share of the allowed calls per second that this controller uses; the rest is left to other controllers. */
 const RATE_SHARE = 0.7;
-/** Of these, the part that lists may take: requests for machines and deletions need the rest. */
+/** Share of this controller's calls that lists may use; machine requests and deletions need the rest. */
 const LIST_SHARE = 0.5;
-/** Calls that a page of a list leaves in the budget for a request or deletion that comes meanwhile. */
+/** Calls that a page of a list leaves in the budget for a machine request or deletion that comes meanwhile. */
 const CALLS_RESERVED_FROM_LISTS = 1;
-/** How often one page is asked for before the list is given up. */
+/** Maximum number of requests for one page before the list is abandoned. */
 const MAX_PAGE_ATTEMPTS = 3;
 
 /**
- * - `granted`: these machines are booting; they may be fewer than asked for.
- * - `no-capacity`: the cloud has none of this kind at the moment.
+ * Result of a request for machines.
+ * - `granted`: these machines are booting; they may be fewer than requested.
+ * - `no-capacity`: the cloud has no machines of this kind at the moment.
  * - `indeterminate`: no response; the request may have been executed.
- * - `rejected`: not executed, for a reason that says nothing of the cloud's capacity.
+ * - `rejected`: not executed, for a reason that indicates nothing about the cloud's capacity.
  */
 export type MachineRequestResult =
   | { kind: 'granted'; ids: string[] }
@@ -38,13 +39,13 @@
   | { kind: 'indeterminate' }
   | { kind: 'rejected' };
 
-/** All controllers share the cloud's rate of calls; the leader uses most of it. */
+/** Client of the cloud. All controllers share the cloud's rate limit; the leader uses most of it. */
 export class Cloud {
   private readonly callBudget: TokenBucket;
-  /** Pages of the longest recent list. */
+  /** Number of pages of the longest recent list. */
   private pageCount = 1;
 
-  /** `maxCallsPerS` is the rate that the cloud allows to all controllers together, or this client's part of it. */
+  /** `maxCallsPerS` is the rate that the cloud allows for all controllers together, or this client's share of it. */
   constructor(
     private readonly runtime: Runtime,
     private readonly address: string,
@@ -54,23 +55,23 @@
     this.callBudget = new TokenBucket(maxCallsPerS * RATE_SHARE, burst, () => runtime.clock.now());
   }
 
-  /** Takes one call from the budget, before a request for machines or a deletion; false if none is left. */
+  /** Takes one call from the budget, before a request for machines or a deletion; returns false if none is left. */
   tryAcquireCall(): boolean {
     return this.callBudget.tryAcquire();
   }
 
-  /** Lists in quicker succession would take more than their share of the calls. */
+  /** Minimum interval between two lists; lists at shorter intervals would use more than their share of the calls. */
   minListIntervalMs(): number {
     return (1000 * this.pageCount) / (this.maxCallsPerS * RATE_SHARE * LIST_SHARE);
   }
 
-  /** The catalog of machine types; null without a valid response. */
+  /** Returns the catalog of machine types, or null without a valid response. */
   async listMachineTypes(): Promise<MachineType[] | null> {
     const response = await this.send('GET', cloudPaths.types, null);
     return response.status === 200 ? readMachineTypes(response.body) : null;
   }
 
-  /** All machines, page by page; null if a page can't be had, or `isActive` turns false meanwhile. */
+  /** Reads all machines, page by page; returns null if a page can't be read, or `isActive` becomes false meanwhile. */
   async listMachines(isActive: () => boolean): Promise<ListedMachine[] | null> {
     const machines: ListedMachine[] = [];
     for (let after = '', pages = 1; ; pages++) {
@@ -83,7 +84,7 @@
     }
   }
 
-  /** A page that was refused is asked for again: starting over would never end where a list has many pages. */
+  /** Reads one page, retrying if it fails: restarting a list of many pages from scratch would never complete. */
   private async readPage(after: string, isActive: () => boolean): Promise<MachinePage | null> {
     for (let attempt = 0; attempt < MAX_PAGE_ATTEMPTS; attempt++) {
       while (isActive() && !this.callBudget.tryAcquire(1, CALLS_RESERVED_FROM_LISTS))
@@ -96,7 +97,7 @@
     return null;
   }
 
-  /** Asks for `count` machines. The cloud executes a repeated `requestName` only once. */
+  /** Requests `count` machines. The cloud executes a repeated `requestName` only once. */
   async requestMachines(
     requestName: string,
     type: string,
@@ -114,7 +115,7 @@
       : { kind: 'rejected' };
   }
 
-  /** True only if the cloud has confirmed it: then the machines and everything on them are gone. */
+  /** Returns true only if the cloud has confirmed the deletion: the machines and everything on them no longer exist. */
   async deleteMachines(ids: string[]): Promise<boolean> {
     const response = await this.send('POST', cloudPaths.deletion, deletionBody(ids));
     return response.status === 200;
--- a/src/autoscaler/machine-actions.ts
+++ b/src/autoscaler/machine-actions.ts
@@ -1,26 +1,26 @@
-/** How the leader's decisions about machines are carried out. */
+/** Actions that carry out the leader's decisions about machines. */
 import { MAX_MACHINES_PER_DELETION } from '@millring/duties';
 import type { Cloud, MachineRequestResult } from './cloud.js';
 import type { Pool } from './scaling-plan.js';
 
-/** Why machines are deleted. `return`: they stand idle. `reclaim`: they are dead, faulty or failed to boot. */
+/** Why machines are deleted. `return`: they are idle. `reclaim`: they are dead, faulty or failed to boot. */
 export type DeletionPurpose = 'return' | 'reclaim';
 
-/** Requests and deletes machines, either at the cloud itself or through intents. */
+/** Requests and deletes machines, either by direct calls to the cloud or through intents. */
 export interface MachineActions {
-  /** Takes one call from the budget; false if none is left now. */
+  /** Takes one call from the budget; returns false if none is left. */
   tryAcquireCall(): boolean;
-  /** Asks for `count` machines of the pool. */
+  /** Requests `count` machines of the pool. */
   requestMachines(pool: Pool, count: number): Promise<MachineRequestResult>;
-  /** True only once the machines and everything on them are gone. */
+  /** Resolves to true only once the machines and everything on them no longer exist. */
   deleteMachines(ids: string[], purpose: DeletionPurpose): Promise<boolean>;
-  /** How many of these machines one deletion may name, at least 1. */
+  /** Maximum number of these machines in one deletion; at least 1. */
   maxDeletions(ids: readonly string[]): number;
 }
 
-/** The leader asks the cloud itself. */
+/** Actions by which the leader calls the cloud directly. */
 export class DirectActions implements MachineActions {
-  /** `nextRequestName` gives a new name each time, unique for ever across all controllers. */
+  /** `nextRequestName` returns a new name on each call, which is never used again by any controller. */
   constructor(
     private readonly cloud: Cloud,
     private readonly nextRequestName: () => string,
--- a/src/autoscaler/machine-deletion.ts
+++ b/src/autoscaler/machine-deletion.ts
@@ -1,31 +1,31 @@
-/** Deletes machines, and keeps which of them are surely gone. */
+/** Deletes machines, and records which of them the cloud has confirmed as deleted. */
 import type { Runtime } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { DeletionPurpose, MachineActions } from './machine-actions.js';
 
-/** What the deletion of machines needs of the leader. */
+/** Dependencies of machine deletion on the leader. */
 export interface MachineDeletionDependencies {
   runtime: Runtime;
   actions: MachineActions;
   table: MachineTable;
   isLeader(): boolean;
-  /** The machine and everything on it are gone. */
+  /** Called when the machine and everything on it no longer exist. */
   machineDeleted(machine: Machine): void;
 }
 
-/** The only place that deletes machines. While a deletion is under way its machines take no work (`deleting`). */
+/** The only class that deletes machines. While a deletion is in progress, its machines take no work (`deleting`). */
 export class MachineDeletion {
   private readonly deletedIds = new Set<string>();
 
   constructor(private readonly deps: MachineDeletionDependencies) {}
 
-  /** The cloud has confirmed its deletion: whatever it still seems to say is from before. */
+  /** Whether the cloud has confirmed the deletion. Any message that still arrives was sent before the deletion. */
   isDeleted(id: string): boolean {
     return this.deletedIds.has(id);
   }
 
-  /** Begins to delete as many of the machines as one request may name, unless the budget of calls is used up. */
+  /** Starts to delete as many of the machines as one request may contain, unless the call budget is used up. */
   async delete(machines: readonly Machine[], purpose: DeletionPurpose, why: string): Promise<void> {
     const { actions, runtime } = this.deps;
     const candidates = machines.filter((machine) => !machine.deleting);
@@ -38,7 +38,7 @@
     await this.settle(batch, actions.deleteMachines(ids, purpose));
   }
 
-  /** Follows a deletion that a former leader began; `deleted` resolves to whether the machines are gone. */
+  /** Tracks a deletion that a former leader started; `deleted` resolves to whether the machines have been deleted. */
   restore(ids: readonly string[], deleted: Promise<boolean>): void {
     const machines: Machine[] = [];
     for (const id of ids) {
