--- a/src/duties/cloud-provider.ts
+++ b/src/duties/cloud-provider.ts
@@ -1,6 +1,6 @@
 /**
- * The cloud as a machine provider. It checks no fencing tokens, and may execute a request late: that is harmless because of the
- * intent that was stored before the request, see docs/safety.md.
+ * The cloud as a machine provider. It checks no fencing tokens and may execute a request late. That is harmless because
+ * an intent is stored before each request, see docs/safety.md.
  */
 import type {
   DeleteResult,
@@ -11,7 +11,7 @@
 } from '@millring/duties';
 import type { Cloud } from '../autoscaler/cloud.js';
 
-/** Needs no permits: the cloud has nothing to check them by. */
+/** Provider that ignores permits, since the cloud can't check them. */
 export class CloudProvider implements MachineProvider {
   constructor(private readonly cloud: Cloud) {}
 
--- a/src/duties/command-line.ts
+++ b/src/duties/command-line.ts
@@ -1,4 +1,4 @@
-/** `millring duties ...`: what operators see of the duties and do about them. */
+/** Implements `millring duties ...`, by which operators inspect and change the holders of duties. */
 import {
   type Duty,
   DutyOperator,
@@ -16,11 +16,11 @@
 import type { PlatformSettings } from '../settings/platform.js';
 import { createStateStore } from '../state-store/client.js';
 
-/** What `millring duties` was asked to do, as read from the command line. */
+/** Parsed command line of `millring duties`. */
 export type DutiesCommand =
   { action: 'status'; json: boolean } | { action: 'release' | 'hold'; duty: Duty; json: boolean };
 
-/** Runs one command against the state service; never throws for an unreachable one. */
+/** Runs one command against the state service. Does not throw if the service is unreachable. */
 export async function runDutiesCommand(
   command: DutiesCommand,
   runtime: Runtime,
--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -1,4 +1,7 @@
-/** The duties as one controller process takes part in them: as a member always, and as the decider while it leads. */
+/**
+ * Connects a controller process to the duties. The process is always a member; while it leads, it also decides what the
+ * holders of duties do.
+ */
 import type { Precondition } from '@millring/state-access';
 import { DutyMember, type DutySettings, IntentLog } from '@millring/duties';
 import { FENCED_DUTIES } from '../build.js';
@@ -10,35 +13,35 @@
 import type { StateStore } from '../state-store/client.js';
 import { CloudProvider } from './cloud-provider.js';
 
-/** Of the cloud's calls, for the holders at all controllers together: the leader's lists need the rest. */
+/** Share of the cloud's calls for the duty holders on all controllers together; the leader's lists need the rest. */
 const HOLDERS_CALL_SHARE = 0.9;
 
-/** What the duties need of the controller process. */
+/** Dependencies of the duties on the controller process. */
 export interface ControllerDutiesDependencies {
   runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   store: StateStore;
   rollout: ControllerRollout;
-  /** Tells this process apart from all others of this controller. */
+  /** Id that distinguishes this process from all other processes of this controller. */
   process: string;
   /** Time of day in milliseconds. */
   wallMs(): number;
-  /** The leader, as far as is known. */
+  /** Returns the leader that this controller last knew of, or null if it knows of none. */
   leader(): string | null;
 }
 
-/** The term of a leader, which decides what the holders of duties do. */
+/** A leader's term, in which the leader decides what the holders of duties do. */
 export interface DecidingTerm {
-  /** The term has not ended, though the leader may be suspended. */
+  /** Whether the term has not ended; true also while the leader is suspended. */
   isActive(): boolean;
-  /** Holds only while the term lasts. */
+  /** Returns a precondition that holds only during the term. */
   leaderPrecondition(): Precondition;
-  /** A new name each time, unique for ever across all controllers. */
+  /** Returns a new name on each call, which is never used again by any controller. */
   nextRequestName(): string;
 }
 
-/** One for each controller process, for as long as it lives. */
+/** The duties of one controller process. Exists for the lifetime of the process. */
 export class ControllerDuties {
   private readonly member: DutyMember;
 
@@ -58,17 +61,17 @@
     });
   }
 
-  /** To be called once the rollout has been joined. */
+  /** Starts the member. Must be called once the rollout has been joined. */
   run(): void {
     if (this.deps.rollout.isParticipating()) this.member.run();
   }
 
-  /** Intents may be stored: whoever leads must read them before it decides anything. */
+  /** Whether intents may be stored. If so, a leader must read them before it decides anything. */
   mayIntentsExist(): boolean {
     return this.deps.rollout.mode(FENCED_DUTIES) !== 'off';
   }
 
-  /** The leader's decisions are stored as intents. */
+  /** Whether the leader's decisions are stored as intents. */
   usesIntents(): boolean {
     return (
       this.deps.operator.duties.mode === 'on' &&
@@ -76,7 +79,7 @@
     );
   }
 
-  /** The log of a leader, for its term. */
+  /** Creates the intent log of a leader for its term. */
   intentLog(term: DecidingTerm): IntentLog {
     return new IntentLog({
       environment: packageEnvironment(this.deps),
@@ -92,7 +95,7 @@
   }
 }
 
-/** A controller whose duties are off watches the records, since it may lead, but holds nothing. */
+/** Without duties, a controller still watches the records, since it may become leader, but holds no duty. */
 function holdingSettings(settings: DutySettings): DutySettings {
   return settings.mode === 'on' ? settings : { ...settings, held_here: [] };
 }
--- a/src/duties/intent-actions.ts
+++ b/src/duties/intent-actions.ts
@@ -1,4 +1,4 @@
-/** The leader's decisions about machines as intents, which the holders of the duties carry out. */
+/** Stores the leader's decisions about machines as intents, which the holders of the duties carry out. */
 import { type IntentLog, MAX_MACHINES_PER_DELETION, type IntentResult } from '@millring/duties';
 import type { MachineRequestResult } from '../autoscaler/cloud.js';
 import type {
@@ -8,27 +8,29 @@
 } from '../autoscaler/machine-actions.js';
 import type { Pool } from '../autoscaler/scaling-plan.js';
 
-/** What the record of a deletion takes besides the names of machines. */
+/** Size of a deletion record without the machine ids. */
 const RECORD_OVERHEAD_BYTES = 320;
-/** Quotes and a comma. */
+/** Size of the quotes and the comma around each machine id. */
 const NAME_OVERHEAD_BYTES = 3;
 
-/** What acting through intents needs of the leader. */
+/** Dependencies of `IntentActions` on the leader. */
 export interface IntentActionsDependencies {
   log: IntentLog;
-  /** Used while intents can't be. */
+  /** Used while intents can't be used. */
   direct: DirectActions;
-  /** All controllers that may lead can follow intents, and this one is set to use them. */
+  /** Whether all controllers that may lead support intents, and this controller is configured to use them. */
   usesIntents(): boolean;
-  /** Bytes of a stored value as JSON, at most. */
+  /** Maximum size of a stored value as JSON, in bytes. */
   valueBytes: number;
 }
 
-/** Stores an intent for each action and waits for its outcome; while intents can't be used, the leader asks the cloud. */
+/**
+ * Stores an intent for each action and waits for its outcome. While intents can't be used, calls the cloud directly.
+ */
 export class IntentActions implements MachineActions {
   constructor(private readonly deps: IntentActionsDependencies) {}
 
-  /** The holder has its own budget of the cloud's calls. */
+  /** Always returns true with intents, since the duty holder has its own budget of cloud calls. */
   tryAcquireCall(): boolean {
     return this.deps.usesIntents() || this.deps.direct.tryAcquireCall();
   }
@@ -57,7 +59,7 @@
   }
 }
 
-/** What came of an intent to request machines, as the result of the request itself. */
+/** Converts the result of an intent to request machines into the result of the request itself. */
 export function toRequestResult(result: IntentResult): MachineRequestResult {
   if (result.kind === 'not-stored') return { kind: 'rejected' };
   if (result.kind === 'indeterminate') return { kind: 'indeterminate' };
