--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -1,4 +1,4 @@
-/** `millring rollout ...`: what operators see of the cluster level and do about it. */
+/** Implements `millring rollout ...`, by which operators inspect and change the cluster's feature level. */
 import {
   type ClusterLevel,
   type ControllerView,
@@ -19,18 +19,18 @@
 import type { PlatformSettings } from '../settings/platform.js';
 import { createStateStore } from '../state-store/client.js';
 
-/** What `millring rollout` can be asked to do. */
+/** Actions of `millring rollout`. */
 export const ROLLOUT_ACTIONS = ['status', 'activate', 'abort', 'downgrade'] as const;
-/** One of the actions. */
+/** An action of `millring rollout`. */
 export type RolloutAction = (typeof ROLLOUT_ACTIONS)[number];
 
-/** A command as read from the command line. */
+/** Parsed command line of `millring rollout`. */
 export interface RolloutCommand {
   action: RolloutAction;
   json: boolean;
 }
 
-/** Runs one command against the state service; never throws for an unreachable one. */
+/** Runs one command against the state service. Does not throw if the service is unreachable. */
 export async function runRolloutCommand(
   command: RolloutCommand,
   runtime: Runtime,
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -1,4 +1,4 @@
-/** The rollout as one controller process takes part in it: as a participant always, and as the coordinator while it leads. */
+/** Connects a controller process to the rollout: always as a participant, and as the coordinator while it leads. */
 import type { Precondition } from '@millring/state-access';
 import {
   type Build,
@@ -17,41 +17,41 @@
 
 const BUILD_BROADCAST_INTERVAL_MS = 5000;
 
-/** What the rollout needs of the controller process. */
+/** Dependencies of the rollout on the controller process. */
 export interface ControllerRolloutDependencies {
   runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   store: StateStore;
   build: Build;
-  /** Tells this process apart from all others of this controller. */
+  /** Id that distinguishes this process from all other processes of this controller. */
   process: string;
   /** Time of day in milliseconds. */
   wallMs(): number;
-  /** Sends to all other controllers. */
+  /** Sends a message to all other controllers. */
   broadcast(message: PeerMessage): void;
-  /** The process may not serve any more: if it leads, it must resign. */
+  /** Called when the process may no longer serve. If it leads, it must resign. */
   onExcluded(): void;
 }
 
-/** The term of a leader, which drives the cluster level. */
+/** A leader's term, in which the leader raises and lowers the cluster's feature level. */
 export interface CoordinatedTerm {
-  /** This controller is surely the leader at this very moment. */
+  /** Whether this controller is guaranteed to be the leader at this moment. */
   isLeader(): boolean;
-  /** The term has not ended, though the leader may be suspended. */
+  /** Whether the term has not ended; true also while the leader is suspended. */
   isActive(): boolean;
-  /** Holds only while the term lasts. */
+  /** Returns a precondition that holds only during the term. */
   leaderPrecondition(): Precondition;
-  /** How far records of features above `target` have been converted back. */
+  /** Returns how far the records of features above level `target` have been converted back. */
   conversion(target: number): Conversion;
 }
 
-/** One for each controller process, for as long as it lives. */
+/** The rollout of one controller process. Exists for the lifetime of the process. */
 export class ControllerRollout {
   private readonly participant: RolloutParticipant;
-  /** The process of each other controller, as last heard from itself. */
+  /** Process id that each other controller last reported of itself. */
   private readonly processes = new Map<string, string>();
-  /** The build of each other controller, in words, as last logged. */
+  /** Last logged build summary of each other controller. */
   private readonly loggedBuilds = new Map<string, string>();
 
   constructor(private readonly deps: ControllerRolloutDependencies) {
@@ -70,13 +70,13 @@
     });
   }
 
-  /** Resolves once it is known whether this process takes part, and at which level. */
+  /** Joins the rollout. Resolves once it is known whether this process takes part, and at which feature level. */
   async join(): Promise<void> {
     await this.participant.join();
     if (this.deps.operator.rollout.mode !== 'off') this.broadcastBuild();
   }
 
-  /** Whether the level may ever change for this process. */
+  /** Whether this process takes part in the rollout, so that its feature level may change. */
   isParticipating(): boolean {
     return !this.participant.isOutside();
   }
@@ -86,12 +86,12 @@
     return this.participant.mayServe();
   }
 
-  /** Why nothing is served. */
+  /** Returns the reason why this process does not serve. */
   reason(): string {
     return this.participant.reason();
   }
 
-  /** See `RolloutParticipant.writeGuard`. */
+  /** See `RolloutParticipant.writePrecondition`. */
   writePrecondition(feature: string): Precondition | null {
     return this.participant.writePrecondition(feature);
   }
@@ -101,7 +101,7 @@
     return this.participant.mode(feature);
   }
 
-  /** Drives the cluster level until the term ends. */
+  /** Raises and lowers the cluster's feature level until the term ends. */
   coordinate(term: CoordinatedTerm): void {
     if (!this.isParticipating()) return;
     const { settings, store, operator } = this.deps;
@@ -132,12 +132,12 @@
     });
   }
 
-  /** To be called when another controller was heard: builds without the rollout tell their process as well. */
+  /** Must be called when another controller was heard; builds without the rollout also report their process id. */
   recordProcess(controller: string, process: string): void {
     this.processes.set(controller, process);
   }
 
-  /** To be called when another controller has told its build. */
+  /** Must be called when another controller has reported its build. */
   recordBuild(message: Extract<PeerMessage, { t: 'build' }>): void {
     const { from, process, version, reads, writes } = message;
     this.recordProcess(from, process);
@@ -145,6 +145,9 @@
     const build = summarizeBuild({ version, reads: { from: lowest, to: highest }, writes });
     if (this.loggedBuilds.get(from) === build) return;
     this.loggedBuilds.set(from, build);
-    this.deps.runtime.log.info({ controller: from, build }, 'build of another controller');
+    this.deps.runtime.log.info(
+      { controller: from, build },
+      'another controller reported its build',
+    );
   }
 }
--- a/src/rollout/conversions.ts
+++ b/src/rollout/conversions.ts
@@ -1,11 +1,14 @@
-/** How far the records of features above a level have been converted back, while the cluster level is lowered. */
+/** Reports how far records of features above a level have been converted back while the feature level is lowered. */
 import type { Conversion } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 
-/** How far each feature's records have been converted back, by the feature's name. */
+/** Functions that return how far a feature's records have been converted back, by feature name. */
 export type Conversions = Record<string, () => Conversion>;
 
-/** Of all features above the target together: the first refusal, or else how many records are left. */
+/**
+ * Combines the conversions of all features above the target: the first refusal, or else the total of remaining
+ * records.
+ */
 export function combinedConversion(target: number, conversions: Conversions): Conversion {
   let remaining = 0;
   for (const [feature, conversion] of Object.entries(conversions)) {
