--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -1,5 +1,5 @@
 /**
- * The client of the state service: typed results, a timeout for each request, and a budget within the
+ * Client of the state service, with typed results, a timeout for each request, and a request budget within the
  * service's limits.
  */
 import type {
@@ -30,10 +30,10 @@
 } from '../wire/state.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Where the state service is, and the rates that all nodes together may ask of it. */
+/** Address of the state service, and the rate limits for all nodes together. */
 export interface StateStoreLimits {
   address: string;
-  /** Controllers that share the limits. */
+  /** Number of controllers that share the limits. */
   nodes: number;
   /** Requests per second. */
   rps: number;
@@ -42,17 +42,20 @@
 }
 
 const TIMEOUT_MS = 2000;
-/** Beyond the time that a watch may block before it is answered. */
+/** Time that the timeout of a watch request exceeds the time for which the service may block the watch. */
 const WATCH_TIMEOUT_MARGIN_MS = 3000;
 
-/** Load is uneven (the leader writes, users gather on one node): an even share would leave most unused. */
+/**
+ * Minimum share of the limit for one node. Load is uneven (the leader writes, users concentrate on one node), so an
+ * even share would leave most of the limit unused.
+ */
 const MIN_SHARE_OF_LIMIT = 0.5;
-/** Of the limit, divided evenly among the nodes. */
+/** Share of the limit that is divided evenly among the nodes. */
 const EVENLY_DIVIDED_SHARE = 0.95;
-/** Of the limit, that one node may use at once. */
+/** Share of the limit that one node may use in a burst. */
 const BURST_SHARE = 0.9;
 
-/** A client within the limits that the platform has set. */
+/** Creates a client with the limits from the platform settings. */
 export function createStateStore(runtime: Runtime, settings: PlatformSettings): StateStore {
   return new StateStore(runtime, {
     address: settings.stateAddress,
@@ -71,13 +74,13 @@
 }
 
 /**
- * The state service, met by its protocol. The service's limits are shared by all nodes without their talking
- * to each other: each holds to its share, and lease renewals are let through first.
+ * Accesses the state service by its protocol. All nodes share the service's limits without coordination: each keeps to
+ * its share, and lease renewals do not wait for the budget.
  */
 export class StateStore implements StateAccess {
   private readonly reads: TokenBucket;
   private readonly writes: TokenBucket;
-  /** When the last request was sent that was answered, and the last that was not. */
+  /** Send times of the last request that got a response, and of the last one that got none or a 503. */
   private lastSuccessAt: number;
   private lastFailureAt = -Infinity;
 
@@ -106,7 +109,7 @@
     return reply;
   }
 
-  /** For how long requests have not been answered; 0 while the last one was. */
+  /** Returns for how long the service has been unavailable, in milliseconds; 0 if it responded to the last request. */
   unavailableForMs(): number {
     return this.lastFailureAt > this.lastSuccessAt
       ? this.runtime.clock.now() - this.lastSuccessAt
@@ -136,7 +139,7 @@
     }
   }
 
-  /** `urgent` is for leadership: it does not wait for room in the budget. */
+  /** `urgent` is for leadership: such a request is sent even if the budget is used up. */
   async compareAndSwap(
     preconditions: Precondition[],
     mutations: Mutation[],
@@ -155,7 +158,7 @@
     );
     if (reply.status === HTTP_STATUS.badRequest) {
       const fields = { body: reply.body, preconditions, mutations };
-      this.runtime.log.info(fields, 'compare-and-swap refused as invalid');
+      this.runtime.log.info(fields, 'state service rejected a compare-and-swap as invalid');
     }
     return compareAndSwapResult(reply);
   }
--- a/src/state-store/token-bucket.ts
+++ b/src/state-store/token-bucket.ts
@@ -1,8 +1,8 @@
-/** A token bucket on the steady clock, for requests within a rate that others set. */
+/** A token bucket on the monotonic clock, which keeps requests within a given rate. */
 
 /**
- * Holds at most `burst` tokens and gains `ratePerS` of them a second. Starts full. The level may become negative,
- * by `acquireUnconditionally`.
+ * Holds at most `burst` tokens and gains `ratePerS` of them per second. Starts full. `acquireUnconditionally` can make
+ * the number of tokens negative.
  */
 export class TokenBucket {
   private level: number;
@@ -11,7 +11,7 @@
   constructor(
     private readonly ratePerS: number,
     private readonly burst: number,
-    /** Steady milliseconds. */
+    /** Returns the time of the monotonic clock, in milliseconds. */
     private readonly now: () => number,
   ) {
     this.level = burst;
@@ -33,7 +33,7 @@
     return true;
   }
 
-  /** For what must go out whatever the level; later callers wait until it is made up for. */
+  /** Takes `count` tokens even if they are not available, for urgent requests; later callers wait for the refill. */
   acquireUnconditionally(count = 1): void {
     this.refill();
     this.level -= count;
