--- a/src/autoscaler/zone-partitions.ts
+++ b/src/autoscaler/zone-partitions.ts
@@ -4,7 +4,10 @@
 
 /** A zone with fewer machines than this never counts as partitioned. */
 const MIN_MACHINES_PER_ZONE = 4;
-/** Share of a zone's machines that must be suspected, and share of the machines elsewhere that must be heard. */
+/**
+ * A zone counts as partitioned if more than this share of its machines is suspected, and more than this share of the
+ * machines in zones without such a majority is heard.
+ */
 const ZONE_MAJORITY_SHARE = 0.7;
 const QUARANTINE_MS = 45_000;
 
@@ -39,7 +42,8 @@
   /** Redetermines which zones of these machines are partitioned. */
   update(machines: readonly Machine[], now: number): void {
     const partitioned = this.findPartitioned(machines, now);
-    // The machines of a zone whose partition has healed are not all heard at once, so the rest get time for a heartbeat.
+    // The machines of a zone whose partition has healed are not all heard at once: the others get the time for a
+    // heartbeat.
     for (const machine of machines)
       if (
         this.partitioned.has(machine.zone) &&
