--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -146,11 +146,11 @@
     // Most likely preempted by the cloud. Its deletion proves that, and can't affect a machine that still runs.
     if (machine.unlisted && this.liveness.isHeartbeatOverdue(machine, now)) return true;
     const isPreempted = machine.preemptionDeadline !== null && now > machine.preemptionDeadline;
-    const holdsUpTakeover = this.holdsUpTakeover(machine, round);
-    if (!holdsUpTakeover && !this.isSurelyUnreachable(machine, round)) return false;
+    const delaysFailover = this.delaysFailover(machine, round);
+    if (!delaysFailover && !this.isConfirmedUnreachable(machine, round)) return false;
     if (isPreempted) return true;
     if (this.zones.isPartitioned(machine.zone))
-      return this.isDeadInPartitionedZone(machine, holdsUpTakeover, now);
+      return this.isDeadInPartitionedZone(machine, delaysFailover, now);
     if (round.isSelfPartitioned || round.partitionedZones.has(machine.zone)) return false;
     return this.budget.tryAcquire(now);
   }
@@ -162,7 +162,7 @@
    * required, since responses may be waiting unread. The other zones don't wait for a partitioned zone whose leases
    * nobody can extend, either.
    */
-  private holdsUpTakeover(machine: Machine, round: Round): boolean {
+  private delaysFailover(machine: Machine, round: Round): boolean {
     const minFailures = round.isLagging ? MIN_FAILED_PROBES_WHILE_LAGGING : MIN_FAILED_PROBES;
     if (!machine.awaitingReconciliation || machine.isReconciled()) return false;
     if (machine.commandFailures < minFailures || !round.isNearlyReconciled) return false;
@@ -172,7 +172,7 @@
     return round.now - this.startedAt > graceMs;
   }
 
-  private isSurelyUnreachable(machine: Machine, { now, isLagging }: Round): boolean {
+  private isConfirmedUnreachable(machine: Machine, { now, isLagging }: Round): boolean {
     if (!this.liveness.isUnreachable(machine, now)) return false;
     if (!isLagging && !machine.leaseExpired) return true;
     const patienceMs = this.liveness.patienceMs * (isLagging ? 2 : 1);
@@ -186,11 +186,7 @@
    * that replicas can run elsewhere at once; and in a failover that waits for nothing else, unless a controller may
    * extend the leases.
    */
-  private isDeadInPartitionedZone(
-    machine: Machine,
-    holdsUpTakeover: boolean,
-    now: number,
-  ): boolean {
+  private isDeadInPartitionedZone(machine: Machine, delaysFailover: boolean, now: number): boolean {
     const silentForMs = now - machine.lastHeardAt;
     if (silentForMs > MAX_PARTITION_MS) return true;
     // Its tasks already run elsewhere, so the machine is not worth its price.
@@ -198,7 +194,7 @@
     const waitMs = this.deps.leaseS * 1000 * PARTITIONED_LEASE_SHARE;
     const extendableUntil = this.deps.leasesExtendableUntil(machine.zone);
     if (extendableUntil === null)
-      return holdsUpTakeover || (machine.serviceTasks > 0 && silentForMs > waitMs);
+      return delaysFailover || (machine.serviceTasks > 0 && silentForMs > waitMs);
     return (
       (machine.serviceTasks > 0 || machine.awaitingReconciliation) &&
       this.deps.zones.size - this.zones.count() >= MIN_REACHABLE_ZONES &&
