--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -175,8 +175,8 @@
   private isConfirmedUnreachable(machine: Machine, { now, isLagging }: Round): boolean {
     if (!this.liveness.isUnreachable(machine, now)) return false;
     if (!isLagging && !machine.leaseExpired) return true;
-    const patienceMs = this.liveness.patienceMs * (isLagging ? 2 : 1);
-    return now - machine.lastHeardAt > patienceMs;
+    const timeoutMs = this.liveness.unreachableAfterMs * (isLagging ? 2 : 1);
+    return now - machine.lastHeardAt > timeoutMs;
   }
 
   /**
--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -12,22 +12,22 @@
 /** Heartbeats are late by at most a quarter of the interval; after this many intervals a heartbeat is overdue. */
 const OVERDUE_AFTER_INTERVALS = 1.27;
 const OVERDUE_SLACK_MS = 200;
-/** After this many intervals without a heartbeat, failed commands make a machine unreachable before `patienceMs`. */
-const UNANSWERED_AFTER_INTERVALS = 1.6;
+/** After this many intervals without a heartbeat, failed commands make a machine unreachable before `unreachableAfterMs`. */
+const UNRESPONSIVE_AFTER_INTERVALS = 1.6;
 const UNREACHABLE_AFTER_FAILED_COMMANDS = 2;
-const PATIENCE_SLACK_MS = 500;
+const UNREACHABLE_SLACK_MS = 500;
 
 /** Stateless: all data it needs is stored in `Machine`. */
 export class MachineLiveness {
   private readonly overdueAfterMs: number;
-  private readonly unansweredAfterMs: number;
+  private readonly unresponsiveAfterMs: number;
   /** Time in milliseconds for which a machine that neither responds nor sends heartbeats still counts as reachable. */
-  readonly patienceMs: number;
+  readonly unreachableAfterMs: number;
 
   constructor({ heartbeatIntervalS, missedHeartbeats }: LivenessSettings) {
     this.overdueAfterMs = OVERDUE_AFTER_INTERVALS * heartbeatIntervalS * 1000 + OVERDUE_SLACK_MS;
-    this.unansweredAfterMs = UNANSWERED_AFTER_INTERVALS * heartbeatIntervalS * 1000;
-    this.patienceMs = missedHeartbeats * heartbeatIntervalS * 1000 + PATIENCE_SLACK_MS;
+    this.unresponsiveAfterMs = UNRESPONSIVE_AFTER_INTERVALS * heartbeatIntervalS * 1000;
+    this.unreachableAfterMs = missedHeartbeats * heartbeatIntervalS * 1000 + UNREACHABLE_SLACK_MS;
   }
 
   /** Whether the heartbeat is overdue. A probe then detects a failure sooner than waiting for further heartbeats. */
@@ -43,14 +43,14 @@
     if (machine.leaseExpired) return true;
     if (!machine.reported && !machine.stored) return false;
     const silentForMs = now - machine.lastHeardAt;
-    const unanswered =
+    const isUnresponsive =
       machine.commandFailures >= UNREACHABLE_AFTER_FAILED_COMMANDS &&
       this.isHeartbeatOverdue(machine, now) &&
-      silentForMs > this.unansweredAfterMs;
+      silentForMs > this.unresponsiveAfterMs;
     return (
-      unanswered ||
-      silentForMs > this.patienceMs ||
-      machine.isNotAcknowledging(this.patienceMs, now)
+      isUnresponsive ||
+      silentForMs > this.unreachableAfterMs ||
+      machine.isNotAcknowledging(this.unreachableAfterMs, now)
     );
   }
 
