--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -20,11 +20,11 @@
 const MIN_FAILED_PROBES = 2;
 const MIN_FAILED_PROBES_WHILE_LAGGING = 3;
 /**
- * With at least this many machines, some are heard at any time. If none is heard for `TOTAL_SILENCE_MS`, this
+ * With at least this many machines, some are heard at any time. If none is heard for `ISOLATION_TIMEOUT_MS`, this
  * controller itself is isolated.
  */
-const MIN_MACHINES_FOR_TOTAL_SILENCE = 30;
-const TOTAL_SILENCE_MS = 1500;
+const MIN_MACHINES_FOR_ISOLATION_TIMEOUT = 30;
+const ISOLATION_TIMEOUT_MS = 1500;
 /**
  * If the unreachable ordinary machines in reachable zones exceed both this share and this count, this controller itself
  * is isolated.
@@ -131,7 +131,10 @@
       (latest, machine) => Math.max(latest, machine.lastHeardAt),
       -Infinity,
     );
-    if (machines.length >= MIN_MACHINES_FOR_TOTAL_SILENCE && now - lastHeardAt > TOTAL_SILENCE_MS)
+    if (
+      machines.length >= MIN_MACHINES_FOR_ISOLATION_TIMEOUT &&
+      now - lastHeardAt > ISOLATION_TIMEOUT_MS
+    )
       return true;
     const ordinary = reachable.filter((machine) => !machine.spot);
     const unreachable = ordinary.filter((machine) => this.liveness.isUnreachable(machine, now));
@@ -187,14 +190,14 @@
    * extend the leases.
    */
   private isDeadInPartitionedZone(machine: Machine, delaysFailover: boolean, now: number): boolean {
-    const silentForMs = now - machine.lastHeardAt;
-    if (silentForMs > MAX_PARTITION_MS) return true;
+    const timeSinceHeardMs = now - machine.lastHeardAt;
+    if (timeSinceHeardMs > MAX_PARTITION_MS) return true;
     // Its tasks already run elsewhere, so the machine is not worth its price.
     if (this.deps.saveMoney && machine.leaseExpired) return true;
     const waitMs = this.deps.leaseS * 1000 * PARTITIONED_LEASE_SHARE;
     const extendableUntil = this.deps.leasesExtendableUntil(machine.zone);
     if (extendableUntil === null)
-      return delaysFailover || (machine.serviceTasks > 0 && silentForMs > waitMs);
+      return delaysFailover || (machine.serviceTasks > 0 && timeSinceHeardMs > waitMs);
     return (
       (machine.serviceTasks > 0 || machine.awaitingReconciliation) &&
       this.deps.zones.size - this.zones.count() >= MIN_REACHABLE_ZONES &&
--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -42,14 +42,14 @@
   isUnreachable(machine: Machine, now: number): boolean {
     if (machine.leaseExpired) return true;
     if (!machine.reported && !machine.stored) return false;
-    const silentForMs = now - machine.lastHeardAt;
+    const timeSinceHeardMs = now - machine.lastHeardAt;
     const isUnresponsive =
       machine.commandFailures >= UNREACHABLE_AFTER_FAILED_COMMANDS &&
       this.isHeartbeatOverdue(machine, now) &&
-      silentForMs > this.unresponsiveAfterMs;
+      timeSinceHeardMs > this.unresponsiveAfterMs;
     return (
       isUnresponsive ||
-      silentForMs > this.unreachableAfterMs ||
+      timeSinceHeardMs > this.unreachableAfterMs ||
       machine.isNotAcknowledging(this.unreachableAfterMs, now)
     );
   }
