--- a/src/autoscaler/scaling-plan.ts
+++ b/src/autoscaler/scaling-plan.ts
@@ -54,7 +54,7 @@
 const FREE_CAPACITY_FACTOR = 2;
 const FREE_CAPACITY_EXTRA_CPUS = 100;
 /** Share of the spot-eligible demand that may wait for spot machines with `saveMoney`. */
-const SPOT_PATIENCE_SHARE = 0.2;
+const SPOT_WAIT_SHARE = 0.2;
 
 /**
  * Returns the target capacity. Without `saveMoney` it is ample, so that machines are already up when a burst arrives.
@@ -113,14 +113,14 @@
     zoneCpus.set(zone, cpusIn(zone) + machineCount * type.cpus);
   const pricePerCpu = ({ spot, type }: Pool): number =>
     saveMoney ? (spot ? type.spotPrice : type.price) / type.cpus : 0;
-  const isUnfavoured = (pool: Pool): boolean =>
+  const isLessPreferred = (pool: Pool): boolean =>
     pool.spot || !pool.hasControllers || cpusIn(pool.zone) >= targetCpus / 2;
   const machinesOf = (pool: Pool): number => pool.machineCount + (counts.get(pool) ?? 0);
   for (let missing = missingCpus; missing > 0 && available.length > 0;) {
     available.sort(
       (a, b) =>
         pricePerCpu(a) - pricePerCpu(b) ||
-        Number(isUnfavoured(a)) - Number(isUnfavoured(b)) ||
+        Number(isLessPreferred(a)) - Number(isLessPreferred(b)) ||
         machinesOf(a) - machinesOf(b) ||
         b.type.cpus - a.type.cpus,
     );
@@ -146,7 +146,7 @@
   const plan = distribute(ordinary, missingOrdinaryCpus, ordinaryCpus, now, saveMoney);
   const missingCpus = totalCpus - existingOrdinaryCpus - capacityCpus(spot) - plannedCpus(plan);
   const spotPlan = distribute(spot, missingCpus, totalCpus, now, saveMoney);
-  const patienceCpus = saveMoney ? SPOT_PATIENCE_SHARE * demand.spotEligibleCpus : 0;
+  const spotWaitCpus = saveMoney ? SPOT_WAIT_SHARE * demand.spotEligibleCpus : 0;
   let unmetCpus = missingCpus;
   for (const [pool, count] of spotPlan) {
     plan.set(pool, count);
@@ -154,9 +154,9 @@
   }
   // CPUs that spot machines can't provide are requested as ordinary machines; with `saveMoney` only once many CPUs
   // are missing.
-  if (unmetCpus <= patienceCpus || spot.some((pool) => pool.unavailableUntil <= now)) return plan;
-  const insteadCpus = unmetCpus - patienceCpus;
-  for (const [pool, count] of distribute(ordinary, insteadCpus, totalCpus, now, saveMoney))
+  if (unmetCpus <= spotWaitCpus || spot.some((pool) => pool.unavailableUntil <= now)) return plan;
+  const fallbackCpus = unmetCpus - spotWaitCpus;
+  for (const [pool, count] of distribute(ordinary, fallbackCpus, totalCpus, now, saveMoney))
     plan.set(pool, Math.max(plan.get(pool) ?? 0, count));
   return plan;
 }
