--- a/src/autoscaler/cloud-inventory.ts
+++ b/src/autoscaler/cloud-inventory.ts
@@ -39,8 +39,8 @@
   }
 
   private intervalMs(): number {
-    const usefulMs = Math.max(MIN_LIST_INTERVAL_MS, this.deps.listLagS * 500);
-    return Math.max(usefulMs, this.deps.cloud.minListIntervalMs());
+    const lagIntervalMs = Math.max(MIN_LIST_INTERVAL_MS, this.deps.listLagS * 500);
+    return Math.max(lagIntervalMs, this.deps.cloud.minListIntervalMs());
   }
 
   private async read(requestedAt: number): Promise<void> {
--- a/src/autoscaler/demand-smoothing.ts
+++ b/src/autoscaler/demand-smoothing.ts
@@ -7,14 +7,14 @@
 /** If the capacity is below this share of the demand, the mean follows a rise at once. */
 const LOW_CAPACITY_SHARE = 0.4;
 
-interface Mean {
+interface MeanDemand {
   ordinaryCpus: number;
   spotEligibleCpus: number;
 }
 
 /** An exponential moving average, with a slower fall than rise; to be called once in each planning interval. */
 export class DemandSmoothing {
-  private mean: Mean | null = null;
+  private mean: MeanDemand | null = null;
 
   /**
    * Returns the demand to plan for, given `capacityCpus` that are up or booting. The waiting work that a new leader
@@ -30,22 +30,22 @@
     const isCapacityLow = capacityCpus < LOW_CAPACITY_SHARE * demandCpus;
     const mean = this.mean ?? initialMean(demand, capacityCpus, isCapacityLow);
     const riseShare = isCapacityLow ? 1 : RISE_SHARE_PER_STEP;
-    const ordinaryCpus = follow(mean.ordinaryCpus, demand.ordinaryCpus, riseShare);
+    const ordinaryCpus = moveTowards(mean.ordinaryCpus, demand.ordinaryCpus, riseShare);
     this.mean = {
       ordinaryCpus: Math.max(demand.ordinaryCpus, ordinaryCpus),
-      spotEligibleCpus: follow(mean.spotEligibleCpus, demand.spotEligibleCpus, riseShare),
+      spotEligibleCpus: moveTowards(mean.spotEligibleCpus, demand.spotEligibleCpus, riseShare),
     };
     return { ...demand, ...this.mean };
   }
 }
 
-function initialMean(demand: Demand, capacityCpus: number, isCapacityLow: boolean): Mean {
+function initialMean(demand: Demand, capacityCpus: number, isCapacityLow: boolean): MeanDemand {
   const { ordinaryCpus, spotEligibleCpus } = demand;
   if (isCapacityLow) return { ordinaryCpus, spotEligibleCpus };
   const spareCpus = Math.min(spotEligibleCpus, capacityCpus - ordinaryCpus);
   return { ordinaryCpus, spotEligibleCpus: Math.max(0, spareCpus) };
 }
 
-function follow(mean: number, value: number, riseShare: number): number {
+function moveTowards(mean: number, value: number, riseShare: number): number {
   return mean + (value - mean) * (value > mean ? riseShare : FALL_SHARE_PER_STEP);
 }
