--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -102,11 +102,11 @@
   ): Promise<Reply> {
     const { clock, http } = this.runtime;
     const sentAt = clock.now();
-    const reply = await http.send(this.limits.address, method, path, body, timeoutMs);
-    if (isNoReply(reply) || reply.status === HTTP_STATUS.serviceUnavailable)
+    const response = await http.send(this.limits.address, method, path, body, timeoutMs);
+    if (isNoReply(response) || response.status === HTTP_STATUS.serviceUnavailable)
       this.lastFailureAt = sentAt;
     else this.lastSuccessAt = sentAt;
-    return reply;
+    return response;
   }
 
   /** Returns for how long the service has been unavailable, in milliseconds; 0 if it responded to the last request. */
@@ -151,16 +151,16 @@
     } else if (!this.writes.tryAcquire(mutations.length) || !this.reads.tryAcquire()) {
       return { kind: 'rejected' };
     }
-    const reply = await this.send(
+    const response = await this.send(
       'POST',
       statePaths.compareAndSwap,
       compareAndSwapBody(preconditions, mutations),
     );
-    if (reply.status === HTTP_STATUS.badRequest) {
-      const fields = { body: reply.body, preconditions, mutations };
+    if (response.status === HTTP_STATUS.badRequest) {
+      const fields = { body: response.body, preconditions, mutations };
       this.runtime.log.info(fields, 'state service rejected a compare-and-swap as invalid');
     }
-    return compareAndSwapResult(reply);
+    return compareAndSwapResult(response);
   }
 
   async grantLease(ttlMs: number): Promise<number | null> {
@@ -202,15 +202,15 @@
   }
 }
 
-function compareAndSwapResult(reply: Reply): CompareAndSwapResult {
-  switch (reply.status) {
+function compareAndSwapResult(response: Reply): CompareAndSwapResult {
+  switch (response.status) {
     case HTTP_STATUS.ok:
-      return { kind: 'committed', revision: readRevision(reply.body) };
+      return { kind: 'committed', revision: readRevision(response.body) };
     case HTTP_STATUS.conflict:
-      return { kind: 'conflict', failed: readFailedKeys(reply.body) };
+      return { kind: 'conflict', failed: readFailedKeys(response.body) };
     case HTTP_STATUS.badRequest:
       return { kind: 'invalid' };
     default:
-      return isNoReply(reply) ? { kind: 'indeterminate' } : { kind: 'rejected' };
+      return isNoReply(response) ? { kind: 'indeterminate' } : { kind: 'rejected' };
   }
 }
