--- a/src/autoscaler/zone-partitions.ts
+++ b/src/autoscaler/zone-partitions.ts
@@ -6,7 +6,7 @@
 const MIN_MACHINES_PER_ZONE = 4;
 /**
  * A zone counts as partitioned if more than this share of its machines is suspected, and more than this share of the
- * machines in zones without such a majority is heard.
+ * machines in the zones without such a majority is heard.
  */
 const ZONE_MAJORITY_SHARE = 0.7;
 const QUARANTINE_MS = 45_000;
--- a/src/duties/intent-actions.ts
+++ b/src/duties/intent-actions.ts
@@ -1,4 +1,4 @@
-/** Stores the leader's decisions about machines as intents, which the holders of the duties carry out. */
+/** Machine actions that store the leader's decisions as intents, which the holders of the duties carry out. */
 import { type IntentLog, MAX_MACHINES_PER_DELETION, type IntentResult } from '@millring/duties';
 import type { MachineRequestResult } from '../autoscaler/cloud.js';
 import type {
--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -42,7 +42,7 @@
 }
 
 const TIMEOUT_MS = 2000;
-/** Time that the timeout of a watch request exceeds the time for which the service may block the watch. */
+/** Time by which the timeout of a watch request exceeds the time for which the service may block the watch. */
 const WATCH_TIMEOUT_MARGIN_MS = 3000;
 
 /**
@@ -75,12 +75,12 @@
 
 /**
  * Accesses the state service by its protocol. All nodes share the service's limits without coordination: each keeps to
- * its share, and lease renewals do not wait for the budget.
+ * its share, and lease renewals have precedence, since they do not wait for the budget.
  */
 export class StateStore implements StateAccess {
   private readonly reads: TokenBucket;
   private readonly writes: TokenBucket;
-  /** Send times of the last request that got a response, and of the last one that got none or a 503. */
+  /** Send times of the last request that got a response other than 503, and of the last one that got none or a 503. */
   private lastSuccessAt: number;
   private lastFailureAt = -Infinity;
 
