--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -12,7 +12,10 @@
 /** Heartbeats are late by at most a quarter of the interval; after this many intervals a heartbeat is overdue. */
 const OVERDUE_AFTER_INTERVALS = 1.27;
 const OVERDUE_SLACK_MS = 200;
-/** After this many intervals without a heartbeat, failed commands make a machine unreachable before `unreachableAfterMs`. */
+/**
+ * After this many intervals without a heartbeat, failed commands make a machine unreachable before `unreachableAfterMs`
+ * has passed.
+ */
 const UNRESPONSIVE_AFTER_INTERVALS = 1.6;
 const UNREACHABLE_AFTER_FAILED_COMMANDS = 2;
 const UNREACHABLE_SLACK_MS = 500;
