--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Whether the machine sends or receives no messages. Such a machine can't be given work, and only its deletion proves
-   * that nothing runs on it.
+   * Whether the machine sends nothing, or messages to it don't arrive. Such a machine can't be given work, and only its
+   * deletion proves that nothing runs on it.
    */
   isUnreachable(machine: Machine, now: number): boolean {
     if (machine.leaseExpired) return true;
