--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -222,7 +222,7 @@
       attemptBase: this.lifecycle.baseToken,
       recoveryComplete: () => this.recovery.isComplete(),
       wallMs: () => this.deps.wallMs(),
-      isSilent: (machine) => this.autoscaler.isUnreachable(machine, runtime.clock.now()),
+      isUnreachable: (machine) => this.autoscaler.isUnreachable(machine, runtime.clock.now()),
     });
   }
 
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -41,7 +41,7 @@
   attemptBase: number;
   /** May jobs of former leaders be acted on yet? */
   recoveryComplete(): boolean;
-  isSilent(machine: Machine): boolean;
+  isUnreachable(machine: Machine): boolean;
   /** Time of day in milliseconds: what users' deadlines are measured in. */
   wallMs(): number;
 }
@@ -73,7 +73,7 @@
     this.demand = new DemandHistory(now);
     const stats = new SchedulingStats();
     const decisions = new DecisionLog(log);
-    const machines = new UsableMachines(table, (machine) => deps.isSilent(machine));
+    const machines = new UsableMachines(table, (machine) => deps.isUnreachable(machine));
     const { usage, guaranteed, reservations, demand, runTimes } = this;
     const context: SelectionContext = {
       saveMoney: moneyCounts(settings, operator),
--- a/src/placement/usable-machines.ts
+++ b/src/placement/usable-machines.ts
@@ -14,7 +14,7 @@
 export class UsableMachines {
   constructor(
     private readonly table: MachineTable,
-    private readonly isSilent: (machine: Machine) => boolean,
+    private readonly isUnreachable: (machine: Machine) => boolean,
   ) {}
 
   /** May the machine be given work? */
@@ -29,7 +29,7 @@
     if (machine.drainReason) return machine.drainReason;
     if (machine.deleting) return 'being-deleted';
     if (machine.commandFailures > 0) return 'commands-unacknowledged';
-    return this.isSilent(machine) ? 'silent' : null;
+    return this.isUnreachable(machine) ? 'silent' : null;
   }
 
   /** How many machines may not be given work, by reason: for the log. */
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -141,7 +141,7 @@
     table,
     attemptBase: 0,
     recoveryComplete: () => true,
-    isSilent: () => false,
+    isUnreachable: () => false,
     wallMs: () => 0,
   });
   return { table, placement };
