--- a/src/placement/failure-tracking.ts
+++ b/src/placement/failure-tracking.ts
@@ -23,7 +23,7 @@
   job.failures++;
   job.failedOn.add(machine.index);
   machine.failedJobs.add(job.index);
-  if (job.failedOn.size >= MACHINES_BEFORE_JOB_IS_AT_FAULT) acquitMachines(job, table);
+  if (job.failedOn.size >= MACHINES_BEFORE_JOB_IS_AT_FAULT) clearMachineFailures(job, table);
   const backoffMs = INITIAL_BACKOFF_MS * 2 ** Math.min(job.failures, MAX_BACKOFF_DOUBLINGS);
   job.notBefore = now + Math.min(MAX_BACKOFF_MS, backoffMs);
   if (machine.failedJobs.size < JOBS_BEFORE_MACHINE_IS_FAULTY || machine.drainReason) return false;
@@ -31,7 +31,7 @@
   return true;
 }
 
-function acquitMachines(job: Job, table: MachineTable): void {
+function clearMachineFailures(job: Job, table: MachineTable): void {
   for (const machine of table.all()) machine.failedJobs.delete(job.index);
   job.failedOn.clear();
 }
