--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -37,7 +37,7 @@
       incarnation: number;
     });
 
-function onAttempt(attempt: TaskAttempt, at: number): DecisionOnAttempt {
+function attemptFields(attempt: TaskAttempt, at: number): DecisionOnAttempt {
   return {
     at: Math.round(at),
     team: attempt.job?.spec.team ?? '',
@@ -57,7 +57,7 @@
   /** The quota status is the team's before the start. */
   started(attempt: TaskAttempt, status: QuotaStatus | undefined, at: number): void {
     this.record({
-      ...onAttempt(attempt, at),
+      ...attemptFields(attempt, at),
       kind: 'start',
       usedCpus: status?.used.cpus ?? 0,
       unconfirmedCpus: status?.unconfirmed.cpus ?? 0,
@@ -67,18 +67,18 @@
 
   /** A heartbeat showed an attempt that this leader did not start. */
   discovered(attempt: TaskAttempt, at: number): void {
-    this.record({ ...onAttempt(attempt, at), kind: 'discovered', state: attempt.state });
+    this.record({ ...attemptFields(attempt, at), kind: 'discovered', state: attempt.state });
   }
 
   stopped(attempt: TaskAttempt, reason: StopReason, at: number): void {
-    this.record({ ...onAttempt(attempt, at), kind: 'stop', reason });
+    this.record({ ...attemptFields(attempt, at), kind: 'stop', reason });
   }
 
   /** The attempt is on no machine any more; its state and the machine's incarnation prove it. */
   ended(attempt: TaskAttempt, at: number): void {
     const { state, cause, machine } = attempt;
     this.record({
-      ...onAttempt(attempt, at),
+      ...attemptFields(attempt, at),
       kind: 'end',
       state,
       cause,
