--- a/src/placement/straggler-detection.ts
+++ b/src/placement/straggler-detection.ts
@@ -20,15 +20,15 @@
 }
 
 /** Does the task run, and is it in the first half of its usual run time? */
-function isYoung(attempt: TaskAttempt, usualMs: number, now: number): boolean {
+function isInFirstHalf(attempt: TaskAttempt, usualMs: number, now: number): boolean {
   const { state, runningSince } = attempt;
   return state === 'running' && runningSince !== 0 && now - runningSince < usualMs / 2;
 }
 
 /** A gang moves whole or not at all. */
-function isWholeGangYoung(gang: Job, usualMs: number, now: number): boolean {
+function isWholeGangInFirstHalf(gang: Job, usualMs: number, now: number): boolean {
   for (const attempts of gang.attempts.values())
-    for (const attempt of attempts) if (!isYoung(attempt, usualMs, now)) return false;
+    for (const attempt of attempts) if (!isInFirstHalf(attempt, usualMs, now)) return false;
   return true;
 }
 
@@ -42,8 +42,8 @@
     return false;
   if (attempt.state !== 'running' || attempt.runningSince === 0) return false;
   const usual = usualMs(job);
-  if (usual === null || !isYoung(attempt, usual, now)) return false;
-  return job.spec.kind !== 'gang' || isWholeGangYoung(job, usual, now);
+  if (usual === null || !isInFirstHalf(attempt, usual, now)) return false;
+  return job.spec.kind !== 'gang' || isWholeGangInFirstHalf(job, usual, now);
 }
 
 /** The youngest task of a straggler that is worth moving: in its first half, and not moved before. */
