--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -5,7 +5,7 @@
 import type { StopReason } from '../workers/stop-reason.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import { placementGroups, totalTaskSlots } from './gang-capacity.js';
-import { attemptsOf, gangAttempt, gangState, missingTasks, waitLeftMs } from './gang-state.js';
+import { attemptsOf, gangAttempt, gangState, missingTasks, remainingWaitMs } from './gang-state.js';
 import {
   MachineCandidates,
   type SelectionContext,
@@ -121,7 +121,7 @@
     const now = this.deps.now();
     const added: TaskAttempt[] = [];
     const victims: TaskAttempt[] = [];
-    const fetchLimitMs = waitLeftMs(gang, gangWaitS * 1000, now) - REPLACEMENT_MARGIN_MS;
+    const fetchLimitMs = remainingWaitMs(gang, gangWaitS * 1000, now) - REPLACEMENT_MARGIN_MS;
     for (const task of tasks) {
       const choice = candidates.selectBest();
       if (!choice || imageFetchSeconds(gang.spec, choice.machine) * 1000 > fetchLimitMs) {
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -41,7 +41,7 @@
 }
 
 /** Milliseconds until the first waiting task gives up; Infinity while none waits. */
-export function waitLeftMs(job: Job, gangWaitMs: number, now: number): number {
+export function remainingWaitMs(job: Job, gangWaitMs: number, now: number): number {
   const waiting = attemptsOf(job).filter((attempt) => attempt.state === 'waiting');
   return Math.min(Infinity, ...waiting.map((a) => a.waitingSince + gangWaitMs - now));
 }
