--- a/src/placement/team-usage.ts
+++ b/src/placement/team-usage.ts
@@ -50,7 +50,7 @@
 }
 
 /** Do the two sums differ by more than rounding? */
-export function differs(left: Resources, right: Resources): boolean {
+export function resourcesDiffer(left: Resources, right: Resources): boolean {
   return exceeds(left, right) || exceeds(right, left);
 }
 
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -7,7 +7,7 @@
 import type { AttemptState } from '../workers/task-attempt.js';
 import type { DecisionLog } from './decision-log.js';
 import { NO_RESOURCES, type Resources } from './resources.js';
-import { type TeamUsage, differs } from './team-usage.js';
+import { type TeamUsage, resourcesDiffer } from './team-usage.js';
 
 /** A recount passes all attempts: some thousands of them take about a millisecond. */
 const AUDIT_INTERVAL_MS = 5000;
@@ -97,7 +97,7 @@
 
   private audit(team: string, counted: Resources, { charged, onMachines }: Recount): void {
     const { usage, log } = this.deps;
-    if (differs(counted, charged)) {
+    if (resourcesDiffer(counted, charged)) {
       usage.correctUsed(team, charged);
       this.suspend(team, { kind: 'wrong-sum', counted, recounted: charged });
     } else if (usage.isOverLimit(team, onMachines)) {
