--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -38,7 +38,7 @@
   return { charged: { cpus: 0, gpus: 0 }, onMachines: { cpus: 0, gpus: 0 } };
 }
 
-const NOTHING_RECOUNTED: Recount = emptyRecount();
+const EMPTY_RECOUNT: Recount = emptyRecount();
 
 /** Adds in place: a recount passes tens of thousands of attempts in a large fleet. */
 function addTo(sum: MutableResources, amount: Resources): void {
@@ -92,7 +92,7 @@
     this.auditedAt = now;
     const recounts = recountByTeam(this.deps.table);
     for (const { team, used } of this.deps.usage.quotaStatuses())
-      this.audit(team, used, recounts.get(team) ?? NOTHING_RECOUNTED);
+      this.audit(team, used, recounts.get(team) ?? EMPTY_RECOUNT);
   }
 
   private audit(team: string, counted: Resources, { charged, onMachines }: Recount): void {
