--- a/src/placement/run-time-prediction.ts
+++ b/src/placement/run-time-prediction.ts
@@ -8,12 +8,12 @@
 /** Predicts run times. All results are in milliseconds. */
 export class RunTimePrediction {
   readonly samples = new RunTimeSamples();
-  private readonly classes = new RunTimeEstimator();
+  private readonly estimator = new RunTimeEstimator();
 
   /** Counts a task that finished; services don't. */
   recordRun(job: Job, machine: Machine, runTimeMs: number): void {
     const { cls: jobClass, estimateS, kind } = job.spec;
-    this.classes.record(jobClass, runTimeMs, estimateS * 1000);
+    this.estimator.record(jobClass, runTimeMs, estimateS * 1000);
     // A gang runs at the speed of its slowest machine, which tells nothing of the others.
     if (kind === 'array') this.samples.record(job.index, machine.index, runTimeMs);
   }
@@ -21,19 +21,21 @@
   /** What a task of the job is expected to take; 0 if nothing is known. */
   expectedMs(job: Job): number {
     const { cls: jobClass, estimateS } = job.spec;
-    return this.samples.medianMs(job.index) ?? this.classes.expectedMs(jobClass, estimateS * 1000);
+    return (
+      this.samples.medianMs(job.index) ?? this.estimator.expectedMs(jobClass, estimateS * 1000)
+    );
   }
 
   /** The median of the job's other tasks; a gang's run as one, so there it is that of the class. Null if unknown. */
   usualMs(job: Job): number | null {
     return job.spec.kind === 'gang'
-      ? this.classes.medianMs(job.spec.cls)
+      ? this.estimator.medianMs(job.spec.cls)
       : this.samples.medianMs(job.index);
   }
 
   /** What is left of the usual run time of a running task; null if nothing is known. */
   remainingMs(attempt: TaskAttempt, job: Job, now: number): number | null {
-    const usual = this.usualMs(job) ?? this.classes.medianMs(job.spec.cls);
+    const usual = this.usualMs(job) ?? this.estimator.medianMs(job.spec.cls);
     if (usual === null || attempt.state !== 'running' || attempt.runningSince === 0) return null;
     return Math.max(0, usual - (now - attempt.runningSince));
   }
--- a/src/placement/run-time-samples.ts
+++ b/src/placement/run-time-samples.ts
@@ -42,7 +42,7 @@
 export class RunTimeSamples {
   private readonly byJob = new Map<number, RunTimeSample[]>();
   /** Indexes of ended jobs that may still have samples, in the order of their ends. */
-  private readonly endedJobs: number[] = [];
+  private readonly terminalJobs: number[] = [];
 
   record(job: number, machine: number, runTimeMs: number): void {
     let samples = this.byJob.get(job);
@@ -88,9 +88,9 @@
    * many; those of the jobs that ended first then go.
    */
   jobEnded(job: number, isLive: (job: number) => boolean): void {
-    this.endedJobs.push(job);
+    this.terminalJobs.push(job);
     while (this.byJob.size > MAX_JOBS) {
-      const oldest = this.endedJobs.shift();
+      const oldest = this.terminalJobs.shift();
       if (oldest === undefined) return;
       if (!isLive(oldest)) this.byJob.delete(oldest);
     }
