--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -1,4 +1,7 @@
-/** Decides which task goes where, when, and instead of what. Sends nothing: it places and stops attempts in the table. */
+/**
+ * Decides which tasks start on which machines, when, and which running tasks they preempt. Sends no messages: it adds
+ * and stops attempts in the machine table.
+ */
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Runtime } from '../runtime.js';
@@ -30,23 +33,23 @@
 import { UsableMachines } from './usable-machines.js';
 import { UsageAudit } from './usage-audit.js';
 
-/** What the leader hands to placement. */
+/** Dependencies of `Placement`, supplied by the leader. */
 export interface PlacementDependencies {
   runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
   jobs: JobTable;
   table: MachineTable;
-  /** The first attempt number: those of different leadership terms never overlap. */
+  /** The first attempt number. Attempt numbers of different leadership terms never overlap. */
   attemptBase: number;
-  /** May jobs of former leaders be acted on yet? */
+  /** Whether jobs of former leaders may be acted on yet. */
   recoveryComplete(): boolean;
   isUnreachable(machine: Machine): boolean;
-  /** Time of day in milliseconds: what users' deadlines are measured in. */
+  /** Time of day in milliseconds; users' deadlines are measured against it. */
   wallMs(): number;
 }
 
-/** The facade of this folder: composes its parts, and passes on the events and ticks of the leader's term. */
+/** The facade of this folder: composes its components, and passes the events and ticks of the leader's term to them. */
 export class Placement {
   private readonly usage: TeamUsage;
   private readonly usageAudit: UsageAudit;
@@ -121,12 +124,12 @@
     this.accounting.attemptAdded(attempt);
   }
 
-  /** An attempt has surely left its machine. */
+  /** An attempt is guaranteed to have left its machine. */
   attemptEnded(attempt: TaskAttempt): void {
     this.accounting.attemptEnded(attempt);
   }
 
-  /** A heartbeat was taken into the table: stops what is obsolete, and drains a machine that will be preempted. */
+  /** A heartbeat was applied to the table: stops obsolete attempts, and drains a machine that will be preempted. */
   heartbeatApplied(machine: Machine): void {
     if (machine.preemptionDeadline !== null && !machine.drainReason) machine.drainReason = 'notice';
     const now = this.deps.runtime.clock.now();
@@ -141,14 +144,14 @@
 
   // Events of the job table.
 
-  /** A job has become known: it was accepted, or restored after a failover. */
+  /** A job was added to the job table: it was accepted, or restored after a failover. */
   jobAdded(job: Job): void {
     this.reservations.recordService(job);
     this.demand.record(job);
     this.guaranteed.invalidate();
   }
 
-  /** A job was cancelled: all its attempts stop. */
+  /** Stops all attempts of a cancelled job. */
   jobCancelled(job: Job): void {
     for (const attempts of [...job.attempts.values()])
       for (const attempt of [...attempts]) this.stopper.stop(attempt, 0, 'job-cancelled');
@@ -161,23 +164,23 @@
     this.runTimes.samples.jobEnded(job.index, isLive);
   }
 
-  // What the autoscaler asks.
+  // Queries of the autoscaler.
 
-  /** CPUs the job would use if there were capacity: its team's limit taken into account. */
+  /** CPUs that the job would use if there were enough capacity, capped at its team's limit. */
   wantedCpus(job: Job): number {
     const team = this.usage.team(job.spec.team);
     const unfinishedCpus = (job.attempts.size + job.pending()) * job.spec.cpus;
     return Math.min(unfinishedCpus, team?.cpusMax ?? 0);
   }
 
-  /** CPUs a second that arriving services have asked for of late. */
+  /** CPUs per second that recently arrived services have requested. */
   serviceCpusPerSecond(): number {
     return this.demand.serviceCpusPerSecond();
   }
 
   // Periodic work.
 
-  /** Starts whatever can start. True if it stopped early, so that another cycle should follow soon. */
+  /** Starts all tasks that can start. Returns true if it stopped early, so that another cycle should follow soon. */
   runSchedulingCycle(): boolean {
     return this.cycles.run();
   }
@@ -187,7 +190,7 @@
     this.usageAudit.tick(now);
   }
 
-  /** DESIGN's placement round, if its interval is over. */
+  /** Runs the placement round (see DESIGN) if its interval has elapsed. */
   round(): void {
     const now = this.deps.runtime.clock.now();
     if (now - this.lastRoundAt < this.deps.operator.round_s * 1000) return;
--- a/src/placement/scheduling-cycle-runner.ts
+++ b/src/placement/scheduling-cycle-runner.ts
@@ -1,4 +1,4 @@
-/** Runs scheduling cycles: serves all waiting jobs in order, within bounds. */
+/** Runs scheduling cycles: serves all waiting jobs in order, within the bounds of a cycle. */
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
@@ -24,13 +24,13 @@
 import { NO_UNCONFIRMED_USAGE, unconfirmedUsage } from './unconfirmed-usage.js';
 import type { UsableMachines } from './usable-machines.js';
 
-// A cycle is bounded, so that lease renewals, health checks and responses never wait long behind it.
+// A cycle is bounded, so that it never delays lease renewals, health checks and responses for long.
 const MAX_STARTS_PER_CYCLE = 400;
 const MAX_CANDIDATES_PER_CYCLE = 30_000;
-/** Arrays leave ordinary machines for so many gangs as large as the largest recent one. */
+/** Arrays leave free CPUs on ordinary machines for this many gangs of the size of the largest recent one. */
 const EXPECTED_GANGS = 2;
 
-/** What scheduling cycles read and act on. */
+/** Dependencies of `SchedulingCycleRunner`. */
 export interface SchedulingCycleRunnerDependencies {
   jobs: JobTable;
   usage: TeamUsage;
@@ -46,20 +46,23 @@
   stats: SchedulingStats;
   now(): number;
   wallMs(): number;
-  /** May jobs of former leaders be acted on yet? */
+  /** Whether jobs of former leaders may be acted on yet. */
   recoveryComplete(): boolean;
 }
 
-/** Runs one cycle at a time, and carries over what the next one continues from. */
+/** Runs one cycle at a time, and carries over the state that the next one needs to continue. */
 export class SchedulingCycleRunner {
-  /** Shapes without a machine in a cycle that used up its candidates: the next one goes on behind them. */
+  /**
+   * Shapes that found no machine in a cycle that used up its candidate budget. The next cycle skips them and continues
+   * with the jobs behind them.
+   */
   private carriedOverShapes = new Set<string>();
 
   constructor(private readonly deps: SchedulingCycleRunnerDependencies) {}
 
   /**
-   * Starts whatever can start, and tells whether it stopped early. Jobs of one shape are decided as a class: where one
-   * finds no machine, the others are skipped.
+   * Starts all tasks that can start. Returns true if it stopped early. Jobs of the same shape are decided as a class:
+   * if one finds no machine, the others are skipped.
    */
   run(): boolean {
     const { usage, jobs, guaranteed, stats } = this.deps;
@@ -72,7 +75,8 @@
     usage.setUnconfirmed(recoveryComplete ? NO_UNCONFIRMED_USAGE : unconfirmedUsage(jobs.all()));
     const cycle = this.beginCycle(waiting, now, recoveryComplete);
     for (const job of servingOrder(waiting, guaranteed, (j) => this.urgencyOf(j, cycle))) {
-      // In a large fleet a few shapes without a machine use up all candidates: those behind them must have their turn.
+      // In a large fleet, a few shapes that find no machine use up the candidate budget. The next cycle skips them, so
+      // that the shapes behind them are tried.
       if (cycle.candidateBudget <= 0) this.carriedOverShapes = cycle.unschedulableShapes;
       if (cycle.startBudget <= 0 || cycle.candidateBudget <= 0) return true;
       this.serve(job, cycle);
--- a/src/placement/scheduling-cycle.ts
+++ b/src/placement/scheduling-cycle.ts
@@ -1,27 +1,27 @@
 /** The data of one scheduling cycle. */
 import type { Machine } from '../workers/machine.js';
 
-/** What one cycle shares among the jobs it serves. */
+/** State of one cycle, shared by the jobs that it serves. */
 export interface SchedulingCycle {
   readonly now: number;
   /** Time of day in milliseconds. */
   readonly wallMs: number;
-  /** Jobs of former leaders may be acted on. */
+  /** Whether jobs of former leaders may be acted on. */
   readonly recoveryComplete: boolean;
-  /** Usable machines with free CPUs for some waiting task, and those without. */
+  /** Usable machines: `withCapacity` have enough free CPUs for some waiting task, `full` do not. */
   readonly withCapacity: Machine[];
   readonly full: Machine[];
-  /** The zones of both. */
+  /** Zones of the machines in `withCapacity` and `full`. */
   readonly zones: ReadonlySet<string>;
-  /** The lowest priority that is on any machine, as a number: less urgent work has higher ones. */
+  /** Priority number of the least urgent job with attempts on machines; less urgent jobs have higher numbers. */
   readonly lowestRunningPriority: number;
-  /** CPUs free on ordinary machines beyond those that arrays leave to gangs. */
+  /** Free CPUs of ordinary machines beyond those that arrays leave to gangs. */
   spareOrdinaryCpus: number;
-  /** Shapes of jobs that found no machine, in this cycle or in those before it that used up their candidates. */
+  /** Shapes of jobs that found no machine in this cycle, or in those before it that used up their candidate budget. */
   readonly unschedulableShapes: Set<string>;
-  /** Teams whose own tasks were considered for preemption: once a team, since that passes all their tasks. */
+  /** Teams whose own tasks were considered for preemption: once per team, since that iterates over all its tasks. */
   readonly teamsConsideredForPreemption: Set<string>;
-  /** How many tasks may still start, and how many machines may still be scored. */
+  /** How many tasks may still start (`startBudget`), and how many machines may still be scored (`candidateBudget`). */
   startBudget: number;
   candidateBudget: number;
 }
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -1,4 +1,4 @@
-/** Places the tasks of arrays and services, each on its own. */
+/** Places the tasks of arrays and services, each independently of the others. */
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Machine } from '../workers/machine.js';
@@ -14,12 +14,12 @@
 import type { SchedulingStats } from './scheduling-stats.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** A starved job goes first with this share of its tasks only, so that it does not starve others in turn. */
+/** Only this share of a starved job's tasks starts ahead of other jobs, so that it does not starve those in turn. */
 const STARVED_JOB_SHARE = 0.25;
-/** An array of which nothing has started for so long uses any machine that it is allowed on. */
+/** An array that has started no task for this long uses any machine that it is allowed on. */
 const SPOT_PREFERENCE_MS = 30_000;
 
-/** What task scheduling reads and acts on. */
+/** Dependencies of `TaskScheduler`. */
 export interface TaskSchedulerDependencies {
   jobs: JobTable;
   table: MachineTable;
@@ -36,7 +36,7 @@
 export class TaskScheduler {
   constructor(private readonly deps: TaskSchedulerDependencies) {}
 
-  /** Places what it can of the job. Machines are scored once a job, not once a task. */
+  /** Places as many tasks of the job as possible. Machines are scored once per job, not once per task. */
   place(job: Job, cycle: SchedulingCycle): void {
     const prefersSpot = this.prefersSpot(job, cycle.now);
     const shapeKey = this.shapeKeyOf(job, cycle, prefersSpot);
@@ -58,21 +58,21 @@
       candidates ??= this.candidatesFor(job, cycle, prefersSpot, shapeKey);
       const machine = this.startNext(job, candidates, cycle);
       if (!machine) return;
-      // Once arrays have used up the spare ordinary CPUs, the other machines are chosen without ordinary ones.
+      // Once arrays have used up the spare ordinary CPUs, candidates are selected again, without ordinary machines.
       if (prefersSpot && !machine.spot && cycle.spareOrdinaryCpus <= 0) candidates = null;
     }
   }
 
-  /** An array that may use spot machines leaves ordinary ones to gangs for a while. */
+  /** Whether the job leaves ordinary machines to gangs: arrays that may use spot machines do so for a limited time. */
   private prefersSpot(job: Job, now: number): boolean {
     const { kind, spot } = job.spec;
     if (kind !== 'array' || !spot || this.deps.guaranteed.has(job)) return false;
     return now - job.startedAt <= SPOT_PREFERENCE_MS;
   }
 
-  /** The job's equivalence class in this cycle: where one job of a class finds no machine, the others don't either. */
+  /** The job's equivalence class in this cycle: if one job of a class finds no machine, no other job of it does. */
   private shapeKeyOf(job: Job, cycle: SchedulingCycle, prefersSpot: boolean): string {
-    // Without the zones, replicas whose zones are closed would use up the candidate budget of each cycle.
+    // Includes the closed zones: otherwise replicas whose zones are closed would use up each cycle's candidate budget.
     const closedZones = closedZonesKey(job, cycle.zones);
     const guaranteedTeam = this.deps.guaranteed.has(job) ? job.spec.team : '';
     return `${job.shapeKey}|${closedZones}|${guaranteedTeam}|${prefersSpot}`;
@@ -97,7 +97,7 @@
     return candidates;
   }
 
-  /** Places the job's next task; null if no machine takes it. */
+  /** Places the job's next task. Returns its machine, or null if there is no next task or no machine can take it. */
   private startNext(
     job: Job,
     candidates: MachineCandidates,
@@ -120,8 +120,8 @@
   }
 
   /**
-   * The job's team is at its limit: less urgent tasks of its own stop in favour of a production job, which starts in a
-   * later cycle, once they have surely ended.
+   * Called when the job's team is at its limit: stops less urgent tasks of the same team in favour of a production job.
+   * The job starts in a later cycle, once those tasks are guaranteed to have left their machines.
    */
   private preemptWithinTeam(job: Job, cycle: SchedulingCycle): void {
     const { team, priority } = job.spec;
--- a/src/placement/team-usage.ts
+++ b/src/placement/team-usage.ts
@@ -1,6 +1,6 @@
 /**
- * What each team uses, against its guarantee and its limit. The decision whether a team may take more is made here
- * alone, for arrays, services, gangs and whatever starts again after a move or a preemption.
+ * Tracks each team's usage against its guarantee and its limit. Only this module decides whether a team may use more:
+ * for arrays, services, gangs, and tasks that restart after a move or a preemption.
  */
 import type { Team } from '../settings/platform.js';
 import type { JobSpec } from '../wire/model.js';
@@ -15,21 +15,21 @@
 /** A team's usage at one moment. */
 export interface QuotaStatus {
   team: string;
-  /** All attempts that may be on machines. */
+  /** Usage of all attempts that may be on machines. */
   used: Resources;
-  /** An upper bound of the usage that no heartbeat has shown yet. */
+  /** Upper bound of the usage that no heartbeat has reported yet. */
   unconfirmed: Resources;
   limit: Resources;
-  /** The highest share of the limit that was in use since the last `resetPeaks`. */
+  /** Highest share of the limit that was in use since the last `resetPeaks`. */
   peakShare: number;
 }
 
-/** What a start asks of its team's quota. */
+/** A start of tasks that is checked against its team's quota. */
 export interface StartRequest {
   spec: JobSpec;
-  /** How many tasks start together. */
+  /** Number of tasks that start together. */
   tasks: number;
-  /** CPUs under the limit that are left to others. */
+  /** CPUs under the limit that are left to other jobs. */
   headroomCpus: number;
 }
 
@@ -39,7 +39,7 @@
   used: Resources;
   unconfirmed: Resources;
   peakShare: number;
-  /** An audit found that the sums were wrong: nothing starts until one finds that they are right. */
+  /** Set when an audit finds a violation; nothing of the team starts until a later audit finds none. */
   suspended: boolean;
 }
 
@@ -49,7 +49,7 @@
   );
 }
 
-/** Do the two sums differ by more than rounding? */
+/** Whether the two sums differ by more than rounding errors. */
 export function resourcesDiffer(left: Resources, right: Resources): boolean {
   return exceeds(left, right) || exceeds(right, left);
 }
@@ -66,7 +66,7 @@
   return addResources(after, { cpus: headroomCpus, gpus: 0 });
 }
 
-/** What each team may have on machines, everything counted that may still be there. */
+/** Counts each team's usage, including all attempts that may still be on machines, and checks starts against limits. */
 export class TeamUsage {
   private readonly accounts = new Map<string, Account>();
 
@@ -82,7 +82,7 @@
       });
   }
 
-  /** An attempt may be on a machine from now on. */
+  /** Adds the usage of an attempt that may be on a machine from now on. */
   charge(spec: JobSpec): void {
     const account = this.accounts.get(spec.team);
     if (!account) return;
@@ -90,21 +90,21 @@
     account.peakShare = Math.max(account.peakShare, shareOf(account.used, account.limit));
   }
 
-  /** An attempt is surely on no machine any more. */
+  /** Subtracts the usage of an attempt that is guaranteed to be on no machine any more. */
   refund(spec: JobSpec): void {
     const account = this.accounts.get(spec.team);
     if (account) account.used = addResources(account.used, scaleResources(spec, -1));
   }
 
-  /** Sets by team what no heartbeat has shown yet; teams that are missing have none. */
+  /** Sets, by team, the usage that no heartbeat has reported yet; teams missing from the map have none. */
   setUnconfirmed(unconfirmed: ReadonlyMap<string, Resources>): void {
     for (const [name, account] of this.accounts)
       account.unconfirmed = unconfirmed.get(name) ?? NO_RESOURCES;
   }
 
   /**
-   * May the team take this much more? Everything that may be on machines counts, confirmed or not. A team that is no
-   * longer in the settings may take nothing.
+   * Whether the team may use this much more. Everything that may be on machines counts, confirmed or not. A team that
+   * is suspended or no longer in the settings may start nothing.
    */
   mayStart(request: StartRequest): boolean {
     const account = this.accounts.get(request.spec.team);
@@ -112,7 +112,7 @@
     return !exceeds(usageAfter(account, request), account.limit);
   }
 
-  /** Would it fit under the limit if `leaving` had ended? */
+  /** Whether the start would fit under the limit without the usage `leaving`, which is expected to end. */
   fitsWithout(request: StartRequest, leaving: Resources): boolean {
     const account = this.accounts.get(request.spec.team);
     if (!account) return false;
@@ -124,7 +124,7 @@
     return this.accounts.get(name)?.team;
   }
 
-  /** Does the team use more than its guarantee? Others may then reclaim what is beyond. */
+  /** Whether the team uses more CPUs than its guarantee. Other teams may then reclaim the excess. */
   exceedsGuarantee(name: string): boolean {
     const account = this.accounts.get(name);
     return account !== undefined && account.used.cpus > account.team.cpus;
@@ -141,7 +141,7 @@
     return [...this.accounts.keys()].flatMap((name) => this.quotaStatus(name) ?? []);
   }
 
-  /** Restarts the peaks from what is in use now. */
+  /** Resets the peaks to the present usage. */
   resetPeaks(): void {
     for (const account of this.accounts.values())
       account.peakShare = shareOf(account.used, account.limit);
@@ -162,7 +162,7 @@
     if (account) account.suspended = suspended;
   }
 
-  /** Replaces a wrong sum by what the table of attempts adds up to. */
+  /** Replaces a wrong sum with the one computed from the table of attempts. */
   correctUsed(name: string, used: Resources): void {
     const account = this.accounts.get(name);
     if (account) account.used = used;
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the teams' sums at intervals against the table of attempts that they were summed from. A wrong sum would let a
- * team start more than its limit allows without any other sign.
+ * Periodically checks the teams' usage sums against the table of attempts from which they were computed. A wrong sum
+ * would let a team start more than its limit allows without any other sign.
  */
 import type { Log } from '../runtime.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -9,13 +9,13 @@
 import { NO_RESOURCES, type Resources } from './resources.js';
 import { type TeamUsage, resourcesDiffer } from './team-usage.js';
 
-/** A recount passes all attempts: some thousands of them take about a millisecond. */
+/** A recount iterates over all attempts; several thousand of them take about a millisecond. */
 const AUDIT_INTERVAL_MS = 5000;
 
-/** The message of the error that a violated invariant is logged with; tests and the soak look for it. */
+/** The message of the error log line for a violated invariant; tests and the soak run match it. */
 export const TEAM_USAGE_VIOLATION = 'team usage invariant violated';
 
-/** What an audit found: a sum that is wrong, or a team that uses more on reconciled machines than its limit. */
+/** Finding of an audit: a wrong sum, or a team that uses more on reconciled machines than its limit. */
 type UsageViolation =
   | { kind: 'wrong-sum'; counted: Resources; recounted: Resources }
   | { kind: 'over-limit'; onMachines: Resources; limit: Resources };
@@ -26,9 +26,9 @@
 }
 
 interface Recount {
-  /** Attempts that may be on machines. */
+  /** Usage of attempts that may be on machines. */
   readonly charged: MutableResources;
-  /** Attempts that reconciled machines report as having their image. */
+  /** Usage of attempts that reconciled machines report as having their image. */
   readonly onMachines: MutableResources;
 }
 
@@ -40,7 +40,7 @@
 
 const EMPTY_RECOUNT: Recount = emptyRecount();
 
-/** Adds in place: a recount passes tens of thousands of attempts in a large fleet. */
+/** Adds in place, since a recount iterates over tens of thousands of attempts in a large fleet. */
 function addTo(sum: MutableResources, amount: Resources): void {
   sum.cpus += amount.cpus;
   sum.gpus += amount.gpus;
@@ -59,7 +59,7 @@
   const teams = new Map<string, Recount>();
   for (const machine of table.all()) {
     if (machine.attempts.size === 0) continue;
-    // What an older token shows may be long gone, and be counted a second time where it runs now.
+    // An attempt reported with an older token may have ended long ago, and its task be counted again where it runs now.
     const isReconciled = machine.isReconciled();
     for (const attempt of machine.attempts.values()) {
       if (!attempt.job || !attempt.onMachine()) continue;
@@ -72,7 +72,7 @@
   return teams;
 }
 
-/** What the audit compares, and where it reports. */
+/** Dependencies of `UsageAudit`. */
 export interface UsageAuditDependencies {
   table: MachineTable;
   usage: TeamUsage;
@@ -80,13 +80,13 @@
   log: Log;
 }
 
-/** Audits the teams' usage, corrects wrong sums, and suspends teams until their usage is right again. */
+/** Audits the teams' usage, corrects wrong sums, and suspends teams until their usage is correct again. */
 export class UsageAudit {
   private auditedAt = -Infinity;
 
   constructor(private readonly deps: UsageAuditDependencies) {}
 
-  /** Audits all teams if the interval is over. */
+  /** Audits all teams if the interval has elapsed. */
   tick(now: number): void {
     if (now - this.auditedAt < AUDIT_INTERVAL_MS) return;
     this.auditedAt = now;
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Nothing of the team starts until an audit finds that its sums are right. */
+  /** Logs the violation and suspends the team: nothing of it starts until an audit finds no violation. */
   private suspend(team: string, violation: UsageViolation): void {
     const { usage, decisions, log } = this.deps;
     if (usage.isSuspended(team) && violation.kind === 'over-limit') return;
