--- a/src/placement/gang-capacity.ts
+++ b/src/placement/gang-capacity.ts
@@ -1,4 +1,4 @@
-/** How many tasks of a gang find free capacity, on one machine, in a zone and in all. Pure functions. */
+/** Computes how many tasks of a gang fit into the free capacity of one machine, a zone or all. Pure functions. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import { ROUNDING_TOLERANCE } from './resources.js';
@@ -7,7 +7,7 @@
   return perTask > 0 ? Math.floor(free / perTask + ROUNDING_TOLERANCE) : Infinity;
 }
 
-/** How many of the job's tasks fit into the machine's free capacity: at most as many as the job has. */
+/** Number of the job's tasks that fit into the machine's free capacity, at most the number of tasks of the job. */
 function taskSlots(job: Job, machine: Machine): number {
   const { cpus, gpus, memoryGb, tasks } = job.spec;
   const slots = Math.min(
@@ -27,11 +27,14 @@
 interface ZoneCapacity {
   machines: Machine[];
   slots: number;
-  /** Those of `slots` that are on machines of normal speed that have the image. */
+  /** The part of `slots` that is on machines that have the image and are not stragglers. */
   warmSlots: number;
 }
 
-/** The machines by zone: first where most tasks find the image and normal speed, then where most find capacity. */
+/**
+ * The machines grouped by zone. Zones in which the most tasks fit on machines that have the image and are not
+ * stragglers come first, then those in which the most tasks fit at all.
+ */
 function zonesByCapacity(job: Job, machines: Machine[]): Machine[][] {
   const zones = new Map<string, ZoneCapacity>();
   for (const machine of machines) {
@@ -48,12 +51,12 @@
     .map((zone) => zone.machines);
 }
 
-/** Groups of machines of which one must take the whole gang: zones, or all machines where zones may be mixed. */
+/** Groups of machines of which one must take the whole gang: one per zone, or all machines if zones may be mixed. */
 export function placementGroups(gang: Job, machines: Machine[]): Machine[][] {
   return gang.spec.oneZone ? zonesByCapacity(gang, machines) : [machines];
 }
 
-/** Is there free capacity for the whole gang, in one zone if it asks for that? */
+/** Whether there is free capacity for the whole gang, in one zone if the gang requires that. */
 export function fitsGang(gang: Job, machines: Machine[]): boolean {
   return placementGroups(gang, machines).some(
     (group) => totalTaskSlots(gang, group) >= gang.spec.tasks,
--- a/src/placement/gang-relocation.ts
+++ b/src/placement/gang-relocation.ts
@@ -1,4 +1,4 @@
-/** Moves gangs off machines: all their tasks stop at the same time, so that they save and start again together. */
+/** Moves gangs off machines: all tasks of a gang stop at the same time, so that they save and restart together. */
 import type { Job } from '../jobs/job.js';
 import type { Log } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
@@ -9,18 +9,18 @@
 import { attemptsOf, gangState } from './gang-state.js';
 import { satisfiesConstraints } from './machine-constraints.js';
 
-/** A stop with a checkpoint is put off at most until this many heartbeats fit before its latest moment. */
+/** A stop with a checkpoint is deferred at most until this many heartbeat intervals before the latest possible time. */
 const HEARTBEATS_BEFORE_STOP = 2;
 
-/** What relocation works on. Times are in seconds. */
+/** Dependencies of `GangRelocation`. Times are in seconds. */
 export interface GangRelocationDependencies {
   table: MachineTable;
   log: Log;
-  /** Within this time the tasks of a running gang notice that one of them is gone. */
+  /** Time within which the tasks of a running gang notice that one of them no longer runs. */
   gangPeerS: number;
   heartbeatIntervalS: number;
   now(): number;
-  /** May the machine be given work? */
+  /** Whether the machine may be given work. */
   isUsable(machine: Machine): boolean;
 }
 
@@ -29,9 +29,10 @@
   constructor(private readonly deps: GangRelocationDependencies) {}
 
   /**
-   * The task has to leave its machine, which goes away in `leftS` seconds (Infinity if it stays up). Tells whether
-   * anything was stopped. A starting gang replaces the task; a running one stops whole with a checkpoint, as soon as it
-   * fits elsewhere and all its machines are reachable, or at the latest moment that leaves the time to save.
+   * Makes the task leave its machine, which will be preempted in `leftS` seconds (Infinity if it stays up). Returns
+   * true if anything was stopped. In a starting gang only the task is replaced. A running gang stops as a whole with a
+   * checkpoint: as soon as it fits elsewhere and all its machines are reachable, or at the latest time that still
+   * allows it to save.
    */
   vacateMachine(attempt: TaskAttempt, gang: Job, leftS: number, reason: StopReason): boolean {
     const state = gangState(gang);
@@ -48,7 +49,7 @@
     return true;
   }
 
-  /** Does the whole gang fit elsewhere, and are all its machines reachable? */
+  /** Whether the whole gang fits elsewhere, without the machine `from`, and all its present machines are reachable. */
   canRelocate(gang: Job, from: Machine): boolean {
     if (!this.allReachable(gang)) return false;
     const targets = [...this.deps.table.all()].filter(
@@ -68,8 +69,9 @@
   }
 
   /**
-   * Stops all tasks at the same time, with the time to save, so that the next attempt continues from there. Where that
-   * can't work, since a machine is unreachable or the time too short, the gang falls back to its last checkpoint.
+   * Stops all tasks at the same time and gives them time to save, so that the next attempt continues from there. If
+   * that is impossible because a machine is unreachable or the time is too short, the gang falls back to its last
+   * checkpoint.
    */
   stopWithCheckpoint(gang: Job, reason: StopReason, leftS = Infinity): void {
     const { id, saveS, checkpointS } = gang.spec;
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -1,4 +1,4 @@
-/** Starts, completes and aborts gangs. All tasks find capacity before anything is started or stopped. */
+/** Starts gangs, replaces their missing tasks and aborts them. Nothing is started or stopped until all tasks fit. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -15,31 +15,31 @@
 import type { Reservations } from './reservations.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** A gang that has found no capacity for so long goes first among those of its rank and reserves machines. */
+/** A gang that has found no capacity for this long goes first among the jobs of its rank and reserves machines. */
 const RESERVE_AFTER_MS = 10_000;
-/** How long a gang that was not placed waits for its next try. */
+/** How long a gang that was not placed waits until it is tried again. */
 const RETRY_INTERVAL_MS = 500;
-/** A replacement must have its image this long before the first waiting task gives up. */
+/** A replacement task must have its image at least this long before the first waiting task gives up. */
 const REPLACEMENT_MARGIN_MS = 500;
 
-/** What gang scheduling works on. */
+/** Dependencies of `GangScheduler`. */
 export interface GangSchedulerDependencies {
   table: MachineTable;
   usage: TeamUsage;
   reservations: Reservations;
-  /** How many seconds a task that has its image waits for the others before it gives up. */
+  /** Seconds that a task that has its image waits for the others before it gives up. */
   gangWaitS: number;
   now(): number;
   nextAttempt(): number;
 }
 
-/** `not-now`: other conditions than capacity keep the gang from starting. */
+/** `not-now`: the gang can't start for now, for reasons other than capacity. */
 export type GangPlacement = 'placed' | 'no-capacity' | 'not-now';
 
-/** Where and how a gang may be placed in this scheduling cycle. */
+/** Restrictions on the placement of a gang in this scheduling cycle. */
 export interface GangPlacementOptions {
   context: SelectionContext;
-  /** Machines that the gang may be placed on, without those reserved for others. */
+  /** Machines that the gang may be placed on; excludes those reserved for other jobs. */
   machines: Machine[];
   mayPreempt: boolean;
 }
@@ -50,17 +50,17 @@
   );
 }
 
-/** Keeps each gang on machines as a whole, through its start, the loss of tasks and its abort. */
+/** Ensures that each gang runs as a whole or not at all, through its start, the loss of tasks and its abort. */
 export class GangScheduler {
   constructor(private readonly deps: GangSchedulerDependencies) {}
 
-  /** A waiting gang that has found no capacity for long. */
+  /** Whether the job is a waiting gang that has found no capacity for longer than `RESERVE_AFTER_MS`. */
   isOverdue(job: Job): boolean {
     if (job.spec.kind !== 'gang' || job.attempts.size > 0) return false;
     return this.deps.now() - job.startedAt > RESERVE_AFTER_MS;
   }
 
-  /** Starts a gang whole, or what is missing of one that is starting. */
+  /** Starts all tasks of a gang, or the missing tasks of one that is starting. */
   place(gang: Job, options: GangPlacementOptions): GangPlacement {
     const state = gangState(gang);
     if (state === 'stopping') return 'not-now';
@@ -70,7 +70,7 @@
     }
     gang.notBefore = this.deps.now() + RETRY_INTERVAL_MS;
     const placement = this.placeMissing(gang, options);
-    // Half a gang must not occupy capacity that others, or the whole of it, could use.
+    // A part of a gang must not occupy capacity that other jobs, or the gang as a whole, could use.
     if (state === 'starting' && placement !== 'placed')
       this.abortAttempt(gang, 'gang-member-unschedulable');
     return placement;
@@ -94,7 +94,7 @@
     return 'no-capacity';
   }
 
-  /** Keeps machines from other jobs until the gang fits on them. */
+  /** Reserves machines: other jobs are kept off them until the gang fits. */
   reserve(gang: Job, machines: Machine[]): void {
     const allowed = allowedMachines(gang, machines);
     this.deps.reservations.reserveMachines(gang, allowed, this.deps.now());
@@ -110,7 +110,10 @@
     return false;
   }
 
-  /** Adds attempts of all the tasks, and returns whom they replace; null, with none added, if they don't all fit. */
+  /**
+   * Adds attempts of all the tasks, and returns the attempts that they preempt. Returns null, with none added, if not
+   * all of them fit or one would not have its image in time.
+   */
   private addAllOrNone(
     gang: Job,
     tasks: number[],
@@ -136,8 +139,9 @@
   }
 
   /**
-   * A task of the gang has left its machine. While the gang starts, one that is lost, was rejected or had to
-   * leave its machine is replaced under the same attempt. Otherwise the whole gang stops, and starts again.
+   * Handles a task of the gang that has left its machine. While the gang is starting, a task that was lost, was
+   * rejected or had to leave its machine is replaced under the same attempt. Otherwise the whole gang stops and
+   * restarts.
    */
   attemptEnded(gang: Job, attempt: TaskAttempt): void {
     const { cause, stop, startSent } = attempt;
@@ -149,15 +153,15 @@
     else this.abortAttempt(gang, 'gang-member-lost');
   }
 
-  /** The whole gang stops at once; progress since its last checkpoint is lost. */
+  /** Stops the whole gang immediately; progress since its last checkpoint is lost. */
   private abortAttempt(gang: Job, reason: StopReason): void {
     gang.gangAttemptAborted = gang.attempts.size > 0;
     for (const attempt of attemptsOf(gang)) this.stopNow(attempt, reason);
   }
 
   /**
-   * Not all tasks were ready in time. Tasks that still fetch their image go on until they have it: a fetch that is
-   * aborted would begin anew with the next attempt, which would then be too late again.
+   * Aborts an attempt whose tasks were not all ready in time. Tasks that still fetch their image continue until they
+   * have it: an aborted fetch would start from scratch with the next attempt, which would then be too late again.
    */
   private abortAfterFetches(gang: Job): void {
     gang.gangAttemptAborted = gang.attempts.size > 0;
@@ -165,7 +169,7 @@
       if (attempt.state !== 'fetching') this.stopNow(attempt, 'gang-start-timeout');
   }
 
-  /** Called for each reported attempt of a gang: after an abort, those that have their image stop, too. */
+  /** Called for each reported attempt of a gang: after an abort, stops attempts that have fetched their image. */
   attemptReported(gang: Job, attempt: TaskAttempt): void {
     if (gang.gangAttemptAborted && attempt.state === 'waiting')
       this.stopNow(attempt, 'gang-attempt-aborted');
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -3,10 +3,11 @@
 import type { TaskAttempt } from '../workers/task-attempt.js';
 
 /**
- * - absent: no task of it can be on any machine.
- * - starting: tasks of one attempt fetch their image or wait for each other; none has begun.
- * - running: at least one task runs, so all of them have begun.
- * - stopping: a stop was requested, or tasks of different attempts remain; nothing starts until all have ended.
+ * - absent: none of its tasks can be on any machine.
+ * - starting: tasks of one attempt fetch their image or wait for each other; none has begun to run.
+ * - running: at least one task runs, so all of them have begun to run.
+ * - stopping: a stop was requested, or tasks of different attempts remain; nothing starts until all have left their
+ *   machines.
  */
 export type GangState = 'absent' | 'starting' | 'running' | 'stopping';
 
@@ -27,12 +28,12 @@
   return hasBegun ? 'running' : 'starting';
 }
 
-/** The attempt number by which workers tell which tasks belong to the same start of the gang. */
+/** Attempt number by which workers recognize tasks of the same start of the gang; null if no task is on a machine. */
 export function gangAttempt(job: Job): number | null {
   return attemptsOf(job)[0]?.attempt ?? null;
 }
 
-/** Numbers of the tasks that are on no machine. */
+/** Numbers of the tasks that have no attempt on any machine. */
 export function missingTasks(job: Job): number[] {
   const missing: number[] = [];
   for (let taskNumber = 0; taskNumber < job.spec.tasks; taskNumber++)
@@ -40,7 +41,7 @@
   return missing;
 }
 
-/** Milliseconds until the first waiting task gives up; Infinity while none waits. */
+/** Milliseconds until the first waiting task gives up; Infinity if none waits. */
 export function remainingWaitMs(job: Job, gangWaitMs: number, now: number): number {
   const waiting = attemptsOf(job).filter((attempt) => attempt.state === 'waiting');
   return Math.min(Infinity, ...waiting.map((a) => a.waitingSince + gangWaitMs - now));
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -2,13 +2,16 @@
 import type { Job } from '../jobs/job.js';
 import type { Objective } from '../settings/platform.js';
 
-/** Tasks of one job differ: a goal is given up only when even a task this much shorter would miss it. */
+/**
+ * Share of the expected run time. Tasks of one job differ: a goal is given up only if even a task this much shorter
+ * would miss it.
+ */
 const SHORTEST_TASK_SHARE = 0.6;
 
-/** A job of which nothing has begun after so long gets a first share of its tasks before all others. */
+/** An array with nothing started this long after its acceptance starts a first share of its tasks before other jobs. */
 const STARVATION_THRESHOLD_MS = 60_000;
 
-/** By job class, within how many seconds of their submission jobs should finish, soonest first. */
+/** By job class, the times in seconds after submission within which jobs should finish, shortest first. */
 export type FinishGoals = Map<string, number[]>;
 
 /** The goals that the platform's objectives state for finishing jobs. */
@@ -27,9 +30,9 @@
 
 /** How urgent a job is among those of its rank; lower values are served first. */
 export interface Urgency {
-  /** Which of the job's goals can still be met; the number of goals if none; -1 if it goes before all others. */
+  /** Index of the first goal that can still be met; the number of goals if none; -1 if it goes before all others. */
   goal: number;
-  /** CPU milliseconds that its waiting tasks will take. */
+  /** CPU milliseconds that its waiting tasks are expected to take. */
   work: number;
 }
 
@@ -37,8 +40,8 @@
 export const MOST_URGENT: Urgency = { goal: -1, work: 0 };
 
 /**
- * Few jobs late, and not all a little: a job that will miss its goal whatever is done waits behind those that
- * need not miss theirs, and among these the one with the least work left goes first.
+ * Prefers few late jobs to many slightly late ones: a job that will miss its goal in any case waits behind those that
+ * can still meet theirs, and among jobs that can meet the same goal, the one with the least work left goes first.
  */
 export function urgency(job: Job, goals: FinishGoals, expectedMs: number, wallMs: number): Urgency {
   const { deadlineS, cls: jobClass, cpus } = job.spec;
@@ -48,13 +51,13 @@
   return { goal: goal < 0 ? goalsS.length : goal, work: job.pending() * cpus * expectedMs };
 }
 
-/** Nothing of the array has begun for long: streams of smaller jobs must not keep a large one out for ever. */
+/** Whether an array has waited too long for its start: streams of smaller jobs must not block a large one forever. */
 export function isStarved(job: Job, wallMs: number): boolean {
   if (job.spec.kind !== 'array' || job.attempts.size > 0 || job.finishedCount > 0) return false;
   return wallMs - job.acceptedAt > STARVATION_THRESHOLD_MS;
 }
 
-/** Production first, then what teams are guaranteed, then by priority and urgency. */
+/** Sorts jobs: production first, then jobs within their team's guarantee, then by priority; equal ones by urgency. */
 export function servingOrder(
   jobs: Job[],
   guaranteed: { has(job: Job): boolean },
--- a/src/placement/machine-candidates.ts
+++ b/src/placement/machine-candidates.ts
@@ -1,4 +1,4 @@
-/** Scores the machines that a job's tasks may start on, and selects the best. */
+/** Scores the machines on which a job's tasks may start, and selects the best. */
 import type { Job } from '../jobs/job.js';
 import type { JobSpec } from '../wire/model.js';
 import type { Machine } from '../workers/machine.js';
@@ -11,35 +11,35 @@
 } from './machine-constraints.js';
 import type { PreemptionPolicy } from './preemption.js';
 
-/** What the selection of machines rests on besides the job and the machines. */
+/** Inputs of the selection of machines besides the job and the machines. */
 export interface SelectionContext {
-  /** Cheap machines first and full ones before empty ones, so that some can be returned. */
+  /** Whether cheap machines are preferred, and full ones to empty ones, so that some can be returned to the cloud. */
   saveMoney: boolean;
   preemption: PreemptionPolicy;
 }
 
-/** The machine for one task, and the tasks to stop there first. */
+/** The machine for one task, and the attempts to stop on it first. */
 export interface MachineChoice {
   machine: Machine;
   victims: TaskAttempt[];
 }
 
-// Weights of the score, of which lower is better: one second of fetching an image costs 100.
+// Weights of the score; a lower score is better. One second of fetching an image costs 100.
 const COST_PER_FETCH_SECOND = 100;
 const COST_PER_VICTIM = 120;
 const COST_OF_STRAGGLER = 400;
-/** Replicas of a service keep apart, by machine and by zone. */
+/** Spread the replicas of a service over machines and over zones. */
 const COST_PER_REPLICA_ON_MACHINE = 50;
 const COST_PER_REPLICA_IN_ZONE = 5;
-/** Tasks of an array keep together: the loss of a machine then hits few jobs. */
+/** Negative, so that tasks of an array are placed together: the loss of a machine then affects few jobs. */
 const COST_OF_MACHINE_SHARED_BY_ARRAY = -30;
 const COST_OF_AVOIDABLE_ORDINARY_MACHINE = 600;
-/** Where money does not count, ordinary machines are only slightly better for work that may be preempted. */
+/** Without `saveMoney`, ordinary machines are only slightly preferred for tasks that are allowed on spot machines. */
 const COST_OF_SPOT_MACHINE = 2;
-/** Times the machine's free share of CPUs. */
+/** Multiplied by the free share of the machine's CPUs. */
 const WEIGHT_OF_FREE_SHARE = 10;
 
-/** The youngest tasks whose end would free enough capacity on the machine; null if that is not possible. */
+/** The youngest attempts whose stop would free enough capacity on the machine; null if there is no such set. */
 function preemptionVictims(
   job: Job,
   machine: Machine,
@@ -80,20 +80,21 @@
 }
 
 /**
- * The machines for the tasks of one job. All machines are scored once per job and not once per task, since its tasks
- * are alike. Machines that have the image come first, since a fetch takes longer than anything else here; then those
- * without preemption, with replicas apart, and with most free capacity. Services are packed where money counts; arrays
- * never are: a job whose tasks fill few machines is hit by the loss of few, and one lost task makes it late.
+ * Candidate machines for the tasks of one job. All machines are scored once per job, not once per task, since the tasks
+ * of a job are alike. Machines that have the image come first, since a fetch takes longer than anything else here; then
+ * those that need no preemption, that keep replicas apart, and that have the most free capacity. With `saveMoney`,
+ * services are bin-packed. Arrays never are: an array whose tasks fill few machines is affected by the loss of few
+ * machines, and a single lost task makes it late.
  */
 export class MachineCandidates {
   private readonly machines: Machine[] = [];
-  /** Of `machines`, by index. */
+  /** Scores of `machines`, at the same index. */
   private readonly scores: number[] = [];
-  /** The job's tasks that may still be somewhere, by machine and by zone. */
+  /** Number of the job's tasks that may still be on machines, by machine and by zone. */
   private readonly tasksPerMachine = new Map<Machine, number>();
   private readonly tasksPerZone = new Map<string, number>();
   private readonly isZoneOpen: ZoneFilter | null;
-  /** How many machines were scored: the cost of the selection. */
+  /** Number of machines scored, as a measure of the cost of the selection. */
   examined = 0;
 
   constructor(
@@ -120,12 +121,12 @@
     this.tasksPerZone.set(machine.zone, (this.tasksPerZone.get(machine.zone) ?? 0) + 1);
   }
 
-  /** No machine takes a task: nor does any for jobs of the same shape with the same zones open. */
+  /** Whether no machine can take a task; the same then holds for jobs of the same shape with the same zones open. */
   isEmpty(): boolean {
     return this.machines.length === 0;
   }
 
-  /** Infinity where the job can't run; what depends on its zones is added in `selectBest`. */
+  /** Score of the machine; Infinity if the job can't run there. The cost by zone is added in `selectBest`. */
   private score(machine: Machine): number {
     const { job, context } = this;
     if (!satisfiesConstraints(job.spec, machine) || job.failedOn.has(machine.index))
@@ -147,7 +148,7 @@
     return tasksHere > 0 ? COST_OF_MACHINE_SHARED_BY_ARRAY : 0;
   }
 
-  /** Where money counts: spot machines where they are allowed, and services bin-packed. */
+  /** Used with `saveMoney`: prefers spot machines where the job allows them, and bin-packs services. */
   private rentCost(machine: Machine): number {
     const { spot, kind } = this.job.spec;
     const freeShare = machine.freeCpus() / machine.type.cpus;
@@ -157,7 +158,7 @@
     );
   }
 
-  /** Where it does not: the load spread over all machines. */
+  /** Used without `saveMoney`: spreads the load over all machines. */
   private utilizationCost(machine: Machine): number {
     const freeShare = machine.freeCpus() / machine.type.cpus;
     return (
@@ -166,7 +167,7 @@
     );
   }
 
-  /** The best machine for the next task, or null. */
+  /** Returns the best machine for the next task, or null if no machine can take it. */
   selectBest(): MachineChoice | null {
     const { kind, tasks } = this.job.spec;
     const zoneWeight = kind === 'service' && tasks > 1 ? COST_PER_REPLICA_IN_ZONE : 0;
@@ -185,7 +186,7 @@
     return victims && { machine: best, victims };
   }
 
-  /** Takes into account that a task of the job was placed on the machine. */
+  /** Updates counts and score after a task of the job was placed on the machine. */
   recordPlacement(machine: Machine): void {
     this.countTask(machine);
     const index = this.machines.indexOf(machine);
--- a/src/placement/machine-constraints.ts
+++ b/src/placement/machine-constraints.ts
@@ -1,13 +1,13 @@
-/** Which machines a job's tasks fit on at all: types, zones, spot machines and free capacity. Pure functions. */
+/** Hard constraints on the machines of a job's tasks: types, zones, spot machines and free capacity. Pure functions. */
 import type { Job } from '../jobs/job.js';
 import type { JobSpec } from '../wire/model.js';
 import type { Machine } from '../workers/machine.js';
 import { ROUNDING_TOLERANCE } from './resources.js';
 
-/** Tells whether a zone may take another task of a job. */
+/** Returns true if the zone may take another task of a job. */
 export type ZoneFilter = (zone: string) => boolean;
 
-/** Does the machine meet what the job asks for, leaving aside free capacity and its other tasks? */
+/** Whether the machine meets the job's requirements, regardless of free capacity and of the job's other tasks. */
 export function satisfiesConstraints(spec: JobSpec, machine: Machine): boolean {
   return (
     (spec.types === null || spec.types.includes(machine.type.name)) &&
@@ -16,7 +16,10 @@
   );
 }
 
-/** Zones that the job's other tasks leave open; all that may still be somewhere are counted. Null: any zone. */
+/**
+ * Filter of the zones that the job's other tasks leave open, counting all tasks that may still be on machines. Returns
+ * null if any zone is open.
+ */
 export function zoneFilter(job: Job): ZoneFilter | null {
   if (!job.spec.spread && !job.spec.oneZone) return null;
   const tasksPerZone = new Map<string, number>();
@@ -26,7 +29,7 @@
   return zoneFilterFor(job.spec, tasksPerZone);
 }
 
-/** As `zoneFilter`, over a count that the caller keeps: the filter reads it anew at each call. */
+/** Like `zoneFilter`, over a count that the caller maintains; the filter reads the present count at each call. */
 export function zoneFilterFor(
   spec: JobSpec,
   tasksPerZone: ReadonlyMap<string, number>,
@@ -40,18 +43,18 @@
   };
 }
 
-/** The zones closed to the job, as a key: jobs of one shape with the same key may use the same zones. */
+/** Key of the zones closed to the job: jobs of the same shape with the same key may use the same zones. */
 export function closedZonesKey(job: Job, zones: Iterable<string>): string {
   const isOpen = zoneFilter(job);
   return isOpen ? [...zones].filter((zone) => !isOpen(zone)).join('+') : '';
 }
 
-/** Has the machine free capacity for one task, beside CPUs that are promised to others? */
+/** Whether the machine has free capacity for one task besides the CPUs that are promised to other tasks. */
 export function hasCapacity(spec: JobSpec, machine: Machine, promisedCpus = 0): boolean {
   return fits(spec, machine.freeCpus() - promisedCpus, machine.freeGpus(), machine.freeMemory());
 }
 
-/** Does one task fit into these amounts? Memory in GB. */
+/** Whether one task fits into these amounts; memory is in GB. */
 export function fits(spec: JobSpec, cpus: number, gpus: number, memoryGb: number): boolean {
   return (
     cpus + ROUNDING_TOLERANCE >= spec.cpus &&
--- a/src/placement/machine-drain.ts
+++ b/src/placement/machine-drain.ts
@@ -1,4 +1,4 @@
-/** Moves tasks off machines that go away (the paper's Listing 3). */
+/** Moves tasks off machines that will be preempted or are faulty (the paper's Listing 3). */
 import type { Job } from '../jobs/job.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Machine } from '../workers/machine.js';
@@ -10,10 +10,10 @@
 import type { RunTimePrediction } from './run-time-prediction.js';
 import type { UsableMachines } from './usable-machines.js';
 
-/** A task stays on a machine that goes away if it is expected to end within this share of the time left. */
+/** A task stays on a machine that will be preempted if it is expected to finish within this share of the time left. */
 const MAX_SHARE_OF_TIME_LEFT = 0.8;
 
-/** What draining reads and acts on. */
+/** Dependencies of `MachineDrain`. */
 export interface MachineDrainDependencies {
   table: MachineTable;
   machines: UsableMachines;
@@ -23,25 +23,25 @@
   stopper: AttemptStopper;
 }
 
-/** What the moves off one machine share. */
+/** State shared by the moves of tasks off one machine. */
 interface DrainProgress {
-  /** Until the machine goes away; Infinity if it stays up. */
+  /** Milliseconds until the machine is preempted; Infinity if it stays up. */
   readonly leftMs: number;
   readonly targets: Machine[];
-  /** CPUs of the targets that tasks moved so far will take. */
+  /** CPUs, by target machine, that the tasks moved so far will take. */
   readonly promisedCpus: Map<Machine, number>;
 }
 
-/** Drains machines: their tasks are spread over the others round robin. */
+/** Drains machines; targets for their tasks are chosen round robin among the other machines. */
 export class MachineDrain {
-  /** Index of the machine that the next task is offered first. */
+  /** Index of the machine that is considered first for the next task. */
   private nextTarget = 0;
 
   constructor(private readonly deps: MachineDrainDependencies) {}
 
   /**
-   * Stops a bounded number of the machine's tasks, so that they start again elsewhere. Tasks that end before the machine
-   * goes away stay; a task is moved only when another machine has capacity for it.
+   * Stops a bounded number of the machine's tasks, so that they restart elsewhere. Tasks that are expected to finish
+   * before the machine is preempted stay; a task is moved only if another machine has capacity for it.
    */
   drain(machine: Machine, now: number): void {
     if (!machine.isReconciled()) return;
@@ -79,8 +79,9 @@
   }
 
   /**
-   * The machine that is drained takes nothing new, so it is not usable. Capacity is checked first: when many machines go
-   * away at once each of their heartbeats comes here, and on a full fleet that is all it costs.
+   * Returns the next machine with capacity for a task, or null. The drained machine itself is not usable, so it is
+   * never selected. Capacity is checked first: when many machines are preempted at the same time, each of their
+   * heartbeats leads here, and on a full fleet the capacity check is then the only cost.
    */
   private selectTarget(job: Job, { targets, promisedCpus }: DrainProgress): Machine | null {
     for (let i = 0; i < targets.length; i++) {
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -1,35 +1,35 @@
-/** Which running tasks may be stopped in favour of a waiting job. Decides only; callers do the stopping. */
+/** Decides which running tasks may be stopped in favour of a waiting job. The callers stop them. */
 import type { Job } from '../jobs/job.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import type { GuaranteedJobs } from './guaranteed-jobs.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** Who may preempt whom on a machine: by priority, and to take back what teams use beyond their guarantees. */
+/** Rules of preemption on a machine: by priority, and to reclaim what teams use beyond their guarantees. */
 export class PreemptionPolicy {
   constructor(
     private readonly usage: TeamUsage,
     private readonly guaranteed: GuaranteedJobs,
   ) {}
 
-  /** May the attempt be stopped to free its machine's capacity for the job? */
+  /** Whether the attempt may be stopped to free its machine's capacity for the job. */
   mayPreempt(victim: TaskAttempt, job: Job): boolean {
     const victimJob = victim.job;
-    // The end of one task of a gang would end them all.
+    // Stopping one task of a gang would end all of them.
     if (!victimJob || victimJob.spec.kind === 'gang') return false;
-    // As in `servingOrder`: work within its guarantee goes before more urgent work beyond one. If each could stop the
-    // other, two teams on a full fleet would stop each other's tasks for ever, and none would ever end.
+    // As in `servingOrder`, work within its team's guarantee goes before more urgent work beyond one. If each could
+    // stop the other, two teams on a full fleet would stop each other's tasks forever, and no task would finish.
     if (job.spec.priority > 0 && this.guaranteed.has(victimJob) && !this.guaranteed.has(job))
       return false;
     if (victimJob.spec.priority > job.spec.priority) return true;
     return this.mayReclaim(victimJob, job);
   }
 
-  /** May the job preempt anything at all? If not, only machines with free capacity are of use to it. */
+  /** Whether the job may preempt anything at all. If not, only machines with free capacity are of use to it. */
   mayPreemptAny(job: Job, lowestRunningPriority: number): boolean {
     return job.spec.priority < lowestRunningPriority || this.guaranteed.has(job);
   }
 
-  /** May the job's team take back capacity that another team uses beyond its guarantee? Never from production. */
+  /** Whether the job's team may reclaim capacity that another team uses beyond its guarantee; never from production. */
   private mayReclaim(victimJob: Job, job: Job): boolean {
     const { team, priority } = victimJob.spec;
     return (
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -1,6 +1,6 @@
 /**
- * Capacity that some jobs leave to others. Each reservation delays a job for a bounded time only: whoever has
- * started nothing for `MAX_YIELD_MS` ignores all of them, so that no job waits for long beside free capacity.
+ * Capacity that some jobs leave to others. Each reservation delays a job for a bounded time only: a job that has
+ * started nothing for `MAX_YIELD_MS` ignores all of them, so that no job waits for long while capacity is free.
  */
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
@@ -14,13 +14,13 @@
   scaleResources,
 } from './resources.js';
 
-/** The longest time that a job yields to any reservation. */
+/** The longest time for which a job yields to reservations. */
 const MAX_YIELD_MS = 60_000;
-/** How long an array leaves part of its team's limit to services that may come. */
+/** How long an array that starts nothing leaves part of its team's limit to services that may arrive. */
 const SERVICE_HEADROOM_MS = 30_000;
-/** A reservation lapses after this time unless the waiting gang renews it. */
+/** A reservation expires after this time unless the waiting gang renews it. */
 const RESERVATION_TTL_MS = 1500;
-/** At most this many tasks of a service count for the headroom that arrays leave to it. */
+/** At most this many tasks of a service count towards the headroom that arrays leave to it. */
 const MAX_SERVICE_HEADROOM_TASKS = 4;
 
 interface Reservation {
@@ -39,16 +39,16 @@
 
 /** Reservations for waiting gangs, and the headroom under teams' limits that arrays leave to services. */
 export class Reservations {
-  /** Machines on which a waiting gang will fit once the arrays there have ended. */
+  /** Reserves machines on which a waiting gang will fit once the array tasks there have ended. */
   private machineReservation: MachineReservation | null = null;
-  /** For a gang that waits for its team to be far enough below its limit. */
+  /** Reserves team limit for a gang that waits until its team's usage is far enough below the limit. */
   private teamLimitReservation: Reservation | null = null;
-  /** By team, the most CPUs that one of its services asked for. */
+  /** By team, the highest number of CPUs that one of its services has requested. */
   private readonly serviceCpus = new Map<string, number>();
 
   constructor(private readonly jobs: JobTable) {}
 
-  /** Takes a service's size into account for its team's headroom; other jobs are ignored. */
+  /** Counts a service's size towards the headroom of its team; other jobs are ignored. */
   recordService(job: Job): void {
     const { kind, team, cpus, tasks } = job.spec;
     if (kind !== 'service') return;
@@ -56,13 +56,16 @@
     this.serviceCpus.set(team, Math.max(this.serviceCpus.get(team) ?? 0, wanted));
   }
 
-  /** CPUs under the team's limit that an array leaves to its team's next service. */
+  /** CPUs under the team's limit that an array leaves to the next service of its team. */
   serviceHeadroom(job: Job, now: number): number {
     if (job.spec.kind !== 'array' || now - job.startedAt > SERVICE_HEADROOM_MS) return 0;
     return this.serviceCpus.get(job.spec.team) ?? 0;
   }
 
-  /** One gang at a time: two gangs that reserve half of what each needs would block one another. */
+  /**
+   * Reserves machines for the gang. Only one gang has a reservation at a time: two gangs that each reserve half of what
+   * they need would block each other.
+   */
   reserveMachines(gang: Job, allowed: Machine[], now: number): void {
     const current = this.machineReservation;
     if (isActive(current, now) && current.gang !== gang) return;
@@ -70,7 +73,7 @@
     this.machineReservation = { gang, machines, expiresAt: now + RESERVATION_TTL_MS };
   }
 
-  /** The machines of the list that the job may use. More urgent jobs ignore reservations. */
+  /** The machines of the list that the job may use. Jobs more urgent than the gang ignore its reservation. */
   withoutReserved(job: Job, machines: Machine[], now: number): Machine[] {
     const reservation = this.machineReservation;
     if (!isActive(reservation, now) || reservation.gang === job) return machines;
@@ -79,12 +82,12 @@
     return machines.filter((machine) => !reservation.machines.has(machine));
   }
 
-  /** Makes the team's arrays leave their share of its limit to the gang as their tasks end. */
+  /** Makes the team's arrays leave the part of its limit that they free, as their tasks end, to the gang. */
   reserveTeamLimit(gang: Job, now: number): void {
     this.teamLimitReservation = { gang, expiresAt: now + RESERVATION_TTL_MS };
   }
 
-  /** Does the array start nothing for now, so that a gang of its team comes to fit under the team's limit? */
+  /** Whether the job is an array that starts nothing for now, so that a gang of its team will fit under the limit. */
   yieldsTeamLimit(job: Job, now: number): boolean {
     const reservation = this.teamLimitReservation;
     if (job.spec.kind !== 'array' || !isActive(reservation, now)) return false;
@@ -93,7 +96,7 @@
     return job.spec.team === team && job.spec.priority >= priority;
   }
 
-  /** What the team's arrays use: a gang that fits without them will fit once they have ended. */
+  /** Usage of the team's arrays: a gang that fits without them will fit once they have ended. */
   usedByArrays(team: string): Resources {
     let used = NO_RESOURCES;
     for (const { spec, attempts } of this.jobs.all())
@@ -107,7 +110,7 @@
   }
 }
 
-/** How many of the gang's tasks the machine takes once the arrays' tasks on it have ended; services stay. */
+/** Number of the gang's tasks that the machine can take once the array tasks on it have ended; services stay. */
 function slotsWithoutArrays(gang: Job, machine: Machine): number {
   let cpus = machine.freeCpus();
   for (const attempt of machine.attempts.values())
@@ -115,7 +118,10 @@
   return Math.floor(cpus / Math.max(gang.spec.cpus, ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE);
 }
 
-/** Machines that take the whole gang once their arrays have ended, those with most free CPUs first; none if none do. */
+/**
+ * Machines that can take the whole gang once the array tasks on them have ended, chosen by most free CPUs first. Empty
+ * if there are not enough of them.
+ */
 function machinesToReserve(gang: Job, allowed: Machine[]): Set<Machine> {
   for (const group of placementGroups(gang, allowed)) {
     const chosen = new Set<Machine>();
