--- a/src/placement/attempt-accounting.ts
+++ b/src/placement/attempt-accounting.ts
@@ -1,4 +1,4 @@
-/** What changes when an attempt is added to the machine table, and when it has left its machine. */
+/** Updates made when an attempt is added to the machine table, and when it has left its machine. */
 import type { Job } from '../jobs/job.js';
 import type { Log } from '../runtime.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -9,10 +9,13 @@
 import type { RunTimePrediction } from './run-time-prediction.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** A task whose start was rejected, for lack of capacity or since an old attempt is there, waits for a newer heartbeat. */
+/**
+ * Delay of a job's next start after a start was rejected for lack of capacity or because an old attempt is still on the
+ * machine. A newer heartbeat should arrive in this time.
+ */
 const REJECTED_START_RETRY_MS = 300;
 
-/** What the accounting updates. */
+/** Dependencies of `AttemptAccounting`. */
 export interface AttemptAccountingDependencies {
   table: MachineTable;
   usage: TeamUsage;
@@ -23,16 +26,16 @@
   now(): number;
 }
 
-/** Keeps jobs, teams' usage, run times and failures in step with the attempts in the machine table. */
+/** Keeps jobs, teams' usage, run times and failures consistent with the attempts in the machine table. */
 export class AttemptAccounting {
   constructor(private readonly deps: AttemptAccountingDependencies) {}
 
-  /** The attempt may be on its machine from now on. */
+  /** Handles an attempt that may be on its machine from now on. */
   attemptAdded(attempt: TaskAttempt): void {
     const { usage, decisions } = this.deps;
     const { job } = attempt;
     const now = this.deps.now();
-    // One that is added as sent was shown by a heartbeat.
+    // An attempt that is added with its start already sent was reported by a heartbeat.
     if (attempt.startSent) decisions.discovered(attempt, now);
     else decisions.started(attempt, job ? usage.quotaStatus(job.spec.team) : undefined, now);
     if (!job) return;
@@ -40,7 +43,7 @@
     usage.charge(job.spec);
   }
 
-  /** The attempt is surely on no machine any more. */
+  /** Handles an attempt that is guaranteed to be on no machine any more. */
   attemptEnded(attempt: TaskAttempt): void {
     const { usage, decisions, gangs } = this.deps;
     const { job, cause } = attempt;
--- a/src/placement/attempt-stopper.ts
+++ b/src/placement/attempt-stopper.ts
@@ -1,4 +1,4 @@
-/** Stops attempts of arrays and services, and single tasks in favour of others. */
+/** Stops attempts of arrays and services, and individual tasks in favour of others. */
 import type { MachineTable } from '../workers/machine-table.js';
 import type { StopReason } from '../workers/stop-reason.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
@@ -14,7 +14,7 @@
     private readonly now: () => number,
   ) {}
 
-  /** Stops the attempt; `graceS` is the time in seconds that its task may take to save. */
+  /** Stops the attempt; `graceS` is the time in seconds that its task has to save its state. */
   stop(attempt: TaskAttempt, graceS: number, reason: StopReason): void {
     const now = this.now();
     this.stats.countStop(reason);
--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -1,6 +1,7 @@
 /**
- * The leader's latest decisions on tasks, with what they rested on: a bounded list in memory that is written to the log
- * when an audit finds a violation, so that it can be traced without a log line for each start of a large fleet.
+ * The leader's latest decisions on tasks, with the data they were based on: a bounded list in memory that is written to
+ * the log when an audit finds a violation. The violation can then be traced without a log line for each start in a
+ * large fleet.
  */
 import type { Log } from '../runtime.js';
 import type { ExitCause } from '../wire/model.js';
@@ -20,7 +21,10 @@
   machine: string;
 }
 
-/** A start with the team's usage before it, a stop with its reason, or an attempt's end with the proof of it. */
+/**
+ * A start with the team's usage before it, an attempt discovered in a heartbeat, a stop with its reason, or the end of
+ * an attempt with the data that proves it.
+ */
 export type Decision =
   | (DecisionOnAttempt & {
       kind: 'start';
@@ -54,7 +58,7 @@
 
   constructor(private readonly log: Log) {}
 
-  /** The quota status is the team's before the start. */
+  /** Records a start; `status` is the quota status of the team before it. */
   started(attempt: TaskAttempt, status: QuotaStatus | undefined, at: number): void {
     this.record({
       ...attemptFields(attempt, at),
@@ -65,7 +69,7 @@
     });
   }
 
-  /** A heartbeat showed an attempt that this leader did not start. */
+  /** Records an attempt that a heartbeat reported and that this leader did not start. */
   discovered(attempt: TaskAttempt, at: number): void {
     this.record({ ...attemptFields(attempt, at), kind: 'discovered', state: attempt.state });
   }
@@ -74,7 +78,7 @@
     this.record({ ...attemptFields(attempt, at), kind: 'stop', reason });
   }
 
-  /** The attempt is on no machine any more; its state and the machine's incarnation prove it. */
+  /** Records that the attempt is on no machine any more; its state and the machine's incarnation prove it. */
   ended(attempt: TaskAttempt, at: number): void {
     const { state, cause, machine } = attempt;
     this.record({
--- a/src/placement/demand-history.ts
+++ b/src/placement/demand-history.ts
@@ -1,4 +1,4 @@
-/** How much capacity services and gangs have asked for lately; older demand decays. */
+/** Tracks how much capacity services and gangs have requested recently; older demand decays. */
 import type { Job } from '../jobs/job.js';
 
 /** Time constant of the exponential decay. */
@@ -9,7 +9,7 @@
   at: number;
 }
 
-/** Demand of arriving jobs, decayed to the present. */
+/** Demand of arriving jobs, decayed to the present time. */
 export class DemandHistory {
   private services: DecayingDemand = { cpus: 0, at: 0 };
   private largestGang: DecayingDemand = { cpus: 0, at: 0 };
@@ -20,7 +20,7 @@
     return demand.cpus * Math.exp(-(this.now() - demand.at) / (DECAY_TIME_S * 1000));
   }
 
-  /** Counts a job that has become known; services only if they arrived in this leadership term. */
+  /** Counts a job that was added to the job table; services count only if they arrived in this leadership term. */
   record(job: Job): void {
     const cpus = job.spec.cpus * job.spec.tasks;
     const at = this.now();
@@ -30,7 +30,7 @@
       this.largestGang = { cpus: Math.max(cpus, this.decayed(this.largestGang)), at };
   }
 
-  /** CPUs a second that arriving services have asked for. */
+  /** CPUs per second that arriving services have requested. */
   serviceCpusPerSecond(): number {
     return this.decayed(this.services) / DECAY_TIME_S;
   }
--- a/src/placement/failure-tracking.ts
+++ b/src/placement/failure-tracking.ts
@@ -1,19 +1,19 @@
-/** Tells jobs that fail by themselves from machines that fail the tasks of several jobs. */
+/** Distinguishes jobs that fail by themselves from machines on which tasks of several jobs fail. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 
-/** A job that failed on so many machines is at fault itself, and condemns none of them. */
+/** A job that failed on this many machines is at fault itself; its failures are not counted against the machines. */
 const MACHINES_BEFORE_JOB_IS_AT_FAULT = 3;
-/** A machine that failed tasks of so many jobs is faulty. */
+/** A machine on which tasks of this many jobs failed is faulty. */
 const JOBS_BEFORE_MACHINE_IS_FAULTY = 2;
 const INITIAL_BACKOFF_MS = 200;
 const MAX_BACKOFF_MS = 20_000;
 const MAX_BACKOFF_DOUBLINGS = 8;
-/** A job that has started nothing for so long may use the machines again on which it failed. */
+/** A job that has started nothing for this long may again use the machines on which it failed. */
 const FAILED_MACHINES_TTL_MS = 30_000;
 
-/** Counts a failed task, and delays the job's next start. True if the machine has turned out to be faulty. */
+/** Counts a failed task, and delays the job's next start. Returns true if the machine is newly found to be faulty. */
 export function recordFailure(
   job: Job,
   machine: Machine,
@@ -36,14 +36,14 @@
   job.failedOn.clear();
 }
 
-/** A task of the job succeeded on the machine: neither is at fault. */
+/** Clears recorded failures after a task of the job succeeded on the machine: neither of the two is at fault. */
 export function recordSuccess(job: Job, machine: Machine): void {
   machine.failedJobs.delete(job.index);
   job.failedOn.clear();
   job.failures = 0;
 }
 
-/** With no other machine left the job must not wait for ever beside those on which it failed once. */
+/** Reopens the machines on which the job failed once: if no other machine is left, the job must not wait forever. */
 export function expireFailedMachines(job: Job, now: number): void {
   if (job.failedOn.size > 0 && now - job.startedAt > FAILED_MACHINES_TTL_MS) job.failedOn.clear();
 }
--- a/src/placement/guaranteed-jobs.ts
+++ b/src/placement/guaranteed-jobs.ts
@@ -1,10 +1,10 @@
-/** Which jobs are within their team's guaranteed CPUs. */
+/** Determines which jobs are within their team's guaranteed CPUs. */
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import { ROUNDING_TOLERANCE } from './resources.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** The set changes slowly, and costs a sort of all jobs. */
+/** The set changes slowly, and recomputing it sorts all jobs. */
 const REFRESH_INTERVAL_MS = 300;
 
 /** The jobs within their team's guarantee, as of the latest refresh. */
--- a/src/placement/obsolete-attempts.ts
+++ b/src/placement/obsolete-attempts.ts
@@ -1,8 +1,8 @@
-/** Attempts that machines report although nothing needs them. */
+/** Detects attempts that machines report although they are no longer needed. */
 import type { StopReason } from '../workers/stop-reason.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 
-/** Why a reported attempt has to stop; null if it may go on. */
+/** Reason why a reported attempt has to stop; null if it may continue. */
 export function obsoleteReason(attempt: TaskAttempt): StopReason | null {
   const { job, taskNumber } = attempt;
   if (!job) return 'unknown-job';
@@ -12,8 +12,8 @@
 }
 
 /**
- * The oldest attempt of a task stays. A late heartbeat of a machine that is gone shows a duplicate, too, so both
- * machines must be reconciled before either attempt counts as proof.
+ * Whether the attempt duplicates the oldest attempt of its task, which is kept. A late heartbeat of a machine that no
+ * longer exists also shows a duplicate, so both machines must be reconciled before either attempt counts as proof.
  */
 function isDuplicate(attempt: TaskAttempt, attemptsOfTask: TaskAttempt[] | undefined): boolean {
   if (!attemptsOfTask || attemptsOfTask.length < 2) return false;
--- a/src/placement/rebalancer.ts
+++ b/src/placement/rebalancer.ts
@@ -1,4 +1,4 @@
-/** DESIGN's placement round: young tasks leave stragglers, and machines that go away are drained. */
+/** The placement round (see DESIGN): moves young tasks off stragglers, and drains machines that are to be vacated. */
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import { MachineDrain } from './machine-drain.js';
@@ -7,7 +7,7 @@
   type StragglerRelocationDependencies,
 } from './straggler-relocation.js';
 
-/** Moves tasks whose machines are slow, faulty or about to go away. */
+/** Moves tasks off machines that are slow, faulty or about to be preempted. */
 export class Rebalancer {
   private readonly table: MachineTable;
   private readonly relocation: StragglerRelocation;
@@ -19,7 +19,7 @@
     this.draining = new MachineDrain(deps);
   }
 
-  /** One placement round. */
+  /** Runs one placement round. */
   round(now: number): void {
     this.relocation.round(now);
     for (const machine of this.table.all())
@@ -27,7 +27,7 @@
         this.draining.drain(machine, now);
   }
 
-  /** Drains a machine between rounds, as soon as it is known to go away. */
+  /** Drains a machine between rounds, as soon as its preemption is known. */
   drain(machine: Machine, now: number): void {
     this.draining.drain(machine, now);
   }
--- a/src/placement/resources.ts
+++ b/src/placement/resources.ts
@@ -1,6 +1,6 @@
 /** Amounts of CPUs and GPUs, and their sums over tasks. */
 
-/** CPUs and GPUs of one task or of several together. Memory is no part of a team's quota. */
+/** CPUs and GPUs of one task or of several together. Memory is not part of a team's quota. */
 export interface Resources {
   readonly cpus: number;
   readonly gpus: number;
@@ -9,7 +9,7 @@
 /** The empty sum. */
 export const NO_RESOURCES: Resources = { cpus: 0, gpus: 0 };
 
-/** Sums of decimal amounts may be off by this much. */
+/** Tolerance for rounding errors in sums of decimal amounts. */
 export const ROUNDING_TOLERANCE = 1e-6;
 
 /** The sum of two amounts. */
@@ -17,7 +17,7 @@
   return { cpus: left.cpus + right.cpus, gpus: left.gpus + right.gpus };
 }
 
-/** The amount times a factor; a factor of -1 gives what `addResources` subtracts. */
+/** The amount times a factor; adding an amount scaled by -1 with `addResources` subtracts it. */
 export function scaleResources(amount: Resources, factor: number): Resources {
   return { cpus: amount.cpus * factor, gpus: amount.gpus * factor };
 }
--- a/src/placement/round-log.ts
+++ b/src/placement/round-log.ts
@@ -1,4 +1,4 @@
-/** Writes to the log, once a placement round, what scheduling cost and what the teams use. */
+/** Logs the cost of scheduling and the usage of the teams once per placement round. */
 import type { Log } from '../runtime.js';
 import type { SchedulingStats } from './scheduling-stats.js';
 import type { TeamUsage } from './team-usage.js';
@@ -7,7 +7,7 @@
 /** Bounds the size of one log line. */
 const MAX_TEAMS_IN_LOG = 20;
 
-/** The log lines of a placement round. */
+/** Writes the log lines of a placement round. */
 export class RoundLog {
   constructor(
     private readonly log: Log,
@@ -16,14 +16,14 @@
     private readonly usage: TeamUsage,
   ) {}
 
-  /** Writes what happened since the last call. */
+  /** Logs the counts since the last call, the unusable machines and the team usage. */
   write(): void {
     const unusable = this.machines.countUnusable();
     this.log.info({ ...this.stats.takeCounts(), unusable }, 'round');
     this.writeTeamUsage();
   }
 
-  /** The teams that use or may use anything, those nearest to their limits first. */
+  /** Logs the teams that use or may use anything, those nearest to their limits first. */
   private writeTeamUsage(): void {
     const active = this.usage
       .quotaStatuses()
--- a/src/placement/run-time-estimator.ts
+++ b/src/placement/run-time-estimator.ts
@@ -1,9 +1,9 @@
-/** Learns run times by class of jobs, and corrects the owners' estimates by them. */
+/** Learns run times by job class, and corrects the owners' estimates with them. */
 import { type Histogram, build } from 'hdr-histogram-js';
 
 const MAX_RUN_TIME_MS = 24 * 3600 * 1000;
 const SIGNIFICANT_DIGITS = 2;
-/** Histograms hold whole numbers: the ratio of run time to estimate is recorded in thousandths. */
+/** Histograms hold integers, so the ratio of run time to estimate is recorded in thousandths. */
 const BIAS_UNIT = 1000;
 const MIN_SAMPLES_FOR_BIAS = 20;
 const MIN_SAMPLES_FOR_MEDIAN = 5;
@@ -32,13 +32,16 @@
   private readonly runTimes = new Map<string, Histogram>();
   private readonly biases = new Map<string, Histogram>();
 
-  /** Owners' estimates are far off, on some days all in one direction: that bias is learnt, too. */
+  /**
+   * Records a run time, and its ratio to the owner's estimate: estimates are far off, on some days all in one direction,
+   * and that bias is learnt too.
+   */
   record(jobClass: string, runTimeMs: number, estimateMs: number): void {
     recordIn(this.runTimes, jobClass, runTimeMs);
     if (estimateMs > 0) recordIn(this.biases, jobClass, (runTimeMs / estimateMs) * BIAS_UNIT);
   }
 
-  /** What a task of the class is expected to take, given its owner's estimate (0: none); 0 if nothing is known. */
+  /** Expected run time of a task of the class, given its owner's estimate (0: none). Returns 0 if nothing is known. */
   expectedMs(jobClass: string, estimateMs: number): number {
     if (estimateMs > 0) return estimateMs * this.bias(jobClass);
     return this.medianMs(jobClass) ?? 0;
@@ -50,7 +53,7 @@
     return histogram.getValueAtPercentile(50) / BIAS_UNIT;
   }
 
-  /** The median run time of a class; null with too few samples. */
+  /** The median run time of a class; null if there are too few samples. */
   medianMs(jobClass: string): number | null {
     const histogram = this.runTimes.get(jobClass);
     if (!histogram || histogram.totalCount < MIN_SAMPLES_FOR_MEDIAN) return null;
--- a/src/placement/run-time-prediction.ts
+++ b/src/placement/run-time-prediction.ts
@@ -1,4 +1,4 @@
-/** What is known of how long tasks run, from a job's own finished tasks and from its class. */
+/** Predicts how long tasks run, from the job's own finished tasks and from its class. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
@@ -10,15 +10,15 @@
   readonly samples = new RunTimeSamples();
   private readonly estimator = new RunTimeEstimator();
 
-  /** Counts a task that finished; services don't. */
+  /** Records the run time of a finished task of an array or a gang; services are not counted. */
   recordRun(job: Job, machine: Machine, runTimeMs: number): void {
     const { cls: jobClass, estimateS, kind } = job.spec;
     this.estimator.record(jobClass, runTimeMs, estimateS * 1000);
-    // A gang runs at the speed of its slowest machine, which tells nothing of the others.
+    // A gang runs at the speed of its slowest machine, so its run time says nothing about the others.
     if (kind === 'array') this.samples.record(job.index, machine.index, runTimeMs);
   }
 
-  /** What a task of the job is expected to take; 0 if nothing is known. */
+  /** Expected run time of a task of the job; 0 if nothing is known. */
   expectedMs(job: Job): number {
     const { cls: jobClass, estimateS } = job.spec;
     return (
@@ -26,14 +26,14 @@
     );
   }
 
-  /** The median of the job's other tasks; a gang's run as one, so there it is that of the class. Null if unknown. */
+  /** Median run time of the job's tasks; of its class for a gang, whose tasks run as one. Null if unknown. */
   usualMs(job: Job): number | null {
     return job.spec.kind === 'gang'
       ? this.estimator.medianMs(job.spec.cls)
       : this.samples.medianMs(job.index);
   }
 
-  /** What is left of the usual run time of a running task; null if nothing is known. */
+  /** Remaining part of the usual run time of a running task; null if it is unknown or the task does not run. */
   remainingMs(attempt: TaskAttempt, job: Job, now: number): number | null {
     const usual = this.usualMs(job) ?? this.estimator.medianMs(job.spec.cls);
     if (usual === null || attempt.state !== 'running' || attempt.runningSince === 0) return null;
--- a/src/placement/run-time-samples.ts
+++ b/src/placement/run-time-samples.ts
@@ -1,8 +1,8 @@
-/** Run times of finished tasks, kept by job so that machines can be compared. */
+/** Run times of finished tasks, kept per job so that machines can be compared. */
 
 const MAX_SAMPLES_PER_JOB = 64;
 const MAX_JOBS = 200;
-/** A median of fewer run times says too little. */
+/** A median of fewer run times is not meaningful. */
 const MIN_SAMPLES_FOR_MEDIAN = 3;
 
 interface RunTimeSample {
@@ -22,7 +22,7 @@
   return sorted[sorted.length >> 1];
 }
 
-/** Of the samples of all other machines, the one at this position. */
+/** Run time at the given position among the samples of all other machines; Infinity if there is none. */
 function runTimeElsewhere(sorted: RunTimeSample[], machine: number, position: number): number {
   let remaining = position;
   for (const sample of sorted)
@@ -30,7 +30,7 @@
   return Infinity;
 }
 
-/** By machine, its run times in the order of the samples. */
+/** Run times grouped by machine, in the order of the samples. */
 function groupByMachine(samples: RunTimeSample[]): Map<number, number[]> {
   const groups = new Map<number, number[]>();
   for (const { machine, runTimeMs } of samples)
@@ -38,10 +38,10 @@
   return groups;
 }
 
-/** Run times of finished tasks by job and machine, both given by their index: the latest ones of each job. */
+/** Latest run times of each job's finished tasks, by machine. Jobs and machines are given by their index. */
 export class RunTimeSamples {
   private readonly byJob = new Map<number, RunTimeSample[]>();
-  /** Indexes of ended jobs that may still have samples, in the order of their ends. */
+  /** Indexes of terminal jobs that may still have samples, in the order in which they ended. */
   private readonly terminalJobs: number[] = [];
 
   record(job: number, machine: number, runTimeMs: number): void {
@@ -54,7 +54,7 @@
     if (samples.length > MAX_SAMPLES_PER_JOB) samples.shift();
   }
 
-  /** The median run time of a job's tasks; null with too few samples. */
+  /** The median run time of a job's tasks; null if there are too few samples. */
   medianMs(job: number): number | null {
     const samples = this.byJob.get(job);
     if (!samples || samples.length < MIN_SAMPLES_FOR_MEDIAN) return null;
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Per machine, how many jobs ran longer on it, by the ratio, than the same jobs elsewhere; and how many did
-   * not. Each job's samples are sorted once, for all machines.
+   * Counts, per machine, the jobs whose median run time on it is at least `ratio` times their median elsewhere, and the
+   * jobs for which it is not. Each job's samples are sorted once, for all machines.
    */
   compareMachines(ratio: number): Map<number, MachineComparison> {
     const comparisons = new Map<number, MachineComparison>();
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Bounds the number of jobs. Samples of ended jobs are still worth something, so they are kept until there are too
-   * many; those of the jobs that ended first then go.
+   * Called when a job has reached a terminal state; bounds the number of jobs with samples. Samples of terminal jobs
+   * are still useful, so they are kept until there are too many jobs; the oldest terminal jobs' samples are then removed.
    */
   jobEnded(job: number, isLive: (job: number) => boolean): void {
     this.terminalJobs.push(job);
--- a/src/placement/scheduling-stats.ts
+++ b/src/placement/scheduling-stats.ts
@@ -1,7 +1,7 @@
-/** What scheduling cost since the last placement round, for the log. */
+/** Counts the cost of scheduling since the last placement round, for the log. */
 import type { StopReason } from '../workers/stop-reason.js';
 
-/** Counts since the last round, under the names that the log shows. */
+/** Counts since the last round, under their names in the log. */
 export interface SchedulingCounts {
   cycles: number;
   candidatesExamined: number;
@@ -33,7 +33,7 @@
     this.counts.stops[reason] = (this.counts.stops[reason] ?? 0) + 1;
   }
 
-  /** Returns the counts, and starts them anew. */
+  /** Returns the counts and resets them. */
   takeCounts(): SchedulingCounts {
     const { counts } = this;
     this.counts = noCounts();
--- a/src/placement/straggler-detection.ts
+++ b/src/placement/straggler-detection.ts
@@ -7,7 +7,7 @@
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import type { RunTimeSamples } from './run-time-samples.js';
 
-/** Machines on which at least `minJobs` jobs ran longer than elsewhere, and more did so than did not. */
+/** Indexes of machines on which at least `minJobs` jobs ran longer than elsewhere, and more did so than did not. */
 export function detectStragglers(
   samples: RunTimeSamples,
   ratio: number,
@@ -19,13 +19,13 @@
   return stragglers;
 }
 
-/** Does the task run, and is it in the first half of its usual run time? */
+/** Whether the task is running and in the first half of its usual run time. */
 function isInFirstHalf(attempt: TaskAttempt, usualMs: number, now: number): boolean {
   const { state, runningSince } = attempt;
   return state === 'running' && runningSince !== 0 && now - runningSince < usualMs / 2;
 }
 
-/** A gang moves whole or not at all. */
+/** Whether all tasks of the gang are in their first half: a gang is moved as a whole or not at all. */
 function isWholeGangInFirstHalf(gang: Job, usualMs: number, now: number): boolean {
   for (const attempts of gang.attempts.values())
     for (const attempt of attempts) if (!isInFirstHalf(attempt, usualMs, now)) return false;
@@ -46,7 +46,7 @@
   return job.spec.kind !== 'gang' || isWholeGangInFirstHalf(job, usual, now);
 }
 
-/** The youngest task of a straggler that is worth moving: in its first half, and not moved before. */
+/** The youngest task of a straggler that is worth moving: in its first half, and not moved before. Null if none is. */
 export function selectTaskToMove(
   machine: Machine,
   usualMs: (job: Job) => number | null,
--- a/src/placement/straggler-relocation.ts
+++ b/src/placement/straggler-relocation.ts
@@ -12,7 +12,7 @@
 import { detectStragglers, selectTaskToMove } from './straggler-detection.js';
 import type { UsableMachines } from './usable-machines.js';
 
-/** What relocation reads and acts on. */
+/** Dependencies of `StragglerRelocation`. */
 export interface StragglerRelocationDependencies {
   table: MachineTable;
   machines: UsableMachines;
@@ -23,11 +23,11 @@
   stopper: AttemptStopper;
 }
 
-/** The part of the placement round that deals with stragglers. */
+/** The part of the placement round that handles stragglers. */
 export class StragglerRelocation {
   constructor(private readonly deps: StragglerRelocationDependencies) {}
 
-  /** Updates the flags, then moves a bounded number of tasks. */
+  /** Updates the straggler flags, then moves a bounded number of tasks. */
   round(now: number): void {
     this.updateFlags();
     this.moveTasks(now);
@@ -53,7 +53,10 @@
     }
   }
 
-  /** A task starts again once its worker reports it stopped; the straggler is then scored behind the others. */
+  /**
+   * Stops one task, or its gang, and returns whether it did. The task restarts once its worker reports it stopped; the
+   * straggler is then scored behind the other machines.
+   */
   private moveOne(machine: Machine, now: number): boolean {
     const attempt = selectTaskToMove(machine, (job) => this.deps.runTimes.usualMs(job), now);
     if (!attempt?.job) return false;
@@ -78,7 +81,7 @@
     return true;
   }
 
-  /** Is there a machine of normal speed with free capacity for a task of the job? */
+  /** Whether a machine that is not a straggler has free capacity for a task of the job. */
   private hasTarget(job: Job): boolean {
     const { table, machines } = this.deps;
     const isZoneOpen = zoneFilter(job);
--- a/src/placement/usable-machines.ts
+++ b/src/placement/usable-machines.ts
@@ -1,4 +1,4 @@
-/** Which machines may be given work. */
+/** Determines which machines may be given work. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -17,12 +17,12 @@
     private readonly isUnreachable: (machine: Machine) => boolean,
   ) {}
 
-  /** May the machine be given work? */
+  /** Whether the machine may be given work. */
   isUsable(machine: Machine): boolean {
     return this.unusableReason(machine) === null;
   }
 
-  /** A name for the log: a machine that is drained shows its drain reason. Null if it may be given work. */
+  /** Reason, for the log, why the machine may not be given work: its drain reason if it is drained. Null if it may. */
   private unusableReason(machine: Machine): string | null {
     if (!machine.stored) return 'not-stored';
     if (!machine.isReconciled()) return 'not-reconciled';
@@ -32,7 +32,7 @@
     return this.isUnreachable(machine) ? 'silent' : null;
   }
 
-  /** How many machines may not be given work, by reason: for the log. */
+  /** Number of machines that may not be given work, by reason, for the log. */
   countUnusable(): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const machine of this.table.all()) {
@@ -42,7 +42,7 @@
     return counts;
   }
 
-  /** The usable machines by free CPUs: `full` ones have fewer than the smallest waiting task needs. */
+  /** The usable machines, split by free CPUs: `full` ones have fewer than the smallest waiting task needs. */
   byCapacity(waiting: Job[]): MachinesByCapacity {
     const minCpus = Math.min(...waiting.map((job) => job.spec.cpus)) - ROUNDING_TOLERANCE;
     const withCapacity: Machine[] = [];
