--- a/src/placement/run-time-samples.ts
+++ b/src/placement/run-time-samples.ts
@@ -85,7 +85,8 @@
 
   /**
    * Called when a job has reached a terminal state; bounds the number of jobs with samples. Samples of terminal jobs
-   * are still useful, so they are kept until there are too many jobs; the oldest terminal jobs' samples are then removed.
+   * are still useful, so they are kept until there are too many jobs; those of the jobs that ended first are then
+   * removed.
    */
   jobEnded(job: number, isLive: (job: number) => boolean): void {
     this.terminalJobs.push(job);
