--- a/src/placement/run-time-prediction.ts
+++ b/src/placement/run-time-prediction.ts
@@ -24,7 +24,7 @@
     return this.samples.medianMs(job.index) ?? this.byClass.expectedMs(jobClass, estimateS * 1000);
   }
 
-  /** Median run time of the job's tasks; of its class for a gang, whose tasks run as one. Null if unknown. */
+  /** Median run time of the job's finished tasks; of its class for a gang, whose tasks run as one. Null if unknown. */
   usualMs(job: Job): number | null {
     return job.spec.kind === 'gang'
       ? this.byClass.medianMs(job.spec.cls)
