--- a/src/placement/rebalancer.ts
+++ b/src/placement/rebalancer.ts
@@ -1,4 +1,7 @@
-/** The placement round (see DESIGN): moves young tasks off stragglers, and drains machines that are to be vacated. */
+/**
+ * The placement round (see DESIGN): moves young tasks off stragglers, and drains machines that are faulty or will be
+ * preempted.
+ */
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import { MachineDrain } from './machine-drain.js';
