--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -8,7 +8,10 @@
  */
 const SHORTEST_TASK_SHARE = 0.6;
 
-/** An array with nothing started this long after its acceptance starts a first share of its tasks before other jobs. */
+/**
+ * An array of which nothing has started this long after its acceptance gets a first share of its tasks before all other
+ * jobs of its rank.
+ */
 const STARVATION_THRESHOLD_MS = 60_000;
 
 /** By job class, the times in seconds after submission within which jobs should finish, shortest first. */
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -59,7 +59,8 @@
   const teams = new Map<string, Recount>();
   for (const machine of table.all()) {
     if (machine.attempts.size === 0) continue;
-    // An attempt reported with an older token may have ended long ago, and its task be counted again where it runs now.
+    // An attempt reported with an older token may have ended long ago, and its task may be counted a second time on the
+    // machine where it runs now.
     const isReconciled = machine.isReconciled();
     for (const attempt of machine.attempts.values()) {
       if (!attempt.job || !attempt.onMachine()) continue;
