--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -2,7 +2,7 @@
  * Client of the cloud's interface. Every call, each page of a list included, takes from one budget, so that the cloud
  * refuses no calls, however many machines there are.
  */
-import { type Reply, type Runtime, sleep } from '../runtime.js';
+import { type HttpResponse, type Runtime, sleep } from '../runtime.js';
 import { TokenBucket } from '../state-store/token-bucket.js';
 import type { Body } from '../wire/cbor.js';
 import type { ListedMachine, MachineType } from '../wire/model.js';
@@ -120,7 +120,7 @@
     return response.status === 200;
   }
 
-  private send(method: 'GET' | 'POST', path: string, body: Body | null): Promise<Reply> {
+  private send(method: 'GET' | 'POST', path: string, body: Body | null): Promise<HttpResponse> {
     return this.runtime.http.send(this.address, method, path, body, REQUEST_TIMEOUT_MS);
   }
 }
--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -4,10 +4,10 @@
  */
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 import type { Socket } from 'node:net';
-import type { Http, HttpMethod, Reply } from '../runtime.js';
+import type { Http, HttpMethod, HttpResponse } from '../runtime.js';
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 
-const NO_REPLY: Reply = { status: 0, body: {} };
+const NO_REPLY: HttpResponse = { status: 0, body: {} };
 const STATUS_OK = 200;
 /** How long a connection to a worker stays open without use. */
 const WORKER_IDLE_TIMEOUT_MS = 2500;
@@ -47,7 +47,7 @@
     path: string,
     body: Body | null,
     timeoutMs: number,
-  ): Promise<Reply> {
+  ): Promise<HttpResponse> {
     return new Promise((resolve) => {
       const sent = this.createRequest(to, method, path, body);
       // Given up also while the connection is still being made, which takes seconds to a host that says nothing;
@@ -56,7 +56,7 @@
         sent.destroy();
         resolve(NO_REPLY);
       }, timeoutMs);
-      const settle = (reply: Reply): void => {
+      const settle = (reply: HttpResponse): void => {
         clearTimeout(timer);
         resolve(reply);
       };
@@ -108,7 +108,7 @@
   }
 }
 
-function readReply(response: IncomingMessage, settle: (reply: Reply) => void): void {
+function readReply(response: IncomingMessage, settle: (reply: HttpResponse) => void): void {
   const parts: Buffer[] = [];
   response.on('data', (part: Buffer) => parts.push(part));
   response.on('error', () => {
@@ -119,7 +119,7 @@
   });
 }
 
-function decodeReply(status: number, parts: Buffer[]): Reply {
+function decodeReply(status: number, parts: Buffer[]): HttpResponse {
   const bytes = parts.length === 1 ? parts[0] : Buffer.concat(parts);
   const body = bytes.length === 0 ? {} : decodeMap(bytes);
   if (body !== null) return { status, body };
--- a/src/runtime.ts
+++ b/src/runtime.ts
@@ -11,7 +11,7 @@
 }
 
 /** The answer to a request. `status` 0: none came, so the request may have been executed, or may still be. */
-export interface Reply {
+export interface HttpResponse {
   status: number;
   body: Body;
 }
@@ -28,7 +28,7 @@
     path: string,
     body: Body | null,
     timeoutMs: number,
-  ): Promise<Reply>;
+  ): Promise<HttpResponse>;
 }
 
 /** A structured log. */
--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -13,10 +13,10 @@
   StateAccess,
   WatchResult,
 } from '@millring/state-access';
-import type { Reply, Runtime } from '../runtime.js';
+import type { HttpResponse, Runtime } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { Body } from '../wire/cbor.js';
-import { HTTP_STATUS, isNoReply } from '../wire/http-status.js';
+import { HTTP_STATUS, isNoResponse } from '../wire/http-status.js';
 import {
   compareAndSwapBody,
   leaseBody,
@@ -96,11 +96,11 @@
     path: string,
     body: Body | null,
     timeoutMs = TIMEOUT_MS,
-  ): Promise<Reply> {
+  ): Promise<HttpResponse> {
     const { clock, http } = this.runtime;
     const sentAt = clock.now();
     const reply = await http.send(this.limits.address, method, path, body, timeoutMs);
-    if (isNoReply(reply) || reply.status === HTTP_STATUS.serviceUnavailable)
+    if (isNoResponse(reply) || reply.status === HTTP_STATUS.serviceUnavailable)
       this.lastFailureAt = sentAt;
     else this.lastSuccessAt = sentAt;
     return reply;
@@ -199,7 +199,7 @@
   }
 }
 
-function compareAndSwapResult(reply: Reply): CompareAndSwapResult {
+function compareAndSwapResult(reply: HttpResponse): CompareAndSwapResult {
   switch (reply.status) {
     case HTTP_STATUS.ok:
       return { kind: 'committed', revision: readRevision(reply.body) };
@@ -208,6 +208,6 @@
     case HTTP_STATUS.badRequest:
       return { kind: 'invalid' };
     default:
-      return isNoReply(reply) ? { kind: 'indeterminate' } : { kind: 'rejected' };
+      return isNoResponse(reply) ? { kind: 'indeterminate' } : { kind: 'rejected' };
   }
 }
--- a/src/wire/http-status.ts
+++ b/src/wire/http-status.ts
@@ -14,6 +14,6 @@
 } as const;
 
 /** No reply came in time or at all: the request may have been executed, or may still be. */
-export function isNoReply(reply: { status: number }): boolean {
+export function isNoResponse(reply: { status: number }): boolean {
   return reply.status === 0;
 }
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -1,5 +1,5 @@
 /** Sends commands directly to workers, and follows what becomes of the requests. */
-import type { Reply, Runtime } from '../runtime.js';
+import type { HttpResponse, Runtime } from '../runtime.js';
 import { HTTP_STATUS } from '../wire/http-status.js';
 import type { Heartbeat, WorkerCommand } from '../wire/model.js';
 import { commandBody, readHeartbeat, workerPaths } from '../wire/workers.js';
@@ -136,7 +136,7 @@
     this.handleReply(machine, reply, starts);
   }
 
-  private handleReply(machine: Machine, reply: Reply, starts: Set<TaskAttempt>): void {
+  private handleReply(machine: Machine, reply: HttpResponse, starts: Set<TaskAttempt>): void {
     const { runtime, table } = this.deps;
     const now = runtime.clock.now();
     switch (reply.status) {
@@ -158,7 +158,7 @@
     if (machine.attempts.size > 0) table.backlog.markPending(machine);
   }
 
-  private answered(machine: Machine, { body }: Reply): void {
+  private answered(machine: Machine, { body }: HttpResponse): void {
     machine.commandFailures = 0;
     const heartbeat = readHeartbeat(body);
     if (heartbeat?.machine === machine.id) this.deps.applyHeartbeat(machine, heartbeat);
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cloud } from '../src/autoscaler/cloud.js';
-import type { Reply, Runtime } from '../src/runtime.js';
+import type { HttpResponse, Runtime } from '../src/runtime.js';
 import type { ListedMachine } from '../src/wire/model.js';
 import { CloudService } from './sim/cloud.js';
 import { VirtualClock } from './sim/clock.js';
@@ -22,7 +22,9 @@
 }
 
 /** A cloud with many machines; `refuse` may answer a call in its place. */
-async function manyMachines(refuse: (path: string) => Reply | null = () => null): Promise<Setup> {
+async function manyMachines(
+  refuse: (path: string) => HttpResponse | null = () => null,
+): Promise<Setup> {
   const clock = new VirtualClock();
   const random = new SeededRandom(1);
   const service = new CloudService(
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,5 +1,5 @@
 /** Stand-in for the cloud that rents machines. */
-import type { Reply } from '../../src/runtime.js';
+import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
@@ -94,7 +94,7 @@
     this.next = number;
   }
 
-  private page(after: string, wanted: number | null): Reply {
+  private page(after: string, wanted: number | null): HttpResponse {
     const limit = Math.min(PAGE, wanted ?? PAGE);
     const at = this.clock.time - this.random.between(1000, 4000);
     const list = [...this.snapshots].reverse().find((snapshot) => snapshot.at <= at)?.list ?? [];
@@ -150,7 +150,7 @@
     this.machines.delete(machine.id);
   }
 
-  handle(path: string, body: Body): Reply {
+  handle(path: string, body: Body): HttpResponse {
     if (this.exceedsRate()) return { status: 429, body: {} };
     if (this.clock.time < this.downUntil) return { status: 503, body: { error: 'trouble' } };
     const request = decodeCloudRequest(path, body);
@@ -176,7 +176,7 @@
     return encodeCatalog(this.types.map((type) => ({ ...type, zones: zonesOf(type) })));
   }
 
-  private rent({ request, type, zone, spot, count }: RentalRequest): Reply {
+  private rent({ request, type, zone, spot, count }: RentalRequest): HttpResponse {
     const before = this.answers.get(request);
     if (before) return { status: 200, body: encodeRental(before) };
     const pool = this.pools.find((p) => p.type === type && p.zone === zone);
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -8,7 +8,7 @@
   type RentResult,
   StaleTokenError,
 } from '@millring/duties';
-import type { Http, Reply } from '../../src/runtime.js';
+import type { Http, HttpResponse } from '../../src/runtime.js';
 import { type Body, toNumber } from '../../src/wire/cbor.js';
 import type { Handler } from './network.js';
 
@@ -48,7 +48,7 @@
     await this.delay();
     if (this.failure.refuses) return { status: 503, body: {} };
     const reply = this.execute(path, body);
-    return this.failure.silent ? new Promise<Reply>(() => undefined) : reply;
+    return this.failure.silent ? new Promise<HttpResponse>(() => undefined) : reply;
   };
 
   executed(duty: Duty): ProviderCall[] {
@@ -59,7 +59,7 @@
     return this.calls.filter((call) => !call.executed);
   }
 
-  private execute(path: string, body: Body): Reply {
+  private execute(path: string, body: Body): HttpResponse {
     const duty = body.duty as Duty;
     const token = toNumber(body.token)!;
     const newest = Math.max(token, this.newest.get(duty) ?? 0);
@@ -94,7 +94,7 @@
   address: string;
   /** Between the check of the holder and the request. */
   beforeSending?: () => Promise<void>;
-  onReply?: (reply: Reply) => void;
+  onReply?: (reply: HttpResponse) => void;
 }
 
 /** Fails with `StaleTokenError` when its token is refused. */
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -1,5 +1,5 @@
 /** The network between the simulated hosts, with its faults. */
-import type { Reply } from '../../src/runtime.js';
+import type { HttpResponse } from '../../src/runtime.js';
 import { type Body, decodeMap, encode } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
@@ -10,7 +10,7 @@
   path: string,
   body: Body,
   from: string,
-) => Promise<Reply> | Reply;
+) => Promise<HttpResponse> | HttpResponse;
 
 /** A host of the network. */
 export interface Host {
@@ -144,7 +144,7 @@
     }
   }
 
-  private async deliver({ from, to, method, path, body }: Message): Promise<Reply | null> {
+  private async deliver({ from, to, method, path, body }: Message): Promise<HttpResponse | null> {
     const host = this.hosts.get(to);
     if (!host?.handler) return null;
     if (host.hangsUntil > this.clock.time)
@@ -172,7 +172,7 @@
     path: string,
     body: Body | null,
     timeoutMs: number,
-  ): Promise<Reply> {
+  ): Promise<HttpResponse> {
     // Through the codec, so that what is sent is what the wire can carry.
     const bytes = body === null ? new Uint8Array() : encode(body);
     const sent = body === null ? {} : decodeMap(bytes)!;
@@ -180,7 +180,7 @@
     const message: Message = { from, to, method, path, body: sent };
     return new Promise((resolve) => {
       let open = true;
-      const settle = (reply: Reply): void => {
+      const settle = (reply: HttpResponse): void => {
         if (open) resolve(reply);
         open = false;
       };
@@ -201,8 +201,8 @@
 
   private carryReply(
     { from, to, path }: Message,
-    { status, body }: Reply,
-    arrive: (reply: Reply) => void,
+    { status, body }: HttpResponse,
+    arrive: (reply: HttpResponse) => void,
     broken: () => void,
   ): void {
     const bytes = encode(body);
--- a/test/sim/node-requests.ts
+++ b/test/sim/node-requests.ts
@@ -1,6 +1,6 @@
 /** Hands requests that reach a simulated controller to its API, as the HTTP server does for a real one. */
 import type { ControllerNode } from '../../src/node.js';
-import type { Reply } from '../../src/runtime.js';
+import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import { userOperation } from './wire/users.js';
 import { HEARTBEAT_PATH } from './wire/workers.js';
@@ -11,7 +11,7 @@
   method: string,
   path: string,
   body: Body,
-): Promise<Reply> {
+): Promise<HttpResponse> {
   if (path === HEARTBEAT_PATH) return node.handleHeartbeat(body);
   const operation = userOperation(method, path);
   switch (operation?.kind) {
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -1,5 +1,5 @@
 /** The runtime of a simulated process, which may end, or stand still while its clock runs on. */
-import type { Clock, Log, Reply, Runtime } from '../../src/runtime.js';
+import type { Clock, Log, HttpResponse, Runtime } from '../../src/runtime.js';
 import type { VirtualClock } from './clock.js';
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
@@ -20,7 +20,7 @@
   own: Clock;
   log: Log;
   /** What the process makes of an answer; else the answer itself. */
-  seen?: ((path: string, reply: Reply) => Reply) | undefined;
+  seen?: ((path: string, reply: HttpResponse) => HttpResponse) | undefined;
 }
 
 /** Runs the callback once the process goes on, unless it has ended by then. */
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -1,5 +1,5 @@
 /** Stand-in for the state service. */
-import type { Reply } from '../../src/runtime.js';
+import type { HttpResponse } from '../../src/runtime.js';
 import { type Body, isMap } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import { EventHistory } from './event-history.js';
@@ -39,7 +39,7 @@
   keys?: string;
 }
 
-const ok = (body: Body): Reply => ({ status: 200, body });
+const ok = (body: Body): HttpResponse => ({ status: 200, body });
 
 /** Stand-in for the state service, after PROTOCOL. */
 export class StateService {
@@ -132,7 +132,7 @@
     for (const wake of [...this.waiters]) wake();
   }
 
-  async handle(method: string, path: string, body: Body, from: string): Promise<Reply> {
+  async handle(method: string, path: string, body: Body, from: string): Promise<HttpResponse> {
     const reply = await this.answer(method, path, body, from);
     const slow = this.slowReads && this.clock.time < this.slowReads.until ? this.slowReads.byMs : 0;
     if (slow > 0 && method === 'GET')
@@ -140,7 +140,12 @@
     return reply;
   }
 
-  private async answer(method: string, path: string, body: Body, from: string): Promise<Reply> {
+  private async answer(
+    method: string,
+    path: string,
+    body: Body,
+    from: string,
+  ): Promise<HttpResponse> {
     const request = decodeStateRequest(method, path, body);
     if (this.exceedsRate(request.kind === 'transaction' ? request.mutations.length : 0))
       return { status: 429, body: {} };
@@ -149,7 +154,9 @@
     return this.execute(request);
   }
 
-  private execute(request: Exclude<StateRequest, WatchRequest>): Promise<Reply> | Reply {
+  private execute(
+    request: Exclude<StateRequest, WatchRequest>,
+  ): Promise<HttpResponse> | HttpResponse {
     switch (request.kind) {
       case 'get':
       case 'scan':
@@ -164,7 +171,7 @@
     }
   }
 
-  private transactionNowOrLate(transaction: Transaction): Promise<Reply> | Reply {
+  private transactionNowOrLate(transaction: Transaction): Promise<HttpResponse> | HttpResponse {
     if (!this.lateWrites || !this.isLate(this.lateWrites, transaction))
       return this.transact(transaction);
     const byMs = this.lateWrites.byMs ?? this.random.between(2000, 12_000);
@@ -177,31 +184,31 @@
     return mutations.some(({ key }) => key.startsWith(keys)) && this.random.chance(share);
   }
 
-  private grantLease(ttlMs: number): Reply {
+  private grantLease(ttlMs: number): HttpResponse {
     return ok(encodeLease(this.leases.grant(ttlMs)));
   }
 
-  private changeLease(kind: 'renew-lease' | 'revoke-lease', id: number): Reply {
+  private changeLease(kind: 'renew-lease' | 'revoke-lease', id: number): HttpResponse {
     if (!this.leases.has(id)) return { status: 404, body: {} };
     if (kind === 'revoke-lease') this.endLease(id);
     else this.leases.renew(id);
     return ok(encodeLease(id));
   }
 
-  private read(request: ReadRequest): Reply {
+  private read(request: ReadRequest): HttpResponse {
     return request.kind === 'get'
       ? this.get(request.key)
       : this.scan(request.prefix, request.after, request.limit);
   }
 
-  private get(key: string): Reply {
+  private get(key: string): HttpResponse {
     const item = this.items.get(key);
     return item
       ? ok(encodeRecord({ key, value: item.value, version: item.version }))
       : { status: 404, body: encodeRevision(this.revision) };
   }
 
-  private scan(prefix: string, after: string, limit: number): Reply {
+  private scan(prefix: string, after: string, limit: number): HttpResponse {
     const keys = [...this.items.keys()]
       .filter((key) => key.startsWith(prefix) && key > after)
       .sort();
@@ -212,7 +219,7 @@
     return ok(encodePage(records, keys.length > limit, this.revision));
   }
 
-  private transact({ preconditions, mutations }: Transaction): Reply {
+  private transact({ preconditions, mutations }: Transaction): HttpResponse {
     if (this.bounds && exceedsBounds(this.bounds, mutations)) {
       this.tooLarge++;
       return { status: 400, body: { error: 'too large' } };
@@ -241,10 +248,10 @@
     this.events.add({ kind: 'put', key, value, version: this.revision });
   }
 
-  private watch(request: WatchRequest, from: string): Promise<Reply> | Reply {
+  private watch(request: WatchRequest, from: string): Promise<HttpResponse> | HttpResponse {
     const { prefix, afterRevision, waitMs } = request;
     if (this.events.isCompacted(afterRevision)) return { status: 410, body: {} };
-    const look = (): Reply | null => {
+    const look = (): HttpResponse | null => {
       if (this.isUnavailable(from)) return null;
       const events = this.events.after(prefix, afterRevision);
       return events.length > 0 ? ok(encodeEvents(events, this.revision)) : null;
@@ -253,7 +260,7 @@
     if (now) return now;
     if (this.isUnavailable(from)) return { status: 503, body: {} };
     return new Promise((resolve) => {
-      const finish = (reply: Reply): void => {
+      const finish = (reply: HttpResponse): void => {
         this.waiters.delete(wake);
         resolve(reply);
       };
--- a/test/sim/user-request.ts
+++ b/test/sim/user-request.ts
@@ -1,5 +1,5 @@
 /** A single request of a user to one controller, without retries. */
-import type { Reply } from '../../src/runtime.js';
+import type { HttpResponse } from '../../src/runtime.js';
 import type { Cluster } from './cluster.js';
 import { type JobReply, type UserRequest, decodeJobReply } from './wire/users.js';
 
@@ -11,7 +11,7 @@
   node: string,
   { method, path, body }: UserRequest,
 ): Promise<JobReply> {
-  let reply: Reply | null = null;
+  let reply: HttpResponse | null = null;
   void cluster.network
     .send('user', `${node}:80`, method, path, body, TIMEOUT_MS)
     .then((received) => (reply = received));
--- a/test/sim/wire/state.ts
+++ b/test/sim/wire/state.ts
@@ -1,5 +1,5 @@
 /** The state service's side of the protocol as the stand-in speaks it: records, transactions, leases and watches. */
-import type { Reply } from '../../../src/runtime.js';
+import type { HttpResponse } from '../../../src/runtime.js';
 import type { Body } from '../../../src/wire/cbor.js';
 import { integerField, mapsField, textField } from './fields.js';
 
@@ -137,7 +137,10 @@
 }
 
 /** A page of records as a reader sees it that takes some of their values for others. */
-export function mapPageValues(reply: Reply, change: (value: unknown) => unknown): Reply {
+export function mapPageValues(
+  reply: HttpResponse,
+  change: (value: unknown) => unknown,
+): HttpResponse {
   if (reply.status !== 200) return reply;
   const pairs = mapsField(reply.body, 'pairs').map((pair) => ({
     ...pair,
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -1,5 +1,5 @@
 /** The users' side of the protocol as tests speak it: submissions, polls, cancellations and their answers. */
-import type { Reply } from '../../../src/runtime.js';
+import type { HttpResponse } from '../../../src/runtime.js';
 import type { Body } from '../../../src/wire/cbor.js';
 import { integerField, textField, wordField } from './fields.js';
 
@@ -153,7 +153,7 @@
 }
 
 /** An accepted request has to name the job and a state that users know. */
-export function decodeJobReply({ status, body }: Reply): JobReply {
+export function decodeJobReply({ status, body }: HttpResponse): JobReply {
   const isAccepted = status === 200 || status === 201;
   return { status, job: isAccepted ? decodeJobStatus(body) : null };
 }
--- a/test/sim/wire/workers.ts
+++ b/test/sim/wire/workers.ts
@@ -1,5 +1,5 @@
 /** The workers' side of the protocol as the stand-ins speak it: heartbeats, their answers, and commands. */
-import type { Reply } from '../../../src/runtime.js';
+import type { HttpResponse } from '../../../src/runtime.js';
 import { type Body, toNumber } from '../../../src/wire/cbor.js';
 import { amountField, integerField, mapsField, textField, wordField } from './fields.js';
 
@@ -121,7 +121,7 @@
 }
 
 /** The controller that a heartbeat is referred to, if the answer names one. */
-export function redirectTarget({ body }: Reply): string | undefined {
+export function redirectTarget({ body }: HttpResponse): string | undefined {
   return body.overseer === undefined ? undefined : textField(body, 'overseer');
 }
 
--- a/test/sim/without-gate.ts
+++ b/test/sim/without-gate.ts
@@ -1,5 +1,5 @@
 /** How builds from before cluster levels see the stored records. */
-import type { Reply } from '../../src/runtime.js';
+import type { HttpResponse } from '../../src/runtime.js';
 import { decodeReadRequest, encodeRevision, mapPageValues } from './wire/state.js';
 
 const ROLLOUT_RECORDS = 'rollout/';
@@ -9,7 +9,7 @@
  * What a build from before levels sees of the state service: it never asks for the rollout's records, and takes a
  * record of finished tasks that is no text for one that tells of no task.
  */
-export function withoutGate(path: string, reply: Reply): Reply {
+export function withoutGate(path: string, reply: HttpResponse): HttpResponse {
   const read = decodeReadRequest(path);
   if (read?.kind === 'get' && read.key.startsWith(ROLLOUT_RECORDS))
     return { status: 404, body: encodeRevision(1) };
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -1,5 +1,5 @@
 /** Stand-in for a worker: sends heartbeats to the controllers, keeps its lease, and takes commands. */
-import type { Reply } from '../../src/runtime.js';
+import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { SeededRandom } from './random.js';
 import type { Network } from './network.js';
@@ -210,7 +210,7 @@
     this.tasks.execute(commands);
   }
 
-  private handle(path: string, body: Body): Reply {
+  private handle(path: string, body: Body): HttpResponse {
     this.checkLease();
     if (path === COMMANDS_PATH) {
       const { token, incarnation, commands } = decodeCommandRequest(body);
