--- a/src/heartbeat-endpoint.ts
+++ b/src/heartbeat-endpoint.ts
@@ -47,15 +47,15 @@
     const mayRenew = this.deps.cancellations.isFreshEnoughToRenew();
     const term = this.deps.term();
     if (term && this.deps.leadership.isLeader())
-      return mayRenew ? this.answerAsLeader(term, heartbeat) : UNAVAILABLE;
+      return mayRenew ? this.respondAsLeader(term, heartbeat) : UNAVAILABLE;
     if (mayRenew && this.mayExtendLease(term, heartbeat))
       return this.renewal(heartbeat, heartbeat.token, []);
     return this.redirect();
   }
 
-  private answerAsLeader(term: LeaderTerm, heartbeat: Heartbeat): Answer {
-    const reply = term.handleHeartbeat(heartbeat);
-    return reply ? this.renewal(heartbeat, reply.token, reply.commands) : UNAVAILABLE;
+  private respondAsLeader(term: LeaderTerm, heartbeat: Heartbeat): Answer {
+    const response = term.handleHeartbeat(heartbeat);
+    return response ? this.renewal(heartbeat, response.token, response.commands) : UNAVAILABLE;
   }
 
   /** May this node, which does not lead at this moment, extend the worker's lease? See lease-extension.ts. */
--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -29,7 +29,7 @@
 }
 
 /** A reply that renews the worker's lease. */
-export interface HeartbeatReply {
+export interface HeartbeatResponse {
   token: number;
   commands: WorkerCommand[];
 }
@@ -43,7 +43,7 @@
   }
 
   /** A worker's own request. Null if this node may not reply: the reply would renew the lease. */
-  handle(heartbeat: Heartbeat): HeartbeatReply | null {
+  handle(heartbeat: Heartbeat): HeartbeatResponse | null {
     const { clock, lifecycle, autoscaler } = this.deps;
     if (!this.deps.holdsLease()) return null;
     const now = clock.now();
@@ -57,10 +57,10 @@
     this.apply(machine, heartbeat);
     if (heartbeat.incarnation === machine.incarnation)
       machine.lastHeartbeatSequence = heartbeat.sequence;
-    return this.reply(machine, now);
+    return this.respond(machine, now);
   }
 
-  private reply(machine: Machine, now: number): HeartbeatReply {
+  private respond(machine: Machine, now: number): HeartbeatResponse {
     const { table } = this.deps;
     const commands = machine.stored ? commandsForHeartbeat(machine, table, now) : [];
     return { token: table.requestTokenAck(machine, now, this.tokenAckIntervalMs), commands };
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -5,7 +5,7 @@
 import { combinedConversion } from '../rollout/conversions.js';
 import { sleep } from '../runtime.js';
 import type { Heartbeat } from '../wire/model.js';
-import type { HeartbeatReply } from './heartbeat-handler.js';
+import type { HeartbeatResponse } from './heartbeat-handler.js';
 import { LeaderComponents } from './leader-components.js';
 import type { LeadershipTerm } from './leader-record.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
@@ -114,7 +114,7 @@
   }
 
   /** A worker's heartbeat. Null if this node may not reply: the reply would renew the lease. */
-  handleHeartbeat(heartbeat: Heartbeat): HeartbeatReply | null {
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse | null {
     return this.components.heartbeats.handle(heartbeat);
   }
 
