--- a/src/jobs/cancellations.ts
+++ b/src/jobs/cancellations.ts
@@ -2,7 +2,7 @@
  * What a controller knows of cancelled jobs, and how fresh that knowledge is: it decides whether worker
  * leases may be renewed.
  */
-import { DRIFT } from '../runtime.js';
+import { MAX_CLOCK_DRIFT } from '../runtime.js';
 import type { Heartbeat, TaskStatus, WorkerCommand } from '../wire/model.js';
 
 /** For longer than any task of a cancelled job can still be somewhere. */
@@ -29,7 +29,7 @@
     leaseS: number,
     private readonly now: () => number,
   ) {
-    this.maxAgeToRenewMs = ((cancelS - leaseS) * 1000 - LEASE_MARGIN_MS) / DRIFT;
+    this.maxAgeToRenewMs = ((cancelS - leaseS) * 1000 - LEASE_MARGIN_MS) / MAX_CLOCK_DRIFT;
   }
 
   onNew(listener: (id: string) => void): void {
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -1,7 +1,7 @@
 /** Leader election by a leased record in the state service: see `leader-record.ts`. */
 import type { KeyValue, Precondition } from '@millring/state-access';
 import type { PlatformSettings } from '../settings/platform.js';
-import { DRIFT, type Runtime, sleep } from '../runtime.js';
+import { MAX_CLOCK_DRIFT, type Runtime, sleep } from '../runtime.js';
 import { StateMachine, type Transitions } from '../state-machine.js';
 import type { StateStore } from '../state-store/client.js';
 import {
@@ -253,7 +253,7 @@
 
   /** Measured by the local clock from when the request was sent, less the maximal clock drift. */
   private extendValidity(sentAt: number): void {
-    const until = sentAt + this.ttlMs / DRIFT - VALIDITY_MARGIN_MS;
+    const until = sentAt + this.ttlMs / MAX_CLOCK_DRIFT - VALIDITY_MARGIN_MS;
     this.validUntilMs = Math.max(this.validUntilMs, until);
   }
 
--- a/src/leadership/lease-extension-handler.ts
+++ b/src/leadership/lease-extension-handler.ts
@@ -1,5 +1,5 @@
 /** The leader's decisions on lease extension: whether followers may extend leases, and whether it may itself while suspended. */
-import { type Clock, DRIFT } from '../runtime.js';
+import { type Clock, MAX_CLOCK_DRIFT } from '../runtime.js';
 import type { Heartbeat } from '../wire/model.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import { epochOfToken } from './leader-record.js';
@@ -40,7 +40,8 @@
   mayExtendWhileSuspended(heartbeat: Heartbeat, uncontestedUntil: number): boolean {
     const { clock, lifecycle, table, extensionMs } = this.deps;
     const now = clock.now();
-    if (!lifecycle.isServing() || now - uncontestedUntil >= extensionMs / DRIFT) return false;
+    if (!lifecycle.isServing() || now - uncontestedUntil >= extensionMs / MAX_CLOCK_DRIFT)
+      return false;
     if (epochOfToken(heartbeat.token) !== lifecycle.epoch) return false;
     const machine = table.get(heartbeat.machine);
     if (machine) machine.leaseRenewedAt = now;
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -7,7 +7,7 @@
  * It stays safe because every grant is bounded by its follower's own clock, counted from when it was asked for; the
  * leader, and any later leader, adds that time before it takes a worker's lease for expired.
  */
-import { DRIFT } from '../runtime.js';
+import { MAX_CLOCK_DRIFT } from '../runtime.js';
 import { epochOfToken } from './leader-record.js';
 
 /** No answer for so long: the leader is out of reach. */
@@ -46,7 +46,7 @@
   recordGrant({ epoch, mayExtend }: LeaseExtensionGrant, requestedAt: number, now: number): void {
     this.lastContactAt = Math.max(this.lastContactAt, now);
     if (!mayExtend) return;
-    const until = requestedAt + this.extensionMs / DRIFT;
+    const until = requestedAt + this.extensionMs / MAX_CLOCK_DRIFT;
     const { grant } = this;
     if (grant === null || epoch > grant.epoch || until > grant.until) this.grant = { epoch, until };
   }
@@ -84,7 +84,7 @@
 
   /** No lease was extended by a follower after this time. */
   extendableUntil(): number {
-    return this.latestGrantAt + this.extensionMs * DRIFT;
+    return this.latestGrantAt + this.extensionMs * MAX_CLOCK_DRIFT;
   }
 
   /** Has the peer fallen silent, so recently that it may still hold a grant? */
--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -5,7 +5,7 @@
  * clock, of the last message it had from it. Whoever reads its own time there knows that the attestation was made after
  * it. Together the attestations of all nodes cover everything up to the earliest of these times.
  */
-import { DRIFT } from '../runtime.js';
+import { MAX_CLOCK_DRIFT } from '../runtime.js';
 import type { AttestationMessage } from './peer-messages.js';
 
 /** Confirmations are repeated for so long: an attestation covers no more than that. */
@@ -71,7 +71,7 @@
 
   private dropOldConfirmations(now: number): void {
     for (const [id, at] of this.confirmedAt) {
-      if (now - at < CONFIRMATION_RETENTION_MS * DRIFT) break;
+      if (now - at < CONFIRMATION_RETENTION_MS * MAX_CLOCK_DRIFT) break;
       this.confirmedAt.delete(id);
     }
   }
@@ -131,7 +131,7 @@
 function coverageOf(message: AttestationMessage, madeAfter: number, now: number): Coverage {
   return {
     processId: message.life,
-    from: now - Math.min(message.upMs, CONFIRMATION_RETENTION_MS) / DRIFT,
+    from: now - Math.min(message.upMs, CONFIRMATION_RETENTION_MS) / MAX_CLOCK_DRIFT,
     to: madeAfter,
     highestEpoch: message.claim,
     notElectedUntil: message.claiming ? -Infinity : madeAfter,
--- a/src/runtime.ts
+++ b/src/runtime.ts
@@ -48,7 +48,7 @@
 }
 
 /** Clocks of different machines drift apart by at most this factor. */
-export const DRIFT = 1.001;
+export const MAX_CLOCK_DRIFT = 1.001;
 
 /** Resolves after so many milliseconds of the clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -1,6 +1,6 @@
 /** The leader's table of machines and of the task attempts that may be on them, rebuilt from worker heartbeats. */
 import type { Job } from '../jobs/job.js';
-import { DRIFT } from '../runtime.js';
+import { MAX_CLOCK_DRIFT } from '../runtime.js';
 import type { Heartbeat, MachineType } from '../wire/model.js';
 import { type AttemptEvents, AttemptLifecycle } from './attempt-lifecycle.js';
 import { CommandBacklog } from './command-backlog.js';
@@ -164,7 +164,7 @@
   /** The worker's lease has surely run out, counted from the last answer that may have renewed it, a follower's included. */
   isLeaseExpired(machine: Machine, extendableUntil: number, now: number): boolean {
     const renewedAt = Math.max(machine.leaseRenewedAt, extendableUntil);
-    return now - renewedAt > this.leaseMs * DRIFT + LEASE_EXPIRY_MARGIN_MS;
+    return now - renewedAt > this.leaseMs * MAX_CLOCK_DRIFT + LEASE_EXPIRY_MARGIN_MS;
   }
 
   /** Nothing is on the machine any more. */
