--- a/src/health.ts
+++ b/src/health.ts
@@ -5,7 +5,7 @@
 import type { StateStore } from './state-store/client.js';
 
 /** Unavailable for so long while it serves others: not a passing fault. */
-const UNAVAILABLE_ALONE_MS = 1500;
+const UNAVAILABLE_LOCALLY_MS = 1500;
 const PEER_STATUS_MAX_AGE_MS = 1500;
 
 /** The answer to a health check. */
@@ -42,14 +42,14 @@
     const { rollout, machineTypes } = this.deps;
     if (!rollout.mayServe()) return unhealthy(rollout.reason());
     if (machineTypes.types() === null) return unhealthy('the machine types are not known yet');
-    if (this.isUnavailableAlone())
+    if (this.isUnavailableLocally())
       return unhealthy('the state service does not serve this controller');
     return HEALTHY;
   }
 
-  private isUnavailableAlone(): boolean {
+  private isUnavailableLocally(): boolean {
     const { clock, store, hasPeers } = this.deps;
-    if (store.unavailableForMs() < UNAVAILABLE_ALONE_MS) return false;
+    if (store.unavailableForMs() < UNAVAILABLE_LOCALLY_MS) return false;
     const now = clock.now();
     const recent = [...this.peerStatus.values()].filter(
       (status) => now - status.receivedAt < PEER_STATUS_MAX_AGE_MS,
