--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -91,8 +91,8 @@
   isOutOfContact(peer: string, now: number): boolean {
     const lastContactAt = this.lastContactByPeer.get(peer);
     if (lastContactAt === undefined) return false;
-    const silentForMs = now - lastContactAt;
-    return silentForMs > CONTACT_TIMEOUT_MS && silentForMs < this.extensionMs;
+    const sinceContactMs = now - lastContactAt;
+    return sinceContactMs > CONTACT_TIMEOUT_MS && sinceContactMs < this.extensionMs;
   }
 
   /** A peer not heard in this term may hold a grant of a former leader: as if it had asked when the term began. */
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -60,8 +60,8 @@
     const { table, sender, autoscaler } = this.deps;
     for (const machine of table.all()) {
       if (!machine.stored && !machine.reported) continue;
-      const unanswered = !machine.isReconciled() || machine.commandFailures > 0;
-      if (!unanswered && !autoscaler.isHeartbeatOverdue(machine, now)) continue;
+      const isUnresponsive = !machine.isReconciled() || machine.commandFailures > 0;
+      if (!isUnresponsive && !autoscaler.isHeartbeatOverdue(machine, now)) continue;
       if (sender.isWorthProbing(machine, now)) sender.flush(machine, true);
     }
   }
