--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -73,7 +73,7 @@
         this.runtime.log.info({ from, to, reason }, 'leadership');
       },
       afterTransition: (from, to) => {
-        this.announce(from, to);
+        this.notifyListener(from, to);
       },
     },
   );
@@ -94,7 +94,7 @@
     private readonly isEligible: () => boolean = () => true,
   ) {}
 
-  private announce(from: LeadershipState, to: LeadershipState): void {
+  private notifyListener(from: LeadershipState, to: LeadershipState): void {
     if (to === 'leader') {
       if (from === 'suspended') this.events.resumed();
       else if (this.term) this.events.elected(this.term);
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -7,7 +7,7 @@
 import type { StoredIntent } from './restored-intents.js';
 
 /** Prefix of the machine records. */
-const MACHINES = 'm/';
+const MACHINES_PREFIX = 'm/';
 
 /** All records, as they were read. */
 export interface StoredState {
@@ -24,7 +24,7 @@
   store: StateStore,
   intents: IntentLog | null,
 ): Promise<StoredState | null> {
-  const machines = await store.scan(MACHINES);
+  const machines = await store.scan(MACHINES_PREFIX);
   const jobs = machines && (await store.scan(LIVE_PREFIX));
   const finished = jobs && (await store.scan(FINISHED_PREFIX));
   const openIntents = finished && (intents ? await intents.readAll() : []);
