--- a/src/leadership/lease-extension-handler.ts
+++ b/src/leadership/lease-extension-handler.ts
@@ -12,7 +12,7 @@
   clock: Clock;
   lifecycle: TermLifecycle;
   table: MachineTable;
-  leaseMonitor: Pick<LeaseMonitor, 'mayOthersExtend'>;
+  leaseMonitor: Pick<LeaseMonitor, 'mayFollowersExtend'>;
   grants: LeaseExtensionGrants;
   /** For how long leases may be extended. */
   extensionMs: number;
@@ -27,7 +27,7 @@
     const { clock, lifecycle, leaseMonitor, grants } = this.deps;
     if (!lifecycle.isLeader()) return null;
     const now = clock.now();
-    const mayExtend = leaseMonitor.mayOthersExtend(now);
+    const mayExtend = leaseMonitor.mayFollowersExtend(now);
     grants.recordRequest(peer, mayExtend, now);
     return { epoch: lifecycle.epoch, mayExtend };
   }
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -38,7 +38,7 @@
   }
 
   /** May followers extend leases? Not while some machine stays silent: its lease must end some time. */
-  mayOthersExtend(now: number): boolean {
+  mayFollowersExtend(now: number): boolean {
     for (const machine of this.deps.table.all()) if (this.mustExpire(machine, now)) return false;
     return true;
   }
