--- a/src/leadership/leader-term-dependencies.ts
+++ b/src/leadership/leader-term-dependencies.ts
@@ -1,4 +1,4 @@
-/** What a leader's term needs of the controller that it runs in. */
+/** Dependencies of a leader's term on the controller in which it runs. */
 import type { Precondition } from '@millring/state-access';
 import type { ControllerDuties } from '../duties/controller-duties.js';
 import type { Runtime } from '../runtime.js';
@@ -7,7 +7,7 @@
 import type { StateStore } from '../state-store/client.js';
 import type { MachineType } from '../wire/model.js';
 
-/** Supplied by the controller node, for one term. */
+/** Supplied by the controller node for one term. */
 export interface LeaderTermDependencies {
   runtime: Runtime;
   settings: PlatformSettings;
@@ -16,15 +16,15 @@
   types: MachineType[];
   /** Time of day in milliseconds. */
   wallMs(): number;
-  /** Does this node lead at this moment, in this very term? */
+  /** Whether this node leads now, in this term and no later one. */
   isLeader(): boolean;
-  /** Guards every write: it fails once the term has ended. */
+  /** Precondition of every write: it fails once the term has ended. */
   termPrecondition(): Precondition;
-  /** Is it known that the job is cancelled, whatever its record says as last read? */
+  /** Whether the job is known to be cancelled, even if its record did not state it at the last read. */
   isCancelled(id: string): boolean;
-  /** Are cancellations known well enough for starting anything? */
+  /** Whether this node's knowledge of cancellations is recent enough to start tasks. */
   cancellationsAreFresh(): boolean;
-  /** For records in compressed segments, see `CompletionWriter`. */
+  /** Precondition of writes of compressed segments, see `CompletionWriter`. Null: none may be written now. */
   segmentPrecondition(): Precondition | null;
   duties: Pick<ControllerDuties, 'mayIntentsExist' | 'usesIntents' | 'intentLog'>;
   /** Gives up the leadership. */
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -1,4 +1,4 @@
-/** What the leader does during one term. A new term starts with empty tables. */
+/** One term of a leader. A new term starts with empty tables. */
 import type { Conversion } from '@millring/rollout';
 import { COMPACT_FINISHED_TASKS, FENCED_DUTIES } from '../build.js';
 import type { Progress } from '../jobs/job-table.js';
@@ -15,11 +15,11 @@
 import { type StoredState, logStoredState, readStoredState } from './stored-state.js';
 import { TermLifecycle } from './term-lifecycle.js';
 
-/** While not all records are read. */
+/** Reported until all records have been read. */
 const CONVERSION_UNKNOWN: Conversion = { kind: 'running', remaining: 1 };
 const RECOVERY_RETRY_MS = 200;
 
-/** A leader's term from its election to its end: recovers what former leaders stored, then serves. */
+/** A leader's term from its election to its end: recovers the state that former leaders stored, then serves. */
 export class LeaderTerm {
   private readonly lifecycle: TermLifecycle;
   private readonly components: LeaderComponents;
@@ -32,7 +32,7 @@
     this.components = new LeaderComponents(deps, this.lifecycle);
   }
 
-  /** Recovers the stored state, however often that takes, and starts to serve. */
+  /** Recovers the stored state, retrying until this succeeds or the term ends, and then starts to serve. */
   async run(): Promise<void> {
     const { clock } = this.deps.runtime;
     let revision = await this.recover();
@@ -54,7 +54,10 @@
     controlLoop.tick();
   }
 
-  /** Reads all records. Returns the revision to follow changes from, or null if the state service could not be read. */
+  /**
+   * Reads all records. Returns the revision after which changes must be followed. Returns null if the state service
+   * could not be read or the term has ended.
+   */
   private async recover(): Promise<number | null> {
     const { store, duties, runtime } = this.deps;
     const { epoch, baseToken } = this.lifecycle;
@@ -89,12 +92,15 @@
     });
   }
 
-  /** The leadership has ended. */
+  /** Called when the leadership has ended. */
   end(): void {
     this.lifecycle.end();
   }
 
-  /** After a suspension nobody else can have led: the tables still stand, but silence meanwhile means nothing. */
+  /**
+   * Called after a suspension. No other node can have led meanwhile, so the tables are still valid. Heartbeats that were
+   * missing during the suspension indicate no failure, so heartbeat timeouts start again.
+   */
   resumed(): void {
     const { table, contact, cycles } = this.components;
     const now = this.deps.runtime.clock.now();
@@ -103,7 +109,7 @@
     cycles.request();
   }
 
-  /** How much of what is stored above the target is left, while the cluster's level is lowered. */
+  /** How far records of features above the target level have been converted back, while the level is lowered. */
   conversion(targetLevel: number): Conversion {
     if (!this.lifecycle.isServing()) return CONVERSION_UNKNOWN;
     const { completionWriter, intents } = this.components;
@@ -113,12 +119,12 @@
     });
   }
 
-  /** A worker's heartbeat. Null if this node may not reply: the reply would renew the lease. */
+  /** Handles a worker's heartbeat. Returns null if this node may not respond: the response would renew the lease. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatResponse | null {
     return this.components.heartbeats.handle(heartbeat);
   }
 
-  /** A follower asks whether it may extend worker leases. Null if this node does not lead. */
+  /** Handles a follower's request to extend worker leases. Returns null if this node does not lead. */
   handleLeaseExtensionRequest(peer: string): LeaseExtensionGrant | null {
     return this.components.leaseExtensions.handleRequest(peer);
   }
@@ -128,12 +134,12 @@
     return this.components.leaseExtensions.mayExtendWhileSuspended(heartbeat, uncontestedUntil);
   }
 
-  /** The job is cancelled, as this node knows otherwise than by the job's record. */
+  /** Records that the job is cancelled, when this node learned it from another source than the job's record. */
   recordCancellation(id: string): void {
     this.components.intake.recordCancellation(id);
   }
 
-  /** Of all live jobs, for display. */
+  /** Progress of all live jobs, for display. */
   progress(): [string, Progress][] {
     return this.components.jobs.progress();
   }
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -1,4 +1,4 @@
-/** Leader election by a leased record in the state service: see `leader-record.ts`. */
+/** Leader election by a record in the state service that is attached to a lease: see `leader-record.ts`. */
 import type { KeyValue, Precondition } from '@millring/state-access';
 import type { PlatformSettings } from '../settings/platform.js';
 import { MAX_CLOCK_DRIFT, type Runtime, sleep } from '../runtime.js';
@@ -16,29 +16,29 @@
 const WATCH_MS = 10_000;
 const READ_RETRY_MS = 300;
 const WATCH_RETRY_MS = 250;
-/** How soon a process that is not eligible looks again. */
+/** Interval at which a process that is not eligible checks again whether it may campaign. */
 const INELIGIBLE_RETRY_MS = 500;
-/** How often the validity of the lease is checked while nobody asks. */
+/** Interval of the periodic check of the lease's validity, besides the check in each call of `isLeader()`. */
 const VALIDITY_CHECK_INTERVAL_MS = 100;
-/** After resigning, so that another node can be elected. */
+/** Time without campaigns after resigning, so that another node can be elected. */
 const RESIGNED_BACKOFF_MS = 8000;
 const RESIGNED_BACKOFF_JITTER_MS = 2000;
 const NO_LEASE_BACKOFF_MS = 200;
 const NO_LEASE_BACKOFF_JITTER_MS = 200;
 const LOST_BACKOFF_MS = 50;
 const LOST_BACKOFF_JITTER_MS = 100;
-/** Taken off the lease's validity beside the clocks' drift. */
+/** Safety margin that is subtracted from the lease's validity, in addition to the clock drift. */
 const VALIDITY_MARGIN_MS = 20;
-/** Renewals within the time to live of the lease. */
+/** Number of renewals within the time to live (TTL) of the lease. */
 const RENEWALS_PER_TTL = 4;
 const MIN_RENEWAL_TIMEOUT_MS = 300;
 
 /**
- * - `follower`: another node leads, or nobody.
- * - `candidate`: a campaign is under way.
- * - `leader`: this node's lease is certainly valid.
- * - `suspended`: the lease may have expired, so nothing may be started or answered. If a renewal finds the lease still
- *   valid, no other node can have been elected meanwhile, and this node resumes its term.
+ * - `follower`: another node leads, or no node does.
+ * - `candidate`: this node is campaigning.
+ * - `leader`: this node's lease is guaranteed to be valid.
+ * - `suspended`: the lease may have expired, so this node may start no work and answer no requests as the leader. If a
+ *   renewal finds the lease still valid, no other node can have been elected meanwhile, and this node resumes its term.
  */
 export type LeadershipState = 'follower' | 'candidate' | 'leader' | 'suspended';
 
@@ -49,19 +49,19 @@
   suspended: ['leader', 'follower'],
 };
 
-/** What follows from changes of leadership. */
+/** Callbacks for changes of this node's leadership. */
 export interface LeadershipEvents {
-  /** A new term begins: tables must be rebuilt. */
+  /** A new term begins: the leader's tables must be rebuilt. */
   elected(term: LeadershipTerm): void;
-  /** The term has ended for good. */
+  /** The term has ended and cannot be resumed. */
   deposed(): void;
-  /** Leading again after a suspension, in the same term. */
+  /** This node leads again after a suspension, in the same term. */
   resumed(): void;
 }
 
 /**
- * One node's part in the election. At no time do two nodes hold `isLeader()`: each measures its lease by its own clock
- * from when it asked for it, with the clocks' drift taken off.
+ * One node's part in the election. `isLeader()` is never true on two nodes at the same time: each node measures the
+ * validity of its lease by its own clock, from the time at which it requested the lease, less the maximum clock drift.
  */
 export class Leadership {
   private readonly machine = new StateMachine<LeadershipState>(
@@ -80,7 +80,7 @@
   private term: LeadershipTerm | null = null;
   private validUntilMs = 0;
   private campaignNotBefore = 0;
-  /** The leader as last read, also when it is this node. */
+  /** Name of the leader at the last read of the leader record; may be this node. */
   private observedLeader: string | null = null;
   private highestEpoch = 0;
 
@@ -90,7 +90,7 @@
     private readonly ttlMs: number,
     private readonly store: StateStore,
     private readonly events: LeadershipEvents,
-    /** May this process lead at all now? */
+    /** Whether this process may campaign at present. */
     private readonly isEligible: () => boolean = () => true,
   ) {}
 
@@ -104,14 +104,14 @@
     }
   }
 
-  /** May this node act as the leader at this moment? The clock is read each time, since timers may be late. */
+  /** Whether this node may act as the leader now. Reads the clock at each call, since timers may fire late. */
   isLeader(): boolean {
     if (this.machine.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
       this.machine.transitionTo('suspended', 'lease may have expired');
     return this.machine.state === 'leader';
   }
 
-  /** The node to which workers should send heartbeats; null if it is not known. */
+  /** Name of the node to which workers should send heartbeats; null if it is not known. */
   leaderName(): string | null {
     if (this.isLeader()) return this.settings.node;
     return this.machine.state === 'follower' && this.observedLeader !== this.settings.node
@@ -119,12 +119,12 @@
       : null;
   }
 
-  /** Until then nobody else can be, or can have been, elected after this node. */
+  /** Time on the local clock until which no other node can be elected, or have been elected, after this node. */
   leaseValidUntil(): number {
     return this.validUntilMs;
   }
 
-  /** The latest epoch that this node has seen, whoever leads in it. */
+  /** The latest epoch that this node has seen, of its own terms and of other nodes' terms. */
   highestSeenEpoch(): number {
     return this.highestEpoch;
   }
@@ -137,7 +137,7 @@
     return this.term;
   }
 
-  /** Guards every write of the leader: one that arrives after the term has ended changes nothing. */
+  /** Precondition of every write of the leader: a write that arrives after the term has ended changes nothing. */
   termPrecondition(): Precondition {
     return leaderRecordPrecondition(this.term);
   }
@@ -154,7 +154,10 @@
     });
   }
 
-  /** Ends the term and campaigns no more for a while, so that a node that hears the workers can be elected. */
+  /**
+   * Ends the term and does not campaign for `RESIGNED_BACKOFF_MS`, so that a node that receives heartbeats can be
+   * elected.
+   */
   async resign(reason: string): Promise<void> {
     const { term } = this;
     if (!term || this.isCandidate()) return;
@@ -199,7 +202,7 @@
     const isOurs = this.term !== null && entry.version === this.term.epoch;
     if (isOurs) return;
     this.endTerm('another node was elected');
-    // Of an earlier process of this very node, which has ended: its lease can be revoked at once.
+    // The record was written by an earlier process of this node, which has ended: its lease can be revoked at once.
     if (record.node === this.settings.node && record.leaseId !== null)
       await this.store.revokeLease(record.leaseId);
   }
@@ -228,7 +231,7 @@
         this.beginTerm(result.term, sentAt);
         return;
       case 'no-lease':
-        this.machine.transitionTo('follower', 'no lease');
+        this.machine.transitionTo('follower', 'state service granted no lease');
         await sleep(clock, this.withJitter(NO_LEASE_BACKOFF_MS, NO_LEASE_BACKOFF_JITTER_MS));
         return;
       case 'lost':
@@ -251,7 +254,7 @@
     void this.renewLoop(term);
   }
 
-  /** Measured by the local clock from when the request was sent, less the maximal clock drift. */
+  /** Counts the validity by the local clock from the time the request was sent, less the maximum clock drift. */
   private extendValidity(sentAt: number): void {
     const until = sentAt + this.ttlMs / MAX_CLOCK_DRIFT - VALIDITY_MARGIN_MS;
     this.validUntilMs = Math.max(this.validUntilMs, until);
@@ -272,7 +275,7 @@
   }
 
   private leaseRenewed(sentAt: number): void {
-    // Suspends first where the validity has ended: the renewal then resumes the term.
+    // Suspends the term first if the validity has ended: the renewal then resumes it.
     this.isLeader();
     this.extendValidity(sentAt);
     if (this.machine.state === 'suspended' && this.runtime.clock.now() < this.validUntilMs)
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -4,9 +4,9 @@
 import { type LeadershipTerm, TOKENS_PER_EPOCH } from './leader-record.js';
 
 /**
- * - `recovering`: the records of former leaders are being read.
- * - `serving`: acting as the leader.
- * - `ended`: another term may have begun, nothing may be done any more.
+ * - `recovering`: this node is reading the records of former leaders.
+ * - `serving`: this node acts as the leader.
+ * - `ended`: another term may have begun, so this term may take no more actions.
  */
 export type LeaderTermState = 'recovering' | 'serving' | 'ended';
 
@@ -16,15 +16,15 @@
   ended: [],
 };
 
-/** The state machine of one term. All parts of the term check it before they act. */
+/** The state machine of one term. All components of the term check it before they act. */
 export class TermLifecycle {
   readonly epoch: number;
-  /** The least token of the term: that of a machine whose token was never advanced. */
+  /** The lowest token of the term: the token of a machine whose token was never advanced. */
   readonly baseToken: number;
   private readonly machine: StateMachine<LeaderTermState>;
   private requestCount = 0;
 
-  /** `holdsLease`: does this node lead at this moment, in this very term? */
+  /** `holdsLease` returns whether this node leads now, in this term and no later one. */
   constructor(
     term: LeadershipTerm,
     log: Log,
@@ -45,7 +45,7 @@
     return this.machine.state === 'recovering';
   }
 
-  /** The records are read, though the leadership may be suspended. */
+  /** Whether the records were read and the term has not ended; the leadership may be suspended. */
   isServing(): boolean {
     return this.machine.state === 'serving';
   }
@@ -54,20 +54,20 @@
     return this.machine.state === 'ended';
   }
 
-  /** May this node act as the leader at this moment? */
+  /** Whether this node may act as the leader now. */
   isLeader(): boolean {
     return this.isServing() && this.holdsLease();
   }
 
   serve(): void {
-    this.machine.transitionTo('serving', 'records are read');
+    this.machine.transitionTo('serving', 'records were read');
   }
 
   end(): void {
     this.machine.transitionTo('ended', 'leadership has ended');
   }
 
-  /** A name for a request to the cloud, never used twice by any node. */
+  /** Returns a name for a request to the cloud that no node uses twice. */
   nextRequestName(node: string): string {
     return `${node}-${this.epoch}-${this.requestCount++}`;
   }
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -13,10 +13,13 @@
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
 import type { Leadership, LeadershipEvents } from './leadership.js';
 
-/** A term can be older than what is known of cancellations: after a suspension they are read before anything starts. */
+/**
+ * No task is started if this node last read the cancellations longer ago than this. After a suspension, they may be
+ * out of date although the term continues, so they are read again before tasks are started.
+ */
 const CANCELLATIONS_MAX_AGE_MS = 4000;
 
-/** The parts of the node that a term works with. */
+/** The components of the node that a term uses. */
 export interface TermSupervisorDependencies {
   runtime: Runtime;
   settings: PlatformSettings;
@@ -31,13 +34,13 @@
   wallMs(): number;
 }
 
-/** Holds the present term, if there is one. */
+/** Holds the current term, if there is one. */
 export class TermSupervisor implements LeadershipEvents {
   private term: LeaderTerm | null = null;
 
   constructor(private readonly deps: TermSupervisorDependencies) {}
 
-  /** The term in which this node leads, though the leadership may be suspended. */
+  /** The term in which this node leads, or null; the leadership may be suspended. */
   currentTerm(): LeaderTerm | null {
     return this.term;
   }
