--- a/src/leadership/control-loop.ts
+++ b/src/leadership/control-loop.ts
@@ -1,4 +1,4 @@
-/** The leader's periodic work, and the scheduling cycle. */
+/** The leader's periodic work and its scheduling cycle. */
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { CompletionWriter } from '../jobs/completion-writer.js';
 import type { Placement } from '../placement/placement.js';
@@ -13,10 +13,10 @@
 import type { TermLifecycle } from './term-lifecycle.js';
 import type { WorkerContact } from './worker-contact.js';
 
-/** How often the periodic work is done. */
+/** Interval of the periodic work. */
 export const TICK_MS = 200;
 
-/** The parts of a leader's term that the loop drives. */
+/** The components of a leader's term that the loop drives. */
 export interface ControlLoopDependencies {
   clock: Clock;
   lifecycle: TermLifecycle;
@@ -40,7 +40,7 @@
 export class ControlLoop {
   constructor(private readonly deps: ControlLoopDependencies) {}
 
-  /** Does the periodic work, and goes on every `TICK_MS`. */
+  /** Does the periodic work and schedules itself again after `TICK_MS`, until the term has ended. */
   tick(): void {
     const { clock, lifecycle, sender, eventLoopLag } = this.deps;
     if (lifecycle.hasEnded()) return;
@@ -70,10 +70,10 @@
   private resignIfWithoutContact(now: number): void {
     const { table, contact, eventLoopLag } = this.deps;
     if (contact.isLost(table.storedCount(), eventLoopLag.isLagging(now), now))
-      this.deps.resign('no worker is heard');
+      this.deps.resign('no heartbeat from any worker');
   }
 
-  /** Starts what can be started. Returns true if there is more to do at once. */
+  /** Starts the tasks that can be started. Returns true if another cycle should follow immediately. */
   runSchedulingCycle(now: number): boolean {
     const { sender, placement, recovery } = this.deps;
     const mayPlace = recovery.mayPlace(sender.isCongested(), now);
--- a/src/leadership/cycle-scheduler.ts
+++ b/src/leadership/cycle-scheduler.ts
@@ -2,28 +2,29 @@
 import type { Clock } from '../runtime.js';
 import type { TermLifecycle } from './term-lifecycle.js';
 
-/** Events come in bursts: one cycle serves them all. */
+/** Events come in bursts: the delay lets one cycle handle a whole burst. */
 const MIN_DELAY_MS = 4;
 /**
- * Between cycles so many times the last one's duration passes, which leaves most of the processor to whatever else
- * waits: a renewal or a heartbeat is never behind more than one cycle.
+ * The delay before a cycle is extended by this many times the duration of the last cycle. This leaves most of the
+ * processor time to other work: a lease renewal or a heartbeat never waits for more than one cycle.
  */
 const DELAY_FACTOR = 4;
+/** Upper bound of the cycle duration that the delay is computed from. */
 const MAX_COUNTED_CYCLE_MS = 100;
 
-/** Runs a requested cycle soon, and at most one at a time. */
+/** Runs requested cycles after a short delay. Requests made while one is scheduled are merged into it. */
 export class CycleScheduler {
   private isScheduled = false;
   private lastCycleMs = 0;
 
-  /** `runCycle` returns true if there is more to do at once. */
+  /** `runCycle` returns true if another cycle should follow immediately. */
   constructor(
     private readonly clock: Clock,
     private readonly lifecycle: TermLifecycle,
     private readonly runCycle: (now: number) => boolean,
   ) {}
 
-  /** Something has changed that may let tasks start. */
+  /** Requests a cycle, after a change that may allow tasks to start. */
   request(): void {
     if (this.isScheduled || !this.lifecycle.isServing()) return;
     this.isScheduled = true;
--- a/src/leadership/event-loop-lag.ts
+++ b/src/leadership/event-loop-lag.ts
@@ -1,15 +1,16 @@
 /**
- * Whether this controller keeps up. A timer that fires late means that everything else waits as long: responses and
- * heartbeats lie unread, so for a while nobody's silence says anything.
+ * Detects that this controller's event loop lags. When a timer fires late, all other events are delayed as much:
+ * responses and heartbeats have arrived but are not yet read. For some time, a missing heartbeat or response therefore
+ * does not indicate that its sender is unreachable.
  */
 import type { Log } from '../runtime.js';
 
-/** A timer that fires so late counts as lag. */
+/** A timer that fires later than this counts as lag. */
 const LAG_THRESHOLD_MS = 300;
-/** For so long after that, messages may still wait unread. */
+/** Time after a lag during which messages may still be unread. */
 const LAG_AFTERMATH_MS = 2500;
 
-/** Measures by how much a periodic timer is late. */
+/** Measures how late a periodic timer fires. */
 export class EventLoopLag {
   private laggedAt = -Infinity;
 
@@ -19,7 +20,7 @@
     private readonly log: Log,
   ) {}
 
-  /** The timer has fired. Returns by how many milliseconds later than it should have. */
+  /** Called when the timer has fired. Returns how many milliseconds late it fired. */
   timerFired(now: number): number {
     const lateMs = now - this.firedAt - this.intervalMs;
     this.firedAt = now;
@@ -30,7 +31,7 @@
     return lateMs;
   }
 
-  /** Is there lag now, or was there a moment ago? */
+  /** Whether the event loop lags now, or did within the last `LAG_AFTERMATH_MS`. */
   isLagging(now: number): boolean {
     return now - this.laggedAt < LAG_AFTERMATH_MS;
   }
--- a/src/leadership/failover-recovery.ts
+++ b/src/leadership/failover-recovery.ts
@@ -1,6 +1,7 @@
 /**
- * When a new leader may act on jobs of former leaders: once every machine that was stored before its term has shown
- * the new token, was deleted, or is past its lease. Until then tasks may run on machines that were not heard yet.
+ * Determines when a new leader may act on jobs of former leaders: once every machine that was stored before its term
+ * has reported the new token, was deleted, or its lease has expired. Until then, tasks of those jobs may run on machines
+ * that have not sent a heartbeat to this leader yet.
  */
 import type { Log } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
@@ -9,12 +10,12 @@
 const LOG_INTERVAL_MS = 1000;
 const MAX_LOGGED_MACHINES = 5;
 
-/** Tracks the machines that a new leader has yet to reconcile. */
+/** Tracks the machines that a new leader has not reconciled yet. */
 export class FailoverRecovery {
   private complete = false;
   private loggedAt = -Infinity;
   private beganAt = 0;
-  /** Stored before the term. Those at the front that need no more waiting for are taken out. */
+  /** Machines that were stored before the term. `check` removes those at the front that need not be awaited any more. */
   private readonly awaitingReconciliation = new Set<Machine>();
 
   constructor(
@@ -24,7 +25,7 @@
     private readonly jobCount: () => number,
   ) {}
 
-  /** The machine was stored before the term. */
+  /** Adds a machine that was stored before the term, so that the recovery waits for its reconciliation. */
   expectReconciliation(machine: Machine): void {
     machine.awaitingReconciliation = true;
     this.awaitingReconciliation.add(machine);
@@ -35,21 +36,22 @@
   }
 
   /**
-   * Leases go before new work. While the controller is congested, each start would delay heartbeats whose workers lose
-   * everything if they are not answered within their lease. Half a lease is enough to hear them all.
+   * Whether tasks may be placed. Leases take precedence over new work: while the controller is congested, each start
+   * would delay heartbeats, and a worker that gets no response within its lease loses all its tasks. Half a lease is
+   * enough to receive a heartbeat from every worker, so placement is held back no longer than that.
    */
   mayPlace(isCongested: boolean, now: number): boolean {
     return this.complete || !isCongested || now - this.beganAt > this.leaseMs / 2;
   }
 
-  /** Is every machine reconciled that may hold tasks of former leaders? */
+  /** Whether every machine that may run tasks of former leaders is reconciled, deleted, or its lease has expired. */
   isComplete(): boolean {
     return this.complete;
   }
 
   /**
-   * True if this call completes the recovery. Every heartbeat calls it, so it stops at the first machine that is still
-   * awaited: all calls together pass each machine once.
+   * Returns true if this call completes the recovery. It is called for every heartbeat, so it stops at the first machine
+   * that is still awaited: all calls together pass each machine once.
    */
   check(now: number): boolean {
     if (this.complete) return false;
--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** What the leader makes of workers' heartbeats. */
+/** The leader's handling of workers' heartbeats. */
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { Placement } from '../placement/placement.js';
 import type { Clock } from '../runtime.js';
@@ -12,7 +12,7 @@
 import type { TermLifecycle } from './term-lifecycle.js';
 import type { WorkerContact } from './worker-contact.js';
 
-/** What heartbeats change, and what their replies depend on. */
+/** The components that heartbeats update, and those that the responses depend on. */
 export interface HeartbeatHandlerDependencies {
   clock: Clock;
   lifecycle: TermLifecycle;
@@ -24,17 +24,17 @@
   recovery: FailoverRecovery;
   contact: WorkerContact;
   cycles: CycleScheduler;
-  /** Does this node lead at this moment, in this very term? */
+  /** Whether this node leads now, in this term and no later one. */
   holdsLease(): boolean;
 }
 
-/** A reply that renews the worker's lease. */
+/** A response to a heartbeat, which renews the worker's lease. */
 export interface HeartbeatResponse {
   token: number;
   commands: WorkerCommand[];
 }
 
-/** Applies heartbeats, which come as requests of their own and with the responses to commands. */
+/** Applies heartbeats, which arrive both as requests from workers and in their responses to commands. */
 export class HeartbeatHandler {
   private readonly tokenAckIntervalMs: number;
 
@@ -42,7 +42,10 @@
     this.tokenAckIntervalMs = deps.leaseMs / 2;
   }
 
-  /** A worker's own request. Null if this node may not reply: the reply would renew the lease. */
+  /**
+   * Handles a heartbeat that a worker sent as a request. Returns null if this node may not respond: the response would
+   * renew the lease.
+   */
   handle(heartbeat: Heartbeat): HeartbeatResponse | null {
     const { clock, lifecycle, autoscaler } = this.deps;
     if (!this.deps.holdsLease()) return null;
@@ -66,7 +69,7 @@
     return { token: table.requestTokenAck(machine, now, this.tokenAckIntervalMs), commands };
   }
 
-  /** Null if the machine is new, and of a type that the cloud does not offer. */
+  /** Returns null if the machine is new and its type is not offered by the cloud. */
   private findOrAddMachine(heartbeat: Heartbeat, now: number): Machine | null {
     const { table, types } = this.deps;
     const known = table.get(heartbeat.machine);
@@ -77,7 +80,7 @@
     return table.add(id, endpoint, type, zone, spot, now);
   }
 
-  /** Updates the machine from the heartbeat, unless a newer one was applied already. */
+  /** Updates the machine from the heartbeat, unless a newer heartbeat was already applied. */
   apply(machine: Machine, heartbeat: Heartbeat): void {
     const { clock, table, placement, recovery, contact, cycles } = this.deps;
     const now = clock.now();
@@ -89,7 +92,7 @@
     if (machine.isReconciled()) machine.awaitingReconciliation = false;
     placement.heartbeatApplied(machine);
     if (recovery.check(now)) cycles.request();
-    // Where resources were freed, the end of the attempt has requested a cycle already.
+    // If resources were freed, the end of the attempt has already requested a cycle.
     if (!wasReconciled && machine.isReconciled()) cycles.request();
   }
 }
