--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -1,4 +1,4 @@
-/** Brings the stored jobs into the leader's tables, and follows their changes. */
+/** Loads the stored jobs into the leader's tables and follows changes to them. */
 import type { KeyValue, WatchEvent } from '@millring/state-access';
 import { type Runtime, sleep } from '../runtime.js';
 import { readFinishedRecord } from '../jobs/finished-records.js';
@@ -10,25 +10,26 @@
 const WATCH_MS = 10_000;
 const RETRY_MS = 200;
 
-/** Where the feed reads jobs, and what it calls on changes. */
+/** The sources from which the feed reads jobs, and its callbacks for changes. */
 export interface JobFeedDependencies {
   runtime: Runtime;
   store: StateStore;
   jobs: JobTable;
-  /** False ends the feed. */
+  /** Whether the term is serving; the feed ends when it no longer is. */
   isServing(): boolean;
-  /** A live record, new or changed. */
+  /** Called for each live record that is new or has changed. */
   recordStored(id: string, value: unknown, version: number): void;
-  /** The live record was deleted. */
+  /** Called when the live record of a job was deleted. */
   recordRemoved(job: Job): void;
-  /** Called once after the changes of a batch. */
+  /** Called once after each batch of changes. */
   jobsChanged(): void;
 }
 
-/** Called for each stored record of finished tasks. */
+/** Callbacks for stored records of finished tasks. */
 export interface FinishedRecordListener {
+  /** Called for each record whose job is live. */
   recordFound(job: Job, recordNumber: number): void;
-  /** The record's job has ended. */
+  /** Called for each record whose job has ended. */
   orphanFound(key: string): void;
 }
 
@@ -36,7 +37,7 @@
 export class JobFeed {
   constructor(private readonly deps: JobFeedDependencies) {}
 
-  /** Takes in the live jobs and their finished tasks, as read by a new leader. */
+  /** Loads the live jobs and their finished tasks, as read by a new leader. */
   load(
     live: readonly KeyValue[],
     finished: readonly KeyValue[],
@@ -66,7 +67,7 @@
     this.deps.runtime.log.error(fields, 'unreadable record of finished tasks');
   }
 
-  /** Applies all changes after the revision, until the term ends. */
+  /** Applies all changes after the given revision, until the term ends. */
   async follow(sinceRevision: number): Promise<void> {
     const { store, runtime } = this.deps;
     let revision = sinceRevision;
@@ -98,7 +99,10 @@
     if (job && job.version < event.version) this.deps.recordRemoved(job);
   }
 
-  /** The changes since are compacted: reads all jobs again. Returns their revision, or null if they can't be read. */
+  /**
+   * Reads all jobs again, after the state service has compacted the changes that follow the current revision. Returns
+   * the revision of the read, or null if the jobs could not be read.
+   */
   private async reload(): Promise<number | null> {
     const all = await this.deps.store.scan(LIVE_PREFIX);
     if (!all) return null;
--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -1,4 +1,4 @@
-/** Takes live jobs into the leader's tables, and out of them once they have ended. */
+/** Adds live jobs to the leader's tables and removes them once they have ended. */
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import { readLive } from '../jobs/records.js';
@@ -7,22 +7,22 @@
 import type { CycleScheduler } from './cycle-scheduler.js';
 import type { TermLifecycle } from './term-lifecycle.js';
 
-/** The tables that jobs are taken into. */
+/** The tables to which jobs are added, and the components that are notified. */
 export interface JobIntakeDependencies {
   clock: Clock;
   lifecycle: TermLifecycle;
   jobs: JobTable;
   placement: Pick<Placement, 'jobAdded' | 'jobEnded' | 'jobCancelled'>;
   cycles: CycleScheduler;
-  /** Is it known that the job is cancelled, whatever its record says as last read? */
+  /** Whether the job is known to be cancelled, even if its record did not state it at the last read. */
   isCancelled(id: string): boolean;
 }
 
-/** Keeps the job table and the placement in step with the live job records. */
+/** Keeps the job table and the placement consistent with the live job records. */
 export class JobIntake {
   constructor(private readonly deps: JobIntakeDependencies) {}
 
-  /** The live record of a job, new or changed. Older versions and unreadable records change nothing. */
+  /** Applies a job's live record that is new or has changed. Older versions and unreadable records are ignored. */
   upsertJob(id: string, value: unknown, version: number): void {
     const { jobs, placement } = this.deps;
     const record = readLive(value);
@@ -38,13 +38,19 @@
     if (record.cancelled || this.deps.isCancelled(id)) this.markCancelled(job);
   }
 
-  /** Only the leader removes live records, once the job has ended: this was our own write, whose response was lost. */
+  /**
+   * Handles the deletion of a live record. Only the leader deletes live records, once the job has ended: this was a
+   * write of this node, the response to which was lost.
+   */
   recordRemoved(job: Job): void {
     job.endState = 'ended';
     this.forgetJob(job);
   }
 
-  /** The job has ended. Called for our own write and by the watch; the second call changes nothing. */
+  /**
+   * Removes a job that has ended. Called both when this node's own write succeeds and by the watch; the second call
+   * changes nothing.
+   */
   forgetJob(job: Job): void {
     const { jobs, placement, cycles } = this.deps;
     if (jobs.get(job.spec.id) !== job) return;
@@ -53,7 +59,7 @@
     cycles.request();
   }
 
-  /** The job is cancelled, as this node knows otherwise than by the watch, which may be late. */
+  /** Marks the job as cancelled, when this node learned it from another source than the watch, which may be late. */
   recordCancellation(id: string): void {
     const job = this.deps.jobs.get(id);
     if (job && this.deps.lifecycle.isServing()) this.markCancelled(job);
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -1,4 +1,4 @@
-/** Composition of the autoscaler of a leader's term. */
+/** Creates the autoscaler of a leader's term. */
 import type { IntentLog } from '@millring/duties';
 import { Autoscaler } from '../autoscaler/autoscaler.js';
 import { Cloud } from '../autoscaler/cloud.js';
@@ -13,7 +13,7 @@
 import { leasesExtendableUntil, partitionedZones } from './partitioned-zones.js';
 import type { TermLifecycle } from './term-lifecycle.js';
 
-/** The parts of the term that the autoscaler works with. */
+/** The components of the term that the autoscaler uses. */
 export interface AutoscalerContext {
   lifecycle: TermLifecycle;
   table: MachineTable;
@@ -21,13 +21,13 @@
   grants: LeaseExtensionGrants;
   leaseExtensionMs: number;
   demand(): Demand;
-  /** Does this controller lag, so that what seems silent may just wait unread? */
+  /** Whether this controller lags, so that heartbeats that seem to be missing may just be unread. */
   isLagging(): boolean;
-  /** The machine and everything on it are gone. */
+  /** Called when the machine no longer exists, nor anything that ran on it. */
   machineDeleted(machine: Machine): void;
 }
 
-/** An autoscaler that acts through intents where the cluster's level allows them, and directly elsewhere. */
+/** Creates an autoscaler that acts through intents if the cluster's feature level allows them, and directly otherwise. */
 export function createAutoscaler(
   deps: LeaderTermDependencies,
   context: AutoscalerContext,
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -1,4 +1,4 @@
-/** Composition of the parts of a leader's term. */
+/** Creates and connects the components of a leader's term. */
 import type { IntentLog } from '@millring/duties';
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import { demandOf } from '../autoscaler/demand.js';
@@ -28,8 +28,8 @@
 import { WorkerContact } from './worker-contact.js';
 
 /**
- * The tables of one term, empty at first, and the parts that act on them. They refer to each other, so that callbacks
- * look up parts that are created later: none of them is called before the term runs.
+ * The tables of one term, which are empty at first, and the components that act on them. Components refer to each other,
+ * so callbacks look up components that are created later: no callback is called before the term runs.
  */
 export class LeaderComponents {
   readonly jobs = new JobTable();
