--- a/src/leadership/lease-extension-handler.ts
+++ b/src/leadership/lease-extension-handler.ts
@@ -1,4 +1,7 @@
-/** The leader's decisions on lease extension: whether followers may extend leases, and whether it may itself while suspended. */
+/**
+ * The leader's decisions on lease extension: whether followers may extend worker leases, and whether the leader may do
+ * so itself while its leadership is suspended.
+ */
 import { type Clock, MAX_CLOCK_DRIFT } from '../runtime.js';
 import type { Heartbeat } from '../wire/model.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -7,22 +10,22 @@
 import type { LeaseMonitor } from './lease-monitor.js';
 import type { TermLifecycle } from './term-lifecycle.js';
 
-/** What the decisions rest on. */
+/** The components that the decisions depend on. */
 export interface LeaseExtensionHandlerDependencies {
   clock: Clock;
   lifecycle: TermLifecycle;
   table: MachineTable;
   leaseMonitor: Pick<LeaseMonitor, 'mayFollowersExtend'>;
   grants: LeaseExtensionGrants;
-  /** For how long leases may be extended. */
+  /** Time in milliseconds for which leases may be extended. */
   extensionMs: number;
 }
 
-/** One leader's term. */
+/** Decides on lease extension in one leader's term. */
 export class LeaseExtensionHandler {
   constructor(private readonly deps: LeaseExtensionHandlerDependencies) {}
 
-  /** A follower asks whether it may extend leases. Null if this node does not lead. */
+  /** Handles a follower's request to extend leases. Returns null if this node does not lead. */
   handleRequest(peer: string): LeaseExtensionGrant | null {
     const { clock, lifecycle, leaseMonitor, grants } = this.deps;
     if (!lifecycle.isLeader()) return null;
@@ -33,9 +36,9 @@
   }
 
   /**
-   * May the worker's lease be renewed while the leadership is suspended? As by a follower, counted from
-   * `uncontestedUntil`, when nobody can have been elected after this node: a new leader counts on it that former ones
-   * extend leases for no longer than that after its own term began.
+   * Whether the worker's lease may be renewed while the leadership is suspended. The same limit applies as for a
+   * follower, counted from `uncontestedUntil`, the time until which no other node can have been elected after this one:
+   * a new leader relies on former leaders to extend leases for no longer than that after its own term began.
    */
   mayExtendWhileSuspended(heartbeat: Heartbeat, uncontestedUntil: number): boolean {
     const { clock, lifecycle, table, extensionMs } = this.deps;
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -1,48 +1,49 @@
 /**
- * Extension of worker leases by followers while the leader can't be reached. A worker kills its tasks when nobody
- * answers its heartbeats for a lease, so a short partition between zones, or a leader's crash, would cost all the work
- * behind it. Followers therefore hold a grant of the leader: for `leaseExtensionMs` from when they asked for it they may
- * answer heartbeats with the worker's own token and no commands. That renews the lease and does nothing else.
+ * Extension of worker leases by followers while the leader is unreachable. A worker kills its tasks when no node has
+ * responded to its heartbeats for the duration of its lease, so a short partition between zones, or a crash of the
+ * leader, would cost the work of all affected workers. Followers therefore hold a grant from the leader: for
+ * `leaseExtensionMs` from the time they requested it, they may respond to heartbeats with the worker's own token and no
+ * commands. Such a response renews the lease and does nothing else.
  *
- * It stays safe because every grant is bounded by its follower's own clock, counted from when it was asked for; the
- * leader, and any later leader, adds that time before it takes a worker's lease for expired.
+ * This is safe because every grant is limited by the follower's own clock, counted from the time of the request; the
+ * leader, and any later leader, adds that time before it considers a worker's lease expired.
  */
 import { MAX_CLOCK_DRIFT } from '../runtime.js';
 import { epochOfToken } from './leader-record.js';
 
-/** No answer for so long: the leader is out of reach. */
+/** A peer without contact for longer than this counts as unreachable: the leader for a follower, and vice versa. */
 const CONTACT_TIMEOUT_MS = 1200;
-/** How often a follower asks the leader for a grant. */
+/** Interval at which a follower requests a grant from the leader. */
 export const REQUEST_INTERVAL_MS = 400;
-/** Kept in reserve of the time within which the tasks of a cancelled job must be gone. */
+/** Reserve within the time by which the tasks of a cancelled job must have exited. */
 const CANCELLATION_MARGIN_S = 4;
 const MAX_EXTENSION_MS = 20_000;
 
 /**
- * For how long followers may extend leases. Tasks must be gone `cancelS` after a cancellation even on an unreachable
- * machine whose lease is extended up to the limit.
+ * Returns for how long followers may extend leases, in milliseconds. Tasks must have exited `cancelS` seconds after a
+ * cancellation, even on an unreachable machine whose lease is extended up to the limit.
  */
 export function leaseExtensionMs(cancelS: number, leaseS: number): number {
   const spareMs = (cancelS - leaseS - CANCELLATION_MARGIN_S) * 1000;
   return Math.max(0, Math.min(MAX_EXTENSION_MS, spareMs));
 }
 
-/** The leader's answer to a request. */
+/** The leader's response to a request. */
 export interface LeaseExtensionGrant {
-  /** The leader's term. */
+  /** Epoch of the leader's term. */
   epoch: number;
-  /** May the follower extend leases at all? */
+  /** Whether the follower may extend leases. */
   mayExtend: boolean;
 }
 
-/** The follower's side. */
+/** The follower's side: the grant that this node holds. */
 export class LeaseExtender {
   private grant: { epoch: number; until: number } | null = null;
   private lastContactAt = -Infinity;
 
   constructor(private readonly extensionMs: number) {}
 
-  /** `requestedAt`: when this node asked, by its own clock. */
+  /** `requestedAt`: time at which this node sent the request, by its own clock. */
   recordGrant({ epoch, mayExtend }: LeaseExtensionGrant, requestedAt: number, now: number): void {
     this.lastContactAt = Math.max(this.lastContactAt, now);
     if (!mayExtend) return;
@@ -52,8 +53,9 @@
   }
 
   /**
-   * Also in a new term, as long as its leader is out of reach and the worker has not heard of it: two zones may
-   * be partitioned, and the new leader in the other. It counts what former leaders granted, see `LeaseExtensionGrants`.
+   * Whether this node may renew the lease of a worker that holds the given token. It also may in a new term, as long as
+   * the new leader is unreachable and the worker has no token from it: two zones may be partitioned, with the new leader
+   * in the other one. The new leader takes the grants of former leaders into account, see `LeaseExtensionGrants`.
    */
   mayRenew(workerToken: number, now: number): boolean {
     const { grant } = this;
@@ -63,7 +65,7 @@
   }
 }
 
-/** The leader's side: until when anyone may have extended worker leases on its behalf. */
+/** The leader's side: until when followers or former leaders may have extended worker leases. */
 export class LeaseExtensionGrants {
   private latestGrantAt: number;
   private readonly lastContactByPeer = new Map<string, number>();
@@ -72,22 +74,22 @@
     private readonly extensionMs: number,
     private readonly termBeganAt: number,
   ) {
-    // Grants of former leaders, and a former leader's own extensions, end at most so long after our term began.
+    // Grants of former leaders, and a former leader's own extensions, end at most `extensionMs` after this term began.
     this.latestGrantAt = termBeganAt;
   }
 
-  /** `granted`: the peer was told that it may extend leases. */
+  /** `granted`: whether the response allowed the peer to extend leases. */
   recordRequest(peer: string, granted: boolean, now: number): void {
     this.lastContactByPeer.set(peer, now);
     if (granted) this.latestGrantAt = now;
   }
 
-  /** No lease was extended by a follower after this time. */
+  /** The time after which no follower has extended a lease under the grants made so far. */
   extendableUntil(): number {
     return this.latestGrantAt + this.extensionMs * MAX_CLOCK_DRIFT;
   }
 
-  /** Has the peer fallen silent, so recently that it may still hold a grant? */
+  /** Whether contact with the peer was lost, but so recently that the peer may still hold a grant. */
   isOutOfContact(peer: string, now: number): boolean {
     const lastContactAt = this.lastContactByPeer.get(peer);
     if (lastContactAt === undefined) return false;
@@ -95,7 +97,10 @@
     return sinceContactMs > CONTACT_TIMEOUT_MS && sinceContactMs < this.extensionMs;
   }
 
-  /** A peer not heard in this term may hold a grant of a former leader: as if it had asked when the term began. */
+  /**
+   * Time of the peer's last request. A peer that has sent none in this term may hold a grant from a former leader, so it
+   * is treated as if it had sent one when the term began.
+   */
   lastContactAt(peer: string): number {
     return this.lastContactByPeer.get(peer) ?? this.termBeganAt;
   }
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -1,4 +1,4 @@
-/** Expires worker leases, and probes machines that should have been heard. */
+/** Expires worker leases, and probes machines from which a heartbeat or a response is missing. */
 import type { Log } from '../runtime.js';
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { CommandSender } from '../workers/command-sender.js';
@@ -6,24 +6,24 @@
 import type { MachineRecordStore } from '../workers/machine-record-store.js';
 import type { MachineTable } from '../workers/machine-table.js';
 
-/** What the monitor looks at. */
+/** Dependencies of the lease monitor. */
 export interface LeaseMonitorDependencies {
   table: MachineTable;
   sender: CommandSender;
   machineRecords: MachineRecordStore;
   log: Log;
   autoscaler: Pick<Autoscaler, 'isHeartbeatOverdue' | 'isUnreachable' | 'isInPartitionedZone'>;
-  /** For how long followers may extend leases after they have asked. */
+  /** Time in milliseconds, from a follower's request, for which it may extend leases. */
   leaseExtensionMs: number;
-  /** Until then followers may have extended leases. */
+  /** The time until which followers may have extended leases. */
   leasesExtendableUntil(): number;
 }
 
-/** Passes over all machines: called by the leader's control loop. */
+/** Checks all machines; called by the leader's control loop. */
 export class LeaseMonitor {
   constructor(private readonly deps: LeaseMonitorDependencies) {}
 
-  /** Ends the leases that have surely run out: nothing runs on those machines any more. */
+  /** Marks the leases that are guaranteed to have expired: no task runs on those machines any more. */
   expire(now: number): void {
     const { table, machineRecords, log } = this.deps;
     const extendableUntil = this.deps.leasesExtendableUntil();
@@ -32,12 +32,12 @@
       if (!table.isLeaseExpired(machine, extendableUntil, now)) continue;
       log.info({ id: machine.id }, 'worker lease expired');
       table.expireLease(machine, now);
-      // So that no later leader waits for it.
+      // The record is removed so that no later leader waits for this machine.
       machineRecords.removed(machine);
     }
   }
 
-  /** May followers extend leases? Not while some machine stays silent: its lease must end some time. */
+  /** Whether followers may extend leases: not while any machine is unreachable, as its lease must expire eventually. */
   mayFollowersExtend(now: number): boolean {
     for (const machine of this.deps.table.all()) if (this.mustExpire(machine, now)) return false;
     return true;
@@ -51,11 +51,15 @@
       autoscaler.isUnreachable(machine, now - leaseExtensionMs / 4)
     )
       return true;
-    // Nor while the recovery awaits one that does not answer: each grant would delay the recovery of all old jobs.
+    // Also while the recovery waits for a machine that does not respond: each grant would delay the recovery of all old
+    // jobs.
     return machine.awaitingReconciliation && !machine.isReconciled() && machine.commandFailures > 0;
   }
 
-  /** A machine that did not answer is sent no commands until it does, so it is probed even once it is heard again. */
+  /**
+   * Probes machines whose heartbeat is overdue or that do not respond to commands. A machine that did not respond is
+   * sent no commands until it does, so it is probed even after its heartbeats arrive again.
+   */
   probe(now: number): void {
     const { table, sender, autoscaler } = this.deps;
     for (const machine of table.all()) {
--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -1,10 +1,16 @@
-/** Which zones seem to be partitioned from the leader's, judged by the controllers in them: pure functions. */
+/**
+ * Determines which zones seem to be partitioned from the leader's zone, from its contact with the controllers in them.
+ * Pure functions.
+ */
 import type { PlatformSettings } from '../settings/platform.js';
 import type { LeaseExtensionGrants } from './lease-extension.js';
 
 type ControllerZones = Pick<PlatformSettings, 'zone' | 'peers'>;
 
-/** Zones whose controllers fell silent all at once: their machines may be well, and have their leases extended there. */
+/**
+ * Returns the zones in which no controller is in contact and at least one was until recently: their machines may be
+ * healthy, and the controllers there may be extending their leases.
+ */
 export function partitionedZones(
   controllers: ControllerZones,
   grants: LeaseExtensionGrants,
@@ -19,7 +25,7 @@
   return partitioned;
 }
 
-/** Until when controllers in the zone may extend worker leases there; null if the zone has none. */
+/** Returns until when controllers in the zone may extend worker leases there; null if the zone has no controllers. */
 export function leasesExtendableUntil(
   zone: string,
   controllers: ControllerZones,
--- a/src/leadership/worker-contact.ts
+++ b/src/leadership/worker-contact.ts
@@ -1,16 +1,19 @@
-/** Whether the leader still hears workers: one that hears none is partitioned from them, and another should lead. */
+/**
+ * Detects whether the leader still receives heartbeats. A leader that receives none is partitioned from the workers, and
+ * another node should lead.
+ */
 
-/** With this many machines, a heartbeat or two that are late don't look like silence. */
+/** With at least this many machines, one or two late heartbeats are not mistaken for a loss of contact. */
 const LARGE_FLEET_MACHINES = 30;
 const LARGE_FLEET_TIMEOUT_MS = 3500;
 const SMALL_FLEET_TIMEOUT_MS = 4000;
 const SMALL_FLEET_TIMEOUT_HEARTBEATS = 2.5;
 
-/** Detects that no worker at all is heard any more. */
+/** Detects that heartbeats arrive from no worker any more. */
 export class WorkerContact {
   private readonly smallFleetTimeoutMs: number;
 
-  /** `lastHeartbeatAt`: of any worker, or when the term began. */
+  /** `lastHeartbeatAt`: time of the last heartbeat of any worker, or of the start of the term. */
   constructor(
     heartbeatIntervalS: number,
     private lastHeartbeatAt: number,
@@ -26,8 +29,8 @@
   }
 
   /**
-   * `machineCount`: machines that are expected to send heartbeats. `isLagging`: heartbeats may wait unread, so that
-   * silence says less.
+   * Whether contact with all workers is lost. `machineCount`: number of machines that are expected to send heartbeats.
+   * `isLagging`: heartbeats may have arrived but not been read, so missing heartbeats are a weaker sign.
    */
   isLost(machineCount: number, isLagging: boolean, now: number): boolean {
     const timeoutMs =
