--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -1,19 +1,22 @@
-/** What a new leader makes of the intents that former leaders have stored. */
+/** Restores the intents that former leaders have stored, for a new leader. */
 import type { Intent, IntentLog, Versioned } from '@millring/duties';
 import type { Conversion } from '@millring/rollout';
 import { toRequestResult } from '../duties/intent-actions.js';
 import type { Autoscaler } from '../autoscaler/autoscaler.js';
 
-/** An intent as it was read. */
+/** An intent with the version at which it was read. */
 export type StoredIntent = Versioned<Intent>;
 
-/** How far the conversion is that leaves no intent open: while one is, a leader that can't follow intents must not lead. */
+/**
+ * Progress of the conversion that leaves no intent open. While an intent is open, a node that cannot follow intents
+ * must not lead.
+ */
 export function intentConversion(log: IntentLog): Conversion {
   const remaining = log.pendingCount();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
-/** Follows the open intents to their outcome, and lets the autoscaler count what they rent or delete. */
+/** Follows the open intents to their outcome, and registers the machines they rent or delete with the autoscaler. */
 export function restoreIntents(
   intents: readonly StoredIntent[],
   log: IntentLog,
--- a/src/leadership/restored-machines.ts
+++ b/src/leadership/restored-machines.ts
@@ -1,4 +1,4 @@
-/** Puts the stored machines of former leaders into a new leader's table. */
+/** Adds the machines that former leaders stored to a new leader's table. */
 import type { KeyValue } from '@millring/state-access';
 import type { MachineRecordStore } from '../workers/machine-record-store.js';
 import { readMachinePage } from '../workers/machine-records.js';
@@ -6,7 +6,7 @@
 import type { MachineType } from '../wire/model.js';
 import type { FailoverRecovery } from './failover-recovery.js';
 
-/** Where the machines go. */
+/** The components that the machines are added to, and the input for it. */
 export interface RestoredMachinesDependencies {
   table: MachineTable;
   machineRecords: MachineRecordStore;
@@ -16,8 +16,8 @@
 }
 
 /**
- * Each machine has to be reconciled before old jobs are acted on, since it may hold tasks of a former leader. Machines
- * of a type that the cloud does not offer any more are skipped.
+ * Each machine must be reconciled before the leader acts on old jobs, since it may run tasks of a former leader.
+ * Machines of a type that the cloud no longer offers are skipped.
  */
 export function restoreMachines(
   pages: readonly KeyValue[],
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -1,4 +1,4 @@
-/** What a new leader reads of the state service before it acts. */
+/** The state that a new leader reads from the state service before it acts. */
 import type { KeyValue } from '@millring/state-access';
 import type { IntentLog } from '@millring/duties';
 import { FINISHED_PREFIX, LIVE_PREFIX } from '../jobs/records.js';
@@ -6,20 +6,20 @@
 import type { StateStore } from '../state-store/client.js';
 import type { StoredIntent } from './restored-intents.js';
 
-/** Prefix of the machine records. */
+/** Key prefix of the machine records. */
 const MACHINES_PREFIX = 'm/';
 
-/** All records, as they were read. */
+/** All records as they were read. */
 export interface StoredState {
   machines: KeyValue[];
   jobs: KeyValue[];
   finished: KeyValue[];
   intents: StoredIntent[];
-  /** Changes to jobs after this revision are not in it. */
+  /** Revision at which the jobs were read; later changes to jobs are not included. */
   revision: number;
 }
 
-/** Null if the state service could not be read. `intents` is null where none can be stored. */
+/** Returns null if the state service could not be read. `intents` is null if no intents can be stored. */
 export async function readStoredState(
   store: StateStore,
   intents: IntentLog | null,
@@ -39,7 +39,7 @@
   };
 }
 
-/** Logs what was read, in which term, and how long it took. */
+/** Logs the term, how many records were read, and how long this took. */
 export function logStoredState(
   { machines, jobs, finished, revision }: StoredState,
   beganAt: number,
