--- a/src/controller-process.ts
+++ b/src/controller-process.ts
@@ -1,4 +1,4 @@
-/** Runs a controller node on real sockets, until the process is ended. */
+/** Runs a controller node on real sockets until the process ends. */
 import { createHttpServer } from './http/http-server.js';
 import { ControllerNode } from './node.js';
 import { PeerNetwork } from './peers/peer-network.js';
@@ -9,7 +9,7 @@
 
 const DEFAULT_LOG_LEVEL = 'info';
 
-/** `onListenError`: called if the address for users and workers can't be listened on. */
+/** `onListenError` is called if the address for users and workers cannot be listened on. */
 export function runController(settings: Settings, onListenError: (error: Error) => void): void {
   const { platform } = settings;
   const log = createLog(process.env.LOG_LEVEL ?? DEFAULT_LOG_LEVEL, platform.node);
--- a/src/health.ts
+++ b/src/health.ts
@@ -1,39 +1,44 @@
-/** Whether a controller node should be sent users' requests. */
+/** Determines whether users' requests should be sent to a controller node. */
 import type { MachineTypeCatalogue } from './machine-type-catalogue.js';
 import type { ControllerRollout } from './rollout/controller-rollout.js';
 import type { Clock } from './runtime.js';
 import type { StateStore } from './state-store/client.js';
 
-/** Unavailable for so long while it serves others: not a passing fault. */
+/**
+ * If the state service has been unavailable to this node for at least this long while it serves other nodes, the fault
+ * is not considered transient.
+ */
 const UNAVAILABLE_LOCALLY_MS = 1500;
+/** Older reports of other nodes are ignored. */
 const PEER_STATUS_MAX_AGE_MS = 1500;
 
-/** The answer to a health check. */
+/** Result of a health check. */
 export type Health = { kind: 'healthy' } | { kind: 'unhealthy'; reason: string };
 
 const HEALTHY: Health = { kind: 'healthy' };
 
-/** What the health of a node depends on. */
+/** Dependencies of the health check. */
 export interface HealthCheckDependencies {
   clock: Clock;
   store: Pick<StateStore, 'unavailableForMs'>;
   rollout: Pick<ControllerRollout, 'mayServe' | 'reason'>;
   machineTypes: Pick<MachineTypeCatalogue, 'types'>;
-  /** Does the deployment have further controllers? */
+  /** Whether the deployment has further controllers. */
   hasPeers: boolean;
 }
 
 /**
- * A node that the state service alone does not serve can only refuse: users are better off elsewhere. In an
- * outage for all there is no elsewhere, and nodes that stay healthy serve again at once when it ends.
+ * Checks the health of a node. If the state service is unavailable to this node only, the node can only refuse requests,
+ * so users should be sent to another one. In an outage that affects all nodes, no other node can serve users either, and
+ * nodes that stay healthy serve again as soon as it ends.
  */
 export class HealthCheck {
-  /** Whether the state service serves the other nodes, as they last reported. */
+  /** Last report of each other node on whether the state service serves it, with the time of receipt. */
   private readonly peerStatus = new Map<string, { isServed: boolean; receivedAt: number }>();
 
   constructor(private readonly deps: HealthCheckDependencies) {}
 
-  /** Another node reports whether the state service serves it. */
+  /** Records another node's report on whether the state service serves it. */
   recordPeerStatus(peer: string, isServed: boolean): void {
     this.peerStatus.set(peer, { isServed, receivedAt: this.deps.clock.now() });
   }
--- a/src/heartbeat-endpoint.ts
+++ b/src/heartbeat-endpoint.ts
@@ -1,4 +1,4 @@
-/** How a controller node answers workers' heartbeats, whatever its role. */
+/** A controller node's responses to workers' heartbeats, in any role. */
 import type { Cancellations } from './jobs/cancellations.js';
 import type { Answer } from './jobs/answers.js';
 import type { LeaderTerm } from './leadership/leader-term.js';
@@ -13,7 +13,7 @@
 const UNAVAILABLE: Answer = { status: 503, body: {}, retryAfterS: 1 };
 const MALFORMED: Answer = { status: 400, body: { error: 'not a report' } };
 
-/** What the answers depend on. */
+/** Dependencies of the heartbeat endpoint. */
 export interface HeartbeatEndpointDependencies {
   clock: Clock;
   log: Log;
@@ -23,15 +23,15 @@
   cancellations: Cancellations;
   attestations: Attestations;
   leaseExtender: LeaseExtender;
-  /** May this process serve at all? */
+  /** Whether this process may serve at present. */
   mayServe(): boolean;
-  /** The term in which this node leads, though the leadership may be suspended. */
+  /** The term in which this node leads, or null; the leadership may be suspended. */
   term(): LeaderTerm | null;
 }
 
 /**
- * Only a node that may renew the worker's lease answers 200. All others send the worker elsewhere, since any other
- * answer would keep it waiting while its lease runs out.
+ * Only a node that may renew the worker's lease responds with status 200. All other nodes send the worker to another
+ * node, since any other response would keep it waiting while its lease expires.
  */
 export class HeartbeatEndpoint {
   constructor(private readonly deps: HeartbeatEndpointDependencies) {}
@@ -43,7 +43,7 @@
       this.deps.log.debug({ body }, 'unreadable heartbeat');
       return MALFORMED;
     }
-    // Whoever answers renews the lease, in whatever role: see cancellations.ts.
+    // The node that responds renews the lease, in any role: see cancellations.ts.
     const mayRenew = this.deps.cancellations.isFreshEnoughToRenew();
     const term = this.deps.term();
     if (term && this.deps.leadership.isLeader())
@@ -58,7 +58,7 @@
     return response ? this.renewal(heartbeat, response.token, response.commands) : UNAVAILABLE;
   }
 
-  /** May this node, which does not lead at this moment, extend the worker's lease? See lease-extension.ts. */
+  /** Whether this node, which does not lead now, may extend the worker's lease. See lease-extension.ts. */
   private mayExtendLease(term: LeaderTerm | null, heartbeat: Heartbeat): boolean {
     const { clock, leadership, attestations, leaseExtender } = this.deps;
     const current = leadership.currentTerm();
--- a/src/machine-type-catalogue.ts
+++ b/src/machine-type-catalogue.ts
@@ -1,4 +1,4 @@
-/** The machine types that the cloud offers. */
+/** Reads the machine types that the cloud offers. */
 import type { Cloud } from './autoscaler/cloud.js';
 import { type Runtime, sleep } from './runtime.js';
 import type { StateStore } from './state-store/client.js';
@@ -12,7 +12,7 @@
 const RETRY_MS = 300;
 const RETRY_JITTER_MS = 300;
 
-/** Read once: machine types don't change while a process runs. */
+/** The machine types. They are read once, since they do not change while a process runs. */
 export class MachineTypeCatalogue {
   private known: MachineType[] | null = null;
 
@@ -22,12 +22,15 @@
     private readonly cloud: Cloud,
   ) {}
 
-  /** Null until the types are known. */
+  /** Returns the machine types, or null until they are known. */
   types(): MachineType[] | null {
     return this.known;
   }
 
-  /** Reads the copy that a node has stored, so that the cloud need not be reached, or else asks the cloud and stores one. */
+  /**
+   * Reads the copy that a node has stored, so that the cloud need not be reachable. If there is no readable copy,
+   * requests the types from the cloud and stores a copy. Retries until the types are known.
+   */
   async load(): Promise<void> {
     while (this.known === null) {
       const stored = await this.store.get(MACHINE_TYPES_KEY);
--- a/src/node.ts
+++ b/src/node.ts
@@ -1,4 +1,4 @@
-/** Composition of a controller node, apart from sockets, so that tests can run whole clusters in a simulation. */
+/** Creates and connects the components of a controller node, except sockets, so that tests can simulate whole clusters. */
 import type { Build } from '@millring/rollout';
 import { Cloud } from './autoscaler/cloud.js';
 import { BUILD } from './build.js';
@@ -26,12 +26,12 @@
 import { type StateStore, createStateStore } from './state-store/client.js';
 import type { Body } from './wire/cbor.js';
 
-/** Of the requests to the state service that all nodes may make: for reading jobs that users ask about. */
+/** Share of the state service's request limit, over all nodes, that is used to read jobs that users ask about. */
 const CACHE_REQUEST_SHARE = 0.35;
-/** Every node reads cancellations so often, whether or not it leads. */
+/** Interval at which every node reads cancellations, whether or not it leads. */
 const CANCELLATION_READ_INTERVAL_MS = 1000;
 
-/** What the parts of a node share that answer workers and peers. */
+/** Dependencies shared by the components of a node that respond to workers and peers. */
 interface NodeContext {
   clock: Clock;
   self: string;
@@ -52,7 +52,7 @@
   wallMs(): number;
   /** Sends a message to all other controllers. */
   broadcast(message: PeerMessage): void;
-  /** What this process runs as: this build, except in tests. */
+  /** The build that this process declares; defaults to `BUILD`. Tests set another one. */
   build?: Build;
 }
 
@@ -73,7 +73,7 @@
   private readonly heartbeats: HeartbeatEndpoint;
   private readonly peerMessages: PeerMessageHandler;
   private readonly statusBroadcasts: StatusBroadcasts;
-  /** Progress as the leader last reported it, while another node leads. */
+  /** Progress of jobs as last reported by the leader, while another node leads. */
   private reportedProgress = new Map<string, Progress>();
 
   constructor(private readonly deps: ControllerNodeDependencies) {
@@ -110,7 +110,7 @@
     this.statusBroadcasts = new StatusBroadcasts({ ...context, store: this.store });
   }
 
-  /** Starts to take part in the cluster. There is no way to stop but to end the process. */
+  /** Starts to take part in the cluster. A node stops only when the process ends. */
   run(): void {
     void Promise.all([this.machineTypes.load(), this.rollout.join()]).then(() => {
       this.leadership.run();
@@ -120,17 +120,17 @@
     void this.readCancellations();
   }
 
-  /** Should users' requests be sent to this node? */
+  /** Whether users' requests should be sent to this node. */
   health(): Health {
     return this.healthCheck.health();
   }
 
-  /** A message of another controller. */
+  /** Handles a message from another controller. */
   handlePeerMessage(message: PeerMessage): void {
     this.peerMessages.handle(message);
   }
 
-  /** A worker's heartbeat; null if it can't be decoded. */
+  /** Handles a worker's heartbeat. `body` is null if it cannot be decoded. */
   handleHeartbeat(body: Body | null): Answer {
     return this.heartbeats.handle(body);
   }
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Called before a cancellation is confirmed to a user: from then on nothing of the job may start on any leader. */
+  /** Called before a cancellation is confirmed to a user: from then on, no leader may start any task of the job. */
   private beforeConfirm(id: string): void {
     this.attestations.recordConfirmation(id);
     if (this.cancellations.has(id)) return;
--- a/src/process-runtime.ts
+++ b/src/process-runtime.ts
@@ -18,7 +18,7 @@
   },
 };
 
-/** A runtime whose client keeps connections to the state service and the cloud open. */
+/** Creates a runtime whose HTTP client keeps connections to the state service and the cloud open. */
 export function createProcessRuntime(settings: PlatformSettings, log: Log): Runtime {
   return {
     clock: STEADY_CLOCK,
@@ -31,7 +31,7 @@
   };
 }
 
-/** Logs JSON lines to standard error, in the name of the node. `level`: of pino, or `silent`. */
+/** Creates a log of JSON lines on standard error that contain the node's name. `level`: a level of pino, or `silent`. */
 export function createLog(level: string, node: string): Log {
   return pino({ level, base: { node } }, pino.destination({ dest: STDERR_FD, sync: true }));
 }
--- a/src/runtime.ts
+++ b/src/runtime.ts
@@ -1,27 +1,27 @@
-/** Interfaces to time, network, log and randomness: injected, so that tests can simulate whole clusters. */
+/** Interfaces to time, network, log and random numbers. They are injected, so that tests can simulate whole clusters. */
 import type { Environment } from '@millring/state-access';
 import type { Body } from './wire/cbor.js';
 
-/** Time that never goes back, and has nothing in common with that of other processes. */
+/** Monotonic clock. Its times are not comparable with those of other processes. */
 export interface Clock {
-  /** Milliseconds. */
+  /** Returns the time in milliseconds. */
   now(): number;
-  /** Calls `callback` after so many milliseconds. Returns a function that cancels the call. */
+  /** Calls `callback` after `ms` milliseconds. Returns a function that cancels the call. */
   after(ms: number, callback: () => void): () => void;
 }
 
-/** The answer to a request. `status` 0: none came, so the request may have been executed, or may still be. */
+/** The response to a request. `status` 0: no response arrived, so the request may have been executed, or may yet be. */
 export interface HttpResponse {
   status: number;
   body: Body;
 }
 
-/** Of the requests that controllers make. */
+/** Methods of the requests that controllers send. */
 export type HttpMethod = 'GET' | 'POST' | 'DELETE';
 
 /** Sends requests with CBOR bodies. */
 export interface Http {
-  /** `to`: `host:port`. Never rejects; without a reply in time it resolves to status 0. */
+  /** `to`: `host:port`. Never rejects; resolves to status 0 if no response arrives within `timeoutMs`. */
   send(
     to: string,
     method: HttpMethod,
@@ -38,24 +38,24 @@
   error(fields: object, text: string): void;
 }
 
-/** Everything that a process needs of its surroundings. */
+/** Everything that a process needs from its environment. */
 export interface Runtime {
   clock: Clock;
   http: Http;
   log: Log;
-  /** Uniform in [0, 1). */
+  /** Returns a random number, uniformly distributed in [0, 1). */
   random(): number;
 }
 
-/** Clocks of different machines drift apart by at most this factor. */
+/** Maximum factor by which the clocks of different machines drift apart. */
 export const MAX_CLOCK_DRIFT = 1.001;
 
-/** Resolves after so many milliseconds of the clock. */
+/** Resolves after `ms` milliseconds of the clock. */
 export function sleep(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => clock.after(ms, resolve));
 }
 
-/** The runtime as the packages see it. */
+/** Converts the runtime to the environment that the packages use. */
 export function packageEnvironment(source: { runtime: Runtime; wallMs(): number }): Environment {
   const { runtime } = source;
   return {
--- a/src/state-machine.ts
+++ b/src/state-machine.ts
@@ -1,9 +1,9 @@
-/** State machines with explicit states, a table of the transitions that may occur, and one function for every change of state. */
+/** State machines with explicit states, a table of the allowed transitions, and one function for every change of state. */
 
 /** For each state, the states that may follow it. */
 export type Transitions<State extends string> = Readonly<Record<State, readonly State[]>>;
 
-/** A change of state that the table does not list. It is always a fault of this program. */
+/** A transition that the table does not list. It is always a bug in this program. */
 export class IllegalTransitionError extends Error {
   constructor(machine: string, from: string, to: string) {
     super(`${machine}: ${from} -> ${to}`);
@@ -11,15 +11,15 @@
   }
 }
 
-/** Called on changes of state. */
+/** Callbacks for changes of state. */
 export interface TransitionListener<State extends string> {
-  /** Before the state changes: for log lines. */
+  /** Called before the state changes; used for log lines. */
   beforeTransition(from: State, to: State, reason: string): void;
-  /** The new state holds. The listener may cause further transitions. */
+  /** Called after the state has changed. The listener may cause further transitions. */
   afterTransition?(from: State, to: State): void;
 }
 
-/** The state of one object. */
+/** State machine of one object. */
 export class StateMachine<State extends string> {
   constructor(
     private readonly name: string,
@@ -32,7 +32,7 @@
     return this.current;
   }
 
-  /** Does nothing if `next` is the present state. Throws an `IllegalTransitionError` if it may not follow. */
+  /** Does nothing if `next` is the current state. Throws an `IllegalTransitionError` if the transition is not allowed. */
   transitionTo(next: State, reason: string): void {
     const from = this.current;
     if (next === from) return;
