--- a/src/command-line.ts
+++ b/src/command-line.ts
@@ -1,4 +1,4 @@
-/** The command line: its options, its commands, and what they run. */
+/** The command line: its options, its commands, and the functions they call. */
 import { DUTIES, type Duty } from '@millring/duties';
 import { Argument, Command } from 'commander';
 import manifest from '../package.json' with { type: 'json' };
@@ -22,17 +22,17 @@
   json?: boolean;
 }
 
-/** What the commands do with what they find out. */
+/** Callbacks of the command line. */
 export interface CommandLineActions {
-  /** Without a command, the process is a controller. */
+  /** Called if no command is given: the process runs as a controller. */
   runController(settings: Settings): void;
-  /** An operators' command has ended. */
+  /** Called when an operators' command has ended. */
   commandEnded(outcome: CommandOutcome, isJson: boolean): void;
 }
 
 /**
- * The parser. Its commands throw a `BadInputError` for settings or arguments that are of no use, and commander's own
- * `CommanderError` for those that commander refuses.
+ * Creates the parser. Its commands throw a `BadInputError` for invalid settings or arguments, and commander's own
+ * `CommanderError` for those that commander rejects.
  */
 export function createCommandLine(actions: CommandLineActions): Command {
   const program = withoutExit(new Command('millring'))
@@ -48,7 +48,7 @@
   return program;
 }
 
-/** Errors are thrown to the caller, who ends the process. */
+/** Makes commander throw errors to the caller, which ends the process. */
 function withoutExit(command: Command): Command {
   return command.showSuggestionAfterError(false).exitOverride();
 }
@@ -101,7 +101,7 @@
   return { action, duty, json };
 }
 
-/** Operators' commands log nothing: what they found out is their output. */
+/** Returns a runtime that logs nothing: operators' commands print their results instead. */
 function silentRuntime(platform: PlatformSettings): Runtime {
   return createProcessRuntime(platform, createLog('silent', platform.node));
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,4 @@
-/** Entry point: runs a controller, or an operators' command beside the controllers. */
+/** Entry point: runs a controller, or an operators' command alongside the controllers. */
 import { CommanderError } from 'commander';
 import { createCommandLine } from './command-line.js';
 import { type CommandOutcome, EXIT_BAD_INPUT } from './command-outcome.js';
@@ -10,7 +10,7 @@
   process.exit(EXIT_BAD_INPUT);
 }
 
-/** Exits once the text is written, which takes a while where the output is a pipe. */
+/** Exits once the text has been written, which takes some time if the output is a pipe. */
 function exitWithOutcome(outcome: CommandOutcome, isJson: boolean): void {
   const isForOutput = outcome.exitCode === 0 || isJson;
   (isForOutput ? process.stdout : process.stderr).write(`${outcome.text}\n`, () => {
--- a/src/settings-files.ts
+++ b/src/settings-files.ts
@@ -1,10 +1,10 @@
-/** Reads the settings files that a command line names. */
+/** Reads the settings files that are named on the command line. */
 import { readFileSync } from 'node:fs';
 import { type OperatorSettings, readOperatorSettings } from './settings/operator.js';
 import { type PlatformSettings, readPlatformSettings } from './settings/platform.js';
 import { SettingsError } from './settings/settings-table.js';
 
-/** What was passed to a command is of no use: the message says what, and in which file. */
+/** Invalid input to a command: the message states what is invalid, and in which file. */
 export class BadInputError extends Error {
   constructor(message: string) {
     super(message);
@@ -12,7 +12,7 @@
   }
 }
 
-/** The files that a command line names. */
+/** Paths of the files that are named on the command line. */
 export interface SettingsFiles {
   config: string;
   operator?: string;
@@ -24,7 +24,10 @@
   operator: OperatorSettings;
 }
 
-/** Throws a `BadInputError` if a file can't be read or holds invalid settings. Without operators' file defaults hold. */
+/**
+ * Throws a `BadInputError` if a file cannot be read or contains invalid settings. Without an operators' file, the
+ * default settings apply.
+ */
 export function loadSettings(files: SettingsFiles): Settings {
   const platform = loadPlatformSettings(files.config);
   return { platform, operator: loadOperatorSettings(files.operator, platform.zone) };
