--- a/src/build.ts
+++ b/src/build.ts
@@ -14,7 +14,8 @@
     name: COMPACT_FINISHED_TASKS,
     level: 2,
     covers: { records: ['d/JOB/NUMBER with numbers from 1000'], messages: [], decisions: [] },
-    // A build without the gate reads them as records without finished tasks: it restarts the tasks, and they exit immediately.
+    // A build without the gate reads them as records without finished tasks: it restarts the tasks, and they exit
+    // immediately.
     withoutGate: 'harmless',
     reversible: true,
   },
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -37,8 +37,8 @@
  * - `follower`: another node leads, or no node does.
  * - `candidate`: this node is campaigning.
  * - `leader`: this node's lease is guaranteed to be valid.
- * - `suspended`: the lease may have expired, so this node may start no work and answer no requests as the leader. If a
- *   renewal finds the lease still valid, no other node can have been elected meanwhile, and this node resumes its term.
+ * - `suspended`: the lease may have expired, so this node may not start work or respond to requests as the leader. If
+ *   a renewal finds the lease still valid, no other node can have been elected meanwhile, and this node resumes its term.
  */
 export type LeadershipState = 'follower' | 'candidate' | 'leader' | 'suspended';
 
