--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -33,7 +33,7 @@
   extensionMs: number,
 ): number | null {
   if (zone === controllers.zone) return Infinity;
-  const there = controllers.peers.filter((peer) => peer.zone === zone);
-  if (there.length === 0) return null;
-  return Math.max(...there.map((peer) => grants.lastContactAt(peer.name))) + extensionMs;
+  const peersInZone = controllers.peers.filter((peer) => peer.zone === zone);
+  if (peersInZone.length === 0) return null;
+  return Math.max(...peersInZone.map((peer) => grants.lastContactAt(peer.name))) + extensionMs;
 }
