--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -14,8 +14,8 @@
 import type { Leadership, LeadershipEvents } from './leadership.js';
 
 /**
- * No task is started if this node last read the cancellations longer ago than this. After a suspension, they may be
- * out of date although the term continues, so they are read again before tasks are started.
+ * No task is started while this node's knowledge of cancellations is older than this. After a suspension it may be
+ * out of date although the term continues, so cancellations are read again before tasks are started.
  */
 const CANCELLATIONS_MAX_AGE_MS = 4000;
 
