--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -133,19 +133,14 @@
   }
 
   async handle(method: string, path: string, body: Body, from: string): Promise<HttpResponse> {
-    const reply = await this.answer(method, path, body, from);
+    const reply = await this.run(method, path, body, from);
     const slow = this.slowReads && this.clock.time < this.slowReads.until ? this.slowReads.byMs : 0;
     if (slow > 0 && method === 'GET')
       await new Promise<void>((done) => this.clock.after(slow, done));
     return reply;
   }
 
-  private async answer(
-    method: string,
-    path: string,
-    body: Body,
-    from: string,
-  ): Promise<HttpResponse> {
+  private async run(method: string, path: string, body: Body, from: string): Promise<HttpResponse> {
     const request = decodeStateRequest(method, path, body);
     if (this.exceedsRate(request.kind === 'transaction' ? request.mutations.length : 0))
       return { status: 429, body: {} };
