--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -13,10 +13,10 @@
   StateAccess,
   WatchResult,
 } from '@millring/state-access';
-import type { Reply, Runtime } from '../runtime.js';
+import type { HttpResponse, Runtime } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { Body } from '../wire/cbor.js';
-import { HTTP_STATUS, isNoReply } from '../wire/http-status.js';
+import { HTTP_STATUS, isNoResponse } from '../wire/http-status.js';
 import {
   compareAndSwapBody,
   leaseBody,
@@ -99,11 +99,11 @@
     path: string,
     body: Body | null,
     timeoutMs = TIMEOUT_MS,
-  ): Promise<Reply> {
+  ): Promise<HttpResponse> {
     const { clock, http } = this.runtime;
     const sentAt = clock.now();
     const response = await http.send(this.limits.address, method, path, body, timeoutMs);
-    if (isNoReply(response) || response.status === HTTP_STATUS.serviceUnavailable)
+    if (isNoResponse(response) || response.status === HTTP_STATUS.serviceUnavailable)
       this.lastFailureAt = sentAt;
     else this.lastSuccessAt = sentAt;
     return response;
@@ -202,7 +202,7 @@
   }
 }
 
-function compareAndSwapResult(response: Reply): CompareAndSwapResult {
+function compareAndSwapResult(response: HttpResponse): CompareAndSwapResult {
   switch (response.status) {
     case HTTP_STATUS.ok:
       return { kind: 'committed', revision: readRevision(response.body) };
@@ -211,6 +211,6 @@
     case HTTP_STATUS.badRequest:
       return { kind: 'invalid' };
     default:
-      return isNoReply(response) ? { kind: 'indeterminate' } : { kind: 'rejected' };
+      return isNoResponse(response) ? { kind: 'indeterminate' } : { kind: 'rejected' };
   }
 }
