--- a/src/heartbeat-endpoint.ts
+++ b/src/heartbeat-endpoint.ts
@@ -1,6 +1,6 @@
 /** How a controller node answers workers' heartbeats, whatever its role. */
 import type { Cancellations } from './jobs/cancellations.js';
-import type { Answer } from './jobs/answers.js';
+import type { ApiResponse } from './jobs/responses.js';
 import type { LeaderTerm } from './leadership/leader-term.js';
 import type { Leadership } from './leadership/leadership.js';
 import type { LeaseExtender } from './leadership/lease-extension.js';
@@ -10,8 +10,8 @@
 import type { Heartbeat, WorkerCommand } from './wire/model.js';
 import { heartbeatResponse, readHeartbeat, redirectBody } from './wire/workers.js';
 
-const UNAVAILABLE: Answer = { status: 503, body: {}, retryAfterS: 1 };
-const MALFORMED: Answer = { status: 400, body: { error: 'not a report' } };
+const UNAVAILABLE: ApiResponse = { status: 503, body: {}, retryAfterS: 1 };
+const MALFORMED: ApiResponse = { status: 400, body: { error: 'not a report' } };
 
 /** What the answers depend on. */
 export interface HeartbeatEndpointDependencies {
@@ -36,7 +36,7 @@
 export class HeartbeatEndpoint {
   constructor(private readonly deps: HeartbeatEndpointDependencies) {}
 
-  handle(body: Body | null): Answer {
+  handle(body: Body | null): ApiResponse {
     if (!this.deps.mayServe()) return UNAVAILABLE;
     const heartbeat = body && readHeartbeat(body);
     if (!heartbeat) {
@@ -53,7 +53,7 @@
     return this.redirect();
   }
 
-  private answerAsLeader(term: LeaderTerm, heartbeat: Heartbeat): Answer {
+  private answerAsLeader(term: LeaderTerm, heartbeat: Heartbeat): ApiResponse {
     const reply = term.handleHeartbeat(heartbeat);
     return reply ? this.renewal(heartbeat, reply.token, reply.commands) : UNAVAILABLE;
   }
@@ -70,12 +70,12 @@
     return term.mayExtendWhileSuspended(heartbeat, uncontestedUntil);
   }
 
-  private renewal(heartbeat: Heartbeat, token: number, commands: WorkerCommand[]): Answer {
+  private renewal(heartbeat: Heartbeat, token: number, commands: WorkerCommand[]): ApiResponse {
     const withStops = this.deps.cancellations.withStops(heartbeat, commands);
     return { status: 200, body: heartbeatResponse(token, withStops) };
   }
 
-  private redirect(): Answer {
+  private redirect(): ApiResponse {
     const leader = this.deps.leadership.leaderName();
     if (leader === null || leader === this.deps.self) return UNAVAILABLE;
     return { status: 421, body: redirectBody(leader) };
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -2,7 +2,7 @@
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import type { Socket } from 'node:net';
 import { AcceptQueue } from './accept-queue.js';
-import type { Answer } from '../jobs/answers.js';
+import type { ApiResponse } from '../jobs/responses.js';
 import type { ControllerNode } from '../node.js';
 import type { Log } from '../runtime.js';
 import { allocateSockets } from './socket-allocation.js';
@@ -53,7 +53,7 @@
     server: Server,
     private readonly queue: AcceptQueue,
     private readonly maxKeptConnections: number,
-    private readonly handleHeartbeat: (body: Body | null) => Answer,
+    private readonly handleHeartbeat: (body: Body | null) => ApiResponse,
   ) {
     server.on('connection', (socket) => {
       this.openConnections++;
@@ -87,7 +87,7 @@
   }
 
   /** Whatever goes wrong with a heartbeat, it harms that heartbeat alone. */
-  private answer(body: Buffer): Answer {
+  private answer(body: Buffer): ApiResponse {
     try {
       return this.handleHeartbeat(decodeMap(body));
     } catch {
--- a/src/http/user-app.ts
+++ b/src/http/user-app.ts
@@ -1,7 +1,7 @@
 /** The HTTP routes for users and health checks. */
 import express, { type NextFunction, type Request, type Response } from 'express';
 import type { Health } from '../health.js';
-import type { Answer } from '../jobs/answers.js';
+import type { ApiResponse } from '../jobs/responses.js';
 import type { JobsApi } from '../jobs/api.js';
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 import { userPaths } from '../wire/users.js';
@@ -9,10 +9,10 @@
 /** Larger bodies are refused. */
 export const MAX_BODY_BYTES = 64 * 1024;
 /** For requests that fail within this process: the client may try again, here or elsewhere. */
-export const INTERNAL_FAILURE: Answer = { status: 503, body: {}, retryAfterS: 1 };
-const NOT_CBOR: Answer = { status: 400, body: { error: 'not a CBOR map' } };
-const MALFORMED: Answer = { status: 400, body: { error: 'malformed request' } };
-const NOT_FOUND: Answer = { status: 404, body: { error: 'no such path' } };
+export const INTERNAL_FAILURE: ApiResponse = { status: 503, body: {}, retryAfterS: 1 };
+const NOT_CBOR: ApiResponse = { status: 400, body: { error: 'not a CBOR map' } };
+const MALFORMED: ApiResponse = { status: 400, body: { error: 'malformed request' } };
+const NOT_FOUND: ApiResponse = { status: 404, body: { error: 'no such path' } };
 
 /** What serves the requests. */
 export interface UserBackend {
@@ -20,7 +20,7 @@
   health(): Health;
 }
 
-type Responder = (request: Request) => Promise<Answer> | Answer;
+type Responder = (request: Request) => Promise<ApiResponse> | ApiResponse;
 
 /** An express application: whatever is wrong with a request, it harms that request alone. */
 export function createUserApp(backend: UserBackend): express.Express {
@@ -69,7 +69,7 @@
   return Buffer.isBuffer(request.body) ? decodeMap(request.body) : null;
 }
 
-function send(response: Response, { status, body, retryAfterS }: Answer): void {
+function send(response: Response, { status, body, retryAfterS }: ApiResponse): void {
   if (retryAfterS !== undefined) response.set('Retry-After', String(retryAfterS));
   response.status(status).type('application/cbor').send(encode(body));
 }
--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -8,17 +8,17 @@
 import type { JobSpec, MachineType } from '../wire/model.js';
 import { isJobId, readJob } from '../wire/users.js';
 import {
-  type Answer,
+  type ApiResponse,
   NO_SUCH_JOB,
   STATE_UNAVAILABLE,
   STATE_UNREADABLE,
   TYPES_UNKNOWN,
   accepted,
-  endedAnswer,
+  terminalJobResponse,
   impossible,
   invalidField,
-  liveAnswer,
-} from './answers.js';
+  liveJobResponse,
+} from './responses.js';
 import type { CachedJob, JobCache } from './job-cache.js';
 import { JobLookup, type StoredJob } from './job-lookup.js';
 import type { Progress } from './job-table.js';
@@ -55,7 +55,7 @@
   }
 
   /** Accepts a job, or tells the state of one that was accepted before under the same id. */
-  async submit(body: Body): Promise<Answer> {
+  async submit(body: Body): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     const submission = readJob(body);
     if (submission.kind === 'invalid') return invalidField(submission.field);
@@ -90,14 +90,14 @@
   }
 
   /** Tells a job's state. */
-  async poll(id: string): Promise<Answer> {
+  async poll(id: string): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     if (!isJobId(id)) return NO_SUCH_JOB;
     return this.describe(id, await this.lookup.find(id));
   }
 
   /** Cancels a job. Once this is confirmed, the job's tasks stop within `cancel_s`. */
-  async cancel(id: string): Promise<Answer> {
+  async cancel(id: string): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     if (!isJobId(id)) return NO_SUCH_JOB;
     const { store } = this.deps;
@@ -121,7 +121,7 @@
   }
 
   /** The answer that rests on what was read; the log tells on what. */
-  private describe(id: string, stored: StoredJob): Answer {
+  private describe(id: string, stored: StoredJob): ApiResponse {
     const answer = this.answerFor(id, stored);
     const version = stored.kind === 'live' ? stored.version : undefined;
     this.deps.log.debug({ id, status: answer.status, read: stored.kind, version }, 'answer');
@@ -132,23 +132,23 @@
     this.deps.log.debug({ id, status, written }, 'answer');
   }
 
-  private answerFor(id: string, stored: StoredJob): Answer {
+  private answerFor(id: string, stored: StoredJob): ApiResponse {
     switch (stored.kind) {
       case 'unavailable':
         return STATE_UNAVAILABLE;
       case 'absent':
         return NO_SUCH_JOB;
       case 'ended':
-        return endedAnswer(id, stored);
+        return terminalJobResponse(id, stored);
       case 'live':
         if (stored.record?.cancelled) return this.confirmCancelled(id);
-        return liveAnswer(id, this.deps.progress(id));
+        return liveJobResponse(id, this.deps.progress(id));
     }
   }
 
-  private confirmCancelled(id: string): Answer {
+  private confirmCancelled(id: string): ApiResponse {
     this.deps.beforeConfirm(id);
-    return endedAnswer(id, { state: 'cancelled', tasks: 0 });
+    return terminalJobResponse(id, { state: 'cancelled', tasks: 0 });
   }
 }
 
--- a/src/jobs/answers.ts
+++ b/src/jobs/responses.ts
@@ -1,12 +1,12 @@
 /** Answers to users' requests. */
 import type { Body } from '../wire/cbor.js';
 import { HTTP_STATUS } from '../wire/http-status.js';
-import { jobAnswer } from '../wire/users.js';
+import { jobStateResponse } from '../wire/users.js';
 import type { Progress } from './job-table.js';
 import type { EndedJobRecord } from './records.js';
 
 /** A response to a user. */
-export interface Answer {
+export interface ApiResponse {
   status: number;
   body: Body;
   /** Sent with a 503: when the request may be repeated, in seconds. */
@@ -15,11 +15,11 @@
 
 const NOT_STARTED: Progress = { done: 0, running: 0 };
 
-function failure(status: number, error: string): Answer {
+function failure(status: number, error: string): ApiResponse {
   return { status, body: { error } };
 }
 
-function unavailable(error: string): Answer {
+function unavailable(error: string): ApiResponse {
   return { ...failure(HTTP_STATUS.serviceUnavailable, error), retryAfterS: 1 };
 }
 
@@ -33,29 +33,29 @@
 export const NO_SUCH_JOB = failure(HTTP_STATUS.notFound, 'no such job');
 
 /** A submission with a field that is missing or invalid. */
-export function invalidField(field: string): Answer {
+export function invalidField(field: string): ApiResponse {
   return failure(HTTP_STATUS.badRequest, `missing or invalid: ${field}`);
 }
 
 /** A job that can never run. */
-export function impossible(reasonText: string): Answer {
+export function impossible(reasonText: string): ApiResponse {
   return failure(HTTP_STATUS.unprocessableContent, reasonText);
 }
 
 /** The job is stored now. */
-export function accepted(id: string): Answer {
-  return { status: HTTP_STATUS.created, body: jobAnswer(id, 'pending') };
+export function accepted(id: string): ApiResponse {
+  return { status: HTTP_STATUS.created, body: jobStateResponse(id, 'pending') };
 }
 
 /** A live job, with what the leader last told of its progress. */
-export function liveAnswer(id: string, progress: Progress = NOT_STARTED): Answer {
+export function liveJobResponse(id: string, progress: Progress = NOT_STARTED): ApiResponse {
   const { done, running } = progress;
   const state = running > 0 ? 'running' : 'pending';
-  return { status: HTTP_STATUS.ok, body: jobAnswer(id, state, { done, running }) };
+  return { status: HTTP_STATUS.ok, body: jobStateResponse(id, state, { done, running }) };
 }
 
 /** A job that has ended, or whose cancellation is stored. */
-export function endedAnswer(id: string, { state, tasks }: EndedJobRecord): Answer {
+export function terminalJobResponse(id: string, { state, tasks }: EndedJobRecord): ApiResponse {
   const done = state === 'done' ? tasks : 0;
-  return { status: HTTP_STATUS.ok, body: jobAnswer(id, state, { done, running: 0 }) };
+  return { status: HTTP_STATUS.ok, body: jobStateResponse(id, state, { done, running: 0 }) };
 }
--- a/src/node.ts
+++ b/src/node.ts
@@ -5,7 +5,7 @@
 import { ControllerDuties } from './duties/controller-duties.js';
 import { type Health, HealthCheck } from './health.js';
 import { HeartbeatEndpoint } from './heartbeat-endpoint.js';
-import type { Answer } from './jobs/answers.js';
+import type { ApiResponse } from './jobs/responses.js';
 import { JobsApi } from './jobs/api.js';
 import { Cancellations } from './jobs/cancellations.js';
 import { JobCache } from './jobs/job-cache.js';
@@ -131,7 +131,7 @@
   }
 
   /** A worker's heartbeat; null if it can't be decoded. */
-  handleHeartbeat(body: Body | null): Answer {
+  handleHeartbeat(body: Body | null): ApiResponse {
     return this.heartbeats.handle(body);
   }
 
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -98,7 +98,7 @@
 }
 
 /** A job's state, and how many of its tasks are done and run, where that is told. */
-export function jobAnswer(
+export function jobStateResponse(
   id: string,
   state: JobState,
   progress?: { done: number; running: number },
