--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -23,7 +23,7 @@
 import { JobLookup, type StoredJob } from './job-lookup.js';
 import type { Progress } from './job-table.js';
 import { IMPOSSIBLE_TEXTS, impossibleReason } from './job-validation.js';
-import { endedKey, liveKey, minimalCancelledValue, newLiveValue } from './records.js';
+import { terminalKey, liveKey, minimalCancelledValue, newLiveValue } from './records.js';
 
 /** What the users' API needs. */
 export interface JobsApiDependencies {
@@ -69,12 +69,12 @@
       if (stored.kind === 'absent') return impossible(IMPOSSIBLE_TEXTS[reason]);
       return this.describe(job.id, stored);
     }
-    if (this.lookup.isKnownToHaveEnded(job.id))
+    if (this.lookup.isKnownTerminal(job.id))
       return this.describe(job.id, await this.lookup.find(job.id));
     const result = await this.deps.store.compareAndSwap(
       [
         { key: liveKey(job.id), version: 0 },
-        { key: endedKey(job.id), version: 0 },
+        { key: terminalKey(job.id), version: 0 },
       ],
       [
         {
@@ -161,5 +161,8 @@
 /** A record that can't be read was never acted on, so that its job ends at once. */
 function cancellation(id: string, { record, value }: CachedJob): Mutation[] {
   if (record) return [{ put: liveKey(id), value: { ...(value as object), cancelled: true } }];
-  return [{ remove: liveKey(id) }, { put: endedKey(id), value: { state: 'cancelled', tasks: 0 } }];
+  return [
+    { remove: liveKey(id) },
+    { put: terminalKey(id), value: { state: 'cancelled', tasks: 0 } },
+  ];
 }
--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -20,7 +20,7 @@
   readonly mutations: Mutation[] = [];
   /** Jobs whose records the batch rests on. */
   readonly jobs = new Set<Job>();
-  readonly ends: Job[] = [];
+  readonly terminalJobs: Job[] = [];
   readonly progress: BatchedProgress[] = [];
   /** Keys of records that it removes because their job has ended. */
   readonly orphanedKeys: string[] = [];
--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -9,7 +9,7 @@
 import { ProgressRecords } from './progress-records.js';
 import { ProgressWriter } from './progress-writer.js';
 import { isSegment } from './record-layout.js';
-import { endedKey, finishedKey, liveKey } from './records.js';
+import { terminalKey, finishedKey, liveKey } from './records.js';
 
 /** What the completion writer needs. */
 export interface CompletionWriterDependencies {
@@ -96,33 +96,33 @@
       this.maxMutations,
       this.deps.txnOps * PRECONDITIONS_PER_MUTATION,
     );
-    this.addEnds(batch, now);
+    this.addTerminalJobs(batch, now);
     this.addProgress(batch, now);
     this.addOrphans(batch);
     if (batch.mutations.length > 0) void this.write(batch);
   }
 
-  private addEnds(batch: CompletionBatch, now: number): void {
+  private addTerminalJobs(batch: CompletionBatch, now: number): void {
     for (const job of this.deps.jobs.all()) {
-      const isOver = job.jobCancelled ? this.deps.hasNoAttempts(job) : job.isComplete();
-      if (!isOver || job.endState !== 'live' || this.mustWait(job, now)) continue;
-      const mutations = this.endMutations(job);
+      const isTerminal = job.jobCancelled ? this.deps.hasNoAttempts(job) : job.isComplete();
+      if (!isTerminal || job.endState !== 'live' || this.mustWait(job, now)) continue;
+      const mutations = this.terminalMutations(job);
       if (!batch.hasRoom(mutations.length)) return;
       batch.add(mutations);
       batch.requireJob(job);
-      batch.ends.push(job);
+      batch.terminalJobs.push(job);
     }
   }
 
   /** Records of a large job that don't go into one batch are removed afterwards: with the job ended nobody reads them. */
-  private endMutations(job: Job): Mutation[] {
+  private terminalMutations(job: Job): Mutation[] {
     const { id, tasks } = job.spec;
     const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_JOB_END);
     const recordNumbers = [...this.records.numbersOf(job)].slice(0, maxRecords);
     const value = { state: job.jobCancelled ? 'cancelled' : 'done', tasks };
     return [
       { remove: liveKey(id) },
-      { put: endedKey(id), value },
+      { put: terminalKey(id), value },
       ...recordNumbers.map((number): Mutation => ({ remove: finishedKey(id, number) })),
     ];
   }
@@ -149,10 +149,11 @@
 
   private async write(batch: CompletionBatch): Promise<void> {
     this.writing = true;
-    for (const job of batch.ends) job.endState = 'ending';
+    for (const job of batch.terminalJobs) job.endState = 'ending';
     const result = await this.deps.store.compareAndSwap(batch.preconditions, batch.mutations);
     this.writing = false;
-    for (const job of batch.ends) job.endState = result.kind === 'committed' ? 'ended' : 'live';
+    for (const job of batch.terminalJobs)
+      job.endState = result.kind === 'committed' ? 'ended' : 'live';
     if (result.kind === 'committed') this.committed(batch);
     else this.failed(batch, result);
   }
@@ -160,7 +161,7 @@
   private committed(batch: CompletionBatch): void {
     this.progress.committed(batch, this.deps.runtime.clock.now());
     for (const key of batch.orphanedKeys) this.orphanedKeys.delete(key);
-    for (const job of batch.ends) this.jobEnded(job, batch);
+    for (const job of batch.terminalJobs) this.jobEnded(job, batch);
   }
 
   private jobEnded(job: Job, batch: CompletionBatch): void {
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,28 +1,28 @@
 /** Finds out what is stored of a job at the moment of a question. */
 import type { StateStore } from '../state-store/client.js';
 import type { CachedJob, JobCache } from './job-cache.js';
-import { type EndedJobRecord, endedKey, readEnded } from './records.js';
+import { type TerminalJobRecord, terminalKey, readTerminal } from './records.js';
 
 /** What is stored of a job. `absent`: it was never accepted. `unavailable`: the state service can't tell now. */
 export type StoredJob =
   | ({ kind: 'live' } & CachedJob)
-  | ({ kind: 'ended' } & EndedJobRecord)
+  | ({ kind: 'ended' } & TerminalJobRecord)
   | { kind: 'absent' }
   | { kind: 'unavailable' };
 
-const MAX_CACHED_ENDED_JOBS = 5000;
+const MAX_CACHED_TERMINAL_JOBS = 5000;
 
 /** Reads jobs as fresh as the question. */
 export class JobLookup {
   /** Only ended jobs are kept in memory: they never change again. */
-  private readonly ended = new Map<string, EndedJobRecord>();
+  private readonly ended = new Map<string, TerminalJobRecord>();
 
   constructor(
     private readonly cache: JobCache,
     private readonly store: StateStore,
   ) {}
 
-  isKnownToHaveEnded(id: string): boolean {
+  isKnownTerminal(id: string): boolean {
     return this.ended.has(id);
   }
 
@@ -36,17 +36,18 @@
     if (!(await this.cache.refresh())) return { kind: 'unavailable' };
     const live = this.cache.get(id);
     if (live) return { kind: 'live', ...live };
-    const ended = await this.store.get(endedKey(id));
+    const ended = await this.store.get(terminalKey(id));
     if (ended.kind !== 'found') return { kind: ended.kind };
-    const record = readEnded(ended.entry.value);
+    const record = readTerminal(ended.entry.value);
     if (!record) return { kind: 'unavailable' };
-    this.rememberEnded(id, record);
+    this.cacheTerminal(id, record);
     return { kind: 'ended', ...record };
   }
 
-  private rememberEnded(id: string, record: EndedJobRecord): void {
+  private cacheTerminal(id: string, record: TerminalJobRecord): void {
     const oldest = this.ended.keys().next();
-    if (this.ended.size >= MAX_CACHED_ENDED_JOBS && !oldest.done) this.ended.delete(oldest.value);
+    if (this.ended.size >= MAX_CACHED_TERMINAL_JOBS && !oldest.done)
+      this.ended.delete(oldest.value);
     this.ended.set(id, record);
   }
 }
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -4,7 +4,7 @@
 
 /** Prefix of the keys of live jobs. */
 export const LIVE_PREFIX = 'j/';
-const ENDED_PREFIX = 'e/';
+const TERMINAL_PREFIX = 'e/';
 /** Prefix of the keys of records of finished tasks. */
 export const FINISHED_PREFIX = 'd/';
 
@@ -24,7 +24,7 @@
 }
 
 /** What is stored of a job that has ended. */
-export interface EndedJobRecord {
+export interface TerminalJobRecord {
   state: 'done' | 'cancelled';
   tasks: number;
 }
@@ -32,7 +32,7 @@
 /** The key of a live job. */
 export const liveKey = (id: string): string => LIVE_PREFIX + id;
 /** The key of an ended job. */
-export const endedKey = (id: string): string => ENDED_PREFIX + id;
+export const terminalKey = (id: string): string => TERMINAL_PREFIX + id;
 /** The key of one record of a job's finished tasks. */
 export const finishedKey = (id: string, recordNumber: number): string =>
   `${FINISHED_PREFIX}${id}/${recordNumber}`;
@@ -112,7 +112,7 @@
 }
 
 /** Null if the value is no ended job. */
-export function readEnded(value: unknown): EndedJobRecord | null {
+export function readTerminal(value: unknown): TerminalJobRecord | null {
   if (!isMap(value) || typeof value.tasks !== 'number') return null;
   const { state, tasks } = value;
   return state === 'done' || state === 'cancelled' ? { state, tasks } : null;
--- a/src/jobs/responses.ts
+++ b/src/jobs/responses.ts
@@ -3,7 +3,7 @@
 import { HTTP_STATUS } from '../wire/http-status.js';
 import { jobStateResponse } from '../wire/users.js';
 import type { Progress } from './job-table.js';
-import type { EndedJobRecord } from './records.js';
+import type { TerminalJobRecord } from './records.js';
 
 /** A response to a user. */
 export interface ApiResponse {
@@ -55,7 +55,7 @@
 }
 
 /** A job that has ended, or whose cancellation is stored. */
-export function terminalJobResponse(id: string, { state, tasks }: EndedJobRecord): ApiResponse {
+export function terminalJobResponse(id: string, { state, tasks }: TerminalJobRecord): ApiResponse {
   const done = state === 'done' ? tasks : 0;
   return { status: HTTP_STATUS.ok, body: jobStateResponse(id, state, { done, running: 0 }) };
 }
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { CompletionWriter } from '../src/jobs/completion-writer.js';
 import { JobTable } from '../src/jobs/job-table.js';
-import { endedKey, finishedKey, liveKey, readLive } from '../src/jobs/records.js';
+import { terminalKey, finishedKey, liveKey, readLive } from '../src/jobs/records.js';
 import type { PlatformSettings } from '../src/settings/platform.js';
 import { StateStore } from '../src/state-store/client.js';
 import { OLD } from './sim/older-versions.js';
@@ -88,7 +88,7 @@
   const written = cluster.state.history(liveKey(id)).map((value) => readLive(value));
   assert.ok(written.some((record) => record?.cancelled && record.spec.id === id));
   await cluster.run(15);
-  assert.deepEqual(cluster.state.value(endedKey(id)), { state: 'cancelled', tasks: spec.tasks });
+  assert.deepEqual(cluster.state.value(terminalKey(id)), { state: 'cancelled', tasks: spec.tasks });
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
@@ -141,7 +141,7 @@
     completionWriter.tick();
     await cluster.run(0.2);
   }
-  assert.deepEqual(cluster.state.value(endedKey('run-1')), { state: 'done', tasks: 100_000 });
+  assert.deepEqual(cluster.state.value(terminalKey('run-1')), { state: 'done', tasks: 100_000 });
   assert.deepEqual(
     [...cluster.state.items.keys()].filter((k) => k.startsWith('d/') || k.startsWith('j/')),
     [],
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,7 +1,7 @@
 /** Old and new versions side by side and on each other's data; limits of the state service that fall. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { endedKey, liveKey, readEnded, readLive } from '../src/jobs/records.js';
+import { terminalKey, liveKey, readTerminal, readLive } from '../src/jobs/records.js';
 import { FrameDecoder, encodeFrame } from '../src/peers/framing.js';
 import { readPeerMessage } from '../src/peers/peer-messages.js';
 import { readMachinePage } from '../src/workers/machine-records.js';
@@ -20,7 +20,7 @@
       const pair = { key, value, version: 3 };
       kinds.add(key.slice(0, 2));
       if (key.startsWith('j/')) assert.equal(readLive(value)?.spec.id, key.slice(2));
-      if (key.startsWith('e/')) assert.notEqual(readEnded(value), null, key);
+      if (key.startsWith('e/')) assert.notEqual(readTerminal(value), null, key);
       if (key.startsWith('m/')) assert.ok(readMachinePage(pair).length > 5, key);
     }
     assert.deepEqual([...kinds].sort(), ['ca', 'd/', 'e/', 'j/', 'm/']);
@@ -148,7 +148,7 @@
       const job = cluster.invariants.jobs.get(id)!;
       assert.ok(job.firstStartAt !== null, `${id} went on`);
       if (job.spec.kind !== 'service')
-        assert.deepEqual(cluster.state.value(endedKey(id)), {
+        assert.deepEqual(cluster.state.value(terminalKey(id)), {
           state: 'done',
           tasks: job.spec.tasks,
         });
@@ -156,7 +156,7 @@
     for (const [key] of live)
       if (!waiting.has(key.slice(2)))
         assert.equal(
-          (cluster.state.value(endedKey(key.slice(2))) as { state: string }).state,
+          (cluster.state.value(terminalKey(key.slice(2))) as { state: string }).state,
           'cancelled',
         );
     assert.deepEqual(
