--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -67,10 +67,10 @@
       // Types can change: a repeat of a job that was accepted gets its state, whatever we would say today.
       const stored = await this.lookup.find(job.id);
       if (stored.kind === 'absent') return impossible(IMPOSSIBLE_TEXTS[reason]);
-      return this.describe(job.id, stored);
+      return this.respond(job.id, stored);
     }
     if (this.lookup.isKnownTerminal(job.id))
-      return this.describe(job.id, await this.lookup.find(job.id));
+      return this.respond(job.id, await this.lookup.find(job.id));
     const result = await this.deps.store.compareAndSwap(
       [
         { key: liveKey(job.id), version: 0 },
@@ -83,7 +83,7 @@
         },
       ],
     );
-    if (result.kind === 'conflict') return this.describe(job.id, await this.lookup.find(job.id));
+    if (result.kind === 'conflict') return this.respond(job.id, await this.lookup.find(job.id));
     if (result.kind !== 'committed') return STATE_UNAVAILABLE;
     this.logWritten(job.id, HTTP_STATUS.created, result.revision);
     return accepted(job.id);
@@ -93,7 +93,7 @@
   async poll(id: string): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     if (!isJobId(id)) return NO_SUCH_JOB;
-    return this.describe(id, await this.lookup.find(id));
+    return this.respond(id, await this.lookup.find(id));
   }
 
   /** Cancels a job. Once this is confirmed, the job's tasks stop within `cancel_s`. */
@@ -103,7 +103,7 @@
     const { store } = this.deps;
     for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt++) {
       const stored = await this.lookup.find(id);
-      if (stored.kind !== 'live') return this.describe(id, stored);
+      if (stored.kind !== 'live') return this.respond(id, stored);
       if (stored.record?.cancelled) return this.confirmCancelled(id);
       const preconditions = [{ key: liveKey(id), version: stored.version }];
       let result = await store.compareAndSwap(preconditions, cancellation(id, stored));
@@ -121,18 +121,18 @@
   }
 
   /** The answer that rests on what was read; the log tells on what. */
-  private describe(id: string, stored: StoredJob): ApiResponse {
-    const answer = this.answerFor(id, stored);
+  private respond(id: string, stored: StoredJob): ApiResponse {
+    const response = this.responseFor(id, stored);
     const version = stored.kind === 'live' ? stored.version : undefined;
-    this.deps.log.debug({ id, status: answer.status, read: stored.kind, version }, 'answer');
-    return answer;
+    this.deps.log.debug({ id, status: response.status, read: stored.kind, version }, 'answer');
+    return response;
   }
 
   private logWritten(id: string, status: number, written: number): void {
     this.deps.log.debug({ id, status, written }, 'answer');
   }
 
-  private answerFor(id: string, stored: StoredJob): ApiResponse {
+  private responseFor(id: string, stored: StoredJob): ApiResponse {
     switch (stored.kind) {
       case 'unavailable':
         return STATE_UNAVAILABLE;
--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -34,9 +34,9 @@
     /** Requests are at least so far apart, since all nodes share the rate. */
     private readonly minIntervalMs: number,
     /** The job is cancelled, by its record. */
-    private readonly cancelled: (id: string) => void = () => undefined,
+    private readonly onCancelled: (id: string) => void = () => undefined,
     /** All that was changed before then has been read. */
-    private readonly readUpTo: (sentAt: number) => void = () => undefined,
+    private readonly onReadUpTo: (sentAt: number) => void = () => undefined,
   ) {}
 
   get(id: string): CachedJob | undefined {
@@ -60,8 +60,9 @@
       const served = this.waiters;
       this.waiters = [];
       this.lastSentAt = clock.now();
-      const ok = this.revision === null ? await this.load() : await this.follow(this.revision);
-      if (ok) this.readUpTo(this.lastSentAt);
+      const ok =
+        this.revision === null ? await this.load() : await this.applyChanges(this.revision);
+      if (ok) this.onReadUpTo(this.lastSentAt);
       for (const done of served) done(ok);
     }
     this.refreshing = false;
@@ -74,10 +75,10 @@
     for (const { key, value, version } of all.pairs) this.put(key, value, version);
     // Only the first page is as old as the revision: what changed since is read over, and may be newer.
     this.revision = all.revision;
-    return this.follow(all.revision);
+    return this.applyChanges(all.revision);
   }
 
-  private async follow(after: number): Promise<boolean> {
+  private async applyChanges(after: number): Promise<boolean> {
     const changes = await this.store.watch(LIVE_PREFIX, after, 0, REQUEST_TIMEOUT_MS);
     if (changes.kind === 'compacted') {
       this.revision = null;
@@ -96,7 +97,7 @@
     const id = key.slice(LIVE_PREFIX.length);
     const record = readLive(value);
     if (!record) this.runtime.log.error({ id }, 'unreadable job record');
-    if (record?.cancelled) this.cancelled(id);
+    if (record?.cancelled) this.onCancelled(id);
     this.jobs.set(id, { record: record?.spec.id === id ? record : null, value, version });
   }
 }
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -15,7 +15,7 @@
 /** Reads jobs as fresh as the question. */
 export class JobLookup {
   /** Only ended jobs are kept in memory: they never change again. */
-  private readonly ended = new Map<string, TerminalJobRecord>();
+  private readonly terminalById = new Map<string, TerminalJobRecord>();
 
   constructor(
     private readonly cache: JobCache,
@@ -23,7 +23,7 @@
   ) {}
 
   isKnownTerminal(id: string): boolean {
-    return this.ended.has(id);
+    return this.terminalById.has(id);
   }
 
   /**
@@ -31,7 +31,7 @@
    * from both, read in this order, was never accepted; the other order could miss a job on its way.
    */
   async find(id: string): Promise<StoredJob> {
-    const cached = this.ended.get(id);
+    const cached = this.terminalById.get(id);
     if (cached) return { kind: 'ended', ...cached };
     if (!(await this.cache.refresh())) return { kind: 'unavailable' };
     const live = this.cache.get(id);
@@ -45,9 +45,9 @@
   }
 
   private cacheTerminal(id: string, record: TerminalJobRecord): void {
-    const oldest = this.ended.keys().next();
-    if (this.ended.size >= MAX_CACHED_TERMINAL_JOBS && !oldest.done)
-      this.ended.delete(oldest.value);
-    this.ended.set(id, record);
+    const oldest = this.terminalById.keys().next();
+    if (this.terminalById.size >= MAX_CACHED_TERMINAL_JOBS && !oldest.done)
+      this.terminalById.delete(oldest.value);
+    this.terminalById.set(id, record);
   }
 }
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -37,7 +37,7 @@
 
   /** A record of the job stands there, or may: one written without an answer must be removed with the job, too. */
   noteWritten(job: Job, recordNumber: number): void {
-    const records = this.of(job);
+    const records = this.recordsOf(job);
     records.numbers.add(recordNumber);
     const layout = layoutOf(recordNumber);
     if (
@@ -47,7 +47,7 @@
       records.layout = layout;
   }
 
-  private of(job: Job): JobRecords {
+  private recordsOf(job: Job): JobRecords {
     let records = this.byJob.get(job.index);
     if (!records) {
       records = { layout: CHUNK_LAYOUT, numbers: new Set(), toRewrite: null };
@@ -84,14 +84,14 @@
   }
 
   private switchLayout(job: Job, layout: Layout, now: number): void {
-    const records = this.of(job);
+    const records = this.recordsOf(job);
     records.layout = layout;
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
   /** The records that make a chunk durable. Null: they did not fit, and from now on the job's are cut smaller. */
   recordsFor(job: Job, chunk: number, now: number): ChunkRecords | null {
-    const { layout } = this.of(job);
+    const { layout } = this.recordsOf(job);
     const result = recordsOfChunk(
       job.finished.bits,
       job.spec.tasks,
@@ -120,13 +120,13 @@
 
   /** The chunks were written in that layout. */
   noteDurable(job: Job, chunks: number[], layout: Layout): void {
-    const records = this.of(job);
+    const records = this.recordsOf(job);
     if (!isSameLayout(records.layout, layout)) return;
     for (const chunk of chunks) records.toRewrite?.delete(chunk);
   }
 
   layoutOf(job: Job): Layout {
-    return this.of(job).layout;
+    return this.recordsOf(job).layout;
   }
 
   /** A value of so many bytes was refused. */
--- a/src/jobs/progress-writer.ts
+++ b/src/jobs/progress-writer.ts
@@ -49,11 +49,11 @@
   private addChunk(batch: CompletionBatch, job: Job, chunk: number, now: number): void {
     // Compressing costs time, so it comes after what may make it useless.
     if (!batch.hasRoom(1) || !this.budget.tryAcquire(0, 1)) return;
-    const made = this.records.recordsFor(job, chunk, now);
-    if (!made || !batch.hasRoom(made.records.length)) return;
-    this.budget.acquireUnconditionally(made.records.length);
+    const chunkRecords = this.records.recordsFor(job, chunk, now);
+    if (!chunkRecords || !batch.hasRoom(chunkRecords.records.length)) return;
+    this.budget.acquireUnconditionally(chunkRecords.records.length);
     batch.add(
-      made.records.map(({ number, value }): Mutation => ({
+      chunkRecords.records.map(({ number, value }): Mutation => ({
         put: finishedKey(job.spec.id, number),
         value,
       })),
@@ -61,9 +61,9 @@
     batch.requireJob(job);
     const layout = this.records.layoutOf(job);
     const { finishedCount } = job;
-    batch.progress.push({ job, chunks: made.chunks, layout, finishedCount });
+    batch.progress.push({ job, chunks: chunkRecords.chunks, layout, finishedCount });
     // Marked before the answer: a record written without an answer must be removed with the job, too.
-    for (const record of made.records) this.records.noteWritten(job, record.number);
+    for (const record of chunkRecords.records) this.records.noteWritten(job, record.number);
   }
 
   private addSuperseded(batch: CompletionBatch, job: Job, now: number): void {
--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -1,7 +1,12 @@
 /** How task attempts come onto machines, change their state and go, and what they occupy meanwhile. */
 import type { CommandBacklog } from './command-backlog.js';
 import type { Machine } from './machine.js';
-import { type AttemptState, type TaskAttempt, attemptKey, mayFollow } from './task-attempt.js';
+import {
+  type AttemptState,
+  type TaskAttempt,
+  attemptKey,
+  isAllowedTransition,
+} from './task-attempt.js';
 
 /** Told by the machine table as attempts come and go. */
 export interface AttemptEvents {
@@ -33,18 +38,18 @@
    * meanwhile, releases nothing again.
    */
   transitionTo(attempt: TaskAttempt, next: AttemptState, now: number): void {
-    if (next === attempt.state || !mayFollow(attempt.state, next)) return;
+    if (next === attempt.state || !isAllowedTransition(attempt.state, next)) return;
     const isFinal = next === 'exited' || next === 'removed';
     if (isFinal) accountResources(attempt, -1);
-    else if (isFetching(attempt) && next !== 'fetching') countFetch(attempt, -1);
+    else if (isFetching(attempt) && next !== 'fetching') adjustFetchCount(attempt, -1);
     if (attempt.state === 'running' && attempt.job) attempt.job.running--;
     attempt.state = next;
     attempt.startUnacknowledged = false;
-    if (isFinal) this.ended(attempt, now);
+    if (isFinal) this.afterFinalTransition(attempt, now);
     else if (next === 'waiting' || next === 'running') recordImagePresent(attempt, next, now);
   }
 
-  private ended(attempt: TaskAttempt, now: number): void {
+  private afterFinalTransition(attempt: TaskAttempt, now: number): void {
     recordIfEmpty(attempt.machine, now);
     // It has to be told to forget the attempt.
     if (attempt.state === 'exited') this.backlog.outstanding.add(attempt.machine);
@@ -68,7 +73,7 @@
   return attempt.state === 'starting' || attempt.state === 'fetching';
 }
 
-function countFetch(attempt: TaskAttempt, sign: 1 | -1): void {
+function adjustFetchCount(attempt: TaskAttempt, sign: 1 | -1): void {
   if (!attempt.job) return;
   const { fetching } = attempt.machine;
   const count = (fetching.get(attempt.job.spec.image) ?? 0) + sign;
@@ -83,7 +88,7 @@
   attempt.machine.usedGpus += sign * gpus;
   attempt.machine.usedMemory += sign * memoryGb;
   if (attempt.job.spec.kind === 'service') attempt.machine.serviceTasks += sign;
-  if (isFetching(attempt)) countFetch(attempt, sign);
+  if (isFetching(attempt)) adjustFetchCount(attempt, sign);
 }
 
 /** The machine has the attempt's image: the task waits for its gang, or runs. */
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -123,7 +123,7 @@
     this.inFlight++;
     if (failing) this.inFlightToFailing++;
     const body = commandBody(table.tokenFor(machine), machine.incarnation || 1, commands);
-    const reply = await runtime.http.send(
+    const response = await runtime.http.send(
       machine.endpoint,
       'POST',
       workerPaths.commands,
@@ -133,24 +133,24 @@
     this.inFlight--;
     if (failing) this.inFlightToFailing--;
     machine.inFlight = null;
-    this.handleReply(machine, reply, starts);
+    this.handleResponse(machine, response, starts);
   }
 
-  private handleReply(machine: Machine, reply: Reply, starts: Set<TaskAttempt>): void {
+  private handleResponse(machine: Machine, response: Reply, starts: Set<TaskAttempt>): void {
     const { runtime, table } = this.deps;
     const now = runtime.clock.now();
-    switch (reply.status) {
+    switch (response.status) {
       case HTTP_STATUS.ok:
         table.startsAcknowledged(starts);
-        this.answered(machine, reply);
+        this.applyResponseHeartbeat(machine, response);
         break;
       case HTTP_STATUS.conflict:
         table.startsRejected(starts, now);
         machine.nextSendAt = now + REJECTED_RETRY_MS;
-        this.answered(machine, reply);
+        this.applyResponseHeartbeat(machine, response);
         break;
       default:
-        table.startsUnanswered(machine, starts);
+        table.startsWithoutResponse(machine, starts);
         machine.commandFailures++;
         machine.nextSendAt = now + retryDelayMs(machine.commandFailures);
     }
@@ -158,7 +158,7 @@
     if (machine.attempts.size > 0) table.backlog.markPending(machine);
   }
 
-  private answered(machine: Machine, { body }: Reply): void {
+  private applyResponseHeartbeat(machine: Machine, { body }: Reply): void {
     machine.commandFailures = 0;
     const heartbeat = readHeartbeat(body);
     if (heartbeat?.machine === machine.id) this.deps.applyHeartbeat(machine, heartbeat);
--- a/src/workers/machine-pages.ts
+++ b/src/workers/machine-pages.ts
@@ -37,7 +37,7 @@
   }
 
   add(record: MachineRecord, maxBytes: number): void {
-    this.put(record, this.withRoom(sizeOf(record), maxBytes));
+    this.put(record, this.pageWithRoom(sizeOf(record), maxBytes));
   }
 
   remove(machineId: string, now: number): void {
@@ -80,7 +80,7 @@
     this.byMachine.set(record.id, page);
   }
 
-  private withRoom(recordBytes: number, maxBytes: number): MachinePage {
+  private pageWithRoom(recordBytes: number, maxBytes: number): MachinePage {
     for (const page of this.byKey.values())
       if (isPageKey(page.key) && page.fits(recordBytes, maxBytes)) return page;
     return this.newPage();
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -155,7 +155,7 @@
   }
 
   /** No answer: the starts may be executed minutes later, until the machine shows a higher token. */
-  startsUnanswered(machine: Machine, attempts: Iterable<TaskAttempt>): void {
+  startsWithoutResponse(machine: Machine, attempts: Iterable<TaskAttempt>): void {
     machine.requiredToken = this.advanceToken(machine);
     for (const attempt of attempts)
       if (attempt.startUnacknowledged) attempt.fencedByToken = machine.requiredToken;
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -28,7 +28,7 @@
 };
 
 /** Whether an attempt may go from one state directly to the other. */
-export function mayFollow(state: AttemptState, next: AttemptState): boolean {
+export function isAllowedTransition(state: AttemptState, next: AttemptState): boolean {
   return TRANSITIONS[state].includes(next);
 }
 
