--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -1,4 +1,4 @@
-/** How task attempts come onto machines, change their state and go, and what they occupy meanwhile. */
+/** The life cycle of task attempts on machines: addition, state changes, removal, and the resources they occupy. */
 import type { CommandBacklog } from './command-backlog.js';
 import type { Machine } from './machine.js';
 import {
@@ -8,15 +8,18 @@
   isAllowedTransition,
 } from './task-attempt.js';
 
-/** Told by the machine table as attempts come and go. */
+/** Callbacks of the machine table when attempts are added and when they end. */
 export interface AttemptEvents {
-  /** The task may now be on the machine. */
+  /** From now on the task may be on the machine. */
   attemptAdded(attempt: TaskAttempt): void;
-  /** The task is surely not on the machine any more; `attempt.state` tells whether it exited or was removed. Told once. */
+  /**
+   * The task is guaranteed not to be on the machine any more; `attempt.state` indicates whether it exited or was
+   * removed. Called once per attempt.
+   */
   attemptEnded(attempt: TaskAttempt): void;
 }
 
-/** Adds attempts to machines, and is the one place where their state changes. */
+/** Adds attempts to machines. Attempts change their state only here. */
 export class AttemptLifecycle {
   constructor(
     private readonly events: AttemptEvents,
@@ -33,9 +36,9 @@
   }
 
   /**
-   * What an attempt occupies is released here alone, and the two final states have no successor: whatever else tells
-   * later that the attempt is gone, such as the refusal of a start whose machine has begun a new incarnation
-   * meanwhile, releases nothing again.
+   * Changes the state of an attempt; transitions that are not allowed are ignored. The resources of an attempt are
+   * released only here, and the two final states have no successor. So a later event that ends the attempt again, such
+   * as the refusal of a start whose machine has begun a new incarnation in the meantime, releases nothing twice.
    */
   transitionTo(attempt: TaskAttempt, next: AttemptState, now: number): void {
     if (next === attempt.state || !isAllowedTransition(attempt.state, next)) return;
@@ -51,15 +54,18 @@
 
   private afterFinalTransition(attempt: TaskAttempt, now: number): void {
     recordIfEmpty(attempt.machine, now);
-    // It has to be told to forget the attempt.
+    // The machine has to be sent a forget command for the attempt.
     if (attempt.state === 'exited') this.backlog.outstanding.add(attempt.machine);
     this.events.attemptEnded(attempt);
   }
 
-  /** Surely not on the machine: never executed, killed with its incarnation, or the machine is gone. */
+  /**
+   * Removes an attempt that is guaranteed not to be on the machine: it was never executed, was killed with its
+   * incarnation, or the machine no longer exists.
+   */
   remove(attempt: TaskAttempt, now: number): void {
     const key = attemptKey(attempt.jobId, attempt.taskNumber, attempt.attempt);
-    // A gang's replacement has the same number: a late word of the task that it replaces must not remove it.
+    // The replacement of a gang task has the same key: a late event of the replaced task must not remove it.
     if (attempt.machine.attempts.get(key) === attempt) attempt.machine.attempts.delete(key);
     this.transitionTo(attempt, 'removed', now);
   }
@@ -91,7 +97,7 @@
   if (isFetching(attempt)) adjustFetchCount(attempt, sign);
 }
 
-/** The machine has the attempt's image: the task waits for its gang, or runs. */
+/** Records that the machine has the attempt's image, since the task waits for its gang or runs. */
 function recordImagePresent(attempt: TaskAttempt, state: 'waiting' | 'running', now: number): void {
   if (attempt.job) attempt.machine.images.add(attempt.job.spec.image);
   if (state === 'waiting') {
@@ -99,7 +105,8 @@
     return;
   }
   if (attempt.job) attempt.job.running++;
-  // A former leader's tasks are seen in the middle: timed from here they would make all others look slow.
+  // Tasks started under a former leader are already running when they are discovered: timed from here, they would
+  // seem shorter than they are, and all others slow.
   if (!attempt.discovered) attempt.runningSince = now;
 }
 
--- a/src/workers/command-backlog.ts
+++ b/src/workers/command-backlog.ts
@@ -1,14 +1,14 @@
-/** Which machines have commands to be sent. */
+/** The machines that have commands to be sent. */
 import type { Machine } from './machine.js';
 
-/** Every machine with commands to send at once is also among those that have some outstanding. */
+/** Every machine in `pending` is also in `outstanding`. */
 export class CommandBacklog {
-  /** With commands to send at once. */
+  /** Machines with commands to send immediately. */
   readonly pending = new Set<Machine>();
-  /** With any that are not done yet, to be looked at now and then: such as are repeated, or wait for something else. */
+  /** Machines with any unfinished commands, to be checked periodically: to be repeated, or waiting for a condition. */
   readonly outstanding = new Set<Machine>();
 
-  /** Commands for the machine may be due. */
+  /** Marks a machine for which commands may be due. */
   markPending(machine: Machine): void {
     this.pending.add(machine);
     this.outstanding.add(machine);
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -1,4 +1,4 @@
-/** Sends commands directly to workers, and follows what becomes of the requests. */
+/** Sends commands directly to workers, and handles the outcome of the requests. */
 import type { Reply, Runtime } from '../runtime.js';
 import { HTTP_STATUS } from '../wire/http-status.js';
 import type { Heartbeat, WorkerCommand } from '../wire/model.js';
@@ -9,38 +9,39 @@
 import { ProbeWindow } from './probe-window.js';
 import type { TaskAttempt } from './task-attempt.js';
 
-/** What the command sender needs; all times are in milliseconds. */
+/** Dependencies of the command sender; all times are in milliseconds. */
 export interface CommandSenderDependencies {
   runtime: Runtime;
   table: MachineTable;
-  /** Whether this node may act as the leader at this very moment. */
+  /** Whether this node may act as the leader right now. */
   isLeader(): boolean;
   timeoutMs: number;
-  /** Requests under way at once: beyond that, sockets and the processor are left to users and heartbeats. */
+  /** Maximum number of concurrent requests; the limit leaves sockets and CPU time to users and heartbeats. */
   maxInFlight: number;
-  /** Whether enough is known of cancellations for a start. */
+  /** Whether the known cancellations are recent enough to start tasks. */
   mayStart(): boolean;
-  /** A heartbeat came back with a response. */
+  /** Called with the heartbeat that a response contains. */
   applyHeartbeat(machine: Machine, heartbeat: Heartbeat): void;
 }
 
-/** An empty request costs nothing if it is answered late, so that it need not be waited for as long. */
+/** Timeout of a request without commands, shorter than that of commands: a late response to it does no harm. */
 const PROBE_TIMEOUT_MS = 900;
-/** Of the requests under way, at most: to machines that did not answer the last one. */
+/** Maximum share of `maxInFlight` for requests to machines that did not respond to the last request. */
 const MAX_FAILING_SHARE = 0.5;
-/** A machine whose heartbeat was answered shows our token with its next one, which comes within half a second. */
+/** After a heartbeat response, the machine reports this leader's token with its next heartbeat, within 0.5 s. */
 const NEXT_HEARTBEAT_EXPECTED_MS = 900;
 const REJECTED_RETRY_MS = 50;
 const FIRST_RETRY_MS = 250;
 const MAX_RETRY_MS = 4000;
 
 /**
- * Commands go straight to the worker, one request at a time per machine. Whatever is not answered raises the
- * machine's token, which ends it; until the machine shows the raised token its starts count as executed.
+ * Sends commands directly to workers, one request at a time per machine. A request without a response raises the
+ * machine's token, which invalidates the request; until the machine reports the raised token, the starts of the
+ * request count as executed.
  */
 export class CommandSender {
   private inFlight = 0;
-  /** Of these, to machines that did not answer the last one. */
+  /** Requests in flight to machines that did not respond to the previous request. */
   private inFlightToFailing = 0;
   private readonly probes: ProbeWindow;
 
@@ -48,24 +49,24 @@
     this.probes = new ProbeWindow(deps.maxInFlight);
   }
 
-  /** Called at regular intervals: how late the timer fired tells whether this controller keeps up. */
+  /** Called at regular intervals. The delay of the timer shows whether this controller keeps up. */
   timerFired(lateMs: number): void {
     this.probes.timerFired(lateMs);
   }
 
-  /** Answers may wait unread for longer than timers are late. */
+  /** Whether this controller is overloaded; responses may then wait unread for longer than timers are late. */
   isCongested(): boolean {
     return this.probes.isCongested();
   }
 
-  /** Whether its silence would tell anything yet. */
+  /** Whether a missing response would prove anything: not while the heartbeat that confirms a token is still due. */
   isWorthProbing(machine: Machine, now: number): boolean {
     return (
       machine.pendingTokenAck === null || now - machine.leaseRenewedAt > NEXT_HEARTBEAT_EXPECTED_MS
     );
   }
 
-  /** All that is to go out at once; `all`: also what is repeated, or waited for something else. */
+  /** Sends all pending commands. With `all`, also those that are to be repeated, or waited for a condition. */
   flushPending(all: boolean): void {
     const { table } = this.deps;
     for (const machine of all ? table.backlog.outstanding : table.backlog.pending) {
@@ -78,13 +79,17 @@
     if (machine.inFlight || !machine.endpoint || now < machine.nextSendAt || !this.deps.isLeader())
       return false;
     if (!machine.stored && !probe) return false;
-    // A dead machine holds its request until it is given up. However many are dead at once, the others get theirs.
+    // A request to an unreachable machine stays in flight until it times out. The limit leaves requests for the other
+    // machines, however many are unreachable at once.
     const maxFailing = this.deps.maxInFlight * MAX_FAILING_SHARE;
     if (machine.commandFailures > 0 && this.inFlightToFailing >= maxFailing) return false;
     return !probe || this.inFlight < this.probes.size();
   }
 
-  /** Sends what is due. With `probe`, also an empty request: its answer is a heartbeat under our token. */
+  /**
+   * Sends the due commands of a machine. With `probe`, sends a request even if there are none: the response contains
+   * a heartbeat with this leader's token.
+   */
   flush(machine: Machine, probe = false): void {
     const { runtime, table } = this.deps;
     const now = runtime.clock.now();
@@ -96,11 +101,11 @@
     if (nothingOutstanding) table.backlog.clear(machine);
     if (commands.length === 0 && !probe) return;
     for (const attempt of starts) attempt.startSent = true;
-    // Forgets alone wait for the next heartbeat; here they ride along. A copy of the start of what is forgotten
-    // could otherwise start it anew: copies have lower tokens.
+    // Forgets alone wait for the next heartbeat; here they are added to a request that is sent anyway. Raising the
+    // token keeps a duplicate of the start, which has a lower token, from starting a forgotten attempt again.
     const forgets = machine.stored ? takeDueForgets(machine, now) : [];
     if (forgets.length > 0) table.advanceToken(machine);
-    // While we are behind, answers wait unread: giving up on them would only cost another request.
+    // While this controller is overloaded, responses wait unread: a shorter timeout would only cost another request.
     const timeoutMs =
       commands.length === 0 && !this.probes.isCongested() ? PROBE_TIMEOUT_MS : Infinity;
     void this.send(
@@ -154,7 +159,7 @@
         machine.commandFailures++;
         machine.nextSendAt = now + retryDelayMs(machine.commandFailures);
     }
-    // What was held meanwhile goes out next.
+    // Commands that were held back during the request are sent next.
     if (machine.attempts.size > 0) table.backlog.markPending(machine);
   }
 
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -1,18 +1,18 @@
-/** Which commands are due for a machine: those that ride on the answers to heartbeats, and those that are sent. */
+/** The commands that are due for a machine: those added to heartbeat responses, and those sent as requests. */
 import type { WorkerCommand } from '../wire/model.js';
 import type { Machine } from './machine.js';
 import type { MachineTable } from './machine-table.js';
 import type { StopRequest, TaskAttempt } from './task-attempt.js';
 
-/** Stops and forgets are repeated after so long, until the machine shows that they were executed. */
+/** Interval at which stops and forgets are repeated until the machine's heartbeats show that they were executed. */
 const COMMAND_REPEAT_MS = 2000;
 
 /** The commands of one request. */
 export interface CommandBatch {
   commands: WorkerCommand[];
-  /** Attempts that the commands start. */
+  /** The attempts that the commands start. */
   starts: Set<TaskAttempt>;
-  /** Nothing is left to be sent, now or later. */
+  /** Whether the machine has no commands left to be sent, now or later. */
   nothingOutstanding: boolean;
 }
 
@@ -28,8 +28,8 @@
 }
 
 /**
- * Stops and forgets can be repeated, so they ride on the answers to heartbeats, which costs no request; starts
- * never do. A forget raises the machine's token, and so does not go out while a start is in flight.
+ * Returns the commands to add to a heartbeat response: stops and forgets, which can be repeated and so need no request
+ * of their own, but never starts. A forget raises the machine's token, so none is sent while a request is in flight.
  */
 export function commandsForHeartbeat(
   machine: Machine,
@@ -44,7 +44,7 @@
   return commands;
 }
 
-/** Forgets for the exited attempts whose result is durable, if there was one; they count as sent. */
+/** Returns the due forgets for exited attempts whose result, if any, is durable, and marks them as sent. */
 export function takeDueForgets(machine: Machine, now: number): WorkerCommand[] {
   const forgets: WorkerCommand[] = [];
   for (const attempt of machine.attempts.values()) {
@@ -60,7 +60,7 @@
   return attempt.cause !== 'done' || !attempt.job || attempt.job.isDurable(attempt.taskNumber);
 }
 
-/** The stops and starts that are due; the stops count as sent. */
+/** Returns the stops and starts that are due, and marks the stops as sent. */
 export function collectCommands(
   machine: Machine,
   conditions: { mayStart(): boolean },
--- a/src/workers/fencing-tokens.ts
+++ b/src/workers/fencing-tokens.ts
@@ -1,13 +1,13 @@
-/** Fencing tokens of machines: how they are advanced, and whether machines show them. */
+/** Fencing tokens of machines: advancing them, and tracking which tokens the machines have reported. */
 import type { Machine } from './machine.js';
 
 /**
- * Each command carries a token, and a worker refuses lower ones than it has seen. So a command whose fate is not known
- * can surely not be executed any more once the machine has shown a higher token.
+ * Each command carries a token, and a worker refuses tokens lower than the highest that it has seen. So a command whose
+ * outcome is unknown can no longer be executed once the machine has reported a higher token.
  */
 export class FencingTokens {
   constructor(
-    /** Of this leader, above all of former leaders. */
+    /** Lowest token of this leader, higher than all tokens of former leaders. */
     private readonly baseToken: number,
   ) {}
 
@@ -21,9 +21,9 @@
   }
 
   /**
-   * The token for the answer to a heartbeat. Now and then it is raised, so that the next heartbeat tells whether
-   * answers reach the machine at all: one whose heartbeats arrive, but to which no answers get through, would
-   * otherwise look well until its lease ends.
+   * Returns the token for a heartbeat response. It is raised once the last confirmation is older than `intervalMs`, so
+   * that the next heartbeat shows whether responses reach the machine. A machine whose heartbeats arrive, but that
+   * receives no responses, would otherwise seem healthy until its lease expires.
    */
   requestAck(machine: Machine, now: number, intervalMs: number): number {
     if (machine.pendingTokenAck) {
@@ -39,7 +39,7 @@
   }
 }
 
-/** A heartbeat carried this token: the machine has seen it. */
+/** Records a token that a heartbeat contained, so that the machine has seen it. */
 export function recordShownToken(machine: Machine, token: number, now: number): void {
   machine.shownToken = Math.max(machine.shownToken, token);
   if (!machine.pendingTokenAck || machine.shownToken < machine.pendingTokenAck.token) return;
--- a/src/workers/heartbeat-applier.ts
+++ b/src/workers/heartbeat-applier.ts
@@ -1,4 +1,4 @@
-/** Takes what workers report over into the machine table. */
+/** Applies the reports of workers to the machine table. */
 import type { Job } from '../jobs/job.js';
 import type { Heartbeat, TaskStatus } from '../wire/model.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
@@ -6,7 +6,7 @@
 import type { Machine } from './machine.js';
 import { TaskAttempt, attemptKey } from './task-attempt.js';
 
-/** Applies heartbeats, each of which lists all attempts on its machine, in the order in which workers sent them. */
+/** Applies heartbeats in the order in which workers sent them. Each heartbeat lists all attempts on its machine. */
 export class HeartbeatApplier {
   constructor(
     private readonly lifecycle: AttemptLifecycle,
@@ -14,8 +14,9 @@
   ) {}
 
   /**
-   * False, and nothing changes, for a heartbeat that is not newer than the last. An attempt that it lacks is removed
-   * only if its start cannot be executed any more: it was answered, or the machine has shown the raised token.
+   * Returns false, and changes nothing, for a heartbeat that is not newer than the last. An attempt that the heartbeat
+   * does not list is removed only if its start can no longer be executed: the start got a response, or the machine has
+   * reported the raised token.
    */
   apply(machine: Machine, heartbeat: Heartbeat, now: number): boolean {
     if (!isNewer(heartbeat, machine, machine.lastSequence)) return false;
@@ -34,12 +35,12 @@
     return true;
   }
 
-  /** The worker has killed and forgotten everything, and refuses commands for the earlier incarnation. */
+  /** In a new incarnation the worker has killed and forgotten all tasks, and refuses commands for the earlier one. */
   private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
     this.lifecycle.removeAll(machine, now);
     machine.incarnation = incarnation;
     machine.lastHeartbeatSequence = -1;
-    // The new incarnation's own lease counts from its beginning, which was at the latest now.
+    // The lease of the new incarnation counts from its beginning, which was no later than now.
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
   }
 
@@ -50,7 +51,7 @@
     this.lifecycle.transitionTo(attempt, task.state, now);
   }
 
-  /** An attempt of a former leader, or one that was given up here. */
+  /** Adds an attempt that a former leader started, or that this leader had removed. */
   private discover(machine: Machine, task: TaskStatus, now: number): TaskAttempt {
     const job = this.findJob(task.job) ?? null;
     const attempt = new TaskAttempt(machine, task.job, job, task.taskNumber, task.attempt, now);
@@ -77,7 +78,7 @@
   machine.preemptionDeadline = preemptionNoticeS === null ? null : now + preemptionNoticeS * 1000;
 }
 
-/** A start that no heartbeat shows may still be executed, unless the machine has shown the token that ends it. */
+/** Whether a start that is in no heartbeat may still be executed: not once the machine has reported `fencedByToken`. */
 function mayStillStart(machine: Machine, attempt: TaskAttempt): boolean {
   if (!attempt.startUnacknowledged) return false;
   const inFlight = machine.inFlight?.attempts.has(attempt) === true;
--- a/src/workers/machine-page.ts
+++ b/src/workers/machine-page.ts
@@ -1,36 +1,36 @@
-/** One stored record with many machines, as the leader wants it to be. */
+/** One stored record with many machines, in the state that the leader wants to store. */
 import type { Mutation } from '@millring/state-access';
 import { type MachineRecord, sizeOf } from './machine-records.js';
 
-/** What a page's value holds beside its records, counted as JSON. */
+/** Size of a page's value without its records, in bytes of JSON. */
 const FRAME_BYTES = 32;
 
-/** What of a page is not stored yet. Mere removals can wait; `since`: when the first of them came. */
+/** Changes of a page that are not stored yet. Removals alone can wait; `since`: time of the first of them. */
 export type UnstoredChanges =
   { kind: 'none' } | { kind: 'additions' } | { kind: 'removals'; since: number };
 
 const NONE: UnstoredChanges = { kind: 'none' };
 const ADDITIONS: UnstoredChanges = { kind: 'additions' };
 
-/** The machines of one record, and what of them has to be written. */
+/** The machines of one record, and the changes that have to be written. */
 export class MachinePage {
   readonly machines = new Map<string, MachineRecord>();
-  /** Pages that took machines over from this one: written before it, or with it. */
+  /** Pages that machines of this one were moved to: they are written before this page, or with it. */
   splitOff: MachinePage[] = [];
   private unstored: UnstoredChanges = NONE;
   private bytes: number;
 
   constructor(
     readonly key: string,
-    /** Written back as they were read. */
+    /** Fields that only other versions know; written back as they were read. */
     private readonly foreignFields: object,
-    /** Precondition of each write: one that was sent earlier and is applied late would drop machines added since. */
+    /** Version that each write requires: an earlier write that is applied late would drop machines added since. */
     public version: number,
   ) {
     this.bytes = JSON.stringify(foreignFields).length;
   }
 
-  /** A machine that is stored here already. */
+  /** Adds a machine that is already stored in this page. */
   load(record: MachineRecord): void {
     this.machines.set(record.id, record);
     this.bytes += sizeOf(record);
@@ -41,7 +41,7 @@
     this.unstored = ADDITIONS;
   }
 
-  /** Takes a machine out. This alone marks nothing to be written. */
+  /** Takes a machine out, without marking the page to be written. */
   take(id: string): void {
     const record = this.machines.get(id);
     if (record) this.bytes -= sizeOf(record);
@@ -64,18 +64,18 @@
     return this.unstored.kind === 'none';
   }
 
-  /** It has to be written: at once for additions, and after a while for removals. */
+  /** Whether the page has to be written: at once for additions, and after `removalDelayMs` for removals. */
   isDue(now: number, removalDelayMs: number): boolean {
     if (this.unstored.kind === 'removals') return now - this.unstored.since >= removalDelayMs;
     return this.unstored.kind === 'additions';
   }
 
-  /** Machines have to be taken out of the stored record. */
+  /** Marks that machines have to be removed from the stored record. */
   markRemovals(now: number): void {
     if (this.unstored.kind === 'none') this.unstored = { kind: 'removals', since: now };
   }
 
-  /** A write of it begins. What was not stored is given back, for the case that the write fails. */
+  /** Marks the page as stored when a write begins. Returns the changes not stored before, in case the write fails. */
   beginWrite(): UnstoredChanges {
     const before = this.unstored;
     this.unstored = NONE;
@@ -86,7 +86,7 @@
     if (this.unstored.kind !== 'additions') this.unstored = before;
   }
 
-  /** The write that makes the stored record equal to this page. */
+  /** Returns the mutation that makes the stored record equal to this page. */
   mutation(): Mutation {
     const machines = [...this.machines.values()];
     if (machines.length === 0) return { remove: this.key };
@@ -95,8 +95,8 @@
 }
 
 /**
- * The pages of the next write, at most so many. A page goes with those that were split off from it, so that every
- * reader finds each machine; if these are too many, after them.
+ * Returns at most `maxPages` pages for the next write. A page is written together with the pages split off from it, or
+ * after them if they are too many for one write, so that every reader finds each machine.
  */
 export function selectPages(due: readonly MachinePage[], maxPages: number): MachinePage[] {
   const selected: MachinePage[] = [];
--- a/src/workers/machine-pages.ts
+++ b/src/workers/machine-pages.ts
@@ -1,4 +1,4 @@
-/** Which machine stands in which stored page. */
+/** The stored pages, and the page of each machine. */
 import type { KeyValue } from '@millring/state-access';
 import { MachinePage } from './machine-page.js';
 import {
@@ -10,13 +10,16 @@
   sizeOf,
 } from './machine-records.js';
 
-/** All pages. Each machine stands in one of them. */
+/** All pages. Each machine is in exactly one of them. */
 export class MachinePages {
   private readonly byKey = new Map<string, MachinePage>();
   private readonly byMachine = new Map<string, MachinePage>();
   private nextNumber = 0;
 
-  /** A stored page. A machine that stands in two of them, which were written one after the other, goes from this one. */
+  /**
+   * Adds a stored page. A machine that is already in another page, since the two were written one after the other, is
+   * dropped from this one.
+   */
   load(stored: KeyValue, records: MachineRecord[], now: number): void {
     const page = new MachinePage(stored.key, foreignFieldsOf(stored), stored.version);
     for (const record of records) {
@@ -48,14 +51,14 @@
     this.byMachine.delete(machineId);
   }
 
-  /** Pages to be written now, those with new machines first. */
+  /** Returns the pages to be written now, those with new machines first. */
   due(now: number, removalDelayMs: number): MachinePage[] {
     return [...this.byKey.values()]
       .filter((page) => page.isDue(now, removalDelayMs))
       .sort((one, other) => Number(other.hasAdditions()) - Number(one.hasAdditions()));
   }
 
-  /** A page stored under higher limits comes apart into such as may be written now. */
+  /** Splits a page that was stored under a higher size limit into pages that fit the present one. */
   split(page: MachinePage, maxBytes: number): void {
     for (const record of [...page.machines.values()].reverse()) {
       if (!page.isOver(maxBytes)) return;
@@ -70,7 +73,7 @@
     }
   }
 
-  /** A page without machines is stored no longer. */
+  /** Drops a page without machines once its removal is stored. */
   dropIfEmpty(page: MachinePage): void {
     if (page.machines.size === 0 && page.isStored()) this.byKey.delete(page.key);
   }
--- a/src/workers/machine-record-store.ts
+++ b/src/workers/machine-record-store.ts
@@ -1,4 +1,4 @@
-/** Stores which machines may hold tasks, many machines a record, so that a new leader finds all of them. */
+/** Stores which machines may have tasks, many machines per record, so that a new leader finds all of them. */
 import type {
   CompareAndSwapResult,
   KeyValue,
@@ -13,36 +13,36 @@
 import { type MachineRecord, recordOf } from './machine-records.js';
 import type { MachineTable } from './machine-table.js';
 
-/** What the store of machine records needs. */
+/** Dependencies of the store of machine records. */
 export interface MachineRecordStoreDependencies {
   runtime: Runtime;
   store: StateStore;
   table: MachineTable;
-  /** Most mutations of one compare-and-swap. */
+  /** Maximum number of mutations of one compare-and-swap. */
   txnOps: number;
-  /** Most bytes of a value, counted as JSON. */
+  /** Maximum size of a value, in bytes of JSON. */
   valueBytes: number;
   isLeader(): boolean;
   leaderPrecondition(): Precondition;
-  /** Commands may be sent to further machines. */
+  /** Called when further machines are stored, so that commands may be sent to them. */
   machinesStored(): void;
 }
 
-/** A page left with machines that are gone costs a probe each after a failover: rewritten, but not at once. */
+/** Delay of removals: a machine that no longer exists, but is still stored, only costs a probe after a failover. */
 const REMOVAL_DELAY_MS = 700;
 const MAX_PAGES_PER_WRITE = 6;
 const MIN_VALUE_BYTES = 512;
 const READ_RETRY_MS = 200;
 
 /**
- * Every machine is in the state service before its first command, and until it is surely gone: so a new leader
- * knows all the machines that may hold tasks. Many machines share a record, since mutations are scarce: the
- * first hundreds of machines cost a few of them.
+ * Keeps every machine in the state service from before its first command until it is guaranteed to have no tasks, so
+ * that a new leader knows all machines that may have tasks. Many machines share a record, since the rate of mutations
+ * is limited: storing the first hundreds of machines takes a few mutations.
  */
 export class MachineRecordStore {
   private writing = false;
   private readonly pages = new MachinePages();
-  /** Smaller once a write was refused for its size. */
+  /** Maximum size of a page's value, in bytes of JSON; reduced after a write was refused because of its size. */
   private valueBytes: number;
   private maxPagesPerWrite: number;
 
@@ -51,18 +51,18 @@
     this.maxPagesPerWrite = Math.min(MAX_PAGES_PER_WRITE, deps.txnOps);
   }
 
-  /** A page found on becoming the leader. */
+  /** Adds a page that was stored before this leader's term. */
   load(stored: KeyValue, records: MachineRecord[]): void {
     this.pages.load(stored, records, this.deps.runtime.clock.now());
   }
 
-  /** Nothing is on it any more, and nothing may be put on it before it is stored again. */
+  /** Removes a machine that has no tasks any more. None may be placed on it before it is stored again. */
   removed(machine: Machine): void {
     machine.stored = false;
     this.pages.remove(machine.id, this.deps.runtime.clock.now());
   }
 
-  /** Writes what is due, unless a write is under way. */
+  /** Writes the pages that are due, unless a write is in progress. */
   tick(): void {
     if (this.writing || !this.deps.isLeader()) return;
     const now = this.deps.runtime.clock.now();
@@ -91,7 +91,8 @@
       pages.forEach((page, i) => {
         page.writeFailed(before[i]);
       });
-      // Unless it was surely not executed, only a read tells what the next write must rest on.
+      // A rejected write was certainly not executed. After any other failure, only a read provides the versions that
+      // the next write must require.
       if (result.kind !== 'rejected') for (const page of pages) await this.reloadVersion(page);
       this.writing = false;
       return;
@@ -112,7 +113,7 @@
       pages[i].splitOff = [];
       pages[i].version = 'remove' in mutation ? 0 : revision;
     });
-    // One that was taken out meanwhile has made its page due again, and may be on its way to another page.
+    // A machine that was removed during the write has made its page due again, and may be moving to another page.
     for (const id of written) {
       const machine = this.deps.table.get(id);
       const page = this.pages.pageOf(id);
@@ -121,7 +122,7 @@
     for (const page of pages) this.pages.dropIfEmpty(page);
   }
 
-  /** Too large, though within the limits that we know: fewer pages at a time, or smaller ones. */
+  /** Reduces the pages per write, or their size, after a write was refused although it was within the known limits. */
   private shrink(pages: MachinePage[]): void {
     if (pages.length > 1) this.maxPagesPerWrite = pages.length >> 1;
     else this.valueBytes = Math.max(MIN_VALUE_BYTES, this.valueBytes / 2);
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -1,4 +1,4 @@
-/** The stored form of machines: many of them in one record, a page. */
+/** The stored form of machines. A record with many machines is called a page. */
 import type { KeyValue } from '@millring/state-access';
 import { isMap } from '../wire/cbor.js';
 import type { Machine } from './machine.js';
@@ -6,7 +6,7 @@
 const PREFIX = 'm/';
 const PAGE_PREFIX = `${PREFIX}page-`;
 
-/** One machine as it is stored, beside fields that only other versions know. */
+/** One machine as it is stored, without the fields that only other versions know. */
 export interface MachineRecord {
   id: string;
   endpoint: string;
@@ -15,18 +15,18 @@
   spot: boolean;
 }
 
-/** The order of the fields is that of the stored record. */
+/** Returns the record of a machine. The order of the fields is that of the stored record. */
 export function recordOf(machine: Machine): MachineRecord {
   const { id, endpoint, type, zone, spot } = machine;
   return { id, endpoint, type: type.name, zone, spot };
 }
 
-/** What a record takes in its page, counted as JSON with the comma that follows. */
+/** Size of a record within its page, in bytes of JSON, including the comma that follows. */
 export function sizeOf(record: MachineRecord): number {
   return JSON.stringify(record).length + 1;
 }
 
-/** Fields that another version knows stay in it: the record is rewritten with its page. */
+/** Keeps fields that only other versions know, since the record is rewritten with its page. Returns null if invalid. */
 function readRecord(id: unknown, value: unknown): MachineRecord | null {
   if (typeof id !== 'string' || !isMap(value)) return null;
   const { endpoint, type, zone } = value;
@@ -35,7 +35,7 @@
   return { ...value, id, endpoint, type, zone, spot: value.spot === true };
 }
 
-/** The machines of one stored record: a page of them, or a single one as earlier versions wrote it. */
+/** Returns the machines of one stored record: a page, or a single machine as earlier versions wrote it. */
 export function readMachinePage({ key, value }: KeyValue): MachineRecord[] {
   if (!isMap(value)) return [];
   const list = Array.isArray(value.machines)
@@ -44,7 +44,7 @@
   return list.filter((record): record is MachineRecord => record !== null);
 }
 
-/** What only another version knows of a page, beside its machines. */
+/** Returns the fields of a page, other than its machines, that only other versions know. */
 export function foreignFieldsOf({ value }: KeyValue): object {
   if (!isMap(value) || !Array.isArray(value.machines)) return {};
   return Object.fromEntries(Object.entries(value).filter(([field]) => field !== 'machines'));
@@ -55,12 +55,12 @@
   return PAGE_PREFIX + String(pageNumber);
 }
 
-/** False for the record of a single machine, as earlier versions wrote it. */
+/** Returns false for the record of a single machine, as earlier versions wrote it. */
 export function isPageKey(key: string): boolean {
   return key.startsWith(PAGE_PREFIX);
 }
 
-/** Not a number for a key that no version has written. */
+/** Returns NaN for a key that no version has written. */
 export function pageNumberOf(key: string): number {
   return Number(key.slice(PAGE_PREFIX.length));
 }
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -10,12 +10,12 @@
 import { type StopRequest, TaskAttempt } from './task-attempt.js';
 import { TrackedMachine } from './tracked-machine.js';
 
-/** Workers look at their leases now and then. */
+/** Workers check their leases only periodically. */
 const LEASE_EXPIRY_MARGIN_MS = 500;
 
 /**
- * The machine table and, on it, which tasks may be where. It composes what happens to attempts, heartbeats, tokens
- * and commands; each of these has a module of its own.
+ * The machine table, with the tasks that may be on each machine. It combines the modules for attempts, heartbeats,
+ * tokens and commands.
  */
 export class MachineTable {
   private readonly byId = new Map<string, Machine>();
@@ -40,7 +40,7 @@
     return this.byId.values();
   }
 
-  /** How many are stored: commands may have been sent to them. */
+  /** Number of stored machines, to which commands may have been sent. */
   storedCount(): number {
     let count = 0;
     for (const machine of this.all()) if (machine.stored) count++;
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Is this the machine that the table has under its name? An answer that was on its way when the machine was removed
-   * must change nothing: what it showed would count for ever, and no other place would ever start it again.
+   * Whether the table has this very machine under its id. A response that was in flight when the machine was removed
+   * must change nothing: the attempts that it reports would count forever, and their tasks never be started elsewhere.
    */
   contains(machine: Machine): boolean {
     return this.byId.get(machine.id) === machine;
@@ -96,12 +96,12 @@
     return this.tokens.tokenFor(machine);
   }
 
-  /** Whatever was sent with the token up to now ends once the machine shows the new one. */
+  /** Raises the token. Commands sent with lower ones can no longer be executed once the machine reports the new one. */
   advanceToken(machine: Machine): number {
     return this.tokens.advance(machine);
   }
 
-  /** The token for the answer to a heartbeat; every `intervalMs` the machine has to confirm a new one. */
+  /** Returns the token for a heartbeat response; every `intervalMs` the machine has to confirm a new one. */
   requestTokenAck(machine: Machine, now: number, intervalMs: number): number {
     return this.tokens.requestAck(machine, now, intervalMs);
   }
@@ -117,14 +117,18 @@
     return this.lifecycle.insert(new TaskAttempt(machine, jobId, job, taskNumber, attempt, now));
   }
 
-  /** Surely not on the machine: never executed, killed with its incarnation, or the machine is gone. */
+  /**
+   * Removes an attempt that is guaranteed not to be on the machine: it was never executed, was killed with its
+   * incarnation, or the machine no longer exists.
+   */
   removeAttempt(attempt: TaskAttempt, now: number): void {
     this.lifecycle.remove(attempt, now);
   }
 
   /**
-   * The task is to go; its worker is told until it does. A start that is still on its way meets a raised token,
-   * once an answer to a heartbeat has brought that. A start that was never sent is dropped: it can't be anywhere.
+   * Stops a task: the stop command is repeated until the task exits. A start that is still in flight is refused once a
+   * heartbeat response has delivered the raised token. A start that was never sent is dropped, since it cannot be on
+   * any machine.
    */
   stop(attempt: TaskAttempt, request: StopRequest, now: number): void {
     if (!attempt.startSent) {
@@ -137,41 +141,44 @@
     this.backlog.markPending(attempt.machine);
   }
 
-  /** Takes a heartbeat over. False, and nothing changes, for one that is older, or of a machine that was removed. */
+  /** Applies a heartbeat. Returns false, and changes nothing, if it is not newer, or the machine was removed. */
   applyHeartbeat(machine: Machine, heartbeat: Heartbeat, now: number): boolean {
     return this.contains(machine) && this.heartbeats.apply(machine, heartbeat, now);
   }
 
-  /** The request was surely not executed. */
+  /** Removes the attempts of a request that was refused, and so certainly not executed. */
   startsRejected(attempts: Iterable<TaskAttempt>, now: number): void {
     for (const attempt of attempts)
       if (attempt.state === 'starting' && attempt.startUnacknowledged)
         this.removeAttempt(attempt, now);
   }
 
-  /** The request was executed, so a later heartbeat without an attempt of it means that this is gone. */
+  /** Marks the starts of an executed request: an attempt missing in a later heartbeat no longer exists. */
   startsAcknowledged(attempts: Iterable<TaskAttempt>): void {
     for (const attempt of attempts) attempt.startUnacknowledged = false;
   }
 
-  /** No answer: the starts may be executed minutes later, until the machine shows a higher token. */
+  /** Handles a missing response: the starts may be executed minutes later, until the machine reports a higher token. */
   startsWithoutResponse(machine: Machine, attempts: Iterable<TaskAttempt>): void {
     machine.requiredToken = this.advanceToken(machine);
     for (const attempt of attempts)
       if (attempt.startUnacknowledged) attempt.fencedByToken = machine.requiredToken;
   }
 
-  /** The worker's lease has surely run out, counted from the last answer that may have renewed it, a follower's included. */
+  /**
+   * Whether the worker's lease is guaranteed to have expired, counted from the last response that may have renewed it,
+   * including responses of followers.
+   */
   isLeaseExpired(machine: Machine, extendableUntil: number, now: number): boolean {
     const renewedAt = Math.max(machine.leaseRenewedAt, extendableUntil);
     return now - renewedAt > this.leaseMs * DRIFT + LEASE_EXPIRY_MARGIN_MS;
   }
 
-  /** Nothing is on the machine any more. */
+  /** Removes all attempts of a machine whose lease has expired. */
   expireLease(machine: Machine, now: number): void {
     this.lifecycle.removeAll(machine, now);
     if (machine.reported) {
-      // Only a newer incarnation counts from here: a held heartbeat of the old one tells of tasks that are dead.
+      // From now on only a newer incarnation counts: a delayed heartbeat of the old one lists tasks that were killed.
       machine.incarnation++;
       machine.lastSequence = -1;
       machine.lastHeartbeatSequence = -1;
--- a/src/workers/probe-window.ts
+++ b/src/workers/probe-window.ts
@@ -1,21 +1,21 @@
-/** How many requests may be under way before a probe is sent. */
+/** Limits the number of requests in flight up to which probes are sent. */
 
-/** Window sizes, in requests under way. */
+/** Window sizes, in requests in flight. */
 const MIN_WINDOW = 8;
 const INITIAL_WINDOW = 48;
 const WINDOW_INCREASE = 12;
-/** Share of all requests that probes may take. */
+/** Maximum window as a share of the maximum number of requests in flight. */
 const MAX_WINDOW_SHARE = 0.8;
-/** A timer that fires this late: answers have waited at least as long. */
+/** A timer that fires later than this counts as late; responses have waited at least as long. */
 const LATE_MS = 120;
-/** After so many timers on time this controller keeps up again. */
+/** Number of consecutive timers on time after which this controller is no longer congested. */
 const MIN_TIMERS_ON_TIME = 10;
 
 /**
- * After a failover every machine is probed, and with hundreds of them that is more than a small controller can do
- * beside their heartbeats: answers then wait unread until they time out, and are asked for again. So the window follows
- * how late timers fire, as congestion windows do: it grows step by step while this controller keeps up, and halves when
- * it doesn't.
+ * Congestion window for probes. After a failover every machine is probed; with hundreds of machines, a small controller
+ * cannot handle that in addition to their heartbeats. Responses then wait unread until they time out, and the probes
+ * are repeated. So the window depends on how late timers fire: it grows step by step while timers are on time, and is
+ * halved when one is late.
  */
 export class ProbeWindow {
   private readonly maxWindow: number;
@@ -31,7 +31,10 @@
     return this.window;
   }
 
-  /** Timers fired late a moment ago. A request takes several turns of the event loop, so its answer may wait far longer. */
+  /**
+   * Whether a timer fired late recently. A request takes several turns of the event loop, so its response may be
+   * delayed much longer than the timer.
+   */
   isCongested(): boolean {
     return this.timersOnTime < MIN_TIMERS_ON_TIME;
   }
--- a/src/workers/stop-reason.ts
+++ b/src/workers/stop-reason.ts
@@ -1,6 +1,6 @@
-/** Why the leader stops an attempt. */
+/** The reasons for which the leader stops an attempt. */
 
-/** Stops that only the scheduler's own bookkeeping and the job's cancellation call for. */
+/** Stops of attempts that are not needed any more: unknown, duplicate, already finished elsewhere, or cancelled. */
 type ObsoleteAttemptReason =
   'unknown-job' | 'job-cancelled' | 'finished-elsewhere' | 'duplicate-attempt';
 
@@ -14,6 +14,6 @@
 type GangAbortReason =
   'gang-member-lost' | 'gang-member-unschedulable' | 'gang-start-timeout' | 'gang-attempt-aborted';
 
-/** Written to the log with each stop; workers are not told it. */
+/** Logged with each stop; it is not sent to workers. */
 export type StopReason =
   ObsoleteAttemptReason | PreemptionReason | RelocationReason | GangAbortReason;
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -7,16 +7,16 @@
 
 /**
  * - `starting`: a start was decided; it may be in flight.
- * - `fetching`, `waiting`, `running`, `saving`: as reported. `waiting`: of a gang only; it has its image and waits for
- *   the other tasks.
- * - `exited`: not on the machine any more, but the machine still reports it until it is told to forget.
- * - `removed`: surely not on the machine, which does not report it either: never executed, killed with its incarnation,
- *   or the machine is gone.
+ * - `fetching`, `waiting`, `running`, `saving`: as reported by the worker. `waiting`: only for gangs; the task has its
+ *   image and waits for the other tasks.
+ * - `exited`: no longer on the machine, but the machine still reports it until it receives a forget command.
+ * - `removed`: guaranteed not to be on the machine, and not reported by it either: the attempt was never executed or
+ *   was killed with its incarnation, or the machine no longer exists.
  */
 export type AttemptState =
   'starting' | 'fetching' | 'waiting' | 'running' | 'saving' | 'exited' | 'removed';
 
-/** Reports of others are ignored: they are late. */
+/** The allowed transitions. Reports of any others are late, and ignored. */
 const TRANSITIONS: Transitions<AttemptState> = {
   starting: ['fetching', 'waiting', 'running', 'saving', 'exited', 'removed'],
   fetching: ['waiting', 'running', 'saving', 'exited', 'removed'],
@@ -27,53 +27,53 @@
   removed: [],
 };
 
-/** Whether an attempt may go from one state directly to the other. */
+/** Whether an attempt may change directly from one state to the other. */
 export function isAllowedTransition(state: AttemptState, next: AttemptState): boolean {
   return TRANSITIONS[state].includes(next);
 }
 
-/** The name under which a machine lists an attempt. */
+/** The key of an attempt in the attempts of its machine. */
 export function attemptKey(jobId: string, taskNumber: number, attempt: number): string {
   return `${jobId}/${taskNumber}/${attempt}`;
 }
 
-/** Why and how an attempt is to leave its machine. */
+/** Why and how an attempt is to be stopped. */
 export interface StopRequest {
-  /** Seconds that the task may take to save. */
+  /** Time that the task has to save its state, in seconds. */
   graceS: number;
   reason: StopReason;
-  /** Of a gathering gang: only this task leaves its machine, and is started again under the same attempt. */
+  /** Only for a gang that is still gathering: this task alone is stopped, and started again under the same attempt. */
   replaced: boolean;
 }
 
-/** A task that may be on a machine. */
+/** An attempt of a task that may be on a machine. */
 export class TaskAttempt {
   state: AttemptState = 'starting';
   cause: ExitCause | null = null;
-  /** The start was sent; it is sent once, never again. */
+  /** Whether the start was sent. It is sent only once. */
   startSent = false;
-  /** No answer to the start is known, so it may still be executed; see `fencedByToken`. */
+  /** Whether the start has no known response, so that it may still be executed; see `fencedByToken`. */
   startUnacknowledged = true;
-  /** With this token shown by the machine, an unanswered start can no longer be executed. */
+  /** Once the machine has reported this token, a start without a response can no longer be executed. 0: not fenced. */
   fencedByToken = 0;
-  /** Set when the task is to go. */
+  /** Set when the task is to be stopped. */
   stop: StopRequest | null = null;
   stopSentAt = -Infinity;
   forgetSentAt = -Infinity;
-  /** Not started by this leader: the machine told of it. */
+  /** Whether the attempt was first seen in a heartbeat, past fetching and waiting, and not started by this leader. */
   discovered = false;
-  /** 0: not running yet, or it ran before we knew of it, so that its time is not known. */
+  /** When it began to run; 0 if it does not run yet, or if it already ran when discovered (the time is unknown). */
   runningSince = 0;
-  /** Of a waiting gang task: when it was first seen to wait. */
+  /** When a gang task was first reported as waiting. */
   waitingSince = 0;
 
   constructor(
     readonly machine: TrackedMachine<TaskAttempt>,
     readonly jobId: string,
-    /** Null: the job is not among the live ones. */
+    /** Null if the job is not one of the live jobs. */
     readonly job: TrackedJob<TaskAttempt> | null,
     readonly taskNumber: number,
-    /** The attempt's number. A gang's replaced task is started again under the same one. */
+    /** Number of the attempt. A replaced task of a gang is started again under the same number. */
     readonly attempt: number,
     readonly createdAt: number,
   ) {}
--- a/src/workers/tracked-machine.ts
+++ b/src/workers/tracked-machine.ts
@@ -1,88 +1,88 @@
 /**
- * What the leader knows of one machine. What an attempt is is left open, since attempts refer to their machines in turn.
+ * The leader's state of one machine. The type of attempts is a parameter, since attempts refer to their machines.
  */
 import type { MachineType } from '../wire/model.js';
 
-/** A request to a worker that is not answered yet, with the attempts that it starts. */
+/** A request to a worker that has no response yet, with the attempts that it starts. */
 export interface InFlightRequest<Attempt> {
   attempts: Set<Attempt>;
 }
 
-/** A token that a response carried and that no heartbeat has shown yet. */
+/** A token that was sent in a response and that no heartbeat has contained yet. */
 export interface PendingTokenAck {
   token: number;
   since: number;
-  /** Heartbeats that came since then without it. */
+  /** Number of heartbeats received since then without the token. */
   heartbeats: number;
 }
 
-/** Why nothing is placed on a machine any more: it is not needed, the cloud takes it back, or tasks fail on it. */
+/** Why no task is placed on a machine any more: it is not needed, it has a preemption notice, or tasks fail on it. */
 export type DrainReason = 'surplus' | 'notice' | 'faulty';
 
-/** Acknowledgements that a machine may owe before it counts as not acknowledging: one or two may be on their way. */
+/** Heartbeats without a pending token before a machine counts as not acknowledging: one or two may be in flight. */
 const MIN_UNACKNOWLEDGED_HEARTBEATS = 3;
 
 /**
- * A machine's state: what its worker has reported, what was sent to it, which attempts may be on it and
- * what they occupy. `Machine` is the type to use. Times are of the steady clock, in milliseconds.
+ * A machine's state: what its worker has reported, what was sent to it, which attempts may be on it and which resources
+ * they occupy. Code uses the type `Machine`. Times are in milliseconds of the monotonic clock.
  */
 export class TrackedMachine<Attempt> {
-  /** Heartbeats of lower incarnations are out of date, as are those of this one up to `lastSequence`. */
+  /** The worker's incarnation. Heartbeats of lower ones are outdated, as are those of this one up to `lastSequence`. */
   incarnation = 0;
   lastSequence = -1;
-  /** Of the newest heartbeat that the worker sent by itself in this incarnation: a lower one is a late copy. */
+  /** Sequence of the newest heartbeat that the worker sent itself in this incarnation: a lower one is a late copy. */
   lastHeartbeatSequence = -1;
-  /** When anything new was last received from the worker itself. */
+  /** When new information was last received from the worker itself. */
   lastHeardAt: number;
-  /** A heartbeat has told of the machine since it was added, or since its lease ended. */
+  /** Whether a heartbeat was received since the machine was added, or since its lease expired. */
   reported = false;
-  /** When the last heartbeat was answered that may have renewed the worker's lease. */
+  /** When the last heartbeat response was sent that may have renewed the worker's lease. */
   leaseRenewedAt: number;
-  /** Its lease has surely run out, and no heartbeat has come since: nothing is on it. */
+  /** Whether the lease is guaranteed to have expired, with no heartbeat since: no task is on the machine. */
   leaseExpired = false;
-  /** Stored when this leader's term began: it must be reconciled, or be gone, before old jobs are acted on. */
+  /** Stored when this leader's term began: it must be reconciled or removed before older jobs are acted on. */
   awaitingReconciliation = false;
 
-  /** The highest token it has shown. */
+  /** Highest token that the machine has reported. */
   shownToken = 0;
-  /** The token that it must show before its heartbeats are taken as complete. */
+  /** Token that the machine must report before its heartbeats count as complete. */
   requiredToken: number;
-  /** By how much its token is above the leader's. */
+  /** Difference of the machine's token to the leader's base token. */
   tokenOffset = 0;
   pendingTokenAck: PendingTokenAck | null = null;
-  /** When it last showed a token that it was asked to show: responses reach it. */
+  /** When the machine last confirmed a pending token, which proves that responses reach it. */
   tokenConfirmedAt: number;
 
-  /** It stands in the state service, so that a new leader would find it: only then may commands be sent to it. */
+  /** Whether the machine is stored, so that a new leader would find it. Only then may commands be sent to it. */
   stored = false;
   inFlight: InFlightRequest<Attempt> | null = null;
-  /** No request goes to it before then. */
+  /** Earliest time of the next request to the machine. */
   nextSendAt = 0;
-  /** Requests in a row that it did not answer. */
+  /** Number of consecutive requests without a response. */
   commandFailures = 0;
 
-  /** What may be on it, by `attemptKey`, and what it still reports. */
+  /** The attempts that may be on the machine, and those that it still reports, by `attemptKey`. */
   readonly attempts = new Map<string, Attempt>();
   readonly images = new Set<string>();
-  /** Attempts that are starting or fetching, by image. */
+  /** Number of attempts that are starting or fetching, by image. */
   readonly fetching = new Map<string, number>();
-  /** Tasks of services that may be here. */
+  /** Number of service tasks that may be on the machine. */
   serviceTasks = 0;
   usedCpus = 0;
   usedGpus = 0;
   usedMemory = 0;
-  /** When the last attempt on it ended, or when it became known. */
+  /** When the last attempt on the machine ended, or else when the machine became known. */
   emptySince: number;
 
   preemptionDeadline: number | null = null;
   drainReason: DrainReason | null = null;
   isStraggler = false;
-  /** Jobs (by index) whose tasks failed here lately. */
+  /** Jobs (by index) whose tasks failed on the machine recently. */
   readonly failedJobs = new Set<number>();
 
-  /** When the cloud's list last had it; -1: never. */
+  /** When the cloud's list last contained the machine; -1 if it never did. */
   listedAt = -1;
-  /** The last list did not have it, although it must have existed by then. */
+  /** Whether the last list did not contain the machine, although it must have existed by then. */
   unlisted = false;
   rentedAt: number | null = null;
   deleting = false;
@@ -104,12 +104,12 @@
     this.tokenConfirmedAt = now;
   }
 
-  /** It has shown a token that ends whatever was sent with lower ones. */
+  /** Whether the machine has reported the required token, which invalidates all commands sent with lower ones. */
   isReconciled(): boolean {
     return this.reported && this.shownToken >= this.requiredToken;
   }
 
-  /** Its heartbeats arrive, but responses do not reach it, or it ignores them: its heartbeats prove nothing. */
+  /** Whether heartbeats arrive, but responses are lost or ignored, so that the heartbeats prove nothing. */
   isNotAcknowledging(patienceMs: number, now: number): boolean {
     return (
       this.pendingTokenAck !== null &&
@@ -118,7 +118,7 @@
     );
   }
 
-  /** What no attempt occupies, as are the next two. */
+  /** CPUs that no attempt occupies. */
   freeCpus(): number {
     return this.type.cpus - this.usedCpus;
   }
