--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,4 +1,4 @@
-/** Serves users: submissions, questions about jobs, and cancellations. Any controller does. */
+/** The API for users: submission, state and cancellation of jobs. Every controller serves it. */
 import type { Mutation } from '@millring/state-access';
 import type { Log } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
@@ -25,28 +25,28 @@
 import { IMPOSSIBLE_TEXTS, impossibleReason } from './job-validation.js';
 import { terminalKey, liveKey, minimalCancelledValue, newLiveValue } from './records.js';
 
-/** What the users' API needs. */
+/** Dependencies of the users' API. */
 export interface JobsApiDependencies {
   settings: Pick<PlatformSettings, 'teams'>;
   store: StateStore;
   cache: JobCache;
-  /** Can this process read what is stored? If not, any answer might be wrong. */
+  /** Whether this process can read the stored state. If not, any response might be wrong. */
   mayServe(): boolean;
-  /** Null while the catalog is not known. */
+  /** Returns the machine types, or null while the catalog is unknown. */
   types(): MachineType[] | null;
-  /** For display: what the leader last told of a job. */
+  /** The progress of a job that the leader last reported, only for display. */
   progress(id: string): Progress | undefined;
-  /** A user is about to be told that the job is cancelled. */
+  /** Called before a cancellation is confirmed to a user. */
   beforeConfirm(id: string): void;
   /** Time of day, in milliseconds. */
   wallMs(): number;
   log: Log;
 }
 
-/** A cancellation gives up after so many writes that met a record changed meanwhile. */
+/** Number of conflicting writes after which a cancellation gives up. */
 const MAX_CANCEL_ATTEMPTS = 4;
 
-/** Users' requests. Each answer rests on a read as fresh as the question, or on a compare-and-swap. */
+/** Handles users' requests. Each response is based on a read as recent as the request, or on a compare-and-swap. */
 export class JobsApi {
   private readonly lookup: JobLookup;
 
@@ -54,7 +54,7 @@
     this.lookup = new JobLookup(deps.cache, deps.store);
   }
 
-  /** Accepts a job, or tells the state of one that was accepted before under the same id. */
+  /** Accepts a job, or returns the state of one that was accepted before under the same id. */
   async submit(body: Body): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     const submission = readJob(body);
@@ -64,7 +64,7 @@
     if (!types) return TYPES_UNKNOWN;
     const reason = impossibleReason(job, types, this.deps.settings.teams);
     if (reason !== null) {
-      // Types can change: a repeat of a job that was accepted gets its state, whatever we would say today.
+      // Machine types can change: a repeated submission of an accepted job gets its state, even if it were refused now.
       const stored = await this.lookup.find(job.id);
       if (stored.kind === 'absent') return impossible(IMPOSSIBLE_TEXTS[reason]);
       return this.respond(job.id, stored);
@@ -89,14 +89,14 @@
     return accepted(job.id);
   }
 
-  /** Tells a job's state. */
+  /** Returns a job's state. */
   async poll(id: string): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     if (!isJobId(id)) return NO_SUCH_JOB;
     return this.respond(id, await this.lookup.find(id));
   }
 
-  /** Cancels a job. Once this is confirmed, the job's tasks stop within `cancel_s`. */
+  /** Cancels a job. The job's tasks stop within `cancel_s` of the confirmation. */
   async cancel(id: string): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     if (!isJobId(id)) return NO_SUCH_JOB;
@@ -107,7 +107,7 @@
       if (stored.record?.cancelled) return this.confirmCancelled(id);
       const preconditions = [{ key: liveKey(id), version: stored.version }];
       let result = await store.compareAndSwap(preconditions, cancellation(id, stored));
-      // Stored when larger values were allowed: a confirmed cancellation must not depend on that.
+      // The record was stored when larger values were allowed; cancellation must not fail because of its size.
       if (result.kind === 'invalid' && stored.record) {
         const value = minimalCancelledValue(stored.record);
         result = await store.compareAndSwap(preconditions, [{ put: liveKey(id), value }]);
@@ -120,16 +120,16 @@
     return STATE_UNAVAILABLE;
   }
 
-  /** The answer that rests on what was read; the log tells on what. */
+  /** Returns the response based on the stored job, and logs the kind and version that were read. */
   private respond(id: string, stored: StoredJob): ApiResponse {
     const response = this.responseFor(id, stored);
     const version = stored.kind === 'live' ? stored.version : undefined;
-    this.deps.log.debug({ id, status: response.status, read: stored.kind, version }, 'answer');
+    this.deps.log.debug({ id, status: response.status, read: stored.kind, version }, 'response');
     return response;
   }
 
   private logWritten(id: string, status: number, written: number): void {
-    this.deps.log.debug({ id, status, written }, 'answer');
+    this.deps.log.debug({ id, status, written }, 'response');
   }
 
   private responseFor(id: string, stored: StoredJob): ApiResponse {
@@ -152,13 +152,13 @@
   }
 }
 
-/** Types that nobody knows are of no use, and a record must stay within what a value may hold. */
+/** Drops unknown machine types: they have no use, and the record must stay within the size limit of a value. */
 function withKnownTypes(job: JobSpec, types: MachineType[]): JobSpec {
   const known = job.types?.filter((name) => types.some((type) => type.name === name)) ?? null;
   return { ...job, types: known };
 }
 
-/** A record that can't be read was never acted on, so that its job ends at once. */
+/** The mutations that cancel a job. An unreadable record was never acted on, so its job becomes terminal at once. */
 function cancellation(id: string, { record, value }: CachedJob): Mutation[] {
   if (record) return [{ put: liveKey(id), value: { ...(value as object), cancelled: true } }];
   return [
--- a/src/jobs/cancellations.ts
+++ b/src/jobs/cancellations.ts
@@ -1,22 +1,23 @@
 /**
- * What a controller knows of cancelled jobs, and how fresh that knowledge is: it decides whether worker
- * leases may be renewed.
+ * The cancelled jobs that a controller knows, and how recent this knowledge is, which decides whether worker leases may
+ * be renewed.
  */
 import { DRIFT } from '../runtime.js';
 import type { Heartbeat, TaskStatus, WorkerCommand } from '../wire/model.js';
 
-/** For longer than any task of a cancelled job can still be somewhere. */
+/** Longer than any task of a cancelled job can still be on a machine. */
 const RETENTION_MS = 600_000;
-/** Workers look at their leases now and then, and answers take their time. */
+/** Covers the interval at which workers check their leases, and the delay of responses. */
 const LEASE_MARGIN_MS = 1000;
 
 /**
- * What this node knows of cancellations, and as of when it knows them all. Whoever answers a worker's heartbeat
- * renews its lease, and thereby everything on it for another `lease_s`. So the one invariant of all roles is:
- * a heartbeat is answered only with knowledge so fresh that a task whose cancellation we can't know of is gone
- * with its lease within `cancel_s` of the confirmation. Tasks whose cancellation we know are stopped in the answer.
+ * The cancellations that this node knows, and the time up to which it knows all of them. A response to a worker's
+ * heartbeat renews its lease, and lets all tasks on it run for another `lease_s`. So all roles keep one invariant: a
+ * node responds to a heartbeat only if its knowledge is recent enough that a task whose cancellation it cannot know of
+ * stops with its worker's lease within `cancel_s` of the confirmation. The response itself stops the tasks whose
+ * cancellation is known.
  *
- * A process that has just started knows nothing, as of no time at all.
+ * A process that has just started knows no cancellations, and has no such time (the watermark is -Infinity).
  */
 export class Cancellations {
   private readonly known = new Map<string, number>();
@@ -40,11 +41,11 @@
     return this.known.has(id);
   }
 
-  /** The job is cancelled for good: seen in its record, or confirmed to a user by us or another node. */
+  /** Records a final cancellation: it was read in the job's record, or confirmed to a user by this or another node. */
   record(id: string): void {
     if (this.known.has(id)) return;
     const now = this.now();
-    // In order of time: the oldest come first.
+    // The entries are ordered by time, oldest first.
     for (const [old, recordedAt] of this.known) {
       if (now - recordedAt < RETENTION_MS) break;
       this.known.delete(old);
@@ -53,7 +54,7 @@
     for (const listener of this.listeners) listener(id);
   }
 
-  /** Whatever was confirmed to anyone before `at` is known here. */
+  /** Records that every cancellation confirmed to any user before `at` is known here. */
   advanceWatermark(at: number): void {
     this.watermarkAt = Math.max(this.watermarkAt, at);
   }
@@ -62,7 +63,7 @@
     return this.watermarkAt;
   }
 
-  /** For how long something may have been cancelled without our knowing. */
+  /** Age of the watermark: time in which a job may have been cancelled without this node knowing. */
   ageMs(): number {
     return this.now() - this.watermarkAt;
   }
@@ -71,7 +72,7 @@
     return this.ageMs() <= this.maxAgeToRenewMs;
   }
 
-  /** Adds stops for what is reported and known to be cancelled to the commands that go out anyway. */
+  /** Returns the given commands with stops added for the reported tasks that are known to be cancelled. */
   withStops(heartbeat: Heartbeat, commands: WorkerCommand[]): WorkerCommand[] {
     const withStops = [...commands];
     for (const task of heartbeat.tasks) {
--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -1,30 +1,30 @@
-/** What one compare-and-swap of the completion writer writes, and what it rests on. */
+/** The mutations and preconditions of one compare-and-swap of the completion writer. */
 import type { Mutation, Precondition } from '@millring/state-access';
 import type { Job } from './job.js';
 import type { Layout } from './record-layout.js';
 import { FINISHED_PREFIX, liveKey } from './records.js';
 
-/** Records of finished tasks that a batch writes. */
+/** Records of a job's finished tasks that a batch writes. */
 export interface BatchedProgress {
   job: Job;
-  /** Chunks of tasks that they make durable. */
+  /** Chunks of tasks that the records make durable. */
   chunks: number[];
   layout: Layout;
-  /** Finished tasks of the job when the records were made. */
+  /** Number of finished tasks of the job when the records were created. */
   finishedCount: number;
 }
 
-/** The ends of jobs, progress of others, and removals of records that are not needed any more. */
+/** Moves of jobs to their terminal state, progress of other jobs, and removals of obsolete records. */
 export class CompletionBatch {
   readonly preconditions: Precondition[];
   readonly mutations: Mutation[] = [];
-  /** Jobs whose records the batch rests on. */
+  /** Jobs whose records are preconditions of the batch. */
   readonly jobs = new Set<Job>();
   readonly terminalJobs: Job[] = [];
   readonly progress: BatchedProgress[] = [];
-  /** Keys of records that it removes because their job has ended. */
+  /** Keys of records that the batch removes because their job is terminal. */
   readonly orphanedKeys: string[] = [];
-  /** Records of live jobs that it removes because others tell of their tasks. */
+  /** Records of live jobs that the batch removes because other records contain their tasks. */
   readonly superseded: { job: Job; recordNumber: number }[] = [];
   private levelKey: string | null = null;
 
@@ -36,7 +36,7 @@
     this.preconditions = [leaderPrecondition];
   }
 
-  /** Room for so many mutations, and for the preconditions of one more job and the level. */
+  /** Whether this many mutations fit, and also the preconditions of one more job and of the feature level. */
   hasRoom(mutations: number): boolean {
     return (
       this.mutations.length + mutations <= this.maxMutations &&
@@ -48,21 +48,21 @@
     this.mutations.push(...mutations);
   }
 
-  /** The batch rests on the job's record as it was last read. */
+  /** Makes the batch conditional on the version of the job's record at the last read. */
   requireJob(job: Job): void {
     if (this.jobs.has(job)) return;
     this.jobs.add(job);
     this.preconditions.push({ key: liveKey(job.spec.id), version: job.version });
   }
 
-  /** The batch rests on the cluster's level. */
+  /** Makes the batch conditional on the feature level. */
   requireLevel(precondition: Precondition): void {
     if (this.levelKey !== null) return;
     this.levelKey = precondition.key;
     this.preconditions.push(precondition);
   }
 
-  /** Whether a failed precondition is about this job or about all of them. */
+  /** Whether a failed precondition is the one for this job, or the feature level's, which affects all jobs. */
   concerns(failedKeys: string[], job: Job): boolean {
     return failedKeys.some((key) => key === liveKey(job.spec.id) || key === this.levelKey);
   }
@@ -71,7 +71,7 @@
     return this.progress.some((entry) => entry.job === job && entry.chunks.includes(chunk));
   }
 
-  /** The size of the largest segment, counted as JSON, or 0. */
+  /** Size of the largest segment in bytes of JSON, or 0 if there is none. */
   largestSegmentBytes(): number {
     const sizes = this.mutations.map((mutation) =>
       'put' in mutation &&
--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -1,4 +1,4 @@
-/** Writes finished tasks and the ends of jobs to the state service. */
+/** Writes finished tasks and terminal states of jobs to the state service. */
 import type { Conversion } from '@millring/rollout';
 import type { CompareAndSwapResult, Mutation, Precondition } from '@millring/state-access';
 import type { Runtime } from '../runtime.js';
@@ -11,34 +11,34 @@
 import { isSegment } from './record-layout.js';
 import { terminalKey, finishedKey, liveKey } from './records.js';
 
-/** What the completion writer needs. */
+/** Dependencies of the completion writer. */
 export interface CompletionWriterDependencies {
   runtime: Runtime;
   store: StateStore;
   jobs: JobTable;
-  /** Most mutations of one compare-and-swap. */
+  /** Maximum number of mutations of one compare-and-swap. */
   txnOps: number;
-  /** Mutations per second that all nodes together may ask of the state service. */
+  /** Mutations per second that all nodes together may request of the state service. */
   writeRps: number;
-  /** Most bytes of a value, counted as JSON. */
+  /** Maximum size of a value, in bytes of JSON. */
   valueBytes: number;
   isLeader(): boolean;
   leaderPrecondition(): Precondition;
-  /** Every write of a segment rests on it, see `record-layout.ts`. Null: none may be written now. */
+  /** Precondition of every write of a segment, see `record-layout.ts`; null while no segments may be written. */
   segmentPrecondition(): Precondition | null;
-  /** A cancelled job may end once nothing of it can be anywhere. */
+  /** Whether no attempt of the job can be on any machine: only then may a cancelled job become terminal. */
   hasNoAttempts(job: Job): boolean;
   jobEnded(job: Job): void;
 }
 
-/** A job's end removes one record and puts another. */
+/** A job that becomes terminal has one record removed and another put. */
 const MUTATIONS_PER_JOB_END = 2;
 /** The state service allows this many preconditions per mutation of a compare-and-swap. */
 const PRECONDITIONS_PER_MUTATION = 4;
 
 type Failure = Exclude<CompareAndSwapResult, { kind: 'committed' }>;
 
-/** When the jobs of a batch that was not committed are tried again. */
+/** Delay until the jobs of a batch that was not committed are retried, by the kind of failure. */
 const RETRY_DELAY_MS: Record<Failure['kind'], number> = {
   rejected: 200,
   conflict: 700,
@@ -50,16 +50,16 @@
   return isSegment(Number(key.slice(key.lastIndexOf('/') + 1)));
 }
 
-/** Makes the leader's knowledge of finished tasks durable: compact, in batches, the ends of jobs first. */
+/** Stores the finished tasks that the leader knows, in compact form and in batches, with terminal jobs first. */
 export class CompletionWriter {
   private writing = false;
   private readonly records: ProgressRecords;
   private readonly progress: ProgressWriter;
-  /** By the job's index. */
+  /** Earliest time of the next write for a job, by the job's index. */
   private readonly notBefore = new Map<number, number>();
-  /** Records of finished tasks whose job has ended. */
+  /** Keys of stored records of finished tasks whose job is terminal. */
   private readonly orphanedKeys = new Set<string>();
-  /** Of one batch: fewer once one was refused for its size. */
+  /** Maximum number of mutations of one batch; reduced after a batch was refused because of its size. */
   private maxMutations: number;
 
   constructor(private readonly deps: CompletionWriterDependencies) {
@@ -68,17 +68,17 @@
     this.progress = new ProgressWriter(this.records, deps.runtime.clock, deps.writeRps);
   }
 
-  /** A record of the job's finished tasks stands in the state service. */
+  /** Notes that a record of the job's finished tasks is stored. */
   noteWritten(job: Job, recordNumber: number): void {
     this.records.noteWritten(job, recordNumber);
   }
 
-  /** A record of finished tasks whose job has ended stands in the state service. */
+  /** Notes that a record of finished tasks is stored although its job is terminal. */
   recordOrphan(key: string): void {
     this.orphanedKeys.add(key);
   }
 
-  /** How many segments are left to replace by records in the older form. */
+  /** Returns the progress of replacing segments by records in the older form. */
   conversion(): Conversion {
     const conversion = this.records.conversion();
     const orphans = [...this.orphanedKeys].filter(isSegmentKey).length;
@@ -87,7 +87,7 @@
     return { kind: 'running', remaining: orphans + ofLiveJobs };
   }
 
-  /** Writes what is due, unless a write is under way. */
+  /** Writes what is due, unless a write is in progress. */
   tick(): void {
     if (this.writing || !this.deps.isLeader()) return;
     const now = this.deps.runtime.clock.now();
@@ -114,7 +114,7 @@
     }
   }
 
-  /** Records of a large job that don't go into one batch are removed afterwards: with the job ended nobody reads them. */
+  /** Records of a large job that exceed one batch are removed later: no node reads them once the job is terminal. */
   private terminalMutations(job: Job): Mutation[] {
     const { id, tasks } = job.spec;
     const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_JOB_END);
@@ -177,13 +177,16 @@
   private failed(batch: CompletionBatch, result: Failure): void {
     const now = this.deps.runtime.clock.now();
     if (result.kind === 'invalid') this.shrink(batch);
-    // After a conflict or a lost answer the watch tells what became of these jobs.
+    // After a conflict or a missing response, the watch reports the actual state of these jobs.
     for (const job of batch.jobs)
       if (result.kind !== 'conflict' || batch.concerns(result.failed, job))
         this.notBefore.set(job.index, now + RETRY_DELAY_MS[result.kind]);
   }
 
-  /** Too large, though within the limits that we know: smaller ones from now on. What is as small as can be waits long. */
+  /**
+   * Reduces the size of later batches after one was refused although it was within the known limits. A batch of the
+   * minimum size stays as it is, and its jobs are retried only after the long delay for `invalid`.
+   */
   private shrink(batch: CompletionBatch): void {
     const { length } = batch.mutations;
     const largestBytes = batch.largestSegmentBytes();
--- a/src/jobs/finished-records.ts
+++ b/src/jobs/finished-records.ts
@@ -1,6 +1,6 @@
 /**
- * The stored forms of finished task numbers, one bit a task: chunks as base64 text, segments compressed with the range
- * that they cover. `record-layout.ts` tells which tasks stand in which record.
+ * The stored forms of finished task numbers, with one bit per task: chunks as base64 text, and segments as compressed
+ * bits with the range that they cover. `record-layout.ts` defines which record contains which tasks.
  */
 import { deflateSync, inflateSync } from 'fflate';
 import * as z from 'zod/mini';
@@ -20,7 +20,7 @@
   value: unknown;
 }
 
-/** The records of one chunk of tasks, and all chunks that they cover completely. */
+/** The records for one chunk of tasks, and all chunks that they cover completely. */
 export interface ChunkRecords {
   kind: 'fits';
   records: FinishedRecord[];
@@ -30,7 +30,7 @@
 /** `too-large`: a record of this layout does not fit into a value. */
 export type ChunkRecordsResult = ChunkRecords | { kind: 'too-large' };
 
-/** What a record tells: one bit a task, from `firstTask` on. */
+/** The content of a record: one bit per task, starting at `firstTask`. */
 export type FinishedRecordContent =
   | { kind: 'readable'; firstTask: number; bits: Uint8Array }
   | { kind: 'unreadable'; reason: string };
@@ -44,8 +44,8 @@
 type Segment = z.infer<typeof segmentSchema>;
 
 /**
- * The records that make a chunk of tasks durable. `finished`: one bit a task of the whole job. `valueBytes`: the largest
- * value, counted as JSON. Segments of the finest split are taken to fit.
+ * Returns the records that make a chunk of tasks durable. `finished` has one bit per task of the whole job.
+ * `valueBytes` is the maximum size of a value, in bytes of JSON. Segments of the finest split are assumed to fit.
  */
 export function recordsOfChunk(
   finished: Uint8Array,
@@ -74,7 +74,7 @@
   return { kind: 'fits', records, chunks };
 }
 
-/** As text, since no body holds anything binary. */
+/** Encodes a chunk as text, since bodies contain no binary values. */
 function packChunk(finished: Uint8Array, chunk: number): string {
   const bytesPerChunk = TASKS_PER_CHUNK / 8;
   const bits = finished.subarray(chunk * bytesPerChunk, (chunk + 1) * bytesPerChunk);
@@ -93,7 +93,7 @@
   return chunks;
 }
 
-/** A record that can't be read tells of no finished task, which is safe: such tasks are started once more. */
+/** Reads a record. The tasks of an unreadable one count as unfinished, which is safe: they are started again. */
 export function readFinishedRecord(recordNumber: number, value: unknown): FinishedRecordContent {
   return isSegment(recordNumber) ? readSegment(value) : readChunk(recordNumber, value);
 }
@@ -104,17 +104,17 @@
   const { from, tasks, deflated } = segment.data;
   const length = Math.ceil(tasks / 8);
   try {
-    // Room for one byte too many, so that a longer content shows.
+    // One extra byte of room, so that content that is too long is detected.
     const bits = inflateSync(Buffer.from(deflated, 'base64'), { out: new Uint8Array(length + 1) });
     if (bits.length === length) return { kind: 'readable', firstTask: from, bits };
-    return unreadable(`${bits.length} bytes in place of ${length}`);
+    return unreadable(`${bits.length} bytes instead of ${length}`);
   } catch (error) {
     return unreadable(error instanceof Error ? error.message : 'not compressed data');
   }
 }
 
 function readChunk(chunk: number, value: unknown): FinishedRecordContent {
-  if (typeof value !== 'string') return unreadable('not a text');
+  if (typeof value !== 'string') return unreadable('not a string');
   const bits = Buffer.from(value, 'base64');
   return { kind: 'readable', firstTask: chunk * TASKS_PER_CHUNK, bits };
 }
--- a/src/jobs/finished-tasks.ts
+++ b/src/jobs/finished-tasks.ts
@@ -1,4 +1,4 @@
-/** Which tasks of a job are finished, one bit a task, and which of that is not stored yet. */
+/** The finished tasks of a job, one bit per task, and those that are not stored yet. */
 import { TASKS_PER_CHUNK } from './record-layout.js';
 
 const BITS_PER_BYTE = 8;
@@ -9,9 +9,9 @@
 
 /** The finished tasks of one job. They are stored chunk by chunk; a finished task never becomes unfinished. */
 export class FinishedTasks {
-  /** One bit a task, the lowest of each byte first. */
+  /** One bit per task, the lowest bit of each byte first. */
   readonly bits: Uint8Array;
-  /** Chunks with tasks that are not durable yet, and when the oldest of these finished. */
+  /** Chunks with tasks that are not durable yet, with the time at which the first of these tasks finished. */
   readonly dirtyChunks = new Map<number, number>();
   private setCount = 0;
 
@@ -27,7 +27,7 @@
     return (this.bits[taskNumber >> 3] & (1 << (taskNumber & 7))) !== 0;
   }
 
-  /** False if the task was finished already, or the job has no such task. */
+  /** Marks a task as finished. Returns false if it already was, or if the job has no such task. */
   add(taskNumber: number): boolean {
     if (taskNumber >= this.tasks || this.has(taskNumber)) return false;
     this.bits[taskNumber >> 3] |= 1 << (taskNumber & 7);
@@ -35,13 +35,13 @@
     return true;
   }
 
-  /** The task is finished, and no record tells of it yet. */
+  /** Marks the chunk of a finished task that no record contains yet. */
   markDirty(taskNumber: number, now: number): void {
     const chunk = chunkOf(taskNumber);
     if (!this.dirtyChunks.has(chunk)) this.dirtyChunks.set(chunk, now);
   }
 
-  /** All that is finished has to be written again. Returns the chunks that hold any of it. */
+  /** Marks all finished tasks to be written again. Returns the chunks that contain any of them. */
   markAllDirty(now: number): Set<number> {
     const chunks = new Set<number>();
     const bytesPerChunk = TASKS_PER_CHUNK / BITS_PER_BYTE;
@@ -54,7 +54,7 @@
     return chunks;
   }
 
-  /** A record of the task is stored, so that a new leader knows that it is finished. */
+  /** Whether a stored record contains the task, so that a new leader knows that it is finished. */
   isDurable(taskNumber: number): boolean {
     return this.has(taskNumber) && !this.dirtyChunks.has(chunkOf(taskNumber));
   }
--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -1,28 +1,28 @@
-/** A read-through cache of the live job records, brought up to date by one request for all callers that wait. */
+/** A read-through cache of the live job records, refreshed by one request for all waiting callers. */
 import type { StateStore } from '../state-store/client.js';
 import { type Runtime, sleep } from '../runtime.js';
 import { LIVE_PREFIX, type LiveJobRecord, readLive } from './records.js';
 
-/** A live job's record as it was last read. */
+/** A live job's record at the last read. */
 export interface CachedJob {
-  /** Null: it stands there, but can't be read. */
+  /** Null if the record is stored but cannot be read. */
   record: LiveJobRecord | null;
-  /** As it stands there, with what only another version knows. */
+  /** The stored value, including fields that only other versions know. */
   value: unknown;
   version: number;
 }
 
-/** A user waits twice as long. */
+/** Half the time that a user waits for a response. */
 const REQUEST_TIMEOUT_MS = 1200;
 
 /**
- * Live records as this node knows them, with linearizable reads. A read for each of them would cost more than the
- * state service has to give: so one request for all changes since the last one (a watch that doesn't wait) serves all
- * reads that began before it was sent.
+ * This node's copy of the live records, with linearizable reads. A separate request for each read would exceed the
+ * capacity of the state service, so one request for all changes since the last one (a watch that doesn't wait) serves
+ * all reads that began before it was sent.
  */
 export class JobCache {
   private readonly jobs = new Map<string, CachedJob>();
-  /** Revision up to which all changes are here; null: nothing has been loaded. */
+  /** Revision up to which all changes are applied; null if nothing has been loaded. */
   private revision: number | null = null;
   private waiters: ((ok: boolean) => void)[] = [];
   private refreshing = false;
@@ -31,11 +31,11 @@
   constructor(
     private readonly runtime: Runtime,
     private readonly store: StateStore,
-    /** Requests are at least so far apart, since all nodes share the rate. */
+    /** Minimum time between requests, since all nodes share the rate limit. */
     private readonly minIntervalMs: number,
-    /** The job is cancelled, by its record. */
+    /** Called when a record read shows that its job is cancelled. */
     private readonly onCancelled: (id: string) => void = () => undefined,
-    /** All that was changed before then has been read. */
+    /** Called when all changes made before `sentAt` have been read. */
     private readonly onReadUpTo: (sentAt: number) => void = () => undefined,
   ) {}
 
@@ -43,7 +43,7 @@
     return this.jobs.get(id);
   }
 
-  /** True once all that was changed before the call is here; false if the state service can't tell. */
+  /** Resolves to true once all changes made before the call are applied, to false if the state service is unavailable. */
   refresh(): Promise<boolean> {
     return new Promise((done) => {
       this.waiters.push(done);
@@ -73,7 +73,7 @@
     if (!all) return false;
     this.jobs.clear();
     for (const { key, value, version } of all.pairs) this.put(key, value, version);
-    // Only the first page is as old as the revision: what changed since is read over, and may be newer.
+    // Only the first page is as old as the revision. Changes since then are read again, and later pages may be newer.
     this.revision = all.revision;
     return this.applyChanges(all.revision);
   }
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,9 +1,9 @@
-/** Finds out what is stored of a job at the moment of a question. */
+/** Reads the stored state of a job, at least as recent as the request for it. */
 import type { StateStore } from '../state-store/client.js';
 import type { CachedJob, JobCache } from './job-cache.js';
 import { type TerminalJobRecord, terminalKey, readTerminal } from './records.js';
 
-/** What is stored of a job. `absent`: it was never accepted. `unavailable`: the state service can't tell now. */
+/** The stored state of a job. `absent`: it was never accepted. `unavailable`: the state service cannot be read now. */
 export type StoredJob =
   | ({ kind: 'live' } & CachedJob)
   | ({ kind: 'ended' } & TerminalJobRecord)
@@ -12,9 +12,9 @@
 
 const MAX_CACHED_TERMINAL_JOBS = 5000;
 
-/** Reads jobs as fresh as the question. */
+/** Reads jobs with linearizable reads. */
 export class JobLookup {
-  /** Only ended jobs are kept in memory: they never change again. */
+  /** Cache of terminal jobs only, since they never change again. */
   private readonly terminalById = new Map<string, TerminalJobRecord>();
 
   constructor(
@@ -27,8 +27,8 @@
   }
 
   /**
-   * The live record is read first. A job moves from live to ended in one compare-and-swap, so one that is missing
-   * from both, read in this order, was never accepted; the other order could miss a job on its way.
+   * Reads the live record first. A job moves from live to terminal in one compare-and-swap, so a job that has neither
+   * record, read in this order, was never accepted. The other order could miss a job that moves between the reads.
    */
   async find(id: string): Promise<StoredJob> {
     const cached = this.terminalById.get(id);
--- a/src/jobs/job-table.ts
+++ b/src/jobs/job-table.ts
@@ -1,9 +1,9 @@
-/** The live jobs as the leader knows them. */
+/** The leader's table of live jobs. */
 import type { JobSpec } from '../wire/model.js';
 import type { Job } from './job.js';
 import { TrackedJob } from './tracked-job.js';
 
-/** Tasks of a job, as its users are told. */
+/** Number of a job's tasks by state, as reported to users. */
 export interface Progress {
   done: number;
   running: number;
@@ -22,7 +22,7 @@
     return this.byId.size;
   }
 
-  /** Of all jobs. */
+  /** Returns the progress of all jobs, by id. */
   progress(): [string, Progress][] {
     return [...this.byId.values()].map((job) => [job.spec.id, progressOf(job)]);
   }
--- a/src/jobs/job-validation.ts
+++ b/src/jobs/job-validation.ts
@@ -1,4 +1,4 @@
-/** Whether a job could ever run in this cluster. */
+/** Checks whether a job could ever run in this cluster. */
 import type { PlatformSettings } from '../settings/platform.js';
 import type { JobSpec, MachineType } from '../wire/model.js';
 
@@ -6,7 +6,7 @@
 export type ImpossibleReason =
   'unknown-team' | 'fits-no-machine-type' | 'needs-several-zones' | 'exceeds-team-limit';
 
-/** As users are told. */
+/** Texts of the reasons in responses to users. */
 export const IMPOSSIBLE_TEXTS: Record<ImpossibleReason, string> = {
   'unknown-team': 'unknown team',
   'fits-no-machine-type': 'a task fits no allowed machine type',
@@ -25,14 +25,14 @@
   return type.cpus >= job.cpus && type.gpus >= job.gpus && type.memoryGb >= job.memoryGb;
 }
 
-/** At most half of the tasks, rounded up, may be in one zone: of two or more, not all. */
+/** A spread job may have at most half of its tasks, rounded up, in one zone: two or more tasks need several zones. */
 function hasTooFewZones(job: JobSpec, types: MachineType[]): boolean {
   if (!job.spread || job.tasks === 1) return false;
   const zones = new Set(types.flatMap((type) => type.zones));
   return job.zone !== null || job.oneZone || zones.size < 2;
 }
 
-/** Why the job can never run, whatever is free; null: it can. */
+/** Returns why the job can never run, regardless of free capacity, or null if it can. */
 export function impossibleReason(
   job: JobSpec,
   types: readonly MachineType[],
@@ -43,7 +43,7 @@
   const usableTypes = types.filter((type) => isAllowedType(type, job) && isLargeEnough(type, job));
   if (usableTypes.length === 0) return 'fits-no-machine-type';
   if (hasTooFewZones(job, usableTypes)) return 'needs-several-zones';
-  // Tasks of an array may run one after the other.
+  // The tasks of an array may run one after the other.
   const tasksAtOnce = job.kind === 'array' ? 1 : job.tasks;
   if (job.cpus * tasksAtOnce > team.cpusMax || job.gpus * tasksAtOnce > team.gpusMax)
     return 'exceeds-team-limit';
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,4 +1,4 @@
-/** A live job with the attempts at its tasks, as the leader knows it. */
+/** A live job with the attempts of its tasks, as the leader knows it. */
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import type { TrackedJob } from './tracked-job.js';
 
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -1,4 +1,4 @@
-/** Which records of finished tasks stand in the state service for each live job, and how the next ones are cut. */
+/** The stored records of finished tasks of each live job, and the layout of the next ones. */
 import { type Conversion } from '@millring/rollout';
 import { type ChunkRecords, recordsOfChunk } from './finished-records.js';
 import type { Job } from './job.js';
@@ -16,11 +16,11 @@
 
 interface JobRecords {
   layout: Layout;
-  /** Numbers of all records that stand there, or may. */
+  /** Numbers of all records that are stored, or may be. */
   numbers: Set<number>;
   /**
-   * Chunks not yet written in this layout since it was chosen; null if this leader has not chosen it. What ends
-   * meanwhile was told by no record in another layout, so that it need not be waited for.
+   * Chunks not yet written in this layout since it was chosen; null if this leader has not chosen it. Tasks that finish
+   * later are in no record of another layout, so their chunks need not be waited for.
    */
   toRewrite: Set<number> | null;
 }
@@ -31,11 +31,11 @@
 
   constructor(
     private readonly jobs: JobTable,
-    /** The largest value, counted as JSON: smaller once one was refused for its size. */
+    /** Maximum size of a value, in bytes of JSON; reduced after a value was refused because of its size. */
     private valueBytes: number,
   ) {}
 
-  /** A record of the job stands there, or may: one written without an answer must be removed with the job, too. */
+  /** Notes a record that is or may be stored: one written without a response must be removed with the job, too. */
   noteWritten(job: Job, recordNumber: number): void {
     const records = this.recordsOf(job);
     records.numbers.add(recordNumber);
@@ -60,12 +60,12 @@
     return this.byJob.get(job.index)?.numbers ?? [];
   }
 
-  /** The job has ended. */
+  /** Drops the records of a job that has become terminal. */
   forget(job: Job): void {
     this.byJob.delete(job.index);
   }
 
-  /** The record was removed. */
+  /** Drops a record that was removed from the state service. */
   forgetNumber(job: Job, recordNumber: number): void {
     this.byJob.get(job.index)?.numbers.delete(recordNumber);
   }
@@ -74,7 +74,7 @@
     return this.byJob.get(job.index)?.layout.kind === 'segments';
   }
 
-  /** Follows whether segments may be written now. A job that has to change has all its tasks written again. */
+  /** Chooses the layout by whether segments may be written now. After a change all finished tasks are written again. */
   chooseLayout(job: Job, segmentsAllowed: boolean, now: number): void {
     const usesSegments = this.usesSegments(job);
     if (usesSegments && !segmentsAllowed) this.switchLayout(job, CHUNK_LAYOUT, now);
@@ -89,7 +89,7 @@
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
-  /** The records that make a chunk durable. Null: they did not fit, and from now on the job's are cut smaller. */
+  /** Returns the records that make a chunk durable, or null if they did not fit: later ones of the job are smaller. */
   recordsFor(job: Job, chunk: number, now: number): ChunkRecords | null {
     const { layout } = this.recordsOf(job);
     const result = recordsOfChunk(
@@ -104,7 +104,7 @@
     return null;
   }
 
-  /** Records in another layout than the job's present one, once all they tell is durable in that. */
+  /** Returns the records in other layouts than the job's present one, once their content is durable in that one. */
   supersededRecords(job: Job, now: number): number[] {
     const records = this.byJob.get(job.index);
     if (!records) return [];
@@ -113,12 +113,12 @@
     );
     if (inOtherLayouts.length === 0) return [];
     if (records.toRewrite !== null) return records.toRewrite.size === 0 ? inOtherLayouts : [];
-    // Left by a leader that ended midway: each may tell what no other does.
+    // Left by a leader whose term ended during a change of layout: any of these may contain tasks that no other does.
     this.switchLayout(job, records.layout, now);
     return [];
   }
 
-  /** The chunks were written in that layout. */
+  /** Notes that chunks were written in a layout. */
   noteDurable(job: Job, chunks: number[], layout: Layout): void {
     const records = this.recordsOf(job);
     if (!isSameLayout(records.layout, layout)) return;
@@ -129,12 +129,12 @@
     return this.recordsOf(job).layout;
   }
 
-  /** A value of so many bytes was refused. */
+  /** Halves the maximum size of a value, based on the size of a refused one. */
   noteValueRefused(bytes: number): void {
     this.valueBytes = Math.min(this.valueBytes, Math.floor(bytes / 2));
   }
 
-  /** Segments that are left, while they are being replaced by chunks. */
+  /** Returns the progress of replacing segments by chunks, with the number of segments that are left. */
   conversion(): Conversion {
     let remaining = 0;
     for (const job of this.jobs.all()) {
--- a/src/jobs/progress-writer.ts
+++ b/src/jobs/progress-writer.ts
@@ -1,4 +1,4 @@
-/** Which finished tasks of jobs that go on are written next. */
+/** Selects the finished tasks of unfinished jobs that are written next. */
 import type { Mutation, Precondition } from '@millring/state-access';
 import type { Clock } from '../runtime.js';
 import { TokenBucket } from '../state-store/token-bucket.js';
@@ -8,16 +8,16 @@
 import { finishedKey } from './records.js';
 
 /**
- * Progress is written as seldom as is useful: a job's end does not need it, and what a new leader has not read
- * it learns from the machines, which keep results until told to forget, or by a start that ends at once. So it
- * takes a small part of the mutations, which submissions, ends and machines need more.
+ * Progress is written rarely: a job that completes does not need it, and a new leader learns what it has not read from
+ * the machines, which keep results until they receive a forget command, or by a start that finishes at once. So it uses
+ * a small share of the mutations, which are more urgent for submissions, terminal jobs and machines.
  */
 const PROGRESS_DELAY_MS = 5000;
 const PROGRESS_SHARE_OF_WRITES = 0.2;
 const MIN_RATE_PER_S = 0.5;
 const MIN_BURST = 2;
 
-/** Adds the progress of jobs to batches, within a rate of its own. */
+/** Adds the progress of jobs to batches, within its own rate limit. */
 export class ProgressWriter {
   private readonly budget: TokenBucket;
 
@@ -30,7 +30,7 @@
     this.budget = new TokenBucket(ratePerS, Math.max(MIN_BURST, ratePerS), () => clock.now());
   }
 
-  /** `segmentPrecondition`: null while no segments may be written. */
+  /** Adds the progress of a job to a batch. `segmentPrecondition` is null while no segments may be written. */
   addTo(
     batch: CompletionBatch,
     job: Job,
@@ -47,7 +47,7 @@
   }
 
   private addChunk(batch: CompletionBatch, job: Job, chunk: number, now: number): void {
-    // Compressing costs time, so it comes after what may make it useless.
+    // Compression takes time, so the checks that may make it unnecessary come first.
     if (!batch.hasRoom(1) || !this.budget.tryAcquire(0, 1)) return;
     const chunkRecords = this.records.recordsFor(job, chunk, now);
     if (!chunkRecords || !batch.hasRoom(chunkRecords.records.length)) return;
@@ -62,7 +62,7 @@
     const layout = this.records.layoutOf(job);
     const { finishedCount } = job;
     batch.progress.push({ job, chunks: chunkRecords.chunks, layout, finishedCount });
-    // Marked before the answer: a record written without an answer must be removed with the job, too.
+    // Noted before the response: a record written without a response must be removed with the job, too.
     for (const record of chunkRecords.records) this.records.noteWritten(job, record.number);
   }
 
@@ -75,7 +75,7 @@
     }
   }
 
-  /** The batch was committed. Until here its chunks stay dirty, so that machines forget nothing before it is durable. */
+  /** Handles a committed batch. Its chunks stay dirty until then, so that machines keep results that are not durable. */
   committed(batch: CompletionBatch, now: number): void {
     for (const { job, chunks, layout, finishedCount } of batch.progress) {
       this.records.noteDurable(job, chunks, layout);
--- a/src/jobs/record-layout.ts
+++ b/src/jobs/record-layout.ts
@@ -1,69 +1,69 @@
 /**
- * How the finished tasks of a job are cut into records, and how these are numbered.
+ * How the finished tasks of a job are divided into records, and how the records are numbered.
  *
- * Chunks: one record for each 8192 tasks. Segments (a feature of the rollout): records that each tell which tasks they
- * cover, as few as fit into the largest value. A job's segments are all of one size; when one does not fit any more, all
- * are split in halves under new numbers. A task is finished if any record says so, so that records of both forms, and of
- * several sizes, may stand side by side while one replaces the other.
+ * Chunks: one record for each 8192 tasks. Segments (a feature enabled by the rollout): records that each state which
+ * tasks they cover, as few as the maximum size of a value allows. All segments of a job have the same size; when one
+ * no longer fits, all are split in half under new numbers. A task is finished if any record contains it, so records of
+ * both forms and of several sizes may coexist while one replaces the other.
  */
 
-/** Small enough for the least value size that settings allow. */
+/** Fits into the smallest maximum size of a value that settings allow. */
 export const TASKS_PER_CHUNK = 8192;
 
-/** What fits into the least value size that settings allow, however random the bits. */
+/** Fits into the smallest maximum size of a value that settings allow, however random the bits. */
 const TASKS_PER_SMALLEST_SEGMENT = 2048;
 /** The split with the smallest segments. */
 export const FINEST_SPLIT = 6;
-/** Chunks have the numbers below. A build that knows no segments removes these with the job like any chunk. */
+/** Chunks have lower numbers. A build without support for segments removes them with the job like any chunk. */
 const FIRST_SEGMENT_NUMBER = 1000;
 const NUMBERS_PER_SPLIT = 100;
 
-/** How a job's records are cut: `split` halvings of one segment that covers all the tasks a job may have. */
+/** Layout of a job's records. `split`: how often one segment that covers all the tasks a job may have is halved. */
 export type Layout = { kind: 'chunks' } | { kind: 'segments'; split: number };
 
-/** The layout that all versions know. */
+/** The layout that all versions support. */
 export const CHUNK_LAYOUT: Layout = { kind: 'chunks' };
 
-/** Segments pay only where a job has more tasks than the smallest of them covers. */
+/** Whether segments are worthwhile: only if a job has more tasks than the smallest segment covers. */
 export function mayUseSegments(tasks: number): boolean {
   return tasks > TASKS_PER_SMALLEST_SEGMENT;
 }
 
-/** Whether a record of this number is a segment, or else a chunk. */
+/** Whether the record with this number is a segment; otherwise it is a chunk. */
 export function isSegment(recordNumber: number): boolean {
   return recordNumber >= FIRST_SEGMENT_NUMBER;
 }
 
-/** The number of a segment's record. */
+/** Returns the record number of a segment. */
 export function segmentNumber(split: number, segment: number): number {
   return FIRST_SEGMENT_NUMBER + split * NUMBERS_PER_SPLIT + segment;
 }
 
-/** Tasks that each segment of a split covers. */
+/** Number of tasks that each segment of a split covers. */
 export function tasksPerSegment(split: number): number {
   return TASKS_PER_SMALLEST_SEGMENT << (FINEST_SPLIT - split);
 }
 
-/** The layout to which a record of this number belongs. */
+/** Returns the layout of the record with this number. */
 export function layoutOf(recordNumber: number): Layout {
   if (!isSegment(recordNumber)) return CHUNK_LAYOUT;
   const split = Math.floor((recordNumber - FIRST_SEGMENT_NUMBER) / NUMBERS_PER_SPLIT);
   return { kind: 'segments', split };
 }
 
-/** Whether records of both are cut alike. */
+/** Whether two layouts are equal. */
 export function isSameLayout(one: Layout, other: Layout): boolean {
   if (one.kind === 'chunks' || other.kind === 'chunks') return one.kind === other.kind;
   return one.split === other.split;
 }
 
-/** The layout with smaller records, or the same where there are none. */
+/** Returns the layout with the next smaller records, or the same layout if there is none. */
 export function finerLayout(layout: Layout): Layout {
   if (layout.kind === 'chunks') return layout;
   return { kind: 'segments', split: Math.min(FINEST_SPLIT, layout.split + 1) };
 }
 
-/** The longest text of a chunk of a job with so many tasks, as counted against the size of a value. */
+/** Maximum size of a chunk of a job with `tasks` tasks, in bytes of JSON. */
 export function maxChunkBytes(tasks: number): number {
   const bytes = Math.ceil(Math.min(tasks, TASKS_PER_CHUNK) / 8);
   const base64Length = Math.ceil(bytes / 3) * 4;
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,4 +1,4 @@
-/** How jobs are stored. Live and ended records never stand together: one compare-and-swap moves a job. */
+/** The stored form of jobs. A job has a live or a terminal record, never both: one compare-and-swap moves a job. */
 import { isMap } from '../wire/cbor.js';
 import { type JobSpec, MAX_TASKS } from '../wire/model.js';
 
@@ -8,7 +8,7 @@
 /** Prefix of the keys of records of finished tasks. */
 export const FINISHED_PREFIX = 'd/';
 
-/** What is stored of a live job, under the names that are used inside. */
+/** The record of a live job, with the names used in the code. */
 export interface LiveJobRecord {
   spec: JobSpec;
   /** Time of day of the acceptance, in milliseconds. */
@@ -16,14 +16,14 @@
   cancelled: boolean;
 }
 
-/** A live job's record as it is stored, beside what only another version knows. The fields are written in this order. */
+/** A live job's record as stored, without fields that only other versions know. Fields are written in this order. */
 interface StoredLiveJob {
   spec: JobSpec;
   at: number;
   cancelled: boolean;
 }
 
-/** What is stored of a job that has ended. */
+/** The record of a job in a terminal state. */
 export interface TerminalJobRecord {
   state: 'done' | 'cancelled';
   tasks: number;
@@ -31,27 +31,28 @@
 
 /** The key of a live job. */
 export const liveKey = (id: string): string => LIVE_PREFIX + id;
-/** The key of an ended job. */
+/** The key of a terminal job. */
 export const terminalKey = (id: string): string => TERMINAL_PREFIX + id;
 /** The key of one record of a job's finished tasks. */
 export const finishedKey = (id: string, recordNumber: number): string =>
   `${FINISHED_PREFIX}${id}/${recordNumber}`;
 
-/** Null if the value is no live job that this version can act on. */
+/** Returns null if the value is not a live job that this version can act on. */
 export function readLive(value: unknown): LiveJobRecord | null {
   if (!isMap(value) || !isMap(value.spec) || typeof value.at !== 'number') return null;
   const { spec, at, cancelled } = value;
   return isJobSpec(spec) ? { spec, acceptedAt: at, cancelled: cancelled === true } : null;
 }
 
-/** The stored form of a job that has just been accepted. */
+/** Returns the stored form of a newly accepted job. */
 export function newLiveValue(spec: JobSpec, acceptedAt: number): StoredLiveJob {
   return { spec, at: acceptedAt, cancelled: false };
 }
 
 /**
- * A cancelled record as small as it can be, for a state service that has come to refuse it at its size: what only
- * another version knows is left out, and the list of machine types, since nothing of the job starts any more.
+ * Returns the smallest form of a cancelled record, for a state service that now refuses the record because of its size.
+ * It omits fields that only other versions know, and the list of machine types, since no task of the job starts any
+ * more.
  */
 export function minimalCancelledValue({ spec, acceptedAt }: LiveJobRecord): StoredLiveJob {
   const known = Object.fromEntries(SPEC_FIELDS.map((field) => [field, spec[field]]));
@@ -72,7 +73,7 @@
   'saveS',
 ] as const;
 const FLAG_FIELDS = ['oneZone', 'spread', 'spot'] as const;
-/** In the order in which a minimal record is written. */
+/** The fields of a job spec, in the order in which a minimal record is written. */
 const SPEC_FIELDS: (keyof JobSpec)[] = [
   ...TEXT_FIELDS,
   ...AMOUNT_FIELDS,
@@ -96,7 +97,7 @@
 const isTextListOrNull = (value: unknown): boolean =>
   value === null || (Array.isArray(value) && value.every(isText));
 
-/** A broken record must not bring the leader down, and each next leader after it. */
+/** Validates a stored spec: an invalid record must not crash the leader, and each leader after it. */
 function isJobSpec(value: Record<string, unknown>): value is Record<string, unknown> & JobSpec {
   return (
     TEXT_FIELDS.every((field) => isText(value[field])) &&
@@ -111,7 +112,7 @@
   );
 }
 
-/** Null if the value is no ended job. */
+/** Returns null if the value is not a terminal job. */
 export function readTerminal(value: unknown): TerminalJobRecord | null {
   if (!isMap(value) || typeof value.tasks !== 'number') return null;
   const { state, tasks } = value;
--- a/src/jobs/responses.ts
+++ b/src/jobs/responses.ts
@@ -1,4 +1,4 @@
-/** Answers to users' requests. */
+/** Responses to users' requests. */
 import type { Body } from '../wire/cbor.js';
 import { HTTP_STATUS } from '../wire/http-status.js';
 import { jobStateResponse } from '../wire/users.js';
@@ -9,7 +9,7 @@
 export interface ApiResponse {
   status: number;
   body: Body;
-  /** Sent with a 503: when the request may be repeated, in seconds. */
+  /** Sent with a 503: seconds after which the request may be repeated. */
   retryAfterS?: number;
 }
 
@@ -23,38 +23,38 @@
   return { ...failure(HTTP_STATUS.serviceUnavailable, error), retryAfterS: 1 };
 }
 
-/** Of a node whose version cannot read what is stored. */
+/** Sent by a node whose version cannot read the stored state. */
 export const STATE_UNREADABLE = unavailable('this node cannot read the stored state');
-/** The state service did not tell, or what a write came to is not known. */
+/** Sent if the state service did not respond, or if the outcome of a write is unknown. */
 export const STATE_UNAVAILABLE = unavailable('state service not reached');
-/** No job can be checked yet. */
+/** Sent while machine types are unknown, so that no job can be validated. */
 export const TYPES_UNKNOWN = unavailable('machine types not known yet');
-/** No job of this id was accepted. */
+/** Sent if no job with this id was accepted. */
 export const NO_SUCH_JOB = failure(HTTP_STATUS.notFound, 'no such job');
 
-/** A submission with a field that is missing or invalid. */
+/** The response to a submission with a field that is missing or invalid. */
 export function invalidField(field: string): ApiResponse {
   return failure(HTTP_STATUS.badRequest, `missing or invalid: ${field}`);
 }
 
-/** A job that can never run. */
+/** The response to the submission of a job that can never run. */
 export function impossible(reasonText: string): ApiResponse {
   return failure(HTTP_STATUS.unprocessableContent, reasonText);
 }
 
-/** The job is stored now. */
+/** The response to a submission whose job is now stored. */
 export function accepted(id: string): ApiResponse {
   return { status: HTTP_STATUS.created, body: jobStateResponse(id, 'pending') };
 }
 
-/** A live job, with what the leader last told of its progress. */
+/** The response for a live job, with the progress that the leader last reported. */
 export function liveJobResponse(id: string, progress: Progress = NOT_STARTED): ApiResponse {
   const { done, running } = progress;
   const state = running > 0 ? 'running' : 'pending';
   return { status: HTTP_STATUS.ok, body: jobStateResponse(id, state, { done, running }) };
 }
 
-/** A job that has ended, or whose cancellation is stored. */
+/** The response for a job in a terminal state, or whose cancellation is stored. */
 export function terminalJobResponse(id: string, { state, tasks }: TerminalJobRecord): ApiResponse {
   const done = state === 'done' ? tasks : 0;
   return { status: HTTP_STATUS.ok, body: jobStateResponse(id, state, { done, running: 0 }) };
--- a/src/jobs/task-queue.ts
+++ b/src/jobs/task-queue.ts
@@ -1,16 +1,16 @@
 /** The order in which a job's tasks are started. */
 
-/** Tells which tasks may be started. */
+/** Determines which tasks may be started. */
 export interface StartableTasks {
-  /** The task is neither finished nor possibly on a machine. */
+  /** Whether the task is neither finished nor possibly on a machine. */
   isStartable(taskNumber: number): boolean;
 }
 
-/** Tasks by number; those that were started before and have to be started again come first, the latest of them first. */
+/** Tasks ordered by number, after those that have to be started again, of which the latest requeued comes first. */
 export class TaskQueue {
   private readonly requeued: number[] = [];
   private readonly isRequeued = new Set<number>();
-  /** No task from here on was started, unless it was found on a machine. */
+  /** No task with this or a higher number was started, except those discovered on a machine. */
   private nextUnstarted = 0;
 
   constructor(
@@ -18,14 +18,14 @@
     private readonly tasks: StartableTasks,
   ) {}
 
-  /** A task has become startable again. */
+  /** Adds a task that has become startable again. */
   requeue(taskNumber: number): void {
     if (taskNumber >= this.nextUnstarted || this.isRequeued.has(taskNumber)) return;
     this.isRequeued.add(taskNumber);
     this.requeued.push(taskNumber);
   }
 
-  /** The task to start next; null: there is none. It stays in the queue until it is no longer startable. */
+  /** Returns the task to start next, or null. The task stays in the queue until it is no longer startable. */
   peek(): number | null {
     while (this.requeued.length > 0) {
       const taskNumber = this.requeued[this.requeued.length - 1];
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -1,15 +1,15 @@
 /**
- * What the leader knows of a live job: which tasks are finished, which may be on a machine, which wait. What an attempt
- * is beyond its task number is left open, so that this module does not depend on machines.
+ * The leader's state of a live job: which tasks are finished, which may be on a machine, and which are pending. The
+ * type of attempts is a parameter that requires only a task number, so that this module does not depend on machines.
  */
 import type { JobSpec } from '../wire/model.js';
 import { FinishedTasks } from './finished-tasks.js';
 import { type StartableTasks, TaskQueue } from './task-queue.js';
 
-/** Whether a job's end is stored. `ending`: the write is under way. */
+/** Whether a job's terminal state is stored. `ending`: the write is in progress. */
 export type JobEndState = 'live' | 'ending' | 'ended';
 
-/** Jobs with the same key can be placed on the same machines, and compete for them alike. */
+/** Returns a key that is equal for jobs that can be placed on the same machines and compete for them equally. */
 function shapeKeyOf(spec: JobSpec): string {
   return [
     spec.cpus,
@@ -23,44 +23,44 @@
   ].join('|');
 }
 
-/** What a job needs of an attempt at one of its tasks. */
+/** The properties of a task attempt that a job uses. */
 export interface JobAttempt {
   readonly taskNumber: number;
 }
 
-/** A job's tasks and their state. `Job` is the type to use. */
+/** A job's tasks and their state. Code uses the type `Job`. */
 export class TrackedJob<Attempt extends JobAttempt> implements StartableTasks {
   jobCancelled = false;
   readonly finished: FinishedTasks;
-  /** Attempts that may be on a machine, by task number; normally one each. */
+  /** Attempts that may be on a machine, by task number; normally one per task. */
   readonly attempts = new Map<number, Attempt[]>();
-  /** Tasks that run as far as is known: counted as they change, since there are many. */
+  /** Number of tasks known to be running. Updated on each change, since jobs can have many tasks. */
   running = 0;
   private readonly queue: TaskQueue;
   private startableCount: number;
-  /** When a task of it was last started, or it became known. */
+  /** When a task of the job was last started, or else when the job became known. */
   startedAt: number;
-  /** After failures the job's next start waits until then. */
+  /** Earliest time of the job's next start after failures. */
   notBefore = 0;
   failures = 0;
   /** Machines (by index) on which a task of this job failed since one last succeeded. */
   readonly failedOn = new Set<number>();
-  /** Tasks moved once already: a task moves at most once. */
+  /** Tasks that were already moved: a task is moved at most once. */
   readonly moved = new Set<number>();
-  /** Of a gang: its attempt was given up, and nothing starts before all its tasks are gone. */
+  /** Only for gangs: the attempt was aborted, and no task starts before all tasks of the gang have ended. */
   gangAttemptAborted = false;
   readonly shapeKey: string;
   endState: JobEndState = 'live';
 
   constructor(
-    /** Dense index, assigned when the job becomes known. */
+    /** Dense index, assigned when the leader learns of the job. */
     readonly index: number,
     readonly spec: JobSpec,
-    /** Of its live record, as it was last read. */
+    /** Version of the live record at the last read. */
     public version: number,
     /** Time of day of the acceptance, in milliseconds. */
     readonly acceptedAt: number,
-    /** Surely created after the leader's term began: no former leader can have started any task of it. */
+    /** Whether it was certainly created after the leader's term began: no former leader can have started its tasks. */
     readonly createdInThisTerm: boolean,
     now: number,
   ) {
@@ -83,12 +83,12 @@
     return !this.finished.has(taskNumber) && !this.attempts.has(taskNumber);
   }
 
-  /** Tasks that are neither finished nor possibly on a machine. */
+  /** Number of tasks that are neither finished nor possibly on a machine; 0 if the job is cancelled. */
   pending(): number {
     return this.jobCancelled ? 0 : this.startableCount;
   }
 
-  /** Finished tasks as they were stored, one bit each. */
+  /** Adds finished tasks from a stored record, with one bit per task. */
   loadFinished(firstTask: number, bits: Uint8Array): void {
     for (let i = 0; i < bits.length * 8; i++)
       if ((bits[i >> 3] & (1 << (i & 7))) !== 0) this.addFinished(firstTask + i);
@@ -100,18 +100,18 @@
     return true;
   }
 
-  /** The task is done; it has to be stored. */
+  /** Marks a task as finished, to be stored. */
   finish(taskNumber: number, now: number): void {
     if (this.addFinished(taskNumber)) this.finished.markDirty(taskNumber, now);
   }
 
-  /** A gang's tasks complete together: one that is done tells it of all. */
+  /** Marks all tasks as finished. The tasks of a gang complete together, so one finished task implies all. */
   finishAll(now: number): void {
     for (let taskNumber = 0; taskNumber < this.spec.tasks; taskNumber++)
       this.finish(taskNumber, now);
   }
 
-  /** What is stored tells that the task need not be started again. */
+  /** Whether the stored state shows that the task need not be started again. */
   isDurable(taskNumber: number): boolean {
     return this.endState === 'ended' || this.finished.isDurable(taskNumber);
   }
@@ -144,7 +144,7 @@
     this.queue.requeue(taskNumber);
   }
 
-  /** The task to start next; null: there is none. It stays next until an attempt of it is added. */
+  /** Returns the task to start next, or null. The result is the same until an attempt of that task is added. */
   peekNextTask(): number | null {
     return this.queue.peek();
   }
