--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -13,10 +13,10 @@
   STATE_UNAVAILABLE,
   STATE_UNREADABLE,
   TYPES_UNKNOWN,
-  accepted,
+  acceptedResponse,
   terminalJobResponse,
-  impossible,
-  invalidField,
+  impossibleJobResponse,
+  invalidFieldResponse,
   liveJobResponse,
 } from './responses.js';
 import type { CachedJob, JobCache } from './job-cache.js';
@@ -58,7 +58,7 @@
   async submit(body: Body): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     const submission = readJob(body);
-    if (submission.kind === 'invalid') return invalidField(submission.field);
+    if (submission.kind === 'invalid') return invalidFieldResponse(submission.field);
     const { job } = submission;
     const types = this.deps.types();
     if (!types) return TYPES_UNKNOWN;
@@ -66,7 +66,7 @@
     if (reason !== null) {
       // Machine types can change: a repeated submission of an accepted job gets its state, even if it were refused now.
       const stored = await this.lookup.find(job.id);
-      if (stored.kind === 'absent') return impossible(IMPOSSIBLE_TEXTS[reason]);
+      if (stored.kind === 'absent') return impossibleJobResponse(IMPOSSIBLE_TEXTS[reason]);
       return this.respond(job.id, stored);
     }
     if (this.lookup.isKnownTerminal(job.id))
@@ -86,7 +86,7 @@
     if (result.kind === 'conflict') return this.respond(job.id, await this.lookup.find(job.id));
     if (result.kind !== 'committed') return STATE_UNAVAILABLE;
     this.logWritten(job.id, HTTP_STATUS.created, result.revision);
-    return accepted(job.id);
+    return acceptedResponse(job.id);
   }
 
   /** Returns a job's state. */
--- a/src/jobs/responses.ts
+++ b/src/jobs/responses.ts
@@ -15,35 +15,35 @@
 
 const NOT_STARTED: Progress = { done: 0, running: 0 };
 
-function failure(status: number, error: string): ApiResponse {
+function errorResponse(status: number, error: string): ApiResponse {
   return { status, body: { error } };
 }
 
-function unavailable(error: string): ApiResponse {
-  return { ...failure(HTTP_STATUS.serviceUnavailable, error), retryAfterS: 1 };
+function unavailableResponse(error: string): ApiResponse {
+  return { ...errorResponse(HTTP_STATUS.serviceUnavailable, error), retryAfterS: 1 };
 }
 
 /** Sent by a node whose version cannot read the stored state. */
-export const STATE_UNREADABLE = unavailable('this node cannot read the stored state');
+export const STATE_UNREADABLE = unavailableResponse('this node cannot read the stored state');
 /** Sent if the state service did not respond, or if the outcome of a write is unknown. */
-export const STATE_UNAVAILABLE = unavailable('state service not reached');
+export const STATE_UNAVAILABLE = unavailableResponse('state service not reached');
 /** Sent while machine types are unknown, so that no job can be validated. */
-export const TYPES_UNKNOWN = unavailable('machine types not known yet');
+export const TYPES_UNKNOWN = unavailableResponse('machine types not known yet');
 /** Sent if no job with this id was accepted. */
-export const NO_SUCH_JOB = failure(HTTP_STATUS.notFound, 'no such job');
+export const NO_SUCH_JOB = errorResponse(HTTP_STATUS.notFound, 'no such job');
 
 /** The response to a submission with a field that is missing or invalid. */
-export function invalidField(field: string): ApiResponse {
-  return failure(HTTP_STATUS.badRequest, `missing or invalid: ${field}`);
+export function invalidFieldResponse(field: string): ApiResponse {
+  return errorResponse(HTTP_STATUS.badRequest, `missing or invalid: ${field}`);
 }
 
 /** The response to the submission of a job that can never run. */
-export function impossible(reasonText: string): ApiResponse {
-  return failure(HTTP_STATUS.unprocessableContent, reasonText);
+export function impossibleJobResponse(reasonText: string): ApiResponse {
+  return errorResponse(HTTP_STATUS.unprocessableContent, reasonText);
 }
 
 /** The response to a submission whose job is now stored. */
-export function accepted(id: string): ApiResponse {
+export function acceptedResponse(id: string): ApiResponse {
   return { status: HTTP_STATUS.created, body: jobStateResponse(id, 'pending') };
 }
 
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -33,7 +33,7 @@
       log.info({ id: machine.id }, 'worker lease expired');
       table.expireLease(machine, now);
       // So that no later leader waits for it.
-      machineRecords.removed(machine);
+      machineRecords.machineRemoved(machine);
     }
   }
 
--- a/src/workers/machine-page.ts
+++ b/src/workers/machine-page.ts
@@ -3,7 +3,7 @@
 import { type MachineRecord, sizeOf } from './machine-records.js';
 
 /** Size of a page's value without its records, in bytes of JSON. */
-const FRAME_BYTES = 32;
+const PAGE_OVERHEAD_BYTES = 32;
 
 /** Changes of a page that are not stored yet. Removals alone can wait; `since`: time of the first of them. */
 export type UnstoredChanges =
@@ -49,11 +49,11 @@
   }
 
   fits(recordBytes: number, maxBytes: number): boolean {
-    return this.bytes + recordBytes + FRAME_BYTES <= maxBytes;
+    return this.bytes + recordBytes + PAGE_OVERHEAD_BYTES <= maxBytes;
   }
 
   isOver(maxBytes: number): boolean {
-    return this.bytes + FRAME_BYTES > maxBytes;
+    return this.bytes + PAGE_OVERHEAD_BYTES > maxBytes;
   }
 
   hasAdditions(): boolean {
--- a/src/workers/probe-window.ts
+++ b/src/workers/probe-window.ts
@@ -7,7 +7,7 @@
 /** Maximum window as a share of the maximum number of requests in flight. */
 const MAX_WINDOW_SHARE = 0.8;
 /** A timer that fires later than this counts as late; responses have waited at least as long. */
-const LATE_MS = 120;
+const LATE_TIMER_MS = 120;
 /** Number of consecutive timers on time after which this controller is no longer congested. */
 const MIN_TIMERS_ON_TIME = 10;
 
@@ -40,7 +40,7 @@
   }
 
   timerFired(lateMs: number): void {
-    if (lateMs > LATE_MS) {
+    if (lateMs > LATE_TIMER_MS) {
       this.timersOnTime = 0;
       this.window = Math.max(MIN_WINDOW, this.window >> 1);
       return;
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -96,7 +96,7 @@
   await run(1);
   const machine = add('i-2');
   // Taken out while the write that holds it is on its way.
-  machineRecords.removed(machine);
+  machineRecords.machineRemoved(machine);
   machine.reported = false;
   await run(1);
   assert.equal(machine.stored, false);
@@ -106,6 +106,6 @@
   await run(2);
   assert.equal(machine.stored, true);
   assert.deepEqual(stored(), ['i-1', 'i-2']);
-  machineRecords.removed(machine);
+  machineRecords.machineRemoved(machine);
   assert.equal(machine.stored, false);
 });
