--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -184,8 +184,8 @@
   }
 
   /**
-   * Reduces the size of later batches after one was refused although it was within the known limits. A batch of the
-   * minimum size stays as it is, and its jobs are retried only after the long delay for `invalid`.
+   * Makes later batches smaller after one was refused although it was within the known limits. A batch of the minimum
+   * size cannot shrink further; its jobs are retried only after the long delay for `invalid`.
    */
   private shrink(batch: CompletionBatch): void {
     const { length } = batch.mutations;
--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -43,7 +43,7 @@
     return this.jobs.get(id);
   }
 
-  /** Resolves to true once all changes made before the call are applied, to false if the state service is unavailable. */
+  /** Resolves to true once all earlier changes are applied, or to false if the state service is unavailable. */
   refresh(): Promise<boolean> {
     return new Promise((done) => {
       this.waiters.push(done);
@@ -73,7 +73,8 @@
     if (!all) return false;
     this.jobs.clear();
     for (const { key, value, version } of all.pairs) this.put(key, value, version);
-    // Only the first page is as old as the revision. Changes since then are read again, and later pages may be newer.
+    // Only the first page is as old as the revision; later pages may be newer. So all changes after the revision are
+    // read again and applied.
     this.revision = all.revision;
     return this.applyChanges(all.revision);
   }
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -89,7 +89,7 @@
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
-  /** Returns the records that make a chunk durable, or null if they did not fit: later ones of the job are smaller. */
+  /** Returns the records that make a chunk durable, or null if one did not fit: the job's later records are smaller. */
   recordsFor(job: Job, chunk: number, now: number): ChunkRecords | null {
     const { layout } = this.recordsOf(job);
     const result = recordsOfChunk(
@@ -129,7 +129,7 @@
     return this.recordsOf(job).layout;
   }
 
-  /** Halves the maximum size of a value, based on the size of a refused one. */
+  /** Limits the size of values to half the size of a refused one. */
   noteValueRefused(bytes: number): void {
     this.valueBytes = Math.min(this.valueBytes, Math.floor(bytes / 2));
   }
--- a/src/jobs/progress-writer.ts
+++ b/src/jobs/progress-writer.ts
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Handles a committed batch. Its chunks stay dirty until then, so that machines keep results that are not durable. */
+  /** Handles a committed batch. Its chunks stay dirty until then, so that machines keep the results until durable. */
   committed(batch: CompletionBatch, now: number): void {
     for (const { job, chunks, layout, finishedCount } of batch.progress) {
       this.records.noteDurable(job, chunks, layout);
--- a/src/jobs/record-layout.ts
+++ b/src/jobs/record-layout.ts
@@ -14,7 +14,7 @@
 const TASKS_PER_SMALLEST_SEGMENT = 2048;
 /** The split with the smallest segments. */
 export const FINEST_SPLIT = 6;
-/** Chunks have lower numbers. A build without support for segments removes them with the job like any chunk. */
+/** Chunks have lower numbers. A build without support for segments removes segments with the job like any chunk. */
 const FIRST_SEGMENT_NUMBER = 1000;
 const NUMBERS_PER_SPLIT = 100;
 
