--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -43,7 +43,7 @@
     return this.jobs.get(id);
   }
 
-  /** Resolves to true once all earlier changes are applied, or to false if the state service is unavailable. */
+  /** Resolves to true once all changes before the call are applied, or to false if the state service is unavailable. */
   refresh(): Promise<boolean> {
     return new Promise((done) => {
       this.waiters.push(done);
