--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,4 +1,4 @@
-/** Serves users: submissions, questions about jobs, and cancellations. Any controller does. */
+/** The API for users: submission, state and cancellation of jobs. Every controller serves it. */
 import type { Mutation } from '@millring/state-access';
 import type { Log } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
@@ -8,45 +8,45 @@
 import type { JobSpec, MachineType } from '../wire/model.js';
 import { isJobId, readJob } from '../wire/users.js';
 import {
-  type Answer,
+  type ApiResponse,
   NO_SUCH_JOB,
   STATE_UNAVAILABLE,
   STATE_UNREADABLE,
   TYPES_UNKNOWN,
-  accepted,
-  endedAnswer,
-  impossible,
-  invalidField,
-  liveAnswer,
-} from './answers.js';
+  acceptedResponse,
+  terminalJobResponse,
+  impossibleJobResponse,
+  invalidFieldResponse,
+  liveJobResponse,
+} from './responses.js';
 import type { CachedJob, JobCache } from './job-cache.js';
 import { JobLookup, type StoredJob } from './job-lookup.js';
 import type { Progress } from './job-table.js';
 import { IMPOSSIBLE_TEXTS, impossibleReason } from './job-validation.js';
-import { endedKey, liveKey, minimalCancelledValue, newLiveValue } from './records.js';
+import { terminalKey, liveKey, minimalCancelledValue, newLiveValue } from './records.js';
 
-/** What the users' API needs. */
+/** Dependencies of the users' API. */
 export interface JobsApiDependencies {
   settings: Pick<PlatformSettings, 'teams'>;
   store: StateStore;
   cache: JobCache;
-  /** Can this process read what is stored? If not, any answer might be wrong. */
+  /** Whether this process can read the stored state. If not, any response might be wrong. */
   mayServe(): boolean;
-  /** Null while the catalog is not known. */
+  /** Returns the machine types, or null while the catalog is unknown. */
   types(): MachineType[] | null;
-  /** For display: what the leader last told of a job. */
+  /** The progress of a job that the leader last reported, only for display. */
   progress(id: string): Progress | undefined;
-  /** A user is about to be told that the job is cancelled. */
+  /** Called before a cancellation is confirmed to a user. */
   beforeConfirm(id: string): void;
   /** Time of day, in milliseconds. */
   wallMs(): number;
   log: Log;
 }
 
-/** A cancellation gives up after so many writes that met a record changed meanwhile. */
+/** Number of conflicting writes after which a cancellation gives up. */
 const MAX_CANCEL_ATTEMPTS = 4;
 
-/** Users' requests. Each answer rests on a read as fresh as the question, or on a compare-and-swap. */
+/** Handles users' requests. Each response is based on a read as recent as the request, or on a compare-and-swap. */
 export class JobsApi {
   private readonly lookup: JobLookup;
 
@@ -54,27 +54,27 @@
     this.lookup = new JobLookup(deps.cache, deps.store);
   }
 
-  /** Accepts a job, or tells the state of one that was accepted before under the same id. */
-  async submit(body: Body): Promise<Answer> {
+  /** Accepts a job, or returns the state of one that was accepted before under the same id. */
+  async submit(body: Body): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     const submission = readJob(body);
-    if (submission.kind === 'invalid') return invalidField(submission.field);
+    if (submission.kind === 'invalid') return invalidFieldResponse(submission.field);
     const { job } = submission;
     const types = this.deps.types();
     if (!types) return TYPES_UNKNOWN;
     const reason = impossibleReason(job, types, this.deps.settings.teams);
     if (reason !== null) {
-      // Types can change: a repeat of a job that was accepted gets its state, whatever we would say today.
+      // Machine types can change: a repeated submission of an accepted job gets its state, even if it were refused now.
       const stored = await this.lookup.find(job.id);
-      if (stored.kind === 'absent') return impossible(IMPOSSIBLE_TEXTS[reason]);
-      return this.describe(job.id, stored);
+      if (stored.kind === 'absent') return impossibleJobResponse(IMPOSSIBLE_TEXTS[reason]);
+      return this.respond(job.id, stored);
     }
-    if (this.lookup.isKnownToHaveEnded(job.id))
-      return this.describe(job.id, await this.lookup.find(job.id));
+    if (this.lookup.isKnownTerminal(job.id))
+      return this.respond(job.id, await this.lookup.find(job.id));
     const result = await this.deps.store.compareAndSwap(
       [
         { key: liveKey(job.id), version: 0 },
-        { key: endedKey(job.id), version: 0 },
+        { key: terminalKey(job.id), version: 0 },
       ],
       [
         {
@@ -83,31 +83,31 @@
         },
       ],
     );
-    if (result.kind === 'conflict') return this.describe(job.id, await this.lookup.find(job.id));
+    if (result.kind === 'conflict') return this.respond(job.id, await this.lookup.find(job.id));
     if (result.kind !== 'committed') return STATE_UNAVAILABLE;
     this.logWritten(job.id, HTTP_STATUS.created, result.revision);
-    return accepted(job.id);
+    return acceptedResponse(job.id);
   }
 
-  /** Tells a job's state. */
-  async poll(id: string): Promise<Answer> {
+  /** Returns a job's state. */
+  async poll(id: string): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     if (!isJobId(id)) return NO_SUCH_JOB;
-    return this.describe(id, await this.lookup.find(id));
+    return this.respond(id, await this.lookup.find(id));
   }
 
-  /** Cancels a job. Once this is confirmed, the job's tasks stop within `cancel_s`. */
-  async cancel(id: string): Promise<Answer> {
+  /** Cancels a job. The job's tasks stop within `cancel_s` of the confirmation. */
+  async cancel(id: string): Promise<ApiResponse> {
     if (!this.deps.mayServe()) return STATE_UNREADABLE;
     if (!isJobId(id)) return NO_SUCH_JOB;
     const { store } = this.deps;
     for (let attempt = 0; attempt < MAX_CANCEL_ATTEMPTS; attempt++) {
       const stored = await this.lookup.find(id);
-      if (stored.kind !== 'live') return this.describe(id, stored);
+      if (stored.kind !== 'live') return this.respond(id, stored);
       if (stored.record?.cancelled) return this.confirmCancelled(id);
       const preconditions = [{ key: liveKey(id), version: stored.version }];
       let result = await store.compareAndSwap(preconditions, cancellation(id, stored));
-      // Stored when larger values were allowed: a confirmed cancellation must not depend on that.
+      // The record was stored when larger values were allowed; cancellation must not fail because of its size.
       if (result.kind === 'invalid' && stored.record) {
         const value = minimalCancelledValue(stored.record);
         result = await store.compareAndSwap(preconditions, [{ put: liveKey(id), value }]);
@@ -120,46 +120,49 @@
     return STATE_UNAVAILABLE;
   }
 
-  /** The answer that rests on what was read; the log tells on what. */
-  private describe(id: string, stored: StoredJob): Answer {
-    const answer = this.answerFor(id, stored);
+  /** Returns the response based on the stored job, and logs the kind and version that were read. */
+  private respond(id: string, stored: StoredJob): ApiResponse {
+    const response = this.responseFor(id, stored);
     const version = stored.kind === 'live' ? stored.version : undefined;
-    this.deps.log.debug({ id, status: answer.status, read: stored.kind, version }, 'answer');
-    return answer;
+    this.deps.log.debug({ id, status: response.status, read: stored.kind, version }, 'response');
+    return response;
   }
 
   private logWritten(id: string, status: number, written: number): void {
-    this.deps.log.debug({ id, status, written }, 'answer');
+    this.deps.log.debug({ id, status, written }, 'response');
   }
 
-  private answerFor(id: string, stored: StoredJob): Answer {
+  private responseFor(id: string, stored: StoredJob): ApiResponse {
     switch (stored.kind) {
       case 'unavailable':
         return STATE_UNAVAILABLE;
       case 'absent':
         return NO_SUCH_JOB;
       case 'ended':
-        return endedAnswer(id, stored);
+        return terminalJobResponse(id, stored);
       case 'live':
         if (stored.record?.cancelled) return this.confirmCancelled(id);
-        return liveAnswer(id, this.deps.progress(id));
+        return liveJobResponse(id, this.deps.progress(id));
     }
   }
 
-  private confirmCancelled(id: string): Answer {
+  private confirmCancelled(id: string): ApiResponse {
     this.deps.beforeConfirm(id);
-    return endedAnswer(id, { state: 'cancelled', tasks: 0 });
+    return terminalJobResponse(id, { state: 'cancelled', tasks: 0 });
   }
 }
 
-/** Types that nobody knows are of no use, and a record must stay within what a value may hold. */
+/** Drops unknown machine types: they have no use, and the record must stay within the size limit of a value. */
 function withKnownTypes(job: JobSpec, types: MachineType[]): JobSpec {
   const known = job.types?.filter((name) => types.some((type) => type.name === name)) ?? null;
   return { ...job, types: known };
 }
 
-/** A record that can't be read was never acted on, so that its job ends at once. */
+/** The mutations that cancel a job. An unreadable record was never acted on, so its job becomes terminal at once. */
 function cancellation(id: string, { record, value }: CachedJob): Mutation[] {
   if (record) return [{ put: liveKey(id), value: { ...(value as object), cancelled: true } }];
-  return [{ remove: liveKey(id) }, { put: endedKey(id), value: { state: 'cancelled', tasks: 0 } }];
+  return [
+    { remove: liveKey(id) },
+    { put: terminalKey(id), value: { state: 'cancelled', tasks: 0 } },
+  ];
 }
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,52 +1,53 @@
-/** Finds out what is stored of a job at the moment of a question. */
+/** Reads the stored state of a job, at least as recent as the request for it. */
 import type { StateStore } from '../state-store/client.js';
 import type { CachedJob, JobCache } from './job-cache.js';
-import { type EndedJobRecord, endedKey, readEnded } from './records.js';
+import { type TerminalJobRecord, terminalKey, readTerminal } from './records.js';
 
-/** What is stored of a job. `absent`: it was never accepted. `unavailable`: the state service can't tell now. */
+/** The stored state of a job. `absent`: it was never accepted. `unavailable`: the state service cannot be read now. */
 export type StoredJob =
   | ({ kind: 'live' } & CachedJob)
-  | ({ kind: 'ended' } & EndedJobRecord)
+  | ({ kind: 'ended' } & TerminalJobRecord)
   | { kind: 'absent' }
   | { kind: 'unavailable' };
 
-const MAX_CACHED_ENDED_JOBS = 5000;
+const MAX_CACHED_TERMINAL_JOBS = 5000;
 
-/** Reads jobs as fresh as the question. */
+/** Reads jobs with linearizable reads. */
 export class JobLookup {
-  /** Only ended jobs are kept in memory: they never change again. */
-  private readonly ended = new Map<string, EndedJobRecord>();
+  /** Cache of terminal jobs only, since they never change again. */
+  private readonly terminalById = new Map<string, TerminalJobRecord>();
 
   constructor(
     private readonly cache: JobCache,
     private readonly store: StateStore,
   ) {}
 
-  isKnownToHaveEnded(id: string): boolean {
-    return this.ended.has(id);
+  isKnownTerminal(id: string): boolean {
+    return this.terminalById.has(id);
   }
 
   /**
-   * The live record is read first. A job moves from live to ended in one compare-and-swap, so one that is missing
-   * from both, read in this order, was never accepted; the other order could miss a job on its way.
+   * Reads the live record first. A job moves from live to terminal in one compare-and-swap, so a job that has neither
+   * record, read in this order, was never accepted. The other order could miss a job that moves between the reads.
    */
   async find(id: string): Promise<StoredJob> {
-    const cached = this.ended.get(id);
+    const cached = this.terminalById.get(id);
     if (cached) return { kind: 'ended', ...cached };
     if (!(await this.cache.refresh())) return { kind: 'unavailable' };
     const live = this.cache.get(id);
     if (live) return { kind: 'live', ...live };
-    const ended = await this.store.get(endedKey(id));
+    const ended = await this.store.get(terminalKey(id));
     if (ended.kind !== 'found') return { kind: ended.kind };
-    const record = readEnded(ended.entry.value);
+    const record = readTerminal(ended.entry.value);
     if (!record) return { kind: 'unavailable' };
-    this.rememberEnded(id, record);
+    this.cacheTerminal(id, record);
     return { kind: 'ended', ...record };
   }
 
-  private rememberEnded(id: string, record: EndedJobRecord): void {
-    const oldest = this.ended.keys().next();
-    if (this.ended.size >= MAX_CACHED_ENDED_JOBS && !oldest.done) this.ended.delete(oldest.value);
-    this.ended.set(id, record);
+  private cacheTerminal(id: string, record: TerminalJobRecord): void {
+    const oldest = this.terminalById.keys().next();
+    if (this.terminalById.size >= MAX_CACHED_TERMINAL_JOBS && !oldest.done)
+      this.terminalById.delete(oldest.value);
+    this.terminalById.set(id, record);
   }
 }
