--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -140,7 +140,8 @@
       this.deps.leaderPrecondition(),
       { key: LEVEL_KEY, version: view.levelVersion },
     ];
-    if (decision.restsOnAll) preconditions.push(...announcementPreconditions(view));
+    if (decision.requiresUnchangedAnnouncements)
+      preconditions.push(...announcementPreconditions(view));
     const result = await store.compareAndSwap(preconditions, [
       { put: LEVEL_KEY, value: next.level },
     ]);
--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -30,9 +30,10 @@
   conversion: Conversion;
 }
 
-/** What to do next. With `restsOnAll` the change must fail if any announcement has changed meanwhile. */
+/** The next step. With `requiresUnchangedAnnouncements` the write must fail if any announcement has changed since it was read. */
 export type Decision =
-  { kind: 'wait'; reason: string } | { kind: 'advance'; event: LevelEvent; restsOnAll: boolean };
+  | { kind: 'wait'; reason: string }
+  | { kind: 'advance'; event: LevelEvent; requiresUnchangedAnnouncements: boolean };
 
 /** The next step from the level's present state. */
 export function decide(input: DecisionInput): Decision {
@@ -143,9 +144,9 @@
 function advanceWith(
   { by, wallMs }: DecisionInput,
   event: UnstampedEvent,
-  restsOnAll: boolean,
+  requiresUnchangedAnnouncements: boolean,
 ): Decision {
-  return { kind: 'advance', event: { ...event, by, atMs: wallMs }, restsOnAll };
+  return { kind: 'advance', event: { ...event, by, atMs: wallMs }, requiresUnchangedAnnouncements };
 }
 
 function wait(reason: string): Decision {
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -46,7 +46,8 @@
 
 /** What an operator asks for: the event, whether it rests on all announcements, or why it is refused. */
 type ChangeRequest =
-  { kind: 'event'; event: LevelEvent; restsOnAll: boolean } | { kind: 'refused'; reason: string };
+  | { kind: 'event'; event: LevelEvent; requiresUnchangedAnnouncements: boolean }
+  | { kind: 'refused'; reason: string };
 
 /** Each change reads the records anew, and fails if they change meanwhile. */
 export class RolloutOperator {
@@ -100,9 +101,13 @@
     });
   }
 
-  private event(event: UnstampedEvent, restsOnAll: boolean): ChangeRequest {
+  private event(event: UnstampedEvent, requiresUnchangedAnnouncements: boolean): ChangeRequest {
     const atMs = this.deps.wallMs();
-    return { kind: 'event', event: { ...event, by: this.deps.by, atMs }, restsOnAll };
+    return {
+      kind: 'event',
+      event: { ...event, by: this.deps.by, atMs },
+      requiresUnchangedAnnouncements,
+    };
   }
 
   private async change(
@@ -116,7 +121,8 @@
     const next = advance(view.level, requested.event);
     if (next.kind === 'refused') return next;
     const preconditions = [{ key: LEVEL_KEY, version: view.levelVersion }];
-    if (requested.restsOnAll) preconditions.push(...announcementPreconditions(view));
+    if (requested.requiresUnchangedAnnouncements)
+      preconditions.push(...announcementPreconditions(view));
     return this.write(next.level, preconditions);
   }
 
