--- a/packages/rollout/src/cluster-level.ts
+++ b/packages/rollout/src/cluster-level.ts
@@ -1,6 +1,6 @@
 /** The state machine of the stored cluster level: `advance` is the only place where it changes. */
 import { BASE_LEVEL, type Feature } from './levels.js';
-import type { Builds, ClusterLevel, Held, StartedWith } from './records.js';
+import type { Builds, ClusterLevel, HeldTarget, StartedWith } from './records.js';
 
 /** Something that happened, by the controller or operator named in `by`, at a time of day in milliseconds. */
 export type LevelEvent = { by: string; atMs: number } & (
@@ -134,7 +134,7 @@
 }
 
 /** Otherwise the automatic mode would raise the level again at once. */
-function heldAfterLowering(target: number, builds: Builds): Held {
+function heldAfterLowering(target: number, builds: Builds): HeldTarget {
   return { target: target + 1, builds, reason: 'lowered by an operator' };
 }
 
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -87,7 +87,7 @@
 export type ClusterLevel = z.infer<typeof levelSchema>;
 
 /** Why a target isn't proposed again by itself: until told, or until the set of builds changes. */
-export type Held = z.infer<typeof heldSchema>;
+export type HeldTarget = z.infer<typeof heldSchema>;
 
 /** By controller, the build that it announced, as a text. */
 export type Builds = z.infer<typeof buildsSchema>;
