--- a/packages/rollout/src/cluster-level.ts
+++ b/packages/rollout/src/cluster-level.ts
@@ -59,20 +59,20 @@
 }
 
 function propose(level: ClusterLevel, startedWith: StartedWith): Step {
-  if (level.state !== 'stable') return refused(underWay(level));
+  if (level.state !== 'stable') return refused(changeInProgressReason(level));
   return fields({ state: 'preparing', target: level.active + 1, startedWith, held: null });
 }
 
 function acknowledged({ state, active }: ClusterLevel): Step {
   if (state === 'preparing') return fields({ state: 'activating' });
   if (state === 'activating') return fields({ ...stable(active + 1), held: null });
-  return refused(notRaising(state));
+  return refused(notRaisingReason(state));
 }
 
 function abort(level: ClusterLevel, reason: string, announced: Builds): Step {
   const { state, active, startedWith } = level;
-  if (state !== 'preparing' && state !== 'activating') return refused(notRaising(state));
-  const held = { target: active + 1, builds: lastKnown(startedWith, announced), reason };
+  if (state !== 'preparing' && state !== 'activating') return refused(notRaisingReason(state));
+  const held = { target: active + 1, builds: lastKnownBuilds(startedWith, announced), reason };
   return fields({ state: 'aborting', reason, held });
 }
 
@@ -83,7 +83,7 @@
 
 function lower(level: ClusterLevel, target: number, reason: string): Step {
   const { state, active } = level;
-  if (state !== 'stable') return refused(underWay(level));
+  if (state !== 'stable') return refused(changeInProgressReason(level));
   if (target < BASE_LEVEL || target >= active)
     return refused(`the level is ${active}: it can't be lowered to ${target}`);
   return fields({ state: 'lowering', target, reason });
@@ -106,7 +106,7 @@
 
 const NOT_LOWERING = 'nothing is being lowered';
 
-function notRaising(state: ClusterLevel['state']): string {
+function notRaisingReason(state: ClusterLevel['state']): string {
   return `nothing is being raised: the level is ${state}`;
 }
 
@@ -119,7 +119,7 @@
 }
 
 /** Of controllers that are missing at the moment, the builds that the change was begun with. */
-function lastKnown(startedWith: StartedWith, announced: Builds): Builds {
+function lastKnownBuilds(startedWith: StartedWith, announced: Builds): Builds {
   const builds: Builds = {};
   for (const [controller, start] of Object.entries(startedWith)) builds[controller] = start.build;
   return { ...builds, ...announced };
@@ -129,7 +129,7 @@
   return { state: 'stable', active, target: null, startedWith: {} };
 }
 
-function underWay(level: ClusterLevel): string {
+function changeInProgressReason(level: ClusterLevel): string {
   return `a change is under way: ${level.state} ${level.active} -> ${level.target ?? level.active}`;
 }
 
--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -44,9 +44,9 @@
 /** For one leader and its term. */
 export class RolloutCoordinator {
   /** Since when, by our steady clock, the present processes have all been able to raise the level. */
-  private capable: { processes: string; since: number } | null = null;
+  private capablePeriod: { processes: string; since: number } | null = null;
   /** What this leader wrote last: the watch that tells of it may come a moment later. */
-  private written: ClusterLevel | null = null;
+  private lastWrittenLevel: ClusterLevel | null = null;
   private lastLoggedWait = '';
   private readonly loggedSubjects = new Set<string>();
 
@@ -55,18 +55,20 @@
   /** Takes a step in each interval until the term ends. */
   async run(): Promise<void> {
     while (this.deps.isActive()) {
-      await sleep(this.deps.environment, this.isAtRest() ? IDLE_INTERVAL_MS : CHANGE_INTERVAL_MS);
+      await sleep(this.deps.environment, this.isStable() ? IDLE_INTERVAL_MS : CHANGE_INTERVAL_MS);
       if (this.deps.isActive() && this.deps.isLeader() && this.hasWork()) await this.step();
     }
   }
 
-  private isAtRest(): boolean {
+  private isStable(): boolean {
     return this.latestLevel()?.state === 'stable';
   }
 
   private latestLevel(): ClusterLevel | null {
     const known = this.deps.knownLevel();
-    return known && this.written && this.written.change > known.change ? this.written : known;
+    return known && this.lastWrittenLevel && this.lastWrittenLevel.change > known.change
+      ? this.lastWrittenLevel
+      : known;
   }
 
   /** A stable level is looked at only where it may be raised by itself. */
@@ -113,7 +115,7 @@
 
   private capableForMs(view: ClusterView): number {
     if (view.level.state !== 'stable' || obstacleToRaise(view, view.level.active + 1) !== null) {
-      this.capable = null;
+      this.capablePeriod = null;
       return 0;
     }
     const now = this.deps.environment.clock.now();
@@ -122,8 +124,8 @@
         state.kind === 'announced' ? `${name}=${state.announcement.process}` : name,
       )
       .join(' ');
-    if (this.capable?.processes !== processes) this.capable = { processes, since: now };
-    return now - this.capable.since;
+    if (this.capablePeriod?.processes !== processes) this.capablePeriod = { processes, since: now };
+    return now - this.capablePeriod.since;
   }
 
   private async apply(
@@ -146,7 +148,7 @@
       { put: LEVEL_KEY, value: next.level },
     ]);
     if (result.kind !== 'committed') return;
-    this.written = next.level;
+    this.lastWrittenLevel = next.level;
     logChange(environment, view.level, next.level);
   }
 
--- a/packages/rollout/src/level-watch.ts
+++ b/packages/rollout/src/level-watch.ts
@@ -25,7 +25,7 @@
 }
 
 const WATCH_TIMEOUT_MS = 10_000;
-const LEVEL_GONE = 'the cluster level is gone from the state service';
+const LEVEL_DELETED = 'the cluster level is gone from the state service';
 
 /** Never goes back to an older version of the record. */
 export class LevelWatch {
@@ -44,7 +44,7 @@
     if (read.kind === 'unavailable') return false;
     if (read.kind === 'found') this.applyRecord(read.entry.value, read.entry.version);
     // A record that was there and is gone tells nothing of the level.
-    else if (this.known && this.known.version > 0) this.deps.onUnreadable(LEVEL_GONE);
+    else if (this.known && this.known.version > 0) this.deps.onUnreadable(LEVEL_DELETED);
     else this.applyLevel({ level: INITIAL_LEVEL, version: 0 });
     return true;
   }
@@ -53,16 +53,16 @@
   async run(): Promise<void> {
     const { environment, store } = this.deps;
     while (this.deps.isActive()) {
-      const answer = await store.watch(LEVEL_KEY, this.known?.version ?? 0, WATCH_TIMEOUT_MS);
-      if (answer.kind === 'unavailable') await pause(environment);
-      else if (answer.kind === 'compacted') await this.read();
-      else for (const event of answer.events) this.applyEvent(event);
+      const response = await store.watch(LEVEL_KEY, this.known?.version ?? 0, WATCH_TIMEOUT_MS);
+      if (response.kind === 'unavailable') await pause(environment);
+      else if (response.kind === 'compacted') await this.read();
+      else for (const event of response.events) this.applyEvent(event);
     }
   }
 
   private applyEvent(event: WatchEvent): void {
     if (event.key !== LEVEL_KEY) return;
-    if (event.deleted) this.deps.onUnreadable(LEVEL_GONE);
+    if (event.deleted) this.deps.onUnreadable(LEVEL_DELETED);
     else this.applyRecord(event.value, event.version);
     this.deps.onChange();
   }
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -94,22 +94,22 @@
     return { kind: 'missing', reason: `its announcement is malformed (${read.reason})` };
   if (read.value.controller !== controller)
     return { kind: 'missing', reason: `its announcement names ${read.value.controller}` };
-  const present = incarnation ? parseIncarnation(incarnation.value) : null;
-  if (present?.kind !== 'valid')
+  const currentIncarnation = incarnation ? parseIncarnation(incarnation.value) : null;
+  if (currentIncarnation?.kind !== 'valid')
     return { kind: 'missing', reason: 'its incarnation is not stored' };
   if (
-    present.value.incarnation !== read.value.incarnation ||
-    present.value.process !== read.value.process
+    currentIncarnation.value.incarnation !== read.value.incarnation ||
+    currentIncarnation.value.process !== read.value.process
   )
     return { kind: 'missing', reason: 'its announcement is from an earlier incarnation' };
   return { kind: 'announced', announcement: read.value, version: announcement.version };
 }
 
-function checkProcess(view: ControllerView, heardProcess: string | undefined): ControllerView {
+function checkProcess(view: ControllerView, reportedProcess: string | undefined): ControllerView {
   if (
     view.kind === 'missing' ||
-    heardProcess === undefined ||
-    heardProcess === view.announcement.process
+    reportedProcess === undefined ||
+    reportedProcess === view.announcement.process
   )
     return view;
   return {
