--- a/packages/rollout/test/cluster-level.test.ts
+++ b/packages/rollout/test/cluster-level.test.ts
@@ -47,9 +47,11 @@
         if (next.kind === 'refused') continue;
         assert.equal(parseClusterLevel(next.level).kind, 'valid', JSON.stringify(next.level));
         assert.equal(next.level.change, level.change + 1);
-        for (const each of [2, 3, 4].map(feature)) {
-          const step = Math.abs(RANK[modeOf(each, next.level)] - RANK[modeOf(each, level)]);
-          assert.ok(step <= 1, `${level.state} -> ${next.level.state}: ${each.name}`);
+        for (const testedFeature of [2, 3, 4].map(feature)) {
+          const step = Math.abs(
+            RANK[modeOf(testedFeature, next.level)] - RANK[modeOf(testedFeature, level)],
+          );
+          assert.ok(step <= 1, `${level.state} -> ${next.level.state}: ${testedFeature.name}`);
         }
         level = next.level;
       }
--- a/packages/rollout/test/decide.test.ts
+++ b/packages/rollout/test/decide.test.ts
@@ -26,9 +26,16 @@
   ungated_builds_retired: false,
 };
 
-function feature(level: number, over: Partial<Feature> = {}): Feature {
+function feature(level: number, overrides: Partial<Feature> = {}): Feature {
   const covers = { records: [], messages: [], decisions: [] };
-  return { name: `f${level}`, level, covers, withoutGate: 'harmless', reversible: true, ...over };
+  return {
+    name: `f${level}`,
+    level,
+    covers,
+    withoutGate: 'harmless',
+    reversible: true,
+    ...overrides,
+  };
 }
 
 const REGISTRY = new FeatureRegistry([feature(2), feature(3)]);
@@ -50,14 +57,18 @@
     });
   }
 
-  announce(name: string, its: Build, over: Partial<Announcement> & object = {}): this {
+  announce(
+    name: string,
+    announcedBuild: Build,
+    overrides: Partial<Announcement> & object = {},
+  ): this {
     const announcement = {
       controller: name,
       incarnation: 1,
       process: `${name}-p1`,
-      build: its,
+      build: announcedBuild,
       acknowledged: this.level.change,
-      ...over,
+      ...overrides,
     };
     const { incarnation, process } = announcement;
     this.values.set(announcementKey(name), announcement);
@@ -87,7 +98,7 @@
     return result.view;
   }
 
-  situation(over: Partial<DecisionInput> = {}): DecisionInput {
+  decisionInput(overrides: Partial<DecisionInput> = {}): DecisionInput {
     return {
       view: this.view(),
       registry: REGISTRY,
@@ -96,30 +107,33 @@
       wallMs: 1000,
       capableForMs: 0,
       conversion: { kind: 'done' },
-      ...over,
+      ...overrides,
     };
   }
 
   /** Does what is decided, after which everyone confirms. */
-  follow(its: Build[], over: Partial<DecisionInput> = {}): LevelEvent['type'] | 'wait' {
-    const decision = decide(this.situation({ capableForMs: 20_000, ...over }));
+  applyDecision(
+    builds: Build[],
+    overrides: Partial<DecisionInput> = {},
+  ): LevelEvent['type'] | 'wait' {
+    const decision = decide(this.decisionInput({ capableForMs: 20_000, ...overrides }));
     if (decision.kind === 'wait') return 'wait';
     const next = advance(this.level, decision.event);
     assert.ok(next.kind === 'changed');
     this.level = next.level;
-    NAMES.forEach((name, i) => this.announce(name, its[i]));
+    NAMES.forEach((name, i) => this.announce(name, builds[i]));
     return decision.event.type;
   }
 }
 
-const all = (its: Build): Build[] => NAMES.map(() => its);
+const sameBuild = (sharedBuild: Build): Build[] => NAMES.map(() => sharedBuild);
 
 test('who has not announced itself in its present incarnation is missing, and why', () => {
   const reason = (records: Records, processes?: Map<string, string>): string => {
     const view = records.view(processes).controllers.get('n1');
     return view?.kind === 'missing' ? view.reason : 'announced';
   };
-  const records = (): Records => new Records(all(build(2)));
+  const records = (): Records => new Records(sameBuild(build(2)));
   assert.equal(reason(records()), 'announced');
   assert.match(reason(records().remove(announcementKey('n1'))), /not announced/);
   assert.match(reason(records().remove(incarnationKey('n1'))), /incarnation is not stored/);
@@ -136,47 +150,47 @@
 });
 
 test('levels are raised one at a time, also where builds skip one', () => {
-  const its = all(build(3));
-  const records = new Records(its);
-  const events = Array.from({ length: 7 }, () => records.follow(its));
+  const builds = sameBuild(build(3));
+  const records = new Records(builds);
+  const events = Array.from({ length: 7 }, () => records.applyDecision(builds));
   const raise = ['propose', 'acknowledged', 'acknowledged'];
   assert.deepEqual(events, [...raise, ...raise, 'wait']);
   assert.equal(records.level.active, 3);
 });
 
 test('a second rollout that begins amid the first does not disturb it', () => {
-  const its = all(build(2));
-  const records = new Records(its);
-  assert.equal(records.follow(its), 'propose');
-  its[2] = build(3);
-  assert.equal(records.follow(its), 'acknowledged');
-  assert.equal(records.follow(its), 'acknowledged');
+  const builds = sameBuild(build(2));
+  const records = new Records(builds);
+  assert.equal(records.applyDecision(builds), 'propose');
+  builds[2] = build(3);
+  assert.equal(records.applyDecision(builds), 'acknowledged');
+  assert.equal(records.applyDecision(builds), 'acknowledged');
   assert.equal(records.level.active, 2);
-  assert.equal(records.follow(its), 'wait');
+  assert.equal(records.applyDecision(builds), 'wait');
 });
 
 test('soaking, a hold and its release', () => {
-  const records = new Records(all(build(2)));
-  assert.equal(decide(records.situation({ capableForMs: 9000 })).kind, 'wait');
+  const records = new Records(sameBuild(build(2)));
+  assert.equal(decide(records.decisionInput({ capableForMs: 9000 })).kind, 'wait');
   const manual = { ...SETTINGS, mode: 'manual' as const };
-  assert.equal(decide(records.situation({ capableForMs: 1e6, settings: manual })).kind, 'wait');
+  assert.equal(decide(records.decisionInput({ capableForMs: 1e6, settings: manual })).kind, 'wait');
   const builds = { n0: 'v2 (reads 1 to 2, writes 2)' };
   records.level = {
     ...INITIAL_LEVEL,
     held: { target: 2, builds: { ...builds, n1: builds.n0, n2: builds.n0 }, reason: 'r' },
   };
-  assert.equal(decide(records.situation({ capableForMs: 1e6 })).kind, 'wait');
+  assert.equal(decide(records.decisionInput({ capableForMs: 1e6 })).kind, 'wait');
   // One that is away has not changed.
   records.remove(announcementKey('n2'));
-  assert.equal(decide(records.situation({ capableForMs: 1e6 })).kind, 'wait');
+  assert.equal(decide(records.decisionInput({ capableForMs: 1e6 })).kind, 'wait');
   records.announce('n2', build(3));
-  const released = decide(records.situation({ capableForMs: 1e6 }));
+  const released = decide(records.decisionInput({ capableForMs: 1e6 }));
   assert.ok(released.kind === 'advance' && released.event.type === 'release');
 });
 
 test('a feature that builds without levels would misread waits until none can return', () => {
   const registry = new FeatureRegistry([feature(2, { withoutGate: 'unsafe' })]);
-  const view = new Records(all(build(2))).view();
+  const view = new Records(sameBuild(build(2))).view();
   assert.match(obstacleToPropose(view, registry, SETTINGS) ?? '', /misread/);
   assert.equal(
     obstacleToPropose(view, registry, { ...SETTINGS, ungated_builds_retired: true }),
@@ -186,8 +200,8 @@
 });
 
 test('lowering is kept back where a controller could not read, or records can not be converted', () => {
-  const its = all(build(2));
-  const records = new Records(its);
+  const builds = sameBuild(build(2));
+  const records = new Records(builds);
   const lowering: ClusterLevel = {
     ...INITIAL_LEVEL,
     state: 'lowering',
@@ -198,21 +212,21 @@
   };
   records.level = lowering;
   for (const name of NAMES) records.announce(name, build(2));
-  const keepReason = (over: Partial<DecisionInput>): string => {
-    const decision = decide(records.situation(over));
+  const keepReason = (overrides: Partial<DecisionInput>): string => {
+    const decision = decide(records.decisionInput(overrides));
     return decision.kind === 'advance' && decision.event.type === 'keep'
       ? decision.event.reason
       : '';
   };
   assert.equal(keepReason({ conversion: { kind: 'refused', reason: 'too large' } }), 'too large');
   assert.equal(
-    decide(records.situation({ conversion: { kind: 'running', remaining: 3 } })).kind,
+    decide(records.decisionInput({ conversion: { kind: 'running', remaining: 3 } })).kind,
     'wait',
   );
   records.announce('n1', build(3, 2));
   assert.match(keepReason({ view: records.view() }), /n1 runs build v3/);
   records.remove(announcementKey('n1'));
-  assert.equal(decide(records.situation({ wallMs: 50_000 })).kind, 'wait');
+  assert.equal(decide(records.decisionInput({ wallMs: 50_000 })).kind, 'wait');
   assert.match(keepReason({ wallMs: 70_000 }), /no progress for 60 s: n1/);
 });
 
