--- a/packages/rollout/src/announcer.ts
+++ b/packages/rollout/src/announcer.ts
@@ -1,6 +1,6 @@
 /**
- * Registers this process as the latest incarnation of its controller, and keeps its announcement stored: which build it
- * is, and which change of the cluster level it has taken over.
+ * Registers this process as the latest incarnation of its controller, and keeps its announcement stored. The
+ * announcement states the build of the process and the last change of the feature level that the process has applied.
  */
 import { type Environment, type ReadResult, type StateAccess, sleep } from '@millring/state-access';
 import type { Build } from './levels.js';
@@ -15,58 +15,62 @@
   parseIncarnation,
 } from './records.js';
 
-/** What announcing needs of the participant. */
+/** Dependencies of the announcer on the participant. */
 export interface AnnouncerDependencies {
   environment: Environment;
   store: StateAccess;
   /** Name of this controller. */
   self: string;
-  /** Tells this process apart from all others of the same controller. */
+  /** Id that distinguishes this process from all other processes of this controller. */
   process: string;
   build: Build;
-  /** How long the announcement outlives its process. */
+  /**
+   * Duration of the announcement's lease in milliseconds. The announcement outlives its process by at most this time.
+   */
   leaseMs: number;
-  /** The level to confirm; null while it is not known. */
+  /** Returns the level to confirm; null while it is not known. */
   level(): ClusterLevel | null;
-  /** A newer process of the same controller has registered. Called once. */
+  /** Called once, when a newer process of the same controller is found to have registered. */
   onReplaced(): void;
 }
 
 /**
+ * The result of an attempt to register.
+ *
  * - `registered`: this process is the latest incarnation.
- * - `unregistered`: no process of this controller has ever registered, and none was to be.
- * - `failed`: nothing is known; to be tried again.
+ * - `unregistered`: no process of this controller has ever registered, and `onlyIfEverRegistered` was set.
+ * - `failed`: the result is unknown or the attempt failed; it has to be repeated.
  */
 export type Registration = 'registered' | 'unregistered' | 'failed';
 
 const RENEWALS_PER_LEASE = 3;
-/** Longest sleep of the loop: a change that needs a confirmation is noticed within it. */
+/** Longest sleep of the renewal loop: a level change that needs a confirmation is noticed within this time. */
 const MAX_SLEEP_MS = 2 * MIN_PAUSE_MS * RENEWALS_PER_LEASE;
 
 const NEVER_REGISTERED: Incarnation = { incarnation: 0, process: '' };
 
-/** Writes nothing any more once this process was replaced. */
+/** Keeps the announcement of one process up to date. Writes nothing once this process is replaced. */
 export class Announcer {
   private incarnation = 0;
   private incarnationVersion = 0;
   private leaseId: number | null = null;
   private announcementVersion = 0;
-  /** The change of the level that the stored announcement confirms. */
+  /** Number of the level change that the stored announcement confirms; -1 before the first confirmation. */
   private acknowledgedChange = -1;
   private replaced = false;
   private isAnnouncing = false;
 
   constructor(private readonly deps: AnnouncerDependencies) {}
 
-  /** A newer process of the same controller has registered. */
+  /** Whether a newer process of the same controller has registered. */
   isReplaced(): boolean {
     return this.replaced;
   }
 
   /**
-   * Tries once to register. The incarnation and the first announcement are one transaction, on the precondition of the
-   * incarnation before: whatever an earlier process of this controller has on its way fails from then on, however late it
-   * arrives. With `onlyIfEverRegistered`, a controller that has never registered stays so.
+   * Makes one attempt to register. The incarnation and the first announcement are written in one transaction, with the
+   * previous incarnation as precondition. From then on, delayed writes of an earlier process of this controller fail,
+   * however late they arrive. With `onlyIfEverRegistered`, a controller that has never registered remains unregistered.
    */
   async register(onlyIfEverRegistered: boolean): Promise<Registration> {
     const { store, self, process, leaseMs } = this.deps;
@@ -104,7 +108,10 @@
     return { controller: self, incarnation, process, build, acknowledged };
   }
 
-  /** Renews the announcement's lease, and stores the announcement again if it is gone or out of date. */
+  /**
+   * Renews the announcement's lease until this process is replaced. Rewrites the announcement if its lease has expired
+   * or if it is out of date.
+   */
   async run(): Promise<void> {
     const { environment, leaseMs } = this.deps;
     let lastRenewalAt = environment.clock.now();
@@ -119,7 +126,7 @@
     }
   }
 
-  /** To be called when the level has changed: confirms the change at once if it has to be. */
+  /** Must be called after each change of the level. Confirms the change immediately if it needs a confirmation. */
   announceIfNeeded(): void {
     if (this.needsToAcknowledge()) void this.announce();
   }
@@ -128,7 +135,7 @@
     return this.needsToAcknowledge() || this.leaseId === null;
   }
 
-  /** A level that is stable needs nobody's confirmation. */
+  /** Whether the current level change still has to be confirmed. A stable level needs no confirmation. */
   private needsToAcknowledge(): boolean {
     const level = this.deps.level();
     return level !== null && level.state !== 'stable' && level.change !== this.acknowledgedChange;
@@ -174,7 +181,7 @@
     }
   }
 
-  /** After a conflict or a lost response: finds out what is stored, and whether this process was replaced. */
+  /** After a conflict or a lost response, reads what is stored and whether this process was replaced. */
   private async resolveConflict(): Promise<void> {
     const { store, self, process } = this.deps;
     if (this.isNewerThanSelf(await store.get(incarnationKey(self)))) {
@@ -197,7 +204,7 @@
   }
 }
 
-/** One that can't be read counts as none. */
+/** Returns the stored incarnation, or `NEVER_REGISTERED` if there is none or it can't be read. */
 function lastIncarnation(read: ReadResult): Incarnation {
   if (read.kind !== 'found') return NEVER_REGISTERED;
   const parsed = parseIncarnation(read.entry.value);
--- a/packages/rollout/src/level-watch.ts
+++ b/packages/rollout/src/level-watch.ts
@@ -1,49 +1,49 @@
-/** Follows the stored cluster level. */
+/** Follows changes of the cluster's stored feature level. */
 import type { Environment, StateAccess, WatchEvent } from '@millring/state-access';
 import { pause } from './pause.js';
 import { type ClusterLevel, INITIAL_LEVEL, LEVEL_KEY, parseClusterLevel } from './records.js';
 
-/** The level as it was read last. */
+/** The level at the last read. */
 export interface KnownLevel {
   level: ClusterLevel;
-  /** Of the record; 0: no level is stored. */
+  /** Version of the level's record; 0 if no level is stored. */
   version: number;
 }
 
-/** What following the level needs of the participant. */
+/** Dependencies of the watch on the participant. */
 export interface LevelWatchDependencies {
   environment: Environment;
   store: StateAccess;
-  /** The watch ends once this is false. */
+  /** Returns whether the watch should continue. The watch ends once this is false. */
   isActive(): boolean;
-  /** A level was read that is newer than all before. */
+  /** Called when a level is read that is not older than the one before. */
   onLevel(known: KnownLevel): void;
-  /** The stored level can't be told: nothing may rest on the one read last. */
+  /** Called when the stored level can't be determined. The level at the last read must then not be relied on. */
   onUnreadable(reason: string): void;
-  /** Called after each change that the watch has reported. */
+  /** Called after each change that the watch reports. */
   onChange(): void;
 }
 
 const WATCH_TIMEOUT_MS = 10_000;
 const LEVEL_DELETED = 'the cluster level is gone from the state service';
 
-/** Never goes back to an older version of the record. */
+/** Keeps the latest level. Never returns to an older version of the record. */
 export class LevelWatch {
   private known: KnownLevel | null = null;
 
   constructor(private readonly deps: LevelWatchDependencies) {}
 
-  /** Null before the first successful `read`. */
+  /** Returns the level at the last read; null before the first successful `read`. */
   current(): KnownLevel | null {
     return this.known;
   }
 
-  /** Reads the level once; false if the state service did not answer. */
+  /** Reads the level once. Returns false if the state service did not respond. */
   async read(): Promise<boolean> {
     const read = await this.deps.store.get(LEVEL_KEY);
     if (read.kind === 'unavailable') return false;
     if (read.kind === 'found') this.applyRecord(read.entry.value, read.entry.version);
-    // A record that was there and is gone tells nothing of the level.
+    // If a record existed before and has been deleted, the level is unknown.
     else if (this.known && this.known.version > 0) this.deps.onUnreadable(LEVEL_DELETED);
     else this.applyLevel({ level: INITIAL_LEVEL, version: 0 });
     return true;
