--- a/packages/rollout/src/participant-state.ts
+++ b/packages/rollout/src/participant-state.ts
@@ -1,12 +1,13 @@
-/** Whether a controller process may serve, as a state machine. */
+/** The state machine that determines whether a controller process may serve. */
 import type { Environment } from '@millring/state-access';
 
 /**
- * - `joining`: not registered yet, or the level is not known; nothing is served.
- * - `outside`: the rollout is off here and this controller has never taken part, so that no level can have been
- *   raised; everything is served at the base level.
- * - `serving`: registered, and the active level can be read.
- * - `excluded`: the active level can't be read, or a newer process of the same controller has registered.
+ * - `joining`: the process has not registered yet, or the level is not known. It does not serve.
+ * - `outside`: the rollout is off in this controller, and the controller has never taken part in it, so the level can't
+ *   have been raised. The process serves at the base level.
+ * - `serving`: the process has registered and can read the active level.
+ * - `excluded`: the process can't read the active level, or a newer process of the same controller has registered. It
+ *   does not serve.
  */
 export type ParticipantState = 'joining' | 'outside' | 'serving' | 'excluded';
 
@@ -17,33 +18,32 @@
   excluded: ['serving'],
 };
 
-/** Every change of state goes through `transitionTo`, which logs it. */
+/** Holds the state of the process. Every change of state goes through `transitionTo`, which logs it. */
 export class ServingState {
   private state: ParticipantState = 'joining';
   private why = 'the cluster level is not known yet';
 
-  /** `onServingChanged` is called whenever the answer of `mayServe` changes. */
+  /** `onServingChanged` is called whenever the result of `mayServe` changes. */
   constructor(
     private readonly log: Pick<Environment['log'], 'info'>,
     private readonly onServingChanged: (mayServe: boolean) => void,
   ) {}
 
-  /** As last decided. */
   current(): ParticipantState {
     return this.state;
   }
 
-  /** Anything may be served. */
+  /** Whether the process may serve. */
   mayServe(): boolean {
     return this.state === 'serving' || this.state === 'outside';
   }
 
-  /** Why the state is as it is. */
+  /** Returns the reason for the current state. */
   reason(): string {
     return this.why;
   }
 
-  /** Does nothing if the state is the same; throws for a transition that the state machine lacks. */
+  /** Does nothing if the state stays the same. Throws if the state machine does not allow the transition. */
   transitionTo(next: ParticipantState, why: string): void {
     if (next === this.state) return;
     if (!ALLOWED_TRANSITIONS[this.state].includes(next))
@@ -55,7 +55,7 @@
     if (mayServeBefore !== this.mayServe()) this.onServingChanged(this.mayServe());
   }
 
-  /** Also takes over the reason if the process is excluded already. */
+  /** Excludes the process. Replaces the reason if the process is already excluded. */
   exclude(why: string): void {
     this.why = why;
     this.transitionTo('excluded', why);
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -1,6 +1,6 @@
 /**
- * A controller process as a participant of the rollout: it registers its incarnation, announces its build, takes over
- * and confirms each change of the cluster level, and tells whether it may serve.
+ * A controller process as a participant of the rollout. It registers its incarnation, announces its build, applies and
+ * confirms each change of the cluster's feature level, and determines whether it may serve.
  */
 import type { Environment, Precondition, StateAccess } from '@millring/state-access';
 import { Announcer } from './announcer.js';
@@ -13,22 +13,22 @@
 import { type ClusterLevel, LEVEL_KEY } from './records.js';
 import type { RolloutSettings } from './settings.js';
 
-/** What a participant needs of its process and of the settings. */
+/** Dependencies of a participant on its process and on the settings. */
 export interface ParticipantDependencies {
   environment: Environment;
   store: StateAccess;
   /** Name of this controller. */
   self: string;
-  /** Tells this process apart from all others of the same controller. */
+  /** Id that distinguishes this process from all other processes of this controller. */
   process: string;
   build: Build;
   registry: FeatureRegistry;
   settings: Pick<RolloutSettings, 'mode' | 'announcement_lease_s'>;
-  /** Called whenever the answer of `mayServe` changes. */
+  /** Called whenever the result of `mayServe` changes. */
   onServingChanged(mayServe: boolean): void;
 }
 
-/** One for each controller process, for as long as it lives. */
+/** The participant of one controller process. Exists for the lifetime of the process. */
 export class RolloutParticipant {
   private readonly serving: ServingState;
   private readonly levelWatch: LevelWatch;
@@ -67,22 +67,25 @@
     });
   }
 
-  /** Anything may be served. */
+  /** Whether this process may serve. */
   mayServe(): boolean {
     return this.serving.mayServe();
   }
 
-  /** Why nothing is served, for `/healthz`. */
+  /** Returns the reason why this process does not serve, for `/healthz`. */
   reason(): string {
     return this.serving.reason();
   }
 
-  /** The cluster level as last read; null while it is not known. */
+  /** Returns the cluster's feature level at the last read; null while it is not known. */
   level(): ClusterLevel | null {
     return this.levelWatch.current()?.level ?? null;
   }
 
-  /** How the feature stands here. An excluded process uses none. Throws for a name that nobody registered. */
+  /**
+   * Returns the mode of the feature in this process. It is `off` unless the process is serving. Throws if the name is
+   * not registered.
+   */
   mode(feature: string): FeatureMode {
     const registered = this.deps.registry.get(feature);
     const level = this.level();
@@ -92,8 +95,8 @@
   }
 
   /**
-   * For every write in the form of a feature: the write fails once the level has changed. Null if the feature is not on,
-   * and then nothing may be written in its form.
+   * Returns the precondition for every write in the format of the feature, which makes the write fail once the level
+   * has changed. Returns null if the feature is not on, and nothing may then be written in its format.
    */
   writePrecondition(feature: string): Precondition | null {
     const known = this.levelWatch.current();
@@ -101,7 +104,7 @@
     return { key: LEVEL_KEY, version: known.version };
   }
 
-  /** Resolves once the process has registered and knows the level, or takes no part. */
+  /** Resolves once the process has registered and knows the level, or once it is known not to take part. */
   async join(): Promise<void> {
     const { environment, settings } = this.deps;
     const isOff = settings.mode === 'off';
@@ -114,13 +117,14 @@
       this.serving.transitionTo('outside', 'the rollout is off');
       return;
     }
-    // Read after registering: from then on no change that rests on an earlier process of ours can be made.
+    // The level is read after the registration: from then on, no change of the level can be made that depends on the
+    // announcement of an earlier process of this controller.
     while (!(await this.levelWatch.read())) await pause(environment);
     void this.levelWatch.run();
     void this.announcer.run();
   }
 
-  /** The rollout is off and was never on here. */
+  /** Whether the rollout is off and this controller has never taken part in it. */
   isOutside(): boolean {
     return this.serving.current() === 'outside';
   }
--- a/packages/rollout/src/settings.ts
+++ b/packages/rollout/src/settings.ts
@@ -1,22 +1,26 @@
 /** The operators' settings of the rollout. */
 
-/** Fields are named as in the operators' settings file. */
+/** The settings, with the field names of the operators' settings file. */
 export interface RolloutSettings {
   /**
-   * `off`: controllers announce nothing, and the level stays as it is. `manual`: an operator raises it. `automatic`:
-   * it is raised once all controllers have been able to for `soak_s`.
+   * `off`: controllers announce nothing, and the level remains unchanged. `manual`: an operator raises the level.
+   * `automatic`: the leader raises the level once all controllers have been able to raise it for `soak_s`.
    */
   mode: 'off' | 'manual' | 'automatic';
-  /** How long one set of processes must have been able to raise the level before it is raised by itself. */
+  /**
+   * Time in seconds for which one set of processes must have been able to raise the level before it is raised
+   * automatically.
+   */
   soak_s: number;
-  /** A change without progress for so long is given up. */
+  /** Time in seconds after which a change of the level without progress is abandoned. */
   stall_s: number;
-  /** A change is given up once a controller has started this often since it began. */
+  /** A raise of the level is aborted once a controller has restarted this many times since the raise began. */
   restarts: number;
-  /** How long an announcement outlives its process. */
+  /** Duration of an announcement's lease in seconds. The announcement outlives its process by at most this time. */
   announcement_lease_s: number;
   /**
-   * No build from before the rollout's gate can return: required for features that such a build would misread.
+   * Whether no build that predates the rollout's level check can return. Required for features that such a build would
+   * misread.
    */
   ungated_builds_retired: boolean;
 }
