--- a/packages/rollout/src/cluster-level.ts
+++ b/packages/rollout/src/cluster-level.ts
@@ -1,8 +1,8 @@
-/** The state machine of the stored cluster level: `advance` is the only place where it changes. */
+/** The state machine of the cluster's stored feature level. The level is only changed in `advance`. */
 import { BASE_LEVEL, type Feature } from './levels.js';
 import type { Builds, ClusterLevel, HeldTarget, StartedWith } from './records.js';
 
-/** Something that happened, by the controller or operator named in `by`, at a time of day in milliseconds. */
+/** An event caused by the controller or operator `by` at `atMs`, the time of day in milliseconds. */
 export type LevelEvent = { by: string; atMs: number } & (
   | { type: 'propose'; startedWith: StartedWith }
   | { type: 'acknowledged' }
@@ -14,18 +14,18 @@
   | { type: 'release' }
 );
 
-/** An event as it is decided on: who and when are added where it is applied. */
+/** An event without its originator and time, which are added when it is applied. */
 export type UnstampedEvent = LevelEvent extends infer Event
   ? Event extends LevelEvent
     ? Omit<Event, 'by' | 'atMs'>
     : never
   : never;
 
-/** The changed level, or why the event does not fit the level's state. */
+/** The changed level, or the reason why the event is not allowed in the level's state. */
 export type Advance =
   { kind: 'changed'; level: ClusterLevel } | { kind: 'refused'; reason: string };
 
-/** The level after the event, or why the event does not fit its state. */
+/** Returns the level after the event, or the reason why the event is not allowed in the level's state. */
 export function advance(level: ClusterLevel, event: LevelEvent): Advance {
   const step = stepFor(level, event);
   if (step.kind === 'refused') return step;
@@ -34,7 +34,7 @@
   return { kind: 'changed', level: { ...level, reason: null, ...step.fields, ...stamp } };
 }
 
-/** What an event changes. */
+/** The fields that an event changes, or the reason why it is not allowed. */
 type Step = { kind: 'fields'; fields: Partial<ClusterLevel> } | { kind: 'refused'; reason: string };
 
 function stepFor(level: ClusterLevel, event: LevelEvent): Step {
@@ -118,7 +118,7 @@
   return { kind: 'refused', reason };
 }
 
-/** Of controllers that are missing at the moment, the builds that the change was begun with. */
+/** Returns the announced builds and, for missing controllers, the builds that the change was started with. */
 function lastKnownBuilds(startedWith: StartedWith, announced: Builds): Builds {
   const builds: Builds = {};
   for (const [controller, start] of Object.entries(startedWith)) builds[controller] = start.build;
@@ -133,23 +133,24 @@
   return `a change is under way: ${level.state} ${level.active} -> ${level.target ?? level.active}`;
 }
 
-/** Otherwise the automatic mode would raise the level again at once. */
+/** Holds the level above the target. Otherwise the automatic mode would immediately raise the level again. */
 function heldAfterLowering(target: number, builds: Builds): HeldTarget {
   return { target: target + 1, builds, reason: 'lowered by an operator' };
 }
 
 /**
- * How a feature stands at a controller that has taken over this level.
+ * How a controller that has applied a level uses a feature.
  *
- * - `off`: neither written nor expected.
- * - `tolerated`: not written, but anyone else may write it at any moment.
- * - `on`: written.
+ * - `off`: the controller neither writes the feature's format nor expects it.
+ * - `tolerated`: the controller does not write the format, but any other controller may write it at any time.
+ * - `on`: the controller writes the format.
  *
- * No two serving controllers are ever two steps apart: a step is taken only once all have confirmed the one before.
+ * The modes of two serving controllers never differ by two steps: the next step is taken only after all controllers
+ * have confirmed the previous one.
  */
 export type FeatureMode = 'off' | 'tolerated' | 'on';
 
-/** How the feature stands at this level, whatever the build can write. */
+/** Returns the mode of the feature at this level. Does not take into account what the build can write. */
 export function modeOf(feature: Feature, level: ClusterLevel): FeatureMode {
   const { state, active, target } = level;
   if (state === 'lowering' && target !== null && feature.level > target)
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -1,28 +1,28 @@
 /**
- * Feature levels. A level is a whole number; raising the cluster's level by one turns on the features registered
- * for the new level. Each build declares which levels it can read and the highest that it can write.
+ * Feature levels. A level is an integer. Raising the cluster's level by one turns on the features registered for the
+ * new level. Each build declares which levels it can read and the highest level that it can write.
  */
 
-/** What every build with this package can read and write: the forms and decisions from before there were levels. */
+/** The level that every build with this package can read and write: formats and decisions that predate levels. */
 export const BASE_LEVEL = 1;
 
-/** Both ends included. */
+/** A range of levels that includes both ends. */
 interface LevelRange {
   from: number;
   to: number;
 }
 
-/** What a program declares of itself. */
+/** The version and the supported levels that a program declares. */
 export interface Build {
-  /** Shown to operators; two builds with the same text count as the same build. */
+  /** Version text shown to operators. Two builds with the same text count as the same build. */
   version: string;
-  /** The levels whose records, messages and decisions it understands. */
+  /** The levels whose records, messages and decisions the build understands. */
   reads: LevelRange;
-  /** The highest level whose forms it can write. */
+  /** The highest level whose formats the build can write. */
   writes: number;
 }
 
-/** A form or decision that is used only from a level on. */
+/** A format of records or messages, or a way to decide, that is used only from a certain level on. */
 export interface Feature {
   name: string;
   /** The cluster level that turns it on. */
@@ -30,18 +30,19 @@
   /** What the feature changes, for operators and reviewers. */
   covers: { records: string[]; messages: string[]; decisions: string[] };
   /**
-   * What a build from before this package makes of it, since such a build can't refuse to serve by itself.
-   * `harmless`: it takes the form for missing knowledge, which keeps every rule. `unsafe`: it would misread it.
+   * How a build that predates this package interprets the feature's format. Such a build can't refuse to serve by
+   * itself. `harmless`: it treats the format as missing information, which violates no rule. `unsafe`: it would misread
+   * the format.
    */
   withoutGate: 'harmless' | 'unsafe';
-  /** Whether its records can be rewritten in the form of the level below. */
+  /** Whether the feature's records can be rewritten in the format of the level below. */
   reversible: boolean;
 }
 
-/** A mistake in the program: a feature that is registered wrongly, or not at all. */
+/** A programming error: a feature is registered incorrectly or not at all. */
 export class FeatureRegistryError extends Error {}
 
-/** All features that a build knows. */
+/** All features known to a build. */
 export class FeatureRegistry {
   private readonly byName = new Map<string, Feature>();
 
@@ -55,19 +56,22 @@
     }
   }
 
-  /** Throws for a name that nobody registered: a misspelt gate would never open. */
+  /**
+   * Returns the feature with this name. Throws if the name is not registered: a feature looked up under a misspelled
+   * name would never be turned on.
+   */
   get(name: string): Feature {
     const feature = this.byName.get(name);
     if (!feature) throw new FeatureRegistryError(`${name}: not registered`);
     return feature;
   }
 
-  /** The features that come with this very level. */
+  /** Returns the features that exactly this level turns on. */
   atLevel(level: number): Feature[] {
     return [...this.byName.values()].filter((feature) => feature.level === level);
   }
 
-  /** Features above `target` up to `active` whose records can't be converted back. */
+  /** Returns the features above `target` and up to `active` whose records can't be converted back. */
   irreversibleBetween(target: number, active: number): Feature[] {
     return [...this.byName.values()].filter(
       (feature) => feature.level > target && feature.level <= active && !feature.reversible,
@@ -75,12 +79,12 @@
   }
 }
 
-/** Can the build serve while the cluster's level is `level`? */
+/** Whether the build can serve while the cluster's level is `level`. */
 export function canRead(build: Build, level: number): boolean {
   return build.reads.from <= level && level <= build.reads.to;
 }
 
-/** Can the build take part in raising the level to `target`? */
+/** Whether the build can take part in raising the level to `target`. */
 export function canRaiseTo(build: Build, target: number): boolean {
   return canRead(build, target) && build.writes >= target;
 }
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -1,18 +1,18 @@
-/** The rollout's records in the state service, and the schemas that each is checked by where it is read. */
+/** The rollout's records in the state service, and the schemas that validate each record when it is read. */
 import { type Parsed, parseRecord } from '@millring/state-access';
 import * as z from 'zod/mini';
 import { BASE_LEVEL } from './levels.js';
 
-/** Of all keys. */
+/** Prefix of all keys of the rollout. */
 export const ROLLOUT_PREFIX = 'rollout/';
-/** The one stored cluster level, attached to no lease. */
+/** Key of the single record of the cluster's feature level. The record is attached to no lease. */
 export const LEVEL_KEY = `${ROLLOUT_PREFIX}level`;
 const ANNOUNCEMENTS = `${ROLLOUT_PREFIX}controllers/`;
 const INCARNATIONS = `${ROLLOUT_PREFIX}incarnations/`;
 
-/** Attached to the lease of the process that wrote it. */
+/** Returns the key of the announcement, which is attached to a lease of the process that wrote it. */
 export const announcementKey = (controller: string): string => ANNOUNCEMENTS + controller;
-/** Attached to no lease: it must outlive every process of the controller. */
+/** Returns the key of the incarnation, which has no lease since it must outlive every process of the controller. */
 export const incarnationKey = (controller: string): string => INCARNATIONS + controller;
 
 const MAX_LEVEL = 10_000;
@@ -43,7 +43,7 @@
 
 const incarnationSchema = z.object({ incarnation: z.int().check(z.gte(1)), process: name });
 
-/** By controller, the build that it announced, as a text. */
+/** The announced build of each controller, as text. */
 const buildsSchema = z.record(z.string(), z.string());
 
 const heldSchema = z.object({ target: level, builds: buildsSchema, reason: z.string() });
@@ -68,31 +68,31 @@
     }),
   );
 
-/** A controller process tells what it is and which change of the cluster level it has taken over. */
+/** The identity and build of a controller process, and the last change of the level that it has applied. */
 export type Announcement = z.infer<typeof announcementSchema>;
 
-/** Counts the processes of a controller; only the latest one may announce. */
+/** A counter of the processes of a controller. Only the latest process may announce itself. */
 export type Incarnation = z.infer<typeof incarnationSchema>;
 
 /**
- * The one stored cluster level.
+ * The cluster's feature level, stored as a single record.
  *
- * - `stable`: `active` is in force, nothing is under way.
+ * - `stable`: `active` is in force, and no change is in progress.
  * - `preparing`: every controller is asked to confirm that it can read and write `target`.
- * - `activating`: all have; every controller is asked to confirm that it expects `target` at any moment. Nothing
- *   is written in its forms yet.
- * - `aborting`: `target` is given up, `active` stays.
- * - `lowering`: nothing is written any more above `target`, and what stands there is converted back.
+ * - `activating`: all have confirmed this. Every controller is asked to confirm that it expects formats of `target` at
+ *   any time. Nothing is written in these formats yet.
+ * - `aborting`: the raise to `target` is abandoned, and `active` remains in force.
+ * - `lowering`: nothing above `target` is written any more, and stored records above it are converted back.
  */
 export type ClusterLevel = z.infer<typeof levelSchema>;
 
-/** Why a target isn't proposed again by itself: until told, or until the set of builds changes. */
+/** A target that isn't proposed automatically until an operator proposes a raise or the set of builds changes. */
 export type HeldTarget = z.infer<typeof heldSchema>;
 
-/** By controller, the build that it announced, as a text. */
+/** The announced build of each controller, as text. */
 export type Builds = z.infer<typeof buildsSchema>;
 
-/** The processes that a change of level was begun with. */
+/** The incarnation and build of each controller when a change of the level was started. */
 export type StartedWith = z.infer<typeof startSchema>;
 
 function hasFittingTarget(state: string, active: number, target: number | null): boolean {
@@ -101,7 +101,7 @@
   return state === 'lowering' ? target < active : target === active + 1;
 }
 
-/** Before any change was stored. */
+/** The level that applies before any change is stored. */
 export const INITIAL_LEVEL: ClusterLevel = {
   state: 'stable',
   active: BASE_LEVEL,
@@ -114,12 +114,12 @@
   held: null,
 };
 
-/** Checks a stored value. */
+/** Validates a stored announcement. */
 export const parseAnnouncement = (value: unknown): Parsed<Announcement> =>
   parseRecord(announcementSchema, value);
-/** Checks a stored value. */
+/** Validates a stored incarnation. */
 export const parseIncarnation = (value: unknown): Parsed<Incarnation> =>
   parseRecord(incarnationSchema, value);
-/** Checks a stored value. */
+/** Validates a stored feature level. */
 export const parseClusterLevel = (value: unknown): Parsed<ClusterLevel> =>
   parseRecord(levelSchema, value);
