--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -1,4 +1,4 @@
-/** What the leader should do next about the cluster level: a pure function of what is known. */
+/** The leader's next step for the cluster's feature level, as a pure function of what is known. */
 import type { LevelEvent, UnstampedEvent } from './cluster-level.js';
 import { type FeatureRegistry, canRaiseTo, canRead } from './levels.js';
 import type { RolloutSettings } from './settings.js';
@@ -12,30 +12,33 @@
   findUnacknowledged,
 } from './view.js';
 
-/** How far records above the target have been converted back. */
+/** How far the records of features above the target level have been converted back. */
 export type Conversion =
   { kind: 'running'; remaining: number } | { kind: 'done' } | { kind: 'refused'; reason: string };
 
-/** All that a decision depends on. */
+/** Everything that a decision depends on. */
 export interface DecisionInput {
   view: ClusterView;
   registry: FeatureRegistry;
   settings: RolloutSettings;
-  /** The controller that decides. */
+  /** Name of the controller that decides. */
   by: string;
   /** Time of day in milliseconds. */
   wallMs: number;
-  /** For how long the present processes have all been able to raise the level. */
+  /** Time in milliseconds for which the current processes have all been able to raise the level. */
   capableForMs: number;
   conversion: Conversion;
 }
 
-/** The next step. With `requiresUnchangedAnnouncements` the write must fail if any announcement has changed since it was read. */
+/**
+ * The next step. With `requiresUnchangedAnnouncements`, the write must fail if any announcement has changed since the
+ * records were read.
+ */
 export type Decision =
   | { kind: 'wait'; reason: string }
   | { kind: 'advance'; event: LevelEvent; requiresUnchangedAnnouncements: boolean };
 
-/** The next step from the level's present state. */
+/** Returns the next step from the level's current state. */
 export function decide(input: DecisionInput): Decision {
   switch (input.view.level.state) {
     case 'stable':
@@ -50,7 +53,7 @@
   }
 }
 
-/** Why the level can't be raised by one, whoever asks; null if it can. */
+/** Returns why neither the leader nor an operator can raise the level by one; null if it can be raised. */
 export function obstacleToPropose(
   view: ClusterView,
   registry: FeatureRegistry,
@@ -94,7 +97,10 @@
   return advanceWith(input, { type: 'acknowledged' }, true);
 }
 
-/** Nothing was written at the target yet, so nobody who is away can hold this up. */
+/**
+ * Waits for the confirmations of announced controllers only, for at most `stall_s`. Nothing has been written at the
+ * target level yet, so a missing controller must not delay the end of the abort.
+ */
 function decideAborting(input: DecisionInput): Decision {
   const { view } = input;
   const unconfirmed = [...view.controllers].find(
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -1,4 +1,7 @@
-/** What operators do to the cluster level, with or without a leader: conditional writes like any other. */
+/**
+ * Operators' changes of the cluster's feature level. They need no leader and are conditional writes like all other
+ * changes of the level.
+ */
 import { type LevelEvent, type UnstampedEvent, advance } from './cluster-level.js';
 import { obstacleToPropose } from './decide.js';
 import { type FeatureRegistry, canRead } from './levels.js';
@@ -14,46 +17,46 @@
   buildsOf,
 } from './view.js';
 
-/** What an operator's command needs. */
+/** Dependencies of an operator's command. */
 export interface OperatorDependencies {
   store: StateAccess;
-  /** All controllers that the settings name. */
+  /** Names of all configured controllers. */
   controllers: readonly string[];
   registry: FeatureRegistry;
   settings: RolloutSettings;
-  /** Who is named in the record as having made the change; differs from run to run. */
+  /** Name stored in the record as the originator of the change. Differs between runs of the command. */
   by: string;
   /** Time of day in milliseconds. */
   wallMs(): number;
 }
 
 /**
- * What became of a change; part of the commands' JSON output.
+ * The result of a change; part of the commands' JSON output.
  *
- * - `done`: stored; the leader goes on with it.
+ * - `done`: the change is stored, and the leader continues it.
  * - `refused`: nothing was changed.
- * - `unreachable`: the state service was not reached, or did not answer; nothing is known of the change.
+ * - `unreachable`: the state service was unreachable or did not respond. Whether the change is stored is unknown.
  */
 export type OperatorResult =
   | { kind: 'done'; level: ClusterLevel }
   | { kind: 'refused'; reason: string }
   | { kind: 'unreachable' };
 
-/** What was read. `obstacle`: why the level can't be raised now, or null. */
+/** The status of the rollout. `obstacle`: the reason why the level can't be raised now, or null if it can. */
 export type StatusResult =
   | { kind: 'status'; view: ClusterView; obstacle: string | null }
   | Exclude<OperatorResult, { kind: 'done' }>;
 
-/** What an operator asks for: the event, whether it rests on all announcements, or why it is refused. */
+/** An operator's request: the event and whether it requires unchanged announcements, or why it is refused. */
 type ChangeRequest =
   | { kind: 'event'; event: LevelEvent; requiresUnchangedAnnouncements: boolean }
   | { kind: 'refused'; reason: string };
 
-/** Each change reads the records anew, and fails if they change meanwhile. */
+/** Reads the records again for each change. A change fails if the records it depends on change meanwhile. */
 export class RolloutOperator {
   constructor(private readonly deps: OperatorDependencies) {}
 
-  /** Reads everything anew. */
+  /** Reads all records of the rollout from scratch. */
   async status(): Promise<StatusResult> {
     const { registry, settings } = this.deps;
     const read = await this.deps.store.scan(ROLLOUT_PREFIX);
@@ -64,7 +67,7 @@
     return { kind: 'status', view, obstacle: obstacleToPropose(view, registry, settings) };
   }
 
-  /** Begins to raise the level by one. */
+  /** Starts to raise the level by one. */
   activate(): Promise<OperatorResult> {
     return this.change((view, obstacle) => {
       if (obstacle !== null) return { kind: 'refused', reason: obstacle };
@@ -72,7 +75,7 @@
     });
   }
 
-  /** Gives up a change that is under way and not yet active. */
+  /** Aborts a raise of the level that is in progress and not yet active. */
   abort(): Promise<OperatorResult> {
     return this.change((view) =>
       this.event(
@@ -82,7 +85,7 @@
     );
   }
 
-  /** Begins to lower the level by one. */
+  /** Starts to lower the level by one. */
   downgrade(): Promise<OperatorResult> {
     return this.change((view) => {
       const { active } = view.level;
@@ -143,7 +146,7 @@
     }
   }
 
-  /** After a lost response: whether the change is stored. */
+  /** After a lost response, returns `done` if the change is stored, otherwise `unreachable`. */
   private async outcomeOf(level: ClusterLevel): Promise<OperatorResult> {
     const read = await this.deps.store.get(LEVEL_KEY);
     const stored = read.kind === 'found' ? parseClusterLevel(read.entry.value) : null;
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -1,4 +1,4 @@
-/** What the stored records tell of the cluster: its level, and of each controller whether it has announced itself. */
+/** The cluster as the stored records show it: its feature level, and which controllers have announced themselves. */
 import { describeBuild, storedBuildText } from './build-text.js';
 import { canRaiseTo, type canRead } from './levels.js';
 import {
@@ -17,16 +17,16 @@
 import type { Precondition, KeyValue } from '@millring/state-access';
 
 /**
- * What is known of one controller; part of the commands' JSON output.
+ * What is known about one controller; part of the commands' JSON output.
  *
- * - `announced`: `version` is that of the announcement's record.
- * - `missing`: it may run any build, since nothing can be inferred from silence.
+ * - `announced`: the controller has a valid announcement. `version` is the version of its record.
+ * - `missing`: the controller may run any build, since nothing can be inferred from a missing announcement.
  */
 export type ControllerView =
   | { kind: 'announced'; announcement: Announcement; version: number }
   | { kind: 'missing'; reason: string };
 
-/** A record that was ignored, and why. */
+/** A record that was ignored, with the reason. */
 interface IgnoredRecord {
   key: string;
   version: number;
@@ -36,22 +36,22 @@
 /** The cluster as the stored records show it. */
 export interface ClusterView {
   level: ClusterLevel;
-  /** Of the level's record; 0: no level is stored yet. */
+  /** Version of the level's record; 0 if no level is stored yet. */
   levelVersion: number;
-  /** All that the settings name, by controller. */
+  /** All configured controllers by name. */
   controllers: Map<string, ControllerView>;
   ignored: IgnoredRecord[];
 }
 
-/** `invalid`: the stored level can't be read, so nothing may be decided. */
+/** The view, or `invalid` if the stored level can't be read. Nothing may then be decided. */
 export type ViewResult = { kind: 'valid'; view: ClusterView } | { kind: 'invalid'; reason: string };
 
 /**
- * Reads the stored records.
+ * Builds the view from the stored records.
  *
- * @param controllers All that the settings name.
- * @param processes The process of each controller that was heard, as it told last: a process that has just replaced
- *   another may not have stored its announcement yet, or may be a build that never does.
+ * @param controllers Names of all configured controllers.
+ * @param processes Process id that each controller last reported of itself, if it has reported one. A process that has
+ *   just replaced another may not have stored its announcement yet, or may run a build that never stores one.
  */
 export function readView(
   pairs: readonly KeyValue[],
@@ -118,19 +118,19 @@
   };
 }
 
-/** The first reason why the level can't be raised to `target` with these controllers, or null. */
+/** Returns the first reason why the level can't be raised to `target` with these controllers, or null if it can. */
 export function obstacleToRaise(view: ClusterView, target: number): string | null {
   return findMissing(view) ?? findIncapable(view, target, canRaiseTo);
 }
 
-/** The first controller that has not announced itself, in words; null if all have. */
+/** Returns a text that names the first controller that has not announced itself; null if all have. */
 function findMissing(view: ClusterView): string | null {
   for (const [controller, state] of view.controllers)
     if (state.kind === 'missing') return `${controller} ${state.reason}`;
   return null;
 }
 
-/** The first controller that is known to run a build which is not capable of `target`, in words; null if none is. */
+/** Returns a text that names the first controller known to run a build that is not capable of `target`, or null. */
 export function findIncapable(
   view: ClusterView,
   target: number,
@@ -142,7 +142,7 @@
   return null;
 }
 
-/** The first controller that has not confirmed the latest change, in words; null if all have. */
+/** Returns a text that names the first controller that has not confirmed the latest change; null if all have. */
 export function findUnacknowledged(view: ClusterView): string | null {
   const isBehind = (state: ControllerView): boolean =>
     state.kind === 'announced' && state.announcement.acknowledged !== view.level.change;
@@ -150,7 +150,7 @@
   return findMissing(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
 }
 
-/** The builds of the controllers that have announced themselves, in their stored form. */
+/** Returns the builds of the controllers that have announced themselves, in their stored form. */
 export function buildsOf(view: ClusterView): Builds {
   const builds: Builds = {};
   for (const [controller, state] of view.controllers)
@@ -158,12 +158,12 @@
   return builds;
 }
 
-/** Whether any controller announces another build than in `before`; one that is missing has not changed. */
+/** Whether any controller announces a build that differs from `before`. A missing controller has not changed. */
 export function buildsDiffer(before: Builds, view: ClusterView): boolean {
   return Object.entries(buildsOf(view)).some(([controller, build]) => before[controller] !== build);
 }
 
-/** For a change that rests on every announcement: it fails once any of them has changed. */
+/** Returns preconditions for a change that depends on every announcement. They fail once any of them has changed. */
 export function announcementPreconditions(view: ClusterView): Precondition[] {
   return [...view.controllers].map(([controller, state]) => ({
     key: announcementKey(controller),
@@ -171,7 +171,7 @@
   }));
 }
 
-/** The processes that a change of level begins with. */
+/** Returns the incarnation and build of each announced controller, with which a change of the level is started. */
 export function startedWith(view: ClusterView): StartedWith {
   const started: StartedWith = {};
   for (const [controller, state] of view.controllers)
