--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -1,4 +1,7 @@
-/** Drives the cluster level while this controller leads: reads what is stored, decides, and writes conditionally. */
+/**
+ * Changes the cluster's feature level while this controller leads: reads the stored records, decides on the next step,
+ * and makes it as a conditional write.
+ */
 import { advance } from './cluster-level.js';
 import { type Conversion, type Decision, decide } from './decide.js';
 import type { FeatureRegistry } from './levels.js';
@@ -12,47 +15,50 @@
 } from '@millring/state-access';
 import { type ClusterView, announcementPreconditions, obstacleToRaise, readView } from './view.js';
 
-/** What the coordinator needs of the leader and of the settings. */
+/** Dependencies of the coordinator on the leader and on the settings. */
 export interface CoordinatorDependencies {
   environment: Environment;
   store: StateAccess;
-  /** This controller. */
+  /** Name of this controller. */
   self: string;
-  /** All controllers that the settings name, this one included. */
+  /** Names of all configured controllers, including this one. */
   controllers: readonly string[];
   registry: FeatureRegistry;
   settings: RolloutSettings;
-  /** The level as this controller has taken it over; null while it is not known. */
+  /** Returns the level that this controller has applied; null while it is not known. */
   knownLevel(): ClusterLevel | null;
-  /** This controller is surely the leader at this very moment. */
+  /** Whether this controller is guaranteed to be the leader at this moment. */
   isLeader(): boolean;
-  /** The term has not ended, though the leader may be suspended. */
+  /** Whether the term has not ended; true also while the leader is suspended. */
   isActive(): boolean;
-  /** Holds only while the term lasts, so that a write that arrives later changes nothing. */
+  /** Returns a precondition that holds only during the term, so that a write that arrives later changes nothing. */
   leaderPrecondition(): Precondition;
-  /** The process of each other controller, as last heard from itself. */
+  /** Returns the process id that each other controller last reported of itself. */
   processes(): ReadonlyMap<string, string>;
-  /** How far records above `target` have been converted back; asked while the level is lowered. */
+  /**
+   * Returns how far the records of features above level `target` have been converted back. Called while the level is
+   * being lowered.
+   */
   conversion(target: number): Conversion;
 }
 
-/** Between two steps while the level is stable. */
+/** Time between two steps while the level is stable. */
 const IDLE_INTERVAL_MS = 5000;
-/** Between two steps during a change. */
+/** Time between two steps during a change of the level. */
 const CHANGE_INTERVAL_MS = 500;
 
-/** For one leader and its term. */
+/** The coordinator of one leader during one term. */
 export class RolloutCoordinator {
-  /** Since when, by our steady clock, the present processes have all been able to raise the level. */
+  /** Time of the monotonic clock since which the current processes have all been able to raise the level. */
   private capablePeriod: { processes: string; since: number } | null = null;
-  /** What this leader wrote last: the watch that tells of it may come a moment later. */
+  /** Level that this leader wrote last. The watch may report it a moment later. */
   private lastWrittenLevel: ClusterLevel | null = null;
   private lastLoggedWait = '';
   private readonly loggedSubjects = new Set<string>();
 
   constructor(private readonly deps: CoordinatorDependencies) {}
 
-  /** Takes a step in each interval until the term ends. */
+  /** Makes a step in each interval, if one is needed, until the term ends. */
   async run(): Promise<void> {
     while (this.deps.isActive()) {
       await sleep(this.deps.environment, this.isStable() ? IDLE_INTERVAL_MS : CHANGE_INTERVAL_MS);
@@ -71,14 +77,14 @@
       : known;
   }
 
-  /** A stable level is looked at only where it may be raised by itself. */
+  /** Whether a step is needed. A stable level is only examined in automatic mode, in which it may be raised. */
   private hasWork(): boolean {
     const level = this.latestLevel();
     if (!level) return false;
     return level.state !== 'stable' || this.deps.settings.mode === 'automatic';
   }
 
-  /** Reads the stored records once, and makes at most one change. */
+  /** Reads the stored records once and makes at most one change of the level. */
   async step(): Promise<void> {
     const { store, controllers } = this.deps;
     const read = await store.scan(ROLLOUT_PREFIX);
@@ -135,7 +141,10 @@
     const { environment, store } = this.deps;
     const next = advance(view.level, decision.event);
     if (next.kind === 'refused') {
-      environment.log.error({ event: decision.event.type, reason: next.reason }, 'cluster level');
+      environment.log.error(
+        { event: decision.event.type, reason: next.reason },
+        'cluster level event refused',
+      );
       return;
     }
     const preconditions = [
@@ -158,7 +167,7 @@
     this.lastLoggedWait = line;
     this.deps.environment.log.info(
       { state: level.state, active: level.active, reason },
-      'rollout waits',
+      'rollout step postponed',
     );
   }
 
@@ -177,6 +186,6 @@
   const { state, active, target, reason, changedBy } = after;
   environment.log.info(
     { from: before.state, to: state, active, target, reason, by: changedBy },
-    'cluster level',
+    'cluster level changed',
   );
 }
