--- a/packages/rollout/test/cluster-level.test.ts
+++ b/packages/rollout/test/cluster-level.test.ts
@@ -1,4 +1,4 @@
-/** The state machine of the cluster level. */
+/** Tests of the state machine of the cluster's feature level. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -38,7 +38,7 @@
   return next.level;
 }
 
-test('whatever happens: each change is readable, counted, and moves no feature by more than one step', () => {
+test('any events yield valid records, count each change and move no feature by more than one mode', () => {
   fc.assert(
     fc.property(fc.array(fc.constantFrom(...EVENTS), { maxLength: 60 }), (events) => {
       let level = INITIAL_LEVEL;
@@ -60,7 +60,7 @@
   );
 });
 
-test('raising takes two confirmations; nothing is on before the second', () => {
+test('raising the level takes two confirmations, and the feature is not on before the second', () => {
   const preparing = expectChanged(INITIAL_LEVEL, EVENTS[0]);
   const activating = expectChanged(preparing, EVENTS[1]);
   const raised = expectChanged(activating, EVENTS[1]);
@@ -70,7 +70,7 @@
   assert.equal(advance(raised, EVENTS[1]).kind, 'refused');
 });
 
-test('giving up keeps the level, names the reason, and remembers builds that were away at the moment', () => {
+test('aborting a raise keeps the level and stores the reason and the last builds of missing controllers', () => {
   const startedWith = { n0: { incarnation: 1, build: 'a' }, n1: { incarnation: 4, build: 'b' } };
   const preparing = expectChanged(INITIAL_LEVEL, { ...STAMP, type: 'propose', startedWith });
   const aborting = expectChanged(preparing, {
@@ -84,7 +84,7 @@
   assert.deepEqual(stable.held, { target: 2, builds: { n0: 'a2', n1: 'b' }, reason: 'n1 is away' });
 });
 
-test('two changes never overlap: proposing or lowering during one is refused with what is under way', () => {
+test('a proposal or a lowering during another change is refused with a reason that names that change', () => {
   const preparing = expectChanged(INITIAL_LEVEL, EVENTS[0]);
   for (const event of [EVENTS[0], EVENTS[4]]) {
     const refused = advance(preparing, event);
@@ -95,7 +95,7 @@
   }
 });
 
-test('records whose parts contradict each other are not read', () => {
+test('records with contradictory or invalid fields are rejected, and unknown fields are accepted', () => {
   const good = expectChanged(INITIAL_LEVEL, EVENTS[0]);
   const wrong: object[] = [
     { ...good, target: null },
--- a/packages/rollout/test/decide.test.ts
+++ b/packages/rollout/test/decide.test.ts
@@ -1,4 +1,4 @@
-/** What the leader does next, and whom it counts as present. */
+/** Tests of the leader's next step, and of which controllers count as announced. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type LevelEvent, advance } from '../src/cluster-level.js';
@@ -46,7 +46,7 @@
   writes: to,
 });
 
-/** Records as they are stored, with one of them changed. */
+/** The stored records of the rollout. Tests can change each of them. */
 class Records {
   private readonly values = new Map<string, unknown>();
   level: ClusterLevel = INITIAL_LEVEL;
@@ -111,7 +111,7 @@
     };
   }
 
-  /** Does what is decided, after which everyone confirms. */
+  /** Applies the decision and lets every controller confirm it. Returns the type of the event, or `wait`. */
   applyDecision(
     builds: Build[],
     overrides: Partial<DecisionInput> = {},
@@ -128,7 +128,7 @@
 
 const sameBuild = (sharedBuild: Build): Build[] => NAMES.map(() => sharedBuild);
 
-test('who has not announced itself in its present incarnation is missing, and why', () => {
+test('a controller that has not announced its current incarnation is missing, with the reason', () => {
   const reason = (records: Records, processes?: Map<string, string>): string => {
     const view = records.view(processes).controllers.get('n1');
     return view?.kind === 'missing' ? view.reason : 'announced';
@@ -143,13 +143,13 @@
   const backwards = { version: 'x', reads: { from: 3, to: 2 }, writes: 2 };
   assert.match(reason(records().announce('n1', backwards)), /malformed/);
   assert.match(reason(records().announce('n1', { ...build(2), writes: 7 })), /malformed/);
-  // A build without levels tells its process, too, and never announces itself.
+  // A build without feature levels also reports its process, but never announces itself.
   assert.match(reason(records(), new Map([['n1', 'n1-p2']])), /another process/);
   const more = { later: 1, build: { ...build(2), colour: 'red' } };
   assert.equal(reason(records().announce('n1', build(2), more)), 'announced');
 });
 
-test('levels are raised one at a time, also where builds skip one', () => {
+test('levels are raised one at a time, even if the builds skip one', () => {
   const builds = sameBuild(build(3));
   const records = new Records(builds);
   const events = Array.from({ length: 7 }, () => records.applyDecision(builds));
@@ -158,7 +158,7 @@
   assert.equal(records.level.active, 3);
 });
 
-test('a second rollout that begins amid the first does not disturb it', () => {
+test('a second rollout that starts during the first does not disturb it', () => {
   const builds = sameBuild(build(2));
   const records = new Records(builds);
   assert.equal(records.applyDecision(builds), 'propose');
@@ -169,7 +169,7 @@
   assert.equal(records.applyDecision(builds), 'wait');
 });
 
-test('soaking, a hold and its release', () => {
+test('the level is not raised while soaking, held or in manual mode; a changed build ends the hold', () => {
   const records = new Records(sameBuild(build(2)));
   assert.equal(decide(records.decisionInput({ capableForMs: 9000 })).kind, 'wait');
   const manual = { ...SETTINGS, mode: 'manual' as const };
@@ -180,7 +180,7 @@
     held: { target: 2, builds: { ...builds, n1: builds.n0, n2: builds.n0 }, reason: 'r' },
   };
   assert.equal(decide(records.decisionInput({ capableForMs: 1e6 })).kind, 'wait');
-  // One that is away has not changed.
+  // A missing controller does not count as changed.
   records.remove(announcementKey('n2'));
   assert.equal(decide(records.decisionInput({ capableForMs: 1e6 })).kind, 'wait');
   records.announce('n2', build(3));
@@ -188,7 +188,7 @@
   assert.ok(released.kind === 'advance' && released.event.type === 'release');
 });
 
-test('a feature that builds without levels would misread waits until none can return', () => {
+test('a feature that builds without levels would misread is not proposed until such builds are retired', () => {
   const registry = new FeatureRegistry([feature(2, { withoutGate: 'unsafe' })]);
   const view = new Records(sameBuild(build(2))).view();
   assert.match(obstacleToPropose(view, registry, SETTINGS) ?? '', /misread/);
@@ -199,7 +199,7 @@
   assert.match(obstacleToPropose(view, new FeatureRegistry([]), SETTINGS) ?? '', /no feature/);
 });
 
-test('lowering is kept back where a controller could not read, or records can not be converted', () => {
+test('lowering is abandoned if a controller cannot read the target, records cannot be converted or it stalls', () => {
   const builds = sameBuild(build(2));
   const records = new Records(builds);
   const lowering: ClusterLevel = {
@@ -230,7 +230,7 @@
   assert.match(keepReason({ wallMs: 70_000 }), /no progress for 60 s: n1/);
 });
 
-test('features are registered once, above the base level, and asked for by their names', () => {
+test('features are registered once and above the base level, and an unregistered name is refused', () => {
   assert.throws(() => new FeatureRegistry([feature(2), feature(2)]), FeatureRegistryError);
   assert.throws(() => new FeatureRegistry([feature(1)]), FeatureRegistryError);
   assert.throws(() => REGISTRY.get('nothing'), FeatureRegistryError);
