--- a/packages/rollout/src/announcer.ts
+++ b/packages/rollout/src/announcer.ts
@@ -24,9 +24,7 @@
   /** Id that distinguishes this process from all other processes of this controller. */
   process: string;
   build: Build;
-  /**
-   * Duration of the announcement's lease in milliseconds. The announcement outlives its process by at most this time.
-   */
+  /** Duration of the announcement's lease in milliseconds, for which the announcement can outlive its process. */
   leaseMs: number;
   /** Returns the level to confirm; null while it is not known. */
   level(): ClusterLevel | null;
--- a/packages/rollout/src/level-watch.ts
+++ b/packages/rollout/src/level-watch.ts
@@ -18,7 +18,7 @@
   isActive(): boolean;
   /** Called when a level is read that is not older than the one before. */
   onLevel(known: KnownLevel): void;
-  /** Called when the stored level can't be determined. The level at the last read must then not be relied on. */
+  /** Called when the stored level can't be determined. Nothing may then depend on the level at the last read. */
   onUnreadable(reason: string): void;
   /** Called after each change that the watch reports. */
   onChange(): void;
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -3,7 +3,10 @@
  * new level. Each build declares which levels it can read and the highest level that it can write.
  */
 
-/** The level that every build with this package can read and write: formats and decisions that predate levels. */
+/**
+ * The level that every build with this package can read and write. It stands for the formats and decisions that predate
+ * levels.
+ */
 export const BASE_LEVEL = 1;
 
 /** A range of levels that includes both ends. */
@@ -22,10 +25,10 @@
   writes: number;
 }
 
-/** A format of records or messages, or a way to decide, that is used only from a certain level on. */
+/** A format of records or messages, or a rule for decisions, that is used only from a certain level on. */
 export interface Feature {
   name: string;
-  /** The cluster level that turns it on. */
+  /** The cluster's level that turns the feature on. */
   level: number;
   /** What the feature changes, for operators and reviewers. */
   covers: { records: string[]; messages: string[]; decisions: string[] };
--- a/packages/rollout/src/settings.ts
+++ b/packages/rollout/src/settings.ts
@@ -16,11 +16,11 @@
   stall_s: number;
   /** A raise of the level is aborted once a controller has restarted this many times since the raise began. */
   restarts: number;
-  /** Duration of an announcement's lease in seconds. The announcement outlives its process by at most this time. */
+  /** Duration of an announcement's lease in seconds, for which the announcement can outlive its process. */
   announcement_lease_s: number;
   /**
-   * Whether no build that predates the rollout's level check can return. Required for features that such a build would
-   * misread.
+   * Whether it is guaranteed that no build that predates the rollout's level check can return. Required for features
+   * that such a build would misread.
    */
   ungated_builds_retired: boolean;
 }
