--- a/src/http/accept-queue.ts
+++ b/src/http/accept-queue.ts
@@ -9,19 +9,19 @@
 import type { Log } from '../runtime.js';
 
 /** So many more connections whose peer had gone than others: most of the queue has been given up. */
-const MAX_GONE_BALANCE = 12;
+const MAX_EXCESS_DISCONNECTED = 12;
 /** Dropping ends once nothing came for so long. */
 const EMPTY_QUEUE_MS = 20;
 const MAX_DROPPING_MS = 1000;
 /** Node takes 0 for no limit; with 1, whatever comes beside the connections that are open is dropped unread. */
-const DROP_ALL = 1;
+const MAX_CONNECTIONS_WHILE_DROPPING = 1;
 
 type DroppingServer = Pick<Server, 'maxConnections' | 'on'>;
 
 /** Watches over the connections that a server accepts. */
 export class AcceptQueue {
   /** Peers that had gone, less those that were still there; never negative. */
-  private goneBalance = 0;
+  private excessDisconnected = 0;
   private droppedCount = 0;
   private isDropping = false;
 
@@ -46,21 +46,21 @@
       setImmediate(() => {
         if (socket.destroyed || socket.readableEnded) {
           socket.destroy();
-          this.peerHadGone();
+          this.recordDisconnected();
           return;
         }
-        this.goneBalance = Math.max(0, this.goneBalance - 1);
+        this.excessDisconnected = Math.max(0, this.excessDisconnected - 1);
         callback();
       });
     });
   }
 
-  private peerHadGone(): void {
-    this.goneBalance++;
-    if (this.goneBalance < MAX_GONE_BALANCE || this.isDropping) return;
-    this.goneBalance = 0;
+  private recordDisconnected(): void {
+    this.excessDisconnected++;
+    if (this.excessDisconnected < MAX_EXCESS_DISCONNECTED || this.isDropping) return;
+    this.excessDisconnected = 0;
     this.isDropping = true;
-    this.server.maxConnections = DROP_ALL;
+    this.server.maxConnections = MAX_CONNECTIONS_WHILE_DROPPING;
     this.dropUntilEmpty(0, this.droppedCount);
   }
 
