--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -7,7 +7,7 @@
 import type { Http, HttpMethod, Reply } from '../runtime.js';
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 
-const NO_REPLY: Reply = { status: 0, body: {} };
+const NO_RESPONSE: Reply = { status: 0, body: {} };
 const STATUS_OK = 200;
 /** How long a connection to a worker stays open without use. */
 const WORKER_IDLE_TIMEOUT_MS = 2500;
@@ -54,17 +54,17 @@
       // with the request goes its socket.
       const timer = setTimeout(() => {
         sent.destroy();
-        resolve(NO_REPLY);
+        resolve(NO_RESPONSE);
       }, timeoutMs);
       const settle = (reply: Reply): void => {
         clearTimeout(timer);
         resolve(reply);
       };
       sent.once('response', (response) => {
-        readReply(response, settle);
+        readResponse(response, settle);
       });
       sent.on('error', () => {
-        settle(NO_REPLY);
+        settle(NO_RESPONSE);
       });
     });
   }
@@ -91,7 +91,7 @@
     });
     if (!isService)
       sent.on('socket', (socket) => {
-        this.countWorkerSocket(socket);
+        this.trackWorkerSocket(socket);
       });
     sent.end(bytes ?? undefined);
     return sent;
@@ -101,28 +101,28 @@
     return this.workerSockets.size > this.options.maxConnectionsToWorkers / 2;
   }
 
-  private countWorkerSocket(socket: Socket): void {
+  private trackWorkerSocket(socket: Socket): void {
     if (this.workerSockets.has(socket)) return;
     this.workerSockets.add(socket);
     socket.once('close', () => this.workerSockets.delete(socket));
   }
 }
 
-function readReply(response: IncomingMessage, settle: (reply: Reply) => void): void {
+function readResponse(response: IncomingMessage, settle: (reply: Reply) => void): void {
   const parts: Buffer[] = [];
   response.on('data', (part: Buffer) => parts.push(part));
   response.on('error', () => {
-    settle(NO_REPLY);
+    settle(NO_RESPONSE);
   });
   response.on('end', () => {
-    settle(decodeReply(response.statusCode ?? 0, parts));
+    settle(decodeResponse(response.statusCode ?? 0, parts));
   });
 }
 
-function decodeReply(status: number, parts: Buffer[]): Reply {
+function decodeResponse(status: number, parts: Buffer[]): Reply {
   const bytes = parts.length === 1 ? parts[0] : Buffer.concat(parts);
   const body = bytes.length === 0 ? {} : decodeMap(bytes);
   if (body !== null) return { status, body };
   // A 200 that can't be decoded counts as no reply: the request may have been executed.
-  return status === STATUS_OK ? NO_REPLY : { status, body: {} };
+  return status === STATUS_OK ? NO_RESPONSE : { status, body: {} };
 }
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -76,8 +76,8 @@
   }
 
   private respond(body: Buffer, response: ServerResponse): void {
-    const { status, body: replyBody, retryAfterS } = this.answer(body);
-    const bytes = encode(replyBody);
+    const { status, body: responseBody, retryAfterS } = this.responseFor(body);
+    const bytes = encode(responseBody);
     response.writeHead(status, [
       ...['content-type', 'application/cbor', 'content-length', String(bytes.length)],
       ...(this.mustClose(status) ? ['connection', 'close'] : []),
@@ -87,7 +87,7 @@
   }
 
   /** Whatever goes wrong with a heartbeat, it harms that heartbeat alone. */
-  private answer(body: Buffer): Answer {
+  private responseFor(body: Buffer): Answer {
     try {
       return this.handleHeartbeat(decodeMap(body));
     } catch {
--- a/src/http/user-app.ts
+++ b/src/http/user-app.ts
@@ -59,8 +59,8 @@
 
 function respondWith(responder: Responder) {
   return (request: Request, response: Response, next: NextFunction): void => {
-    Promise.resolve(responder(request)).then((answer) => {
-      send(response, answer);
+    Promise.resolve(responder(request)).then((apiResponse) => {
+      send(response, apiResponse);
     }, next);
   };
 }
