--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -93,7 +93,7 @@
     const previous = this.coverageByPeer.get(peer);
     if (previous?.processId === processId && madeAfter < previous.to) return;
     const current = coverageOf(message, madeAfter, this.now());
-    this.coverageByPeer.set(peer, previous ? extendCoverage(previous, current) : current);
+    this.coverageByPeer.set(peer, previous ? mergeCoverage(previous, current) : current);
   }
 
   /** The time of our own last message that the peer had received, or null if it had none of this process. */
@@ -139,7 +139,7 @@
 }
 
 /** Both together, or only the current one if there is a gap between them or they are of different processes. */
-function extendCoverage(previous: Coverage, current: Coverage): Coverage {
+function mergeCoverage(previous: Coverage, current: Coverage): Coverage {
   if (previous.processId !== current.processId || current.from > previous.to) return current;
   return {
     processId: current.processId,
