--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,7 +1,7 @@
 /** Users' requests and answers: submissions, questions and cancellations. */
 import { type Body, toNumber } from './cbor.js';
 import { type JobKind, type JobSpec, type JobState, MAX_TASKS, type Priority } from './model.js';
-import { isAmount, isFlag, isText } from './validators.js';
+import { isAmount, isBoolean, isText } from './validators.js';
 
 /*
  * The protocol's own words: `grist` is a job's class, `miller` a team, `grind` a kind, `precedence` a priority, `sacks` the
@@ -55,9 +55,9 @@
   seed: isText,
   stone_kinds: orNull(isTypeList),
   yard: orNull(isText),
-  one_zone: isFlag,
-  scatter: isFlag,
-  loaned_stones: isFlag,
+  one_zone: isBoolean,
+  scatter: isBoolean,
+  loaned_stones: isBoolean,
   due_s: orNull(isAmount),
 };
 
--- a/src/wire/validators.ts
+++ b/src/wire/validators.ts
@@ -12,4 +12,4 @@
   typeof value === 'number' && Number.isFinite(value) && value >= 0 && value < MAX_AMOUNT;
 
 /** A truth value, present. */
-export const isFlag = (value: unknown): value is boolean => typeof value === 'boolean';
+export const isBoolean = (value: unknown): value is boolean => typeof value === 'boolean';
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -36,7 +36,7 @@
   no_such: 'unknown',
 };
 
-const COMMAND_WORDS = { start: 'run', stop: 'stop', forget: 'reap' } as const;
+const COMMAND_NAMES = { start: 'run', stop: 'stop', forget: 'reap' } as const;
 
 function isTaskNumber(value: number): boolean {
   return Number.isInteger(value) && value >= 0 && value < MAX_TASKS;
@@ -92,7 +92,7 @@
 
 function writeCommand(command: WorkerCommand): Body {
   const base = {
-    order: COMMAND_WORDS[command.op],
+    order: COMMAND_NAMES[command.op],
     sack: `${command.job}/${command.taskNumber}`,
     try: toWireInteger(command.attempt),
   };
