--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -121,12 +121,12 @@
 
 /** Limits that will come do so without notice: whatever is written keeps to the stricter ones from the start. */
 function stricterLimit(
-  present: SettingsTable,
+  current: SettingsTable,
   next: SettingsTable,
   field: string,
   min: number,
 ): number {
-  return Math.min(present.number(field, min), next.optionalNumber(field, min, Infinity));
+  return Math.min(current.number(field, min), next.optionalNumber(field, min, Infinity));
 }
 
 function readPeer(table: SettingsTable): Peer {
--- a/src/settings/settings-table.ts
+++ b/src/settings/settings-table.ts
@@ -75,8 +75,8 @@
   }
 
   /** A number of at least `min`, or `missing` if the field is not set. */
-  optionalNumber(field: string, min: number, missing: number): number {
-    return this.has(field) ? this.number(field, min) : missing;
+  optionalNumber(field: string, min: number, fallback: number): number {
+    return this.has(field) ? this.number(field, min) : fallback;
   }
 }
 
