--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -1,42 +1,42 @@
 /**
- * What the nodes attest to each other, so that without the state service they still know two things: which
- * cancellations were confirmed, and that no other node has been elected. Each node tells all others, every now and
- * then, what it confirmed of late and the highest epoch it knows of; and for each of them the time, by that one's own
- * clock, of the last message it had from it. Whoever reads its own time there knows that the attestation was made after
- * it. Together the attestations of all nodes cover everything up to the earliest of these times.
+ * Attestations that nodes exchange, so that without the state service they still know two things: which cancellations
+ * were confirmed, and that no other node has been elected. Each node periodically sends to all others what it confirmed
+ * recently, the highest epoch it knows of, and for each other node the send time, by that node's clock, of the last
+ * message received from it. A node that finds a send time of its own in an attestation knows that the attestation was
+ * made after that time. Together the attestations of all nodes cover everything up to the earliest of these times.
  */
 import { DRIFT } from '../runtime.js';
 import type { AttestationMessage } from './peer-messages.js';
 
-/** Confirmations are repeated for so long: an attestation covers no more than that. */
+/** How long a confirmation is repeated in attestations: an attestation covers no longer period than this. */
 const CONFIRMATION_RETENTION_MS = 60_000;
 
-/** The process and send time, by the sender's clock, of a message. */
+/** The sending process of a message and its send time by the sender's clock. */
 interface MessageOrigin {
   processId: string;
   sentAt: number;
 }
 
-/** What a peer's attestations cover, in times of our own clock. */
+/** What a peer's attestations cover. All times are of this node's clock. */
 interface Coverage {
   processId: string;
-  /** Everything that the peer confirmed between `from` and `to` is known here. */
+  /** All cancellations that the peer confirmed between `from` and `to` are known here. */
   from: number;
   to: number;
   highestEpoch: number;
-  /** Until then it was not elected in an epoch newer than `highestEpoch`. */
+  /** Time until which the peer was not elected in an epoch newer than `highestEpoch`. */
   notElectedUntil: number;
 }
 
-/** What this node attests, and what the others attest to it. */
+/** Creates the attestations of this node and evaluates those of its peers. */
 export class Attestations {
   private readonly coverageByPeer = new Map<string, Coverage>();
   private readonly lastReceived = new Map<string, MessageOrigin>();
-  /** When which cancellation was confirmed here, in order of time. */
+  /** Time at which this node confirmed each cancellation, by job id, in order of time. */
   private readonly confirmedAt = new Map<string, number>();
   private readonly startedAt: number;
 
-  /** `processId` tells this process apart from earlier ones of the same node. */
+  /** `processId` distinguishes this process from earlier ones of the same node. */
   constructor(
     private readonly self: string,
     private readonly processId: string,
@@ -46,13 +46,13 @@
     this.startedAt = now();
   }
 
-  /** A user is about to be told that the job is cancelled: called before the response goes out. */
+  /** Records that the cancellation of a job is being confirmed to a user. Called before the response is sent. */
   recordConfirmation(id: string): void {
     this.confirmedAt.delete(id);
     this.confirmedAt.set(id, this.now());
   }
 
-  /** The message in which this node vouches for what it did until now. */
+  /** Creates the message in which this node attests what it did until now. */
   attest(highestSeenEpoch: number, isCandidate: boolean): AttestationMessage {
     const now = this.now();
     this.dropOldConfirmations(now);
@@ -83,7 +83,7 @@
     return fields;
   }
 
-  /** An attestation of a peer; it may be late. Learning the cancellations in it is left to the caller. */
+  /** Evaluates an attestation of a peer, which may be late. The caller records the cancellations in it. */
   recordAttestation(message: AttestationMessage): void {
     const { from: peer, life: processId } = message;
     if (!this.peers.includes(peer)) return;
@@ -96,14 +96,20 @@
     this.coverageByPeer.set(peer, previous ? mergeCoverage(previous, current) : current);
   }
 
-  /** The time of our own last message that the peer had received, or null if it had none of this process. */
+  /**
+   * Returns the send time of the last message of this process that the peer had received, or null if it had received
+   * none.
+   */
   private echoedTime({ heard }: AttestationMessage): number | null {
     const echo = Object.hasOwn(heard, this.self) ? heard[this.self] : null;
-    // Clocks of processes have nothing in common: the time of an earlier one of ours says nothing.
+    // Clocks of different processes are unrelated: a send time of an earlier process of this node has no meaning here.
     return echo && echo.life === this.processId ? echo.at : null;
   }
 
-  /** Until when all confirmed cancellations are known here, given that they are until `knownUntil`. */
+  /**
+   * Returns the time until which all confirmed cancellations are known here, given that they are known until
+   * `knownUntil`.
+   */
   completeUntil(knownUntil: number): number {
     let until = Infinity;
     for (const peer of this.peers) {
@@ -114,7 +120,10 @@
     return until < Infinity ? Math.max(knownUntil, until) : knownUntil;
   }
 
-  /** Until when no other node was elected after `epoch`, given that we led in it until `leaseValidUntil`. */
+  /**
+   * Returns the time until which no other node was elected after `epoch`, given that this node led in `epoch` until
+   * `leaseValidUntil`.
+   */
   uncontestedUntil(epoch: number, leaseValidUntil: number): number {
     let until = Infinity;
     for (const peer of this.peers) {
@@ -127,7 +136,7 @@
   }
 }
 
-/** What a single attestation covers that was made after the time `madeAfter`. */
+/** Returns what a single attestation covers, given that it was made after `madeAfter`. */
 function coverageOf(message: AttestationMessage, madeAfter: number, now: number): Coverage {
   return {
     processId: message.life,
@@ -138,7 +147,7 @@
   };
 }
 
-/** Both together, or only the current one if there is a gap between them or they are of different processes. */
+/** Merges two coverages. Returns only the current one if there is a gap between them or the processes differ. */
 function mergeCoverage(previous: Coverage, current: Coverage): Coverage {
   if (previous.processId !== current.processId || current.from > previous.to) return current;
   return {
--- a/src/peers/framing.ts
+++ b/src/peers/framing.ts
@@ -1,4 +1,4 @@
-/** How messages between controllers stand in a stream of bytes: the length in four bytes, big-endian, then msgpack. */
+/** Framing of the messages between controllers: the body length as four bytes, big-endian, then the body in msgpack. */
 import { Packr } from 'msgpackr';
 import { type PeerMessage, readPeerMessage } from './peer-messages.js';
 
@@ -7,7 +7,7 @@
 
 const packr = new Packr({ useRecords: false });
 
-/** The message with its header. */
+/** Encodes a message with its header. */
 export function encodeFrame(message: PeerMessage): Buffer {
   const body = packr.pack(message);
   const header = Buffer.alloc(HEADER_BYTES);
@@ -15,13 +15,13 @@
   return Buffer.concat([header, body]);
 }
 
-/** Cuts the bytes of one connection into messages. */
+/** Splits the byte stream of one connection into messages. */
 export class FrameDecoder {
   private pending: Buffer = Buffer.alloc(0);
 
   /**
-   * The messages that the bytes complete, without those that this build can't read. Null if a frame is too long or
-   * is not msgpack: the rest of the stream can't be trusted then.
+   * Returns the messages completed by these bytes, without those that this build can't read. Returns null if a frame is
+   * too long or is not msgpack: the rest of the stream can't be trusted then.
    */
   push(bytes: Buffer): PeerMessage[] | null {
     this.pending = this.pending.length === 0 ? bytes : Buffer.concat([this.pending, bytes]);
--- a/src/peers/peer-message-handler.ts
+++ b/src/peers/peer-message-handler.ts
@@ -1,4 +1,4 @@
-/** What a controller node makes of the other controllers' messages. */
+/** Handling of the messages that a controller node receives from the other controllers. */
 import type { HealthCheck } from '../health.js';
 import type { Cancellations } from '../jobs/cancellations.js';
 import type { Progress } from '../jobs/job-table.js';
@@ -14,7 +14,7 @@
   PeerMessage,
 } from './peer-messages.js';
 
-/** Whom the messages concern. */
+/** The components of the node that handle the contents of the messages. */
 export interface PeerMessageHandlerDependencies {
   clock: Clock;
   /** Name of this node. */
@@ -24,14 +24,14 @@
   attestations: Attestations;
   leaseExtender: LeaseExtender;
   rollout: Pick<ControllerRollout, 'recordBuild' | 'recordProcess'>;
-  /** The term in which this node leads, though the leadership may be suspended. */
+  /** The term in which this node leads, also while its leadership is suspended; null if it does not lead. */
   term(): LeaderTerm | null;
-  /** The leader's progress counts of live jobs. */
+  /** Receives the leader's progress counts of live jobs. */
   recordProgress(jobs: [string, Progress][]): void;
   broadcast(message: PeerMessage): void;
 }
 
-/** Handles messages in whatever order they come; they may be late. */
+/** Handles messages in any order; they may be late. */
 export class PeerMessageHandler {
   constructor(private readonly deps: PeerMessageHandlerDependencies) {}
 
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -1,86 +1,86 @@
 /**
- * The messages between controllers. The names of their fields are those that older builds send and read, so they stay:
- * the comments give the terms that the code uses elsewhere. No safety property needs any message to arrive.
+ * The messages between controllers. Their field names can't change because older builds send and read them; the
+ * comments give the terms that the code uses elsewhere. No safety property depends on the arrival of a message.
  */
 import { isMap } from '../wire/cbor.js';
 
-/** From the leader: progress counts of live jobs, for display. */
+/** Sent by the leader: progress counts of live jobs, for display. */
 interface ProgressMessage {
   t: 'progress';
   from: string;
-  /** By job. */
+  /** Pairs of a job id and its numbers of finished and running tasks. */
   jobs: [string, { done: number; running: number }][];
 }
 
-/** From a follower to the leader: may it extend worker leases? */
+/** Sent by a follower to ask the leader whether it may extend worker leases. */
 export interface LeaseExtensionRequestMessage {
   t: 'ask';
   from: string;
-  /** When it was sent, by the sender's clock: the grant repeats it. */
+  /** Send time by the sender's clock; the grant repeats it. */
   at: number;
 }
 
-/** Does the state service serve the sender? */
+/** Reports whether the state service serves the sender. */
 interface AvailabilityMessage {
   t: 'served';
   from: string;
   served: boolean;
 }
 
-/** From the leader, in reply to a request for lease extension. */
+/** Sent by the leader in response to a request for lease extension. */
 export interface LeaseExtensionGrantMessage {
   t: 'grant';
   from: string;
-  /** The follower that asked. */
+  /** The follower that sent the request. */
   to: string;
-  /** The request's `at`. */
+  /** `at` of the request. */
   at: number;
   /** Epoch of the leader's term. */
   revision: number;
-  /** May the follower extend leases? */
+  /** Whether the follower may extend leases. */
   keep: boolean;
 }
 
-/** A user is about to be told that the job is cancelled. */
+/** Sent before the cancellation of a job is confirmed to a user. */
 interface CancellationMessage {
   t: 'cancelled';
   from: string;
   id: string;
 }
 
-/** The build that the sender runs. */
+/** Reports the build that the sender runs. */
 interface BuildMessage {
   t: 'build';
   from: string;
   process: string;
   version: string;
-  /** The lowest and the highest feature level that it reads. */
+  /** The lowest and the highest feature level that the build reads. */
   reads: [number, number];
-  /** The highest feature level that it writes. */
+  /** The highest feature level that the build writes. */
   writes: number;
 }
 
-/** What the sender vouches for: see `attestations.ts`. */
+/** An attestation of the sender: see `attestations.ts`. */
 export interface AttestationMessage {
   t: 'attest';
   from: string;
-  /** The sender's process: another one remembers nothing of what an earlier one confirmed. */
+  /** Process id of the sender: a new process does not know what an earlier one confirmed. */
   life: string;
   /** Milliseconds since that process started. */
   upMs: number;
-  /** When it was sent, by the sender's clock. */
+  /** Send time by the sender's clock. */
   at: number;
-  /** By node: process and send time, by that node's clock, of the last message that the sender had from it. */
+  /** By node: process id and send time, by that node's clock, of the last message that the sender received from it. */
   heard: Record<string, { life: string; at: number }>;
-  /** The highest epoch that the sender has seen, its own included. */
+  /** The highest epoch that the sender has seen, including its own. */
   claim: number;
-  /** The sender campaigns: it may have been elected without knowing it. */
+  /** Whether the sender is a candidate: it may have been elected without knowing it. */
   claiming: boolean;
-  /** Jobs whose cancellation the sender confirmed to users of late. */
+  /** Ids of the jobs whose cancellation the sender recently confirmed to users. */
   cancelled: string[];
 }
 
-/** Any message between controllers, told apart by `t`. */
+/** Any message between controllers, discriminated by `t`. */
 export type PeerMessage =
   | ProgressMessage
   | LeaseExtensionRequestMessage
@@ -92,7 +92,7 @@
 
 type Validator = (value: unknown) => boolean;
 
-/** The fields beside `t` and `from` that a message must have. */
+/** The required fields of each kind of message besides `t` and `from`, with the check of their values. */
 const REQUIRED_FIELDS: Record<PeerMessage['t'], Record<string, Validator>> = {
   progress: { jobs: Array.isArray },
   ask: { at: isFiniteNumber },
@@ -127,7 +127,10 @@
   return typeof value === 'boolean';
 }
 
-/** Null for a kind that this build doesn't know, and for a message that lacks a field: both are skipped. */
+/**
+ * Returns null if this build doesn't know the kind of the message, or if a required field is missing or invalid. The
+ * caller skips such messages.
+ */
 export function readPeerMessage(value: unknown): PeerMessage | null {
   if (!isMap(value) || typeof value.from !== 'string' || typeof value.t !== 'string') return null;
   const kind = value.t;
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -1,4 +1,4 @@
-/** Connections between the controllers: each keeps one to every other for what it sends. */
+/** Connections between the controllers: each keeps one connection to every other, for the messages that it sends. */
 import { type Server, type Socket, connect, createServer } from 'node:net';
 import { type Observable, Subject } from 'rxjs';
 import type { Runtime } from '../runtime.js';
@@ -8,18 +8,18 @@
 const RECONNECT_DELAY_MS = 1000;
 const INCOMING_IDLE_TIMEOUT_MS = 30_000;
 const OUTGOING_IDLE_TIMEOUT_MS = 5000;
-/** With more than this unsent on a connection, further messages to that peer are dropped. */
+/** While a connection has at least this much unsent data, further messages to that peer are dropped. */
 const MAX_QUEUED_BYTES = 1024 * 1024;
 
-/** Sends messages to all other controllers, and receives theirs. Messages may be lost. */
+/** Sends messages to all other controllers and receives their messages. Messages may be lost. */
 export class PeerNetwork {
   private readonly incoming = new Subject<PeerMessage>();
-  /** What the other controllers send. */
+  /** Messages received from the other controllers. */
   readonly messages: Observable<PeerMessage> = this.incoming.asObservable();
   private readonly connections = new Map<string, Socket>();
   private server: Server | null = null;
 
-  /** `listenAddress` and `peerAddresses`: as `host:port`. */
+  /** `listenAddress` and `peerAddresses` have the form `host:port`. */
   constructor(
     private readonly runtime: Runtime,
     private readonly listenAddress: string,
@@ -32,7 +32,7 @@
       this.receive(socket);
     });
     this.server.on('error', (error) => {
-      this.runtime.log.error({ err: error.message }, 'peer listener');
+      this.runtime.log.error({ err: error.message }, 'peer listener failed');
     });
     this.server.listen(Number(port), host);
     for (const address of this.peerAddresses) this.dial(address);
--- a/src/peers/status-broadcasts.ts
+++ b/src/peers/status-broadcasts.ts
@@ -1,4 +1,4 @@
-/** The messages that a controller node sends to the others periodically. */
+/** The messages that a controller node periodically sends to the other controllers. */
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Leadership } from '../leadership/leadership.js';
 import { REQUEST_INTERVAL_MS } from '../leadership/lease-extension.js';
@@ -10,7 +10,7 @@
 
 const PROGRESS_INTERVAL_MS = 700;
 
-/** What the messages are made from. */
+/** The sources of the contents of the messages. */
 export interface StatusBroadcastsDependencies {
   clock: Clock;
   /** Name of this node. */
@@ -18,12 +18,12 @@
   store: Pick<StateStore, 'get' | 'unavailableForMs'>;
   leadership: Leadership;
   attestations: Attestations;
-  /** The term in which this node leads, though the leadership may be suspended. */
+  /** The term in which this node leads, also while its leadership is suspended; null if it does not lead. */
   term(): LeaderTerm | null;
   broadcast(message: PeerMessage): void;
 }
 
-/** Sends the messages for as long as the process runs. */
+/** Sends the messages periodically until the process ends. */
 export class StatusBroadcasts {
   private isProbing = false;
 
@@ -58,7 +58,10 @@
     });
   }
 
-  /** Nothing else may ask the state service while users are elsewhere and the watches hang. */
+  /**
+   * Sends a read to the state service, to notice when it is available again. There may be no other request to it while
+   * users are sent to other nodes and the watches hang.
+   */
   private probeStateService(): void {
     if (this.isProbing) return;
     this.isProbing = true;
