--- a/src/http/accept-queue.ts
+++ b/src/http/accept-queue.ts
@@ -1,26 +1,27 @@
 /**
- * Sheds connections that waited for too long before they were accepted. After a restart hundreds of workers connect at
- * once, and each gives up after some seconds and connects anew. Once the queue is longer than that, every connection
- * that is taken from it has been given up already: all work goes into responses that nobody waits for, and the queue
- * stays as long. So peers that have gone are not answered, and when it is mostly these that come, the whole queue is
- * dropped unread. Whoever still waits in it sees that at once and comes again, to a short queue.
+ * Sheds connections that waited too long in the accept queue. After a restart hundreds of workers connect at once, and
+ * each gives up after some seconds and connects again. Once the wait in the queue exceeds that time, the client of
+ * every accepted connection has already given up: all work goes into responses that no client waits for, and the queue
+ * does not get shorter. So requests on connections that the client has closed get no response, and when most accepted
+ * connections are of this kind, the whole queue is dropped unread. Clients that still wait in it notice the drop at
+ * once and connect again, to a short queue.
  */
 import type { Server, Socket } from 'node:net';
 import type { Log } from '../runtime.js';
 
-/** So many more connections whose peer had gone than others: most of the queue has been given up. */
+/** With this excess of disconnected over connected clients, most of the queue is taken to have given up. */
 const MAX_EXCESS_DISCONNECTED = 12;
-/** Dropping ends once nothing came for so long. */
+/** Dropping ends once no connection was dropped for this time: the queue is then empty. */
 const EMPTY_QUEUE_MS = 20;
 const MAX_DROPPING_MS = 1000;
-/** Node takes 0 for no limit; with 1, whatever comes beside the connections that are open is dropped unread. */
+/** Node takes 0 as no limit. With 1, each new connection is dropped unread while another is open. */
 const MAX_CONNECTIONS_WHILE_DROPPING = 1;
 
 type DroppingServer = Pick<Server, 'maxConnections' | 'on'>;
 
-/** Watches over the connections that a server accepts. */
+/** Detects clients that gave up while their connections waited to be accepted by a server, and sheds the queue. */
 export class AcceptQueue {
-  /** Peers that had gone, less those that were still there; never negative. */
+  /** Number of clients found disconnected minus those found connected, never below 0. */
   private excessDisconnected = 0;
   private droppedCount = 0;
   private isDropping = false;
@@ -38,8 +39,9 @@
   }
 
   /**
-   * To be asked when the first request of a connection was read. The end of the connection, if the peer has closed it
-   * as well, is seen in one of the next turns of the event loop: calls back then, unless the peer has gone.
+   * Calls back unless the client has closed the connection. To be called when the first request of a connection was
+   * read: if the client has also closed the connection, that is seen in one of the next turns of the event loop, so the
+   * callback is delayed until then.
    */
   ifStillConnected(socket: Socket, callback: () => void): void {
     setImmediate(() => {
@@ -75,7 +77,7 @@
       this.server.maxConnections = this.maxConnections;
       this.log.info(
         { dropped: this.droppedCount - droppedAtStart },
-        'dropped connections that had waited for too long',
+        'dropped connections that had waited too long to be accepted',
       );
     });
   }
--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP client of a controller: requests to workers, the state service and the cloud, within the sockets that it
- * may hold.
+ * The HTTP client of a controller: sends requests to workers, the state service and the cloud within the limits on its
+ * sockets.
  */
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 import type { Socket } from 'node:net';
@@ -9,22 +9,22 @@
 
 const NO_RESPONSE: Reply = { status: 0, body: {} };
 const STATUS_OK = 200;
-/** How long a connection to a worker stays open without use. */
+/** How long an idle connection to a worker is kept open. */
 const WORKER_IDLE_TIMEOUT_MS = 2500;
 const MAX_CONNECTIONS_PER_SERVICE = 24;
 const AGENT_OPTIONS = { keepAlive: true, scheduling: 'lifo' as const };
 
-/** Which connections stay open, and how many there may be. */
+/** Services to keep connections to, and the limit on connections to workers. */
 export interface HttpClientOptions {
-  /** Addresses, as `host:port`, to which connections stay open: a few services. All others are workers. */
+  /** Addresses, as `host:port`, of the few services to which connections are kept open. All others are workers. */
   services: readonly string[];
   maxConnectionsToWorkers: number;
 }
 
 /**
- * Persistent connections with one request at a time on each (no pipelining). Workers are many, and each holds a
- * connection of its own to us: what we open to them is closed soon after use, or at once when half of the sockets meant
- * for that are taken.
+ * Uses persistent connections with one request at a time on each (no pipelining). There are many workers, and each also
+ * holds a connection of its own to this controller: connections to workers are therefore closed soon after use, or at
+ * once while more than half of the sockets for them are in use.
  */
 export class HttpClient implements Http {
   private readonly serviceAgent = new Agent({
@@ -40,7 +40,7 @@
 
   constructor(private readonly options: HttpClientOptions) {}
 
-  /** Never rejects: a status of 0 stands for no reply. */
+  /** Never rejects: status 0 means that there was no response. */
   send(
     to: string,
     method: HttpMethod,
@@ -50,8 +50,8 @@
   ): Promise<Reply> {
     return new Promise((resolve) => {
       const sent = this.createRequest(to, method, path, body);
-      // Given up also while the connection is still being made, which takes seconds to a host that says nothing;
-      // with the request goes its socket.
+      // Also ends requests whose connection is still being established, which takes seconds if the host is unreachable.
+      // Destroying the request also destroys its socket.
       const timer = setTimeout(() => {
         sent.destroy();
         resolve(NO_RESPONSE);
@@ -123,6 +123,6 @@
   const bytes = parts.length === 1 ? parts[0] : Buffer.concat(parts);
   const body = bytes.length === 0 ? {} : decodeMap(bytes);
   if (body !== null) return { status, body };
-  // A 200 that can't be decoded counts as no reply: the request may have been executed.
+  // A response with status 200 that can't be decoded counts as no response: the request may have been executed.
   return status === STATUS_OK ? NO_RESPONSE : { status, body: {} };
 }
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -10,10 +10,10 @@
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 import { workerPaths } from '../wire/workers.js';
 
-/** Workers and users send a request every few seconds: a connection idle for so long is most likely dead. */
+/** Workers and users send a request every few seconds: a connection that is idle for this time is most likely dead. */
 const IDLE_TIMEOUT_MS = 25_000;
 
-/** Serves the node's users, workers and health checks, on at most its share of `sockets`. */
+/** Creates the server for users, workers and health checks. Accepts at most the inbound share of `sockets`. */
 export function createHttpServer(node: ControllerNode, sockets: number, log: Log): Server {
   const allocation = allocateSockets(sockets);
   const userApp = createUserApp(node);
@@ -41,12 +41,12 @@
 }
 
 /**
- * Heartbeats come by the hundred a second and are most of what the leader does, so they bypass express: there each
- * costs three times as much.
+ * Serves heartbeats without express. The leader receives hundreds of heartbeats per second, which are most of its work,
+ * and with express each costs three times as much.
  */
 class HeartbeatServer {
   private openConnections = 0;
-  /** Connections on which a heartbeat was read. */
+  /** Connections on which at least one heartbeat was read. */
   private readonly knownSockets = new WeakSet<Socket>();
 
   constructor(
@@ -86,7 +86,7 @@
     response.end(bytes);
   }
 
-  /** Whatever goes wrong with a heartbeat, it harms that heartbeat alone. */
+  /** Catches all errors, so that a failure affects only the heartbeat that caused it. */
   private responseFor(body: Buffer): Answer {
     try {
       return this.handleHeartbeat(decodeMap(body));
@@ -96,15 +96,15 @@
   }
 
   /**
-   * There can be more workers than sockets: when these run short, a worker connects anew for its next heartbeat. One
-   * that is sent elsewhere is not expected back.
+   * Whether to close the connection after the response. There can be more workers than sockets: when sockets run short,
+   * a worker must reconnect for its next heartbeat. A worker that is sent to another controller is not expected back.
    */
   private mustClose(status: number): boolean {
     return status !== 200 || this.openConnections > this.maxKeptConnections;
   }
 }
 
-/** A body over the limit is cut off, and then can't be decoded. */
+/** Passes the request's body to `onBody`. A body over the limit is truncated, and then can't be decoded. */
 function readBody(request: IncomingMessage, onBody: (body: Buffer) => void): void {
   const parts: Buffer[] = [];
   let length = 0;
--- a/src/http/socket-allocation.ts
+++ b/src/http/socket-allocation.ts
@@ -1,24 +1,24 @@
 /**
- * How a process allocates the sockets that it may hold. Each worker keeps a connection to the leader, and there can be
- * as many workers as sockets: so none of them may count on keeping it, while users, health checks, the state service and
- * the other controllers never go without.
+ * Allocation of the sockets that a process may hold. Each worker keeps a connection to the leader, and there can be as
+ * many workers as sockets. So no worker can rely on keeping its connection, while sockets are always available for
+ * users, health checks, the state service and the other controllers.
  */
 
-/** Upper limits that together stay within the process's sockets. */
+/** Limits on the sockets for each purpose; together they stay within the limit of the process. */
 export interface SocketAllocation {
-  /** Accepted connections. */
+  /** Maximum number of accepted connections. */
   maxInbound: number;
-  /** Connections that wait to be accepted while the process lags: they hold sockets, too. */
+  /** Maximum number of connections that wait to be accepted while the process lags; they hold sockets too. */
   backlog: number;
-  /** With more than this many accepted, a worker's connection is closed once its heartbeat is answered. */
+  /** With more accepted connections than this, a worker's connection is closed after the response to its heartbeat. */
   maxKeptWorkerConnections: number;
-  /** Connections to workers, those that are being made included. */
+  /** Maximum number of connections to workers, including those being established. */
   maxToWorkers: number;
-  /** Requests to workers in flight. */
+  /** Maximum number of requests to workers in flight. */
   maxRequestsToWorkers: number;
 }
 
-/** For the state service, the cloud, the other controllers and listeners, but at most a share of all. */
+/** Sockets for the state service, the cloud, the other controllers and listeners, limited to a share of all sockets. */
 const RESERVED_FOR_SERVICES = 80;
 const MAX_SHARE_FOR_SERVICES = 1 / 4;
 const SHARE_TO_WORKERS = 0.17;
@@ -26,14 +26,14 @@
 const BACKLOG_SHARE = 1 / 8;
 const MAX_BACKLOG = 128;
 const MIN_INBOUND = 24;
-/** Of the accepted connections. */
+/** Share of the accepted connections. */
 const SHARE_OF_KEPT_WORKER_CONNECTIONS = 0.7;
-/** A request that is given up leaves its connection behind for a moment. */
+/** Less than 1, since the connection of an abandoned request remains for a moment. */
 const REQUESTS_PER_CONNECTION_TO_WORKERS = 0.65;
-/** Beyond this, the processor is the limit and not the sockets. */
+/** Beyond this number the limit is the processor, not the sockets. */
 const MAX_REQUESTS_TO_WORKERS = 200;
 
-/** `limit`: all sockets that the process may hold. */
+/** Divides `limit`, the number of sockets that the process may hold. */
 export function allocateSockets(limit: number): SocketAllocation {
   const maxToWorkers = Math.max(MIN_TO_WORKERS, Math.floor(limit * SHARE_TO_WORKERS));
   const backlog = Math.min(MAX_BACKLOG, Math.floor(limit * BACKLOG_SHARE));
--- a/src/http/user-app.ts
+++ b/src/http/user-app.ts
@@ -6,15 +6,15 @@
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 import { userPaths } from '../wire/users.js';
 
-/** Larger bodies are refused. */
+/** Maximum size of a request body; larger ones are rejected. */
 export const MAX_BODY_BYTES = 64 * 1024;
-/** For requests that fail within this process: the client may try again, here or elsewhere. */
+/** Response to a request that fails within this process: the client may retry on this or another controller. */
 export const INTERNAL_FAILURE: Answer = { status: 503, body: {}, retryAfterS: 1 };
 const NOT_CBOR: Answer = { status: 400, body: { error: 'not a CBOR map' } };
 const MALFORMED: Answer = { status: 400, body: { error: 'malformed request' } };
 const NOT_FOUND: Answer = { status: 404, body: { error: 'no such path' } };
 
-/** What serves the requests. */
+/** The components of the node that serve the requests. */
 export interface UserBackend {
   api: Pick<JobsApi, 'submit' | 'poll' | 'cancel'>;
   health(): Health;
@@ -22,7 +22,7 @@
 
 type Responder = (request: Request) => Promise<Answer> | Answer;
 
-/** An express application: whatever is wrong with a request, it harms that request alone. */
+/** Creates the express application. An error in a request affects only that request. */
 export function createUserApp(backend: UserBackend): express.Express {
   const app = express();
   app.disable('x-powered-by');
@@ -80,12 +80,12 @@
   response.end(isHealthy ? undefined : health.reason);
 }
 
-/** Too large, cut short or badly encoded requests are the client's errors; all else is ours. */
+/** Requests that are too large, truncated or badly encoded are client errors; all other errors are internal. */
 function handleError(
   error: { status?: number },
   _request: Request,
   response: Response,
-  // Express tells error handlers by their four parameters.
+  // Express recognizes error handlers by their four parameters.
   _next: NextFunction,
 ): void {
   const isClientError = error.status !== undefined && error.status >= 400 && error.status < 500;
