--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -56,9 +56,9 @@
         sent.destroy();
         resolve(NO_RESPONSE);
       }, timeoutMs);
-      const settle = (reply: Reply): void => {
+      const settle = (result: Reply): void => {
         clearTimeout(timer);
-        resolve(reply);
+        resolve(result);
       };
       sent.once('response', (response) => {
         readResponse(response, settle);
@@ -108,7 +108,7 @@
   }
 }
 
-function readResponse(response: IncomingMessage, settle: (reply: Reply) => void): void {
+function readResponse(response: IncomingMessage, settle: (result: Reply) => void): void {
   const parts: Buffer[] = [];
   response.on('data', (part: Buffer) => parts.push(part));
   response.on('error', () => {
