--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -45,7 +45,7 @@
 export interface FailureDetectorDependencies {
   table: MachineTable;
   operator: OperatorSettings;
-  saveMoney: boolean;
+  minimizeCost: boolean;
   /** Duration of a worker's lease, in seconds. */
   leaseS: number;
   /** All zones that machines can be requested in. */
@@ -193,7 +193,7 @@
     const timeSinceHeardMs = now - machine.lastHeardAt;
     if (timeSinceHeardMs > MAX_PARTITION_MS) return true;
     // Its tasks already run elsewhere, so the machine is not worth its price.
-    if (this.deps.saveMoney && machine.leaseExpired) return true;
+    if (this.deps.minimizeCost && machine.leaseExpired) return true;
     const waitMs = this.deps.leaseS * 1000 * PARTITIONED_LEASE_SHARE;
     const extendableUntil = this.deps.leasesExtendableUntil(machine.zone);
     if (extendableUntil === null)
--- a/src/autoscaler/scale-in.ts
+++ b/src/autoscaler/scale-in.ts
@@ -10,16 +10,16 @@
 export interface ScaleInDependencies {
   table: MachineTable;
   operator: OperatorSettings;
-  saveMoney: boolean;
+  minimizeCost: boolean;
 }
 
-/** Without `saveMoney`: how long a machine must be idle, while the cluster has no work, before it is deleted. */
+/** Without `minimizeCost`: how long a machine must be idle, while the cluster has no work, before it is deleted. */
 const IDLE_TIMEOUT_WITHOUT_WORK_MS = 30_000;
 /** Maximum rounding error of a sum of CPU shares. */
 const CPU_ROUNDING = 1e-6;
 
 /**
- * With `saveMoney`, deletes surplus machines once they are empty; otherwise deletes machines only if there is no
+ * With `minimizeCost`, deletes surplus machines once they are empty; otherwise deletes machines only if there is no
  * work.
  */
 export class ScaleIn {
@@ -30,7 +30,7 @@
 
   /** Marks surplus machines, and starts to delete those that have been idle for long enough. */
   deleteIdle(demand: Demand, now: number): void {
-    if (this.deps.saveMoney) this.deleteSurplus(demand, now);
+    if (this.deps.minimizeCost) this.deleteSurplus(demand, now);
     else if (demand.ordinaryCpus + demand.spotEligibleCpus === 0) this.deleteAllIdle(now);
   }
 
--- a/src/autoscaler/scale-out.ts
+++ b/src/autoscaler/scale-out.ts
@@ -18,7 +18,7 @@
   table: MachineTable;
   operator: OperatorSettings;
   types: MachineType[];
-  saveMoney: boolean;
+  minimizeCost: boolean;
   /** Zones that have controllers. */
   controllerZones: Set<string>;
   isLeader(): boolean;
@@ -79,11 +79,11 @@
 
   /** Requests the machines that the demand needs beyond those counted by the last `updatePools`. */
   requestMissing(demand: Demand, now: number): void {
-    const { saveMoney, operator } = this.deps;
+    const { minimizeCost, operator } = this.deps;
     const plan = planScaleOut({
       pools: [...this.pools.values()],
       demand,
-      saveMoney,
+      minimizeCost,
       spareShare: operator.spare_share,
       now,
     });
--- a/src/autoscaler/scaling-plan.ts
+++ b/src/autoscaler/scaling-plan.ts
@@ -35,8 +35,8 @@
 export interface ScaleOutInput {
   pools: Pool[];
   demand: Demand;
-  saveMoney: boolean;
-  /** Capacity to keep free, as a share of the used capacity. Applies only with `saveMoney`. */
+  minimizeCost: boolean;
+  /** Capacity to keep free, as a share of the used capacity. Applies only with `minimizeCost`. */
   spareShare: number;
   /** Current time by the monotonic clock, in milliseconds. */
   now: number;
@@ -50,22 +50,23 @@
 
 /** Maximum spare capacity for arriving services, as a share of the ordinary demand. */
 const MAX_SPARE_SHARE_FOR_ARRIVALS = 0.2;
-/** Without `saveMoney`, the target is twice the demand plus `FREE_CAPACITY_EXTRA_CPUS`. */
+/** Without `minimizeCost`, the target is twice the demand plus `FREE_CAPACITY_EXTRA_CPUS`. */
 const FREE_CAPACITY_FACTOR = 2;
 const FREE_CAPACITY_EXTRA_CPUS = 100;
-/** Share of the spot-eligible demand that may wait for spot machines with `saveMoney`. */
+/** Share of the spot-eligible demand that may wait for spot machines with `minimizeCost`. */
 const SPOT_WAIT_SHARE = 0.2;
 
 /**
- * Returns the target capacity. Without `saveMoney` it is ample, so that machines are already up when a burst arrives.
+ * Returns the target capacity. Without `minimizeCost` it is ample, so that machines are already up when a burst
+ * arrives.
  */
 export function scalingTargets(
   demand: Demand,
-  saveMoney: boolean,
+  minimizeCost: boolean,
   spareShare: number,
 ): ScalingTargets {
   const { ordinaryCpus, spotEligibleCpus } = demand;
-  if (!saveMoney) {
+  if (!minimizeCost) {
     const hasWork = ordinaryCpus > 0 || spotEligibleCpus > 0;
     const cpus = hasWork
       ? FREE_CAPACITY_FACTOR * (ordinaryCpus + spotEligibleCpus) + FREE_CAPACITY_EXTRA_CPUS
@@ -95,7 +96,7 @@
 }
 
 /**
- * Spreads `missingCpus` over the pools. With `saveMoney`, the cheapest pools come first. Next come zones with
+ * Spreads `missingCpus` over the pools. With `minimizeCost`, the cheapest pools come first. Next come zones with
  * controllers, each up to half of `targetCpus`, since replicas are spread; then the pools with the fewest machines.
  */
 function distribute(
@@ -103,7 +104,7 @@
   missingCpus: number,
   targetCpus: number,
   now: number,
-  saveMoney: boolean,
+  minimizeCost: boolean,
 ): MachineCounts {
   const counts: MachineCounts = new Map();
   const available = pools.filter((pool) => pool.unavailableUntil <= now);
@@ -112,7 +113,7 @@
   for (const { zone, machineCount, type } of pools)
     zoneCpus.set(zone, cpusIn(zone) + machineCount * type.cpus);
   const pricePerCpu = ({ spot, type }: Pool): number =>
-    saveMoney ? (spot ? type.spotPrice : type.price) / type.cpus : 0;
+    minimizeCost ? (spot ? type.spotPrice : type.price) / type.cpus : 0;
   const isLessPreferred = (pool: Pool): boolean =>
     pool.spot || !pool.hasControllers || cpusIn(pool.zone) >= targetCpus / 2;
   const machinesOf = (pool: Pool): number => pool.machineCount + (counts.get(pool) ?? 0);
@@ -136,27 +137,27 @@
 
 /** Returns how many machines to request from each pool now, at most as many as one request may ask for. */
 export function planScaleOut(input: ScaleOutInput): Map<Pool, number> {
-  const { demand, now, saveMoney } = input;
+  const { demand, now, minimizeCost } = input;
   const usable = input.pools.filter((pool) => demand.isUsable(pool.type));
   const ordinary = usable.filter((pool) => !pool.spot);
   const spot = usable.filter((pool) => pool.spot);
-  const { ordinaryCpus, totalCpus } = scalingTargets(demand, saveMoney, input.spareShare);
+  const { ordinaryCpus, totalCpus } = scalingTargets(demand, minimizeCost, input.spareShare);
   const existingOrdinaryCpus = capacityCpus(ordinary);
   const missingOrdinaryCpus = ordinaryCpus - existingOrdinaryCpus;
-  const plan = distribute(ordinary, missingOrdinaryCpus, ordinaryCpus, now, saveMoney);
+  const plan = distribute(ordinary, missingOrdinaryCpus, ordinaryCpus, now, minimizeCost);
   const missingCpus = totalCpus - existingOrdinaryCpus - capacityCpus(spot) - plannedCpus(plan);
-  const spotPlan = distribute(spot, missingCpus, totalCpus, now, saveMoney);
-  const spotWaitCpus = saveMoney ? SPOT_WAIT_SHARE * demand.spotEligibleCpus : 0;
+  const spotPlan = distribute(spot, missingCpus, totalCpus, now, minimizeCost);
+  const spotWaitCpus = minimizeCost ? SPOT_WAIT_SHARE * demand.spotEligibleCpus : 0;
   let unmetCpus = missingCpus;
   for (const [pool, count] of spotPlan) {
     plan.set(pool, count);
     unmetCpus -= count * pool.type.cpus;
   }
-  // CPUs that spot machines can't provide are requested as ordinary machines; with `saveMoney` only once many CPUs
+  // CPUs that spot machines can't provide are requested as ordinary machines; with `minimizeCost` only once many CPUs
   // are missing.
   if (unmetCpus <= spotWaitCpus || spot.some((pool) => pool.unavailableUntil <= now)) return plan;
   const fallbackCpus = unmetCpus - spotWaitCpus;
-  for (const [pool, count] of distribute(ordinary, fallbackCpus, totalCpus, now, saveMoney))
+  for (const [pool, count] of distribute(ordinary, fallbackCpus, totalCpus, now, minimizeCost))
     plan.set(pool, Math.max(plan.get(pool) ?? 0, count));
   return plan;
 }
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -42,7 +42,7 @@
     table,
     operator,
     types,
-    saveMoney: moneyCounts(settings, operator),
+    minimizeCost: moneyCounts(settings, operator),
     heartbeatIntervalS: settings.heartbeatIntervalS,
     listLagS: settings.listLagS,
     isLeader: () => lifecycle.isLeader(),
--- a/src/placement/machine-candidates.ts
+++ b/src/placement/machine-candidates.ts
@@ -14,7 +14,7 @@
 /** What the selection of machines rests on besides the job and the machines. */
 export interface SelectionContext {
   /** Cheap machines first and full ones before empty ones, so that some can be returned. */
-  saveMoney: boolean;
+  minimizeCost: boolean;
   preemption: PreemptionPolicy;
 }
 
@@ -137,7 +137,7 @@
       victims.length * COST_PER_VICTIM +
       (machine.isStraggler ? COST_OF_STRAGGLER : 0) +
       this.colocationCost(machine) +
-      (context.saveMoney ? this.rentCost(machine) : this.utilizationCost(machine))
+      (context.minimizeCost ? this.rentCost(machine) : this.utilizationCost(machine))
     );
   }
 
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -76,7 +76,7 @@
     const machines = new UsableMachines(table, (machine) => deps.isSilent(machine));
     const { usage, guaranteed, reservations, demand, runTimes } = this;
     const context: SelectionContext = {
-      saveMoney: moneyCounts(settings, operator),
+      minimizeCost: moneyCounts(settings, operator),
       preemption: new PreemptionPolicy(usage, guaranteed),
     };
     const state = { jobs, table, machines, usage, reservations, guaranteed, demand, runTimes };
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -10,7 +10,7 @@
 
 test('a run without faults where money counts', async () => {
   assertInvariantsHeld(
-    await runScenario({ seed: 2, saveMoney: true, ordinaryUp: 0 }, () => undefined),
+    await runScenario({ seed: 2, minimizeCost: true, ordinaryUp: 0 }, () => undefined),
   );
 });
 
@@ -66,7 +66,7 @@
 
 for (const seed of [41, 42, 43])
   test(`machines die, hang, are taken, fail tasks, are slow (${seed})`, async () => {
-    const outcome = await runScenario({ seed, saveMoney: seed === 42 }, (cluster, second) => {
+    const outcome = await runScenario({ seed, minimizeCost: seed === 42 }, (cluster, second) => {
       const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
       if (!machine?.worker) return;
       if (second % 7 === 2) cluster.cloud.preempt(machine);
@@ -200,7 +200,7 @@
       seed,
       teamLimit: seed % 2 ? 20 : 40,
       capacity: 2 + (seed % 3),
-      saveMoney: seed % 4 === 0,
+      minimizeCost: seed % 4 === 0,
     };
     assertInvariantsHeld(await runScenario(config, chaos), false);
   });
--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -8,7 +8,7 @@
 /** Controllers share the duties. */
 export const withDuties: Partial<ClusterConfig> = {
   ordinaryUp: 0,
-  saveMoney: true,
+  minimizeCost: true,
   rollout: ROLLOUT,
   duties: DUTIES,
 };
@@ -30,7 +30,7 @@
 export const unevenMachines: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   teamLimit: 400,
-  saveMoney: true,
+  minimizeCost: true,
   types: [
     machineType('small-4', 4, 0),
     machineType('medium-16', 16, 0),
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -62,7 +62,7 @@
     ),
   },
   {
-    config: { saveMoney: true, ordinaryUp: 0, zones: THREE_ZONES },
+    config: { minimizeCost: true, ordinaryUp: 0, zones: THREE_ZONES },
     eachSecond: combine(
       mixedJobs,
       zoneJobs,
@@ -198,7 +198,7 @@
     ),
   },
   {
-    config: { saveMoney: true },
+    config: { minimizeCost: true },
     prepare: (cluster) => {
       cluster.nextMachineSlowness = 6;
     },
@@ -207,7 +207,7 @@
   {
     config: {
       ...wide,
-      saveMoney: true,
+      minimizeCost: true,
       rollout: AUTOMATIC_ROLLOUT,
       duties: DUTIES,
       zones: THREE_ZONES,
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -20,7 +20,7 @@
       if (second > 0) faults(cluster, second);
     };
     const outcome = await runScenario(
-      { ordinaryUp: 0, seed, saveMoney: true, rollout: ROLLOUT, duties: SETTINGS, ...config },
+      { ordinaryUp: 0, seed, minimizeCost: true, rollout: ROLLOUT, duties: SETTINGS, ...config },
       before,
       (cluster) => {
         plantLevel(cluster);
--- a/test/gang-room.test.ts
+++ b/test/gang-room.test.ts
@@ -166,7 +166,7 @@
     capacity: 2,
     ordinaryUp: 4,
     teamLimit: 1000,
-    saveMoney: true,
+    minimizeCost: true,
   });
   submit(cluster, { ...GANG, tasks: 6 });
   await cluster.run(12);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -51,7 +51,7 @@
   const cluster = new Cluster({
     seed: 5,
     nodes: 5,
-    saveMoney: true,
+    minimizeCost: true,
     ordinaryUp: 0,
     capacity: 160,
     teamLimit: 1e6,
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -23,7 +23,7 @@
     largestMachineCpus: 32,
     isUsable: () => true,
   };
-  const plan = planScaleOut({ pools, demand, saveMoney: true, spareShare: 0, now: 10 });
+  const plan = planScaleOut({ pools, demand, minimizeCost: true, spareShare: 0, now: 10 });
   const sum = (spot: boolean): number =>
     [...plan].reduce((n, [chosen, c]) => n + (chosen.spot === spot ? c : 0), 0);
   assert.equal(sum(false), 4);
--- a/test/sim/autoscaler-harness.ts
+++ b/test/sim/autoscaler-harness.ts
@@ -56,7 +56,7 @@
       table: this.table,
       operator: defaultOperatorSettings(),
       types: [TYPE],
-      saveMoney: false,
+      minimizeCost: false,
       heartbeatIntervalS: HEARTBEAT_INTERVAL_S,
       listLagS: 2,
       isLeader: () => true,
--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -24,7 +24,7 @@
 /** What differs from the deployment that most tests use. */
 export interface ClusterConfig {
   seed: number;
-  saveMoney?: boolean;
+  minimizeCost?: boolean;
   /** Machines of each zone and kind. */
   capacity?: number;
   /** Machine types, and where they are; else one type everywhere. */
--- a/test/sim/node-settings.ts
+++ b/test/sim/node-settings.ts
@@ -9,7 +9,7 @@
   nodeNames: string[],
   config: CompleteClusterConfig,
 ): PlatformSettings {
-  const money: Objective[] = config.saveMoney
+  const money: Objective[] = config.minimizeCost
     ? [{ kind: 'price', jobClass: null, withinS: null }]
     : [];
   return {
