--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -5,7 +5,7 @@
 import { DirectActions } from '../autoscaler/machine-actions.js';
 import type { Demand } from '../autoscaler/scaling-plan.js';
 import { IntentActions } from '../duties/intent-actions.js';
-import { moneyCounts } from '../settings/money.js';
+import { shouldMinimizeCost } from '../settings/cost-policy.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
@@ -42,7 +42,7 @@
     table,
     operator,
     types,
-    minimizeCost: moneyCounts(settings, operator),
+    minimizeCost: shouldMinimizeCost(settings, operator),
     heartbeatIntervalS: settings.heartbeatIntervalS,
     listLagS: settings.listLagS,
     isLeader: () => lifecycle.isLeader(),
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import type { Runtime } from '../runtime.js';
-import { moneyCounts } from '../settings/money.js';
+import { shouldMinimizeCost } from '../settings/cost-policy.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { Machine } from '../workers/machine.js';
@@ -76,7 +76,7 @@
     const machines = new UsableMachines(table, (machine) => deps.isSilent(machine));
     const { usage, guaranteed, reservations, demand, runTimes } = this;
     const context: SelectionContext = {
-      minimizeCost: moneyCounts(settings, operator),
+      minimizeCost: shouldMinimizeCost(settings, operator),
       preemption: new PreemptionPolicy(usage, guaranteed),
     };
     const state = { jobs, table, machines, usage, reservations, guaranteed, demand, runTimes };
--- a/src/settings/money.ts
+++ b/src/settings/cost-policy.ts
@@ -8,7 +8,10 @@
  * where some are guaranteed CPUs, capacity is held for them whether or not they use it, so more machines than work
  * are meant to stand ready. Where nobody is guaranteed anything, machines are requested for the work there is.
  */
-export function moneyCounts(platform: PlatformSettings, operator: OperatorSettings): boolean {
+export function shouldMinimizeCost(
+  platform: PlatformSettings,
+  operator: OperatorSettings,
+): boolean {
   if (operator.money !== 'objectives') return operator.money === 'counts';
   if (platform.objectives.some(({ kind }) => kind === 'price' || kind === 'useful')) return true;
   return !platform.teams.some(({ cpus, gpus }) => cpus > 0 || gpus > 0);
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -6,7 +6,7 @@
 
 /** The operators' own settings; `operator.schema.json` has the meaning of a valid file and the defaults. */
 export interface OperatorSettings {
-  /** Whether money counts: as the platform's objectives and guarantees tell (see `money.ts`), always, or never. */
+  /** Whether money counts: as the platform's objectives and guarantees tell (see `cost-policy.ts`), always, or never. */
   money: 'objectives' | 'counts' | 'free';
   /** Seconds between placement rounds (moves). */
   round_s: number;
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { defaultOperatorSettings, readOperatorSettings } from '../src/settings/operator.js';
-import { moneyCounts } from '../src/settings/money.js';
+import { shouldMinimizeCost } from '../src/settings/cost-policy.js';
 import { readPlatformSettings } from '../src/settings/platform.js';
 import { SettingsError } from '../src/settings/settings-table.js';
 
@@ -102,7 +102,7 @@
   const open = readPlatformSettings(GOOD.replace('cpus = 4.0', 'cpus = 0.0'));
   const priced = readPlatformSettings(GOOD + '[[params.objectives]]\nkind = "price"\nmost = 2.0\n');
   const counts = (p: typeof open, money: 'objectives' | 'counts' | 'free'): boolean =>
-    moneyCounts(p, { ...defaultOperatorSettings(), money });
+    shouldMinimizeCost(p, { ...defaultOperatorSettings(), money });
   assert.deepEqual(
     [guaranteed, open, priced].map((p) => counts(p, 'objectives')),
     [false, true, true],
