--- a/src/jobs/answers.ts
+++ b/src/jobs/answers.ts
@@ -1,7 +1,7 @@
 /** Answers to users' requests. */
 import type { Body } from '../wire/cbor.js';
 import { HTTP_STATUS } from '../wire/http-status.js';
-import { jobAnswer } from '../wire/users.js';
+import { jobStateResponse } from '../wire/users.js';
 import type { Progress } from './job-table.js';
 import type { EndedJobRecord } from './records.js';
 
@@ -44,18 +44,18 @@
 
 /** The job is stored now. */
 export function accepted(id: string): Answer {
-  return { status: HTTP_STATUS.created, body: jobAnswer(id, 'pending') };
+  return { status: HTTP_STATUS.created, body: jobStateResponse(id, 'pending') };
 }
 
 /** A live job, with what the leader last told of its progress. */
 export function liveAnswer(id: string, progress: Progress = NOT_STARTED): Answer {
   const { done, running } = progress;
   const state = running > 0 ? 'running' : 'pending';
-  return { status: HTTP_STATUS.ok, body: jobAnswer(id, state, { done, running }) };
+  return { status: HTTP_STATUS.ok, body: jobStateResponse(id, state, { done, running }) };
 }
 
 /** A job that has ended, or whose cancellation is stored. */
 export function endedAnswer(id: string, { state, tasks }: EndedJobRecord): Answer {
   const done = state === 'done' ? tasks : 0;
-  return { status: HTTP_STATUS.ok, body: jobAnswer(id, state, { done, running: 0 }) };
+  return { status: HTTP_STATUS.ok, body: jobStateResponse(id, state, { done, running: 0 }) };
 }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -62,10 +62,10 @@
 };
 
 /** A job, or the first field that is missing or invalid, by its name on the wire. */
-export type Submission = { kind: 'job'; job: JobSpec } | { kind: 'invalid'; field: string };
+export type ParsedSubmission = { kind: 'job'; job: JobSpec } | { kind: 'invalid'; field: string };
 
 /** Checks and reads a submission. */
-export function readJob(body: Body): Submission {
+export function readJob(body: Body): ParsedSubmission {
   for (const [field, isValid] of Object.entries(SUBMISSION_CHECKS))
     if (!isValid(body[field])) return { kind: 'invalid', field };
   return { kind: 'job', job: jobSpecOf(body) };
@@ -98,7 +98,7 @@
 }
 
 /** A job's state, and how many of its tasks are done and run, where that is told. */
-export function jobAnswer(
+export function jobStateResponse(
   id: string,
   state: JobState,
   progress?: { done: number; running: number },
