--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -1,4 +1,4 @@
-/** CBOR bodies: encoding, decoding and the integers that don't fit into 32 bits. */
+/** Encoding and decoding of CBOR bodies, and conversion of integers that don't fit into 32 bits. */
 import { Encoder } from 'cbor-x';
 
 const codec = new Encoder({ useRecords: false, variableMapSize: true, mapsAsObjects: true });
@@ -8,14 +8,17 @@
 /** The body of a request or response: a map with text keys. */
 export type Body = Record<string, unknown>;
 
-/** Integers above 32 bits would otherwise be written as floats, which the outside takes for amounts. */
+/**
+ * Converts integers above 32 bits to bigint. Otherwise they would be encoded as floats, which the other services treat
+ * as amounts.
+ */
 export function toWireInteger(value: number): number | bigint {
   return value > MAX_UINT32 ? BigInt(value) : value;
 }
 
 /**
- * A number as it was received. 64-bit integers are read as bigint; every count we deal in is below 2^53.
- * Undefined for anything else.
+ * Converts a received number: 64-bit integers are decoded as bigint, but all counts in use are below 2^53. Returns
+ * undefined for anything else.
  */
 export function toNumber(value: unknown): number | undefined {
   if (typeof value === 'number') return value;
@@ -24,12 +27,12 @@
   return undefined;
 }
 
-/** The bytes of a body. */
+/** Encodes a body as CBOR. */
 export function encode(body: unknown): Buffer {
   return codec.encode(body);
 }
 
-/** Null unless the bytes are exactly one map. */
+/** Decodes a body. Returns null unless the bytes are exactly one map. */
 export function decodeMap(bytes: Uint8Array): Body | null {
   try {
     const decoded: unknown = codec.decode(bytes);
@@ -39,7 +42,7 @@
   }
 }
 
-/** A decoded map, as opposed to the other values that are objects in JavaScript. */
+/** Whether a decoded value is a map and not another kind of JavaScript object. */
 export function isMap(value: unknown): value is Body {
   return (
     typeof value === 'object' &&
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,14 +1,14 @@
-/** The cloud's catalog, machine list, rentals and deletions. */
+/** Requests and responses of the cloud: catalog, machine list, rentals and deletions. */
 import { type Body, isMap } from './cbor.js';
 import type { ListedMachine, ListedState, MachineType } from './model.js';
 import { isAmount, isText } from './validators.js';
 
 /*
- * The protocol's own words: `stone` is a machine, `stone_kind` its type, `yard` a zone, `loaned_stones` spot machines,
- * `condition` a state; `hire` is the id of a request for machines and `number` how many.
+ * Terms of the protocol: `stone` is a machine, `stone_kind` a machine type, `yard` a zone, `loaned_stones` whether
+ * machines are spot machines, `condition` a state; `hire` is the id of a rental request and `number` its machine count.
  */
 
-/** Of a machine type whose entry in the catalog does not tell. */
+/** Defaults for a machine type whose catalog entry does not contain the value. */
 const DEFAULT_FETCH_GB_PER_S = 0.1;
 const DEFAULT_BOOT_S = 60;
 
@@ -30,7 +30,7 @@
   };
 }
 
-/** The catalog; null if the body is none, or one of its entries can't be read. */
+/** Returns the machine types, or null if the body is not a catalog or one of its entries can't be read. */
 export function readMachineTypes(body: Body): MachineType[] | null {
   if (!Array.isArray(body.stone_kinds)) return null;
   const types: MachineType[] = [];
@@ -42,7 +42,7 @@
   return types;
 }
 
-/** The catalog in the cloud's words, so that one reader serves the cloud's and the kept one. */
+/** Encodes a catalog in the cloud's format: `readMachineTypes` reads both the cloud's catalog and the stored copy. */
 export function catalogBody(types: MachineType[]): Body {
   return {
     stone_kinds: types.map((type) => ({
@@ -65,14 +65,14 @@
   failed: 'failed',
 };
 
-/** One page of the cloud's list, in the order of names. */
+/** One page of the cloud's machine list, sorted by name. */
 export interface MachinePage {
   machines: ListedMachine[];
-  /** Further machines follow after the last one. */
+  /** Whether the list continues after the last machine of this page. */
   more: boolean;
 }
 
-/** Null if the body is no page. Machines without an id are left out. */
+/** Returns null if the body is not a page of the machine list. Skips machines without an id. */
 export function readMachineList(body: Body): MachinePage | null {
   if (!Array.isArray(body.stones)) return null;
   const machines: ListedMachine[] = [];
@@ -91,7 +91,7 @@
   return { machines, more: body.truncated === true };
 }
 
-/** A request for machines. Repeated with the same id it rents no others. */
+/** Returns the body of a rental request. Repeating a request with the same id rents no further machines. */
 export function rentalBody(
   requestId: string,
   type: string,
@@ -102,19 +102,19 @@
   return { hire: requestId, stone_kind: type, yard: zone, loaned_stones: spot, number: count };
 }
 
-/** The ids of the machines that were rented; null if the body does not tell. */
+/** Returns the ids of the rented machines, or null if the body does not contain them. */
 export function readRental(body: Body): string[] | null {
   return Array.isArray(body.stones) ? body.stones.filter(isText) : null;
 }
 
-/** A request to delete these machines. */
+/** Returns the body of a request to delete machines. */
 export function deletionBody(ids: string[]): Body {
   return { stones: ids };
 }
 
 const MACHINES_PER_PAGE = 500;
 
-/** Paths of the cloud. */
+/** Paths of the cloud's API. */
 export const cloudPaths = {
   types: '/catalog',
   machines: '/machines',
--- a/src/wire/http-status.ts
+++ b/src/wire/http-status.ts
@@ -1,6 +1,6 @@
-/** Status codes of HTTP that decide something here, and the test for a reply that never came. */
+/** HTTP status codes that this software distinguishes, and the check for a missing response. */
 
-/** Status codes of HTTP, by the names of RFC 9110. */
+/** HTTP status codes under their names of RFC 9110. */
 export const HTTP_STATUS = {
   ok: 200,
   created: 201,
@@ -13,7 +13,7 @@
   serviceUnavailable: 503,
 } as const;
 
-/** No reply came in time or at all: the request may have been executed, or may still be. */
+/** Returns true if no response arrived in time or at all: the request may have been executed, or may yet be. */
 export function isNoReply(reply: { status: number }): boolean {
   return reply.status === 0;
 }
--- a/src/wire/model.ts
+++ b/src/wire/model.ts
@@ -1,49 +1,49 @@
-/** The types used inside; the readers and writers in this folder turn them into the wire's words and back. */
+/** The types used internally. The other modules of this folder convert them to and from the terms of the protocols. */
 
-/** `gang`: an array whose tasks run all at the same time or not at all. */
+/** A `gang` is an array whose tasks run either all at the same time or not at all. */
 export type JobKind = 'array' | 'service' | 'gang';
-/** 0 is the most urgent: production, high, normal, idle. */
+/** From the most to the least urgent: production (0), high (1), normal (2), idle (3). */
 export type Priority = 0 | 1 | 2 | 3;
 
-/** The most tasks that one job may have. */
+/** Maximum number of tasks of a job. */
 export const MAX_TASKS = 100_000;
 
-/** A job as its user asked for it. It is stored as it stands, so that its fields are those of stored records. */
+/** A job as submitted by its user. It is stored unchanged, so its field names are those of stored records. */
 export interface JobSpec {
   id: string;
-  /** The job's class, by which run times are learned. */
+  /** Class of the job; run times are learned per class. */
   cls: string;
   team: string;
   kind: JobKind;
   priority: Priority;
   tasks: number;
-  /** Of one task, as are `gpus` and `memoryGb`. */
+  /** Per task, like `gpus` and `memoryGb`. */
   cpus: number;
   gpus: number;
   memoryGb: number;
   image: string;
   imageGb: number;
-  /** Machine types that its tasks may run on; null: any that they fit. */
+  /** Machine types that the tasks may run on; null for any type that they fit. */
   types: string[] | null;
-  /** The zone that all tasks must be in; null: any. */
+  /** The zone that all tasks must run in; null for any zone. */
   zone: string | null;
-  /** All tasks run in one zone, whichever it is. */
+  /** Whether all tasks must run in the same zone, which may be any. */
   oneZone: boolean;
-  /** At most half of the tasks, rounded up, may be in one zone. */
+  /** Whether at most half of the tasks, rounded up, may run in one zone. */
   spread: boolean;
-  /** Its tasks may run on spot machines. */
+  /** Whether the tasks may run on spot machines. */
   spot: boolean;
-  /** How long a task runs, as its user expects. */
+  /** Run time of a task in seconds, as estimated by the user. */
   estimateS: number;
-  /** Time between two checkpoints of a task; 0: it makes none. */
+  /** Seconds between two checkpoints of a task; 0 if it makes none. */
   checkpointS: number;
-  /** How long a task takes to save its state when it is stopped. */
+  /** Seconds that a task takes to save its state when it is stopped. */
   saveS: number;
-  /** Time from the acceptance within which the job should be done; null: none. */
+  /** Seconds from the acceptance within which the job should be done; null if it has no deadline. */
   deadlineS: number | null;
 }
 
-/** A job's state as its user is told. */
+/** A job's state as reported to its user. */
 export type JobState = 'pending' | 'running' | 'done' | 'cancelled';
 
 /** A machine type of the cloud's catalog. */
@@ -52,18 +52,21 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** How fast images are fetched. */
+  /** Rate at which images are fetched. */
   fetchGbPerS: number;
   price: number;
   spotPrice: number;
   bootS: number;
-  /** Zones in which it can be rented. */
+  /** Zones in which machines of this type can be rented. */
   zones: string[];
 }
 
-/** A task's state on its worker. `waiting`: of a gang, until all its tasks are ready. */
+/** A task's state on its worker. A task of a gang is `waiting` until all tasks of the gang are ready. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-/** Why a task exited. `peer_lost`: the gang lost another task. `incomplete`: it did not come together in time. */
+/**
+ * Why a task exited. `peer_lost`: another task of its gang was lost. `incomplete`: the tasks of its gang were not all
+ * ready in time.
+ */
 export type ExitCause =
   'done' | 'stopped' | 'peer_lost' | 'incomplete' | 'error' | 'no_room' | 'busy' | 'unknown';
 
@@ -73,38 +76,38 @@
   taskNumber: number;
   attempt: number;
   state: TaskState;
-  /** Null unless it has exited. */
+  /** Null unless the task has exited. */
   cause: ExitCause | null;
 }
 
-/** A worker's report of itself and of all that is on it. */
+/** A worker's report on itself and on all its task attempts. */
 export interface Heartbeat {
   machine: string;
   endpoint: string;
   type: string;
   zone: string;
   spot: boolean;
-  /** Grows when the worker has killed and forgotten everything, as when its lease ran out. */
+  /** Increases when the worker has killed and forgotten all its tasks, for example after its lease expired. */
   incarnation: number;
-  /** Grows with each report of an incarnation. */
+  /** Increases with each report of an incarnation. */
   sequence: number;
   /** The highest fencing token that the worker has seen. */
   token: number;
-  /** Seconds until the cloud takes a spot machine back; null: no notice was given. */
+  /** Seconds until the cloud preempts the spot machine; null if no preemption notice was given. */
   preemptionNoticeS: number | null;
   tasks: TaskStatus[];
 }
 
-/** What a worker is told to do with one task attempt. `forget`: to report an exited one no longer. */
+/** A command to a worker for one task attempt. `forget`: to no longer report an exited attempt. */
 export type WorkerCommand =
   | { op: 'start'; job: string; taskNumber: number; attempt: number }
   | { op: 'stop'; job: string; taskNumber: number; attempt: number; graceS: number }
   | { op: 'forget'; job: string; taskNumber: number; attempt: number };
 
-/** A machine's state in the cloud's list. */
+/** A machine's state in the cloud's machine list. */
 export type ListedState = 'booting' | 'running' | 'failed';
 
-/** A machine as the cloud lists it. */
+/** An entry of the cloud's machine list. */
 export interface ListedMachine {
   id: string;
   endpoint: string;
@@ -112,6 +115,6 @@
   zone: string;
   spot: boolean;
   state: ListedState;
-  /** Seconds since it was rented. */
+  /** Seconds since the machine was rented. */
   ageS: number;
 }
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,4 +1,4 @@
-/** The state service's requests and responses. */
+/** Requests and responses of the state service. */
 import type {
   KeyValue,
   Mutation,
@@ -10,36 +10,36 @@
 import { isText } from './validators.js';
 
 /*
- * The protocol's own words: `entry_mark` is the version of a key, `ledger_mark` the revision of the whole store, `tenancy`
+ * Terms of the protocol: `entry_mark` is the version of a key, `ledger_mark` the revision of the whole store, `tenancy`
  * a lease and `life_ms` its time to live, `news` the events of a watch.
  */
 
 const versionOf = (body: Body): number => toNumber(body.entry_mark) ?? 0;
 
-/** The store's revision as a response tells it; 0 if it doesn't. */
+/** Returns the revision of the store that a response reports, or 0 if it reports none. */
 export function readRevision(body: Body): number {
   return toNumber(body.ledger_mark) ?? 0;
 }
 
-/** One key with its value and version; null if the body is no such pair. */
+/** Returns a key with its value and version, or null if the body is not such a pair. */
 export function readKeyValue(body: unknown): KeyValue | null {
   if (!isMap(body) || typeof body.k !== 'string') return null;
   return { key: body.k, value: body.data, version: versionOf(body) };
 }
 
-/** One page of a scan; `more`: further keys follow after its last one. */
+/** One page of a scan. `more` is whether the scan continues after the last key of this page. */
 export interface ScanPage extends Snapshot {
   more: boolean;
 }
 
-/** Null if the body is no page. Pairs in it that can't be read are left out. */
+/** Returns null if the body is not a page of a scan. Skips pairs that can't be read. */
 export function readScanPage(body: Body): ScanPage | null {
   if (!Array.isArray(body.pairs)) return null;
   const pairs = body.pairs.map(readKeyValue).filter((pair): pair is KeyValue => pair !== null);
   return { pairs, more: body.truncated === true, revision: readRevision(body) };
 }
 
-/** The request that applies all mutations if all preconditions hold. */
+/** Returns the body of a request that applies all mutations if all preconditions hold. */
 export function compareAndSwapBody(preconditions: Precondition[], mutations: Mutation[]): Body {
   return {
     guards: preconditions.map(({ key, version }) => ({
@@ -56,12 +56,12 @@
   return lease === undefined ? { put, data: value } : { put, data: value, tenancy: lease };
 }
 
-/** The keys whose preconditions did not hold. */
+/** Returns the keys whose preconditions did not hold. */
 export function readFailedKeys(body: Body): string[] {
   return Array.isArray(body.failed) ? body.failed.filter(isText) : [];
 }
 
-/** Events and the revision up to which they are complete; null if the body holds no events. */
+/** Returns events and the revision up to which they are complete, or null if the body contains no list of events. */
 export function readWatchEvents(body: Body): { revision: number; events: WatchEvent[] } | null {
   if (!Array.isArray(body.news)) return null;
   const events: WatchEvent[] = [];
@@ -75,19 +75,19 @@
   return { revision: readRevision(body), events };
 }
 
-/** The request for a lease, or for its renewal, that ends after `ttlMs` milliseconds. */
+/** Returns the body of a request to grant or renew a lease that expires after `ttlMs` milliseconds. */
 export function leaseBody(ttlMs: number): Body {
   return { life_ms: ttlMs };
 }
 
-/** The id of the lease that was granted. */
+/** Returns the id of the granted lease, or undefined if the body does not contain it. */
 export function readLeaseId(body: Body): number | undefined {
   return toNumber(body.tenancy);
 }
 
 const KEYS_PER_SCAN_PAGE = 1000;
 
-/** Paths of the state service. */
+/** Paths of the state service's API. */
 export const statePaths = {
   key: (key: string) => `/kv/${key}`,
   scan: (prefix: string, after: string) =>
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,23 +1,24 @@
-/** Users' requests and answers: submissions, questions and cancellations. */
+/** Users' requests and the responses to them: submissions, status queries and cancellations. */
 import { type Body, toNumber } from './cbor.js';
 import { type JobKind, type JobSpec, type JobState, MAX_TASKS, type Priority } from './model.js';
 import { isAmount, isBoolean, isText } from './validators.js';
 
 /*
- * The protocol's own words: `grist` is a job's class, `miller` a team, `grind` a kind, `precedence` a priority, `sacks` the
- * number of tasks, `seed` an image, `stone_kinds` machine types, `yard` a zone, `scatter` spreading over zones,
- * `loaned_stones` spot machines; `grind_s` is a task's estimated run time, `bin_every_s` the time between checkpoints,
- * `bin_s` the time that saving takes, `due_s` a deadline; `condition` is a state and "withdraw" a cancellation.
+ * Terms of the protocol: `grist` is a job's class, `miller` a team, `grind` a kind, `precedence` a priority, `sacks`
+ * the number of tasks, `seed` an image, `stone_kinds` machine types, `yard` a zone, `scatter` whether tasks are spread
+ * over zones, `loaned_stones` whether spot machines are allowed; `grind_s` is a task's estimated run time, `bin_every_s` the
+ * time between checkpoints, `bin_s` the time that saving takes, `due_s` a deadline; `condition` is a state and
+ * "withdraw" a cancellation.
  */
 
-/** By number: 0 is the most urgent. */
+/** Names of the priorities, indexed by number: 0 is the most urgent. */
 const PRIORITIES = ['production', 'high', 'normal', 'idle'];
 const JOB_KINDS: Record<string, JobKind> = { array: 'array', daemon: 'service', group: 'gang' };
-/** Machine types that one submission may name. */
+/** Maximum number of machine types in one submission. */
 const MAX_TYPES_PER_JOB = 100;
 const JOB_ID_PATTERN = /^run-[0-9]{1,18}$/;
 
-/** Whether a job may have this id. */
+/** Whether the text is a valid job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID_PATTERN.test(id);
 }
@@ -37,7 +38,7 @@
 const isTypeList: Check = (value) =>
   Array.isArray(value) && value.length <= MAX_TYPES_PER_JOB && value.every(isText);
 
-/** What each field of a submission must be, in the order in which they are checked. */
+/** Checks of the fields of a submission, in the order in which they are applied. */
 const SUBMISSION_CHECKS: Record<string, Check> = {
   id: (value) => typeof value === 'string' && isJobId(value),
   grist: isText,
@@ -61,17 +62,17 @@
   due_s: orNull(isAmount),
 };
 
-/** A job, or the first field that is missing or invalid, by its name on the wire. */
+/** The job, or the first field that is missing or invalid, by its name in the protocol. */
 export type ParsedSubmission = { kind: 'job'; job: JobSpec } | { kind: 'invalid'; field: string };
 
-/** Checks and reads a submission. */
+/** Validates and reads a submission. */
 export function readJob(body: Body): ParsedSubmission {
   for (const [field, isValid] of Object.entries(SUBMISSION_CHECKS))
     if (!isValid(body[field])) return { kind: 'invalid', field };
   return { kind: 'job', job: jobSpecOf(body) };
 }
 
-/** Of a body whose fields have been checked. */
+/** Returns the job in a body whose fields have been checked. */
 function jobSpecOf(body: Body): JobSpec {
   return {
     id: body.id as string,
@@ -97,7 +98,7 @@
   };
 }
 
-/** A job's state, and how many of its tasks are done and run, where that is told. */
+/** Returns the body with a job's state and, if `progress` is given, its numbers of finished and running tasks. */
 export function jobStateResponse(
   id: string,
   state: JobState,
@@ -107,7 +108,7 @@
   return { id, condition: state, done: progress.done, running: progress.running };
 }
 
-/** Paths of the users' API. */
+/** Paths of the API for users and health checks. */
 export const userPaths = {
   jobs: '/v1/jobs',
   cancel: (id: string) => `/v1/jobs/${id}/withdraw`,
--- a/src/wire/validators.ts
+++ b/src/wire/validators.ts
@@ -1,15 +1,15 @@
-/** Checks of single fields of bodies that come from outside. */
+/** Checks of single fields of received bodies. */
 
 const MAX_TEXT_LENGTH = 120;
 const MAX_AMOUNT = 1e9;
 
-/** A text that is not empty, and of a length that may be kept. */
+/** Whether the value is a non-empty text that is short enough to be stored. */
 export const isText = (value: unknown): value is string =>
   typeof value === 'string' && value.length > 0 && value.length <= MAX_TEXT_LENGTH;
 
-/** A number that is not negative, and of a size with which sums stay exact enough. */
+/** Whether the value is a non-negative number that is small enough for sums to stay sufficiently exact. */
 export const isAmount = (value: unknown): value is number =>
   typeof value === 'number' && Number.isFinite(value) && value >= 0 && value < MAX_AMOUNT;
 
-/** A truth value, present. */
+/** Whether the value is a boolean; a missing value is not accepted. */
 export const isBoolean = (value: unknown): value is boolean => typeof value === 'boolean';
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,4 +1,4 @@
-/** Workers' heartbeats and the commands that answer them or go to workers directly. */
+/** Workers' heartbeats, and the commands that workers receive in the responses or in direct requests. */
 import { type Body, isMap, toNumber, toWireInteger } from './cbor.js';
 import {
   type ExitCause,
@@ -11,10 +11,10 @@
 import { isText } from './validators.js';
 
 /*
- * The protocol's own words: `stone` is a machine, `stone_kind` its type, `yard` a zone, `loaned_stones` spot machines and
- * `recall_s` the notice before one is taken back; `turning` is an incarnation, `tally` a sequence number and `warrant` a
- * fencing token; `sack` is a task, as "job/number", `try` its attempt and `condition` a state; `order` is a command,
- * `wind_down_s` the time that a stopped task has to save, and `overseer` the leader.
+ * Terms of the protocol: `stone` is a machine, `stone_kind` its type, `yard` its zone, `loaned_stones` whether it is a
+ * spot machine and `recall_s` the preemption notice in seconds; `turning` is an incarnation, `tally` a sequence number
+ * and `warrant` a fencing token; `sack` is a task, as "job/number", `try` its attempt and `condition` its state;
+ * `order` is a command, `wind_down_s` the time that a stopped task has to save its state, and `overseer` the leader.
  */
 
 const TASK_STATES: Record<string, TaskState | undefined> = {
@@ -54,7 +54,7 @@
   return { job: body.sack.slice(0, slash), taskNumber, attempt, state, cause };
 }
 
-/** Null if one of them can't be read. */
+/** Returns null if one of the entries can't be read. */
 function readTaskStatuses(list: unknown): TaskStatus[] | null {
   if (!Array.isArray(list)) return null;
   const tasks: TaskStatus[] = [];
@@ -66,7 +66,7 @@
   return tasks;
 }
 
-/** Null for a bad heartbeat: it then changes nothing. */
+/** Returns null for a malformed heartbeat, which then changes nothing. */
 export function readHeartbeat(body: Body): Heartbeat | null {
   const { stone, endpoint, stone_kind: type, yard: zone, recall_s: noticeS } = body;
   const incarnation = toNumber(body.turning);
@@ -99,22 +99,25 @@
   return command.op === 'stop' ? { ...base, wind_down_s: command.graceS } : base;
 }
 
-/** The leader's answer to a heartbeat, which renews the worker's lease. */
+/** Returns the body of the response to a heartbeat that renews the worker's lease. */
 export function heartbeatResponse(token: number, commands: WorkerCommand[]): Body {
   return { warrant: toWireInteger(token), orders: commands.map(writeCommand) };
 }
 
-/** A request to a worker. It refuses one that is for another incarnation, or with a lower token than it has seen. */
+/**
+ * Returns the body of a request to a worker. The worker rejects a request for another incarnation, or with a lower
+ * token than it has seen.
+ */
 export function commandBody(token: number, incarnation: number, commands: WorkerCommand[]): Body {
   return { ...heartbeatResponse(token, commands), turning: incarnation };
 }
 
-/** The answer of a node that is not the leader; null: it knows of none. */
+/** Returns the body of the response of a node that is not the leader. `leader` is null if it knows of no leader. */
 export function redirectBody(leader: string | null): Body {
   return leader === null ? {} : { overseer: leader };
 }
 
-/** `heartbeat`: of controllers, where workers report. `commands`: of workers. */
+/** `heartbeat` is a path of controllers, to which workers report; `commands` is a path of workers. */
 export const workerPaths = {
   heartbeat: '/agent/beat',
   commands: '/commands',
