--- a/src/settings/cost-policy.ts
+++ b/src/settings/cost-policy.ts
@@ -1,12 +1,14 @@
-/** Tells from the settings whether machines should be few or stand ready. */
+/** Decides from the settings whether to keep cost low or to keep spare machines ready. */
 import type { OperatorSettings } from './operator.js';
 import type { PlatformSettings } from './platform.js';
 
 /**
- * Where nobody counts the money, spare machines are insurance that costs nothing. The objectives say so when they
- * name a price or a useful share, but the platform hands over only those that speak of jobs. Teams say it, too:
- * where some are guaranteed CPUs, capacity is held for them whether or not they use it, so more machines than work
- * are meant to stand ready. Where nobody is guaranteed anything, machines are requested for the work there is.
+ * Returns true if cost is to be kept low, and false if more machines than the work needs are to be kept ready. Where
+ * cost is irrelevant, spare machines are a safeguard that costs nothing. Objectives of kind `price` or `useful` state
+ * that cost matters, but the platform hands over only objectives that concern jobs. The teams' guarantees are therefore
+ * considered too: if any team has guaranteed CPUs or GPUs, capacity is reserved for it whether or not it is used, so
+ * more machines than the work needs are meant to be ready. Without any guarantee, machines are requested only for the
+ * work that exists.
  */
 export function shouldMinimizeCost(
   platform: PlatformSettings,
--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -1,42 +1,45 @@
-/** Reads the operators' own settings (JSON), checked against `operator.schema.json`, which has the defaults. */
+/** Reads the operators' own settings (JSON) and checks them against `operator.schema.json`, which has the defaults. */
 import type { DutySettings } from '@millring/duties';
 import type { RolloutSettings } from '@millring/rollout';
 import { Ajv, type ValidateFunction } from 'ajv';
 import schema from './operator.schema.json' with { type: 'json' };
 
-/** The operators' own settings; `operator.schema.json` has the meaning of a valid file and the defaults. */
+/** The operators' own settings. `operator.schema.json` defines which values are valid, and the defaults. */
 export interface OperatorSettings {
-  /** Whether money counts: as the platform's objectives and guarantees tell (see `cost-policy.ts`), always, or never. */
+  /**
+   * Whether cost is kept low. `objectives`: as the platform's objectives and guarantees imply (see `cost-policy.ts`);
+   * `counts`: always; `free`: never.
+   */
   money: 'objectives' | 'counts' | 'free';
-  /** Seconds between placement rounds (moves). */
+  /** Seconds between placement rounds, in which tasks are moved. */
   round_s: number;
-  /** A machine is slow when tasks run this much longer on it than the same jobs elsewhere. */
+  /** A machine counts as slow if tasks run longer on it by this factor than tasks of the same jobs elsewhere. */
   slowness_ratio: number;
-  /** How many jobs must agree that a machine is slow. */
+  /** Minimum number of jobs whose tasks must show that a machine is slow. */
   slowness_jobs: number;
-  /** Tasks, or whole gangs, moved off slow machines per round, at most. */
+  /** Maximum number of tasks, or whole gangs, moved off slow machines per round. */
   moves_per_round: number;
-  /** Tasks moved off one draining machine at a time, at most. */
+  /** Maximum number of tasks moved off a draining machine at a time. */
   drain_moves_per_round: number;
-  /** Duration of the leader's lease. */
+  /** Duration of the leader's lease in milliseconds. */
   leader_lease_ms: number;
-  /** Heartbeats missed in a row before a machine counts as unreachable. */
+  /** Number of consecutive missed heartbeats after which a machine counts as unreachable. */
   silent_reports: number;
-  /** Unreachable machines deleted per round, at most, unless the cluster is large. */
+  /** Maximum number of unreachable machines deleted per round; higher in a large cluster. */
   deletions_per_round: number;
-  /** Seconds a surplus machine stands idle before it is deleted, where money counts. */
+  /** Seconds for which a surplus machine must be idle before it is deleted. Applies only if cost is kept low. */
   idle_return_s: number;
-  /** Capacity kept free, as a share of what is used, where money counts. */
+  /** Capacity to keep free, as a share of the used capacity. Applies only if cost is kept low. */
   spare_share: number;
-  /** How long a worker may take to answer a command. */
+  /** Timeout in milliseconds for the response of a worker to a command. */
   command_timeout_ms: number;
-  /** How features are turned on across controllers of several builds. */
+  /** How features are enabled while controllers run different builds. */
   rollout: RolloutSettings;
-  /** Who requests and deletes machines: the leader, or the holders of duties. */
+  /** Whether the leader or the holders of duties request and delete machines. */
   duties: DutySettings;
 }
 
-/** The outer form of the file; the settings of each deployment are checked one by one. */
+/** Schema of the structure of the file. The settings of each deployment are validated separately. */
 const FILE_SCHEMA = {
   type: 'object',
   properties: {
@@ -59,13 +62,13 @@
   deployments?: { locations: string[]; settings: object }[];
 }
 
-/** `invalid`: one line that names the field at fault. */
+/** The settings, or a reason in one line that names the invalid field. */
 export type ReadSettings =
   { kind: 'valid'; settings: OperatorSettings } | { kind: 'invalid'; reason: string };
 
 /**
- * Settings, or the field at fault. One file serves all deployments: what it says under `deployments` for the location of
- * this controller overrides what it says for all.
+ * Reads the settings for this controller. One file serves all deployments: settings under `deployments` for the
+ * controller's location override the common settings.
  */
 export function readOperatorSettings(input: unknown, location = ''): ReadSettings {
   const ajv = new Ajv({ useDefaults: true });
@@ -74,7 +77,7 @@
   const { deployments = [], ...common } = input as OperatorFile;
   const isSettings = ajv.compile(schema);
   let chosen: object = { ...common };
-  // Checked on copies: defaults are filled in only once the settings for this location are chosen.
+  // Validation fills in defaults, so it works on copies until the settings for this location are chosen.
   if (!isSettings({ ...common })) return invalid(isSettings, '');
   for (const [i, { locations, settings }] of deployments.entries()) {
     if (!isSettings({ ...settings })) return invalid(isSettings, `deployments/${i}/settings/`);
@@ -92,9 +95,10 @@
   return { kind: 'invalid', reason: `${field}: ${extraField ? 'unknown field' : error.message}` };
 }
 
-/** The settings of an empty file. */
+/** Returns the settings that an empty file stands for: the defaults. */
 export function defaultOperatorSettings(): OperatorSettings {
   const read = readOperatorSettings({});
-  if (read.kind === 'invalid') throw new Error(`defaults: ${read.reason}`);
+  if (read.kind === 'invalid')
+    throw new Error(`default operator settings are invalid: ${read.reason}`);
   return read.settings;
 }
--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -5,19 +5,19 @@
 /** A team and its quota. */
 export interface Team {
   name: string;
-  /** Guaranteed. */
+  /** Guaranteed CPUs; `gpus` are guaranteed GPUs. */
   cpus: number;
   gpus: number;
-  /** The most that the team may use; infinite without a limit. */
+  /** Maximum number of CPUs that the team may use, infinite without a limit; `gpusMax` is the same for GPUs. */
   cpusMax: number;
   gpusMax: number;
 }
 
-/** What the platform is measured by. */
+/** An objective by which the platform is measured. */
 export interface Objective {
-  /** Kinds that are not known are ignored. */
+  /** Unknown kinds are ignored. */
   kind: string;
-  /** The class of jobs that it is about, if any. */
+  /** Class of jobs that the objective concerns, or null. */
   jobClass: string | null;
   withinS: number | null;
 }
@@ -29,53 +29,53 @@
   address: string;
 }
 
-/** The file that the platform hands over. Unknown fields are ignored, since new ones may come. */
+/** The settings that the platform hands over. Unknown fields of the file are ignored, since new ones may be added. */
 export interface PlatformSettings {
   /** Name of this controller. */
   node: string;
   /** The zone of this controller. */
   zone: string;
-  /** Addresses are `HOST:PORT`. */
+  /** Address to listen on. All addresses have the form `HOST:PORT`. */
   listenAddress: string;
   peerBindAddress: string;
   /** The other controllers. */
   peers: Peer[];
   cloudAddress: string;
   stateAddress: string;
-  /** Controllers that share the budgets of requests. */
+  /** Number of controllers that share the request limits. */
   controllerCount: number;
   teams: Team[];
   objectives: Objective[];
-  /** Between two heartbeats of a worker. */
+  /** Seconds between two heartbeats of a worker. */
   heartbeatIntervalS: number;
-  /** Of a worker. */
+  /** Duration of a worker's lease in seconds. */
   leaseS: number;
-  /** Within this time a cancelled job has to be gone. */
+  /** Time in seconds within which all tasks of a cancelled job must have ended. */
   cancelS: number;
-  /** How long a gang task waits for the others before it gives up. */
+  /** Seconds for which a task of a gang waits for the other tasks before it gives up. */
   gangWaitS: number;
-  /** Within this time the tasks of a running gang notice that one of them is gone. */
+  /** Time in seconds within which the tasks of a running gang detect the loss of one of them. */
   gangPeerS: number;
-  /** Limits of the state service for all controllers together. */
+  /** Limits of the state service on requests and on writes, for all controllers together. */
   stateRequestsPerS: number;
   stateWritesPerS: number;
-  /** Size of a stored value, in KiB of JSON. */
+  /** Maximum size of a stored value, in KiB of JSON. */
   maxValueKb: number;
-  /** Changes in one transaction. */
+  /** Maximum number of changes in a transaction. */
   maxTransactionOps: number;
   /** Limit of the cloud for all controllers together. */
   cloudCallsPerS: number;
-  /** The cloud's list of machines may be older than now by this much. */
+  /** Maximum age of the cloud's list of machines in seconds. */
   listLagS: number;
-  /** Sockets that this process may hold. */
+  /** Maximum number of sockets that this process may hold. */
   maxSockets: number;
 }
 
-/** Platforms without gangs may leave these out. */
+/** Defaults for settings that platforms without gangs may omit. */
 const DEFAULT_GANG_WAIT_S = 30;
 const DEFAULT_GANG_PEER_S = 6;
 
-/** Throws `SettingsError` for a file that can't be used. */
+/** Reads the settings. Throws `SettingsError` if the file is invalid. */
 export function readPlatformSettings(source: string): PlatformSettings {
   const root = parseToml(source);
   const outside = root.table('outside');
@@ -119,7 +119,10 @@
   }
 }
 
-/** Limits that will come do so without notice: whatever is written keeps to the stricter ones from the start. */
+/**
+ * Returns the stricter of the current limit and the one in the table `next`. A next limit takes effect without notice,
+ * so everything written must respect the stricter limit from the start.
+ */
 function stricterLimit(
   current: SettingsTable,
   next: SettingsTable,
@@ -147,7 +150,7 @@
   };
 }
 
-/** In the file, 0 means that there is no limit. */
+/** Converts a limit of the file, where 0 stands for no limit. */
 function zeroToInfinity(limit: number): number {
   return limit === 0 ? Infinity : limit;
 }
--- a/src/settings/settings-table.ts
+++ b/src/settings/settings-table.ts
@@ -1,11 +1,11 @@
-/** Typed access to the fields of a TOML table, with errors that name the field at fault. */
+/** Typed access to the fields of a TOML table, with errors that name the invalid field. */
 
-/** Thrown for a settings file that can't be used; the message names the field at fault. */
+/** Thrown for an invalid settings file. The message names the invalid field. */
 export class SettingsError extends Error {}
 
 type Values = Record<string, unknown>;
 
-/** A table and its place in the file. */
+/** A table and its path in the file. */
 export class SettingsTable {
   /** `path` is empty for the file's root. */
   constructor(
@@ -22,12 +22,12 @@
     return this.values[field] !== undefined;
   }
 
-  /** A table within this one. */
+  /** Returns a table within this one. */
   table(field: string): SettingsTable {
     return toTable(this.values[field], this.pathOf(field));
   }
 
-  /** A list of tables, empty if the field is missing. */
+  /** Returns a list of tables, which is empty if the field is missing. */
   tables(field: string): SettingsTable[] {
     const value = this.values[field];
     const path = this.pathOf(field);
@@ -36,7 +36,7 @@
     return value.map((entry, i) => toTable(entry, `${path}[${i}]`));
   }
 
-  /** A text that is not empty. */
+  /** Returns a non-empty text. */
   text(field: string): string {
     const value = this.values[field];
     if (typeof value !== 'string' || value === '')
@@ -44,13 +44,13 @@
     return value;
   }
 
-  /** A text, or null if the field is anything else. */
+  /** Returns a text, or null if the field is anything else. */
   textOrNull(field: string): string | null {
     const value = this.values[field];
     return typeof value === 'string' ? value : null;
   }
 
-  /** An address in the form `HOST:PORT`. */
+  /** Returns an address in the form `HOST:PORT`. */
   address(field: string): string {
     const value = this.text(field);
     const port = Number(/^[^:\s]+:(\d{1,5})$/.exec(value)?.[1]);
@@ -59,7 +59,7 @@
     return value;
   }
 
-  /** A finite number of at least `min`. */
+  /** Returns a finite number of at least `min`. */
   number(field: string, min: number): number {
     const raw = this.values[field];
     const value = typeof raw === 'bigint' ? Number(raw) : raw;
@@ -68,13 +68,13 @@
     return value;
   }
 
-  /** A number, or null if the field is anything else. */
+  /** Returns a number, or null if the field is anything else. */
   numberOrNull(field: string): number | null {
     const value = this.values[field];
     return typeof value === 'number' ? value : null;
   }
 
-  /** A number of at least `min`, or `missing` if the field is not set. */
+  /** Returns a number of at least `min`, or `fallback` if the field is not set. */
   optionalNumber(field: string, min: number, fallback: number): number {
     return this.has(field) ? this.number(field, min) : fallback;
   }
