--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -7,8 +7,8 @@
  * Terms of the protocol: `grist` is a job's class, `miller` a team, `grind` a kind, `precedence` a priority, `sacks`
  * the number of tasks, `seed` an image, `stone_kinds` machine types, `yard` a zone, `scatter` whether tasks are spread
  * over zones, `loaned_stones` whether spot machines are allowed; `grind_s` is a task's estimated run time,
- * `bin_every_s` the time between checkpoints, `bin_s` the time that saving takes, `due_s` a deadline; `condition` is a state and
- * "withdraw" a cancellation.
+ * `bin_every_s` the time between checkpoints, `bin_s` the time that saving takes, `due_s` a deadline; `condition` is a
+ * state and "withdraw" a cancellation.
  */
 
 /** Names of the priorities, indexed by number: 0 is the most urgent. */
