--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -49,21 +49,21 @@
     timeoutMs: number,
   ): Promise<Reply> {
     return new Promise((resolve) => {
-      const sent = this.createRequest(to, method, path, body);
+      const clientRequest = this.createRequest(to, method, path, body);
       // Also ends requests whose connection is still being established, which takes seconds if the host is unreachable.
       // Destroying the request also destroys its socket.
       const timer = setTimeout(() => {
-        sent.destroy();
+        clientRequest.destroy();
         resolve(NO_RESPONSE);
       }, timeoutMs);
       const settle = (result: Reply): void => {
         clearTimeout(timer);
         resolve(result);
       };
-      sent.once('response', (response) => {
+      clientRequest.once('response', (response) => {
         readResponse(response, settle);
       });
-      sent.on('error', () => {
+      clientRequest.on('error', () => {
         settle(NO_RESPONSE);
       });
     });
@@ -78,7 +78,7 @@
     const bytes = body === null ? null : encode(body);
     const isService = this.options.services.includes(to);
     const colon = to.lastIndexOf(':');
-    const sent = request({
+    const clientRequest = request({
       host: to.slice(0, colon),
       port: Number(to.slice(colon + 1)),
       method,
@@ -90,11 +90,11 @@
       },
     });
     if (!isService)
-      sent.on('socket', (socket) => {
+      clientRequest.on('socket', (socket) => {
         this.trackWorkerSocket(socket);
       });
-    sent.end(bytes ?? undefined);
-    return sent;
+    clientRequest.end(bytes ?? undefined);
+    return clientRequest;
   }
 
   private isShortOfSockets(): boolean {
@@ -109,18 +109,18 @@
 }
 
 function readResponse(response: IncomingMessage, settle: (result: Reply) => void): void {
-  const parts: Buffer[] = [];
-  response.on('data', (part: Buffer) => parts.push(part));
+  const chunks: Buffer[] = [];
+  response.on('data', (chunk: Buffer) => chunks.push(chunk));
   response.on('error', () => {
     settle(NO_RESPONSE);
   });
   response.on('end', () => {
-    settle(decodeResponse(response.statusCode ?? 0, parts));
+    settle(decodeResponse(response.statusCode ?? 0, chunks));
   });
 }
 
-function decodeResponse(status: number, parts: Buffer[]): Reply {
-  const bytes = parts.length === 1 ? parts[0] : Buffer.concat(parts);
+function decodeResponse(status: number, chunks: Buffer[]): Reply {
+  const bytes = chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
   const body = bytes.length === 0 ? {} : decodeMap(bytes);
   if (body !== null) return { status, body };
   // A response with status 200 that can't be decoded counts as no response: the request may have been executed.
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -106,13 +106,13 @@
 
 /** Passes the request's body to `onBody`. A body over the limit is truncated, and then can't be decoded. */
 function readBody(request: IncomingMessage, onBody: (body: Buffer) => void): void {
-  const parts: Buffer[] = [];
+  const chunks: Buffer[] = [];
   let length = 0;
-  request.on('data', (part: Buffer) => {
-    length += part.length;
-    if (length <= MAX_BODY_BYTES) parts.push(part);
+  request.on('data', (chunk: Buffer) => {
+    length += chunk.length;
+    if (length <= MAX_BODY_BYTES) chunks.push(chunk);
   });
   request.on('end', () => {
-    onBody(parts.length === 1 ? parts[0] : Buffer.concat(parts));
+    onBody(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks));
   });
 }
