--- a/src/http/accept-queue.ts
+++ b/src/http/accept-queue.ts
@@ -9,7 +9,7 @@
 import type { Server, Socket } from 'node:net';
 import type { Log } from '../runtime.js';
 
-/** With this excess of disconnected over connected clients, most of the queue is taken to have given up. */
+/** With this excess of disconnected over connected clients, most clients in the queue are assumed to have given up. */
 const MAX_EXCESS_DISCONNECTED = 12;
 /** Dropping ends once no connection was dropped for this time: the queue is then empty. */
 const EMPTY_QUEUE_MS = 20;
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Calls back unless the client has closed the connection. To be called when the first request of a connection was
-   * read: if the client has also closed the connection, that is seen in one of the next turns of the event loop, so the
-   * callback is delayed until then.
+   * Calls `callback` unless the client has closed the connection. Must be called when the first request of a connection
+   * has been read. If the client has also closed the connection, this is seen only in one of the next turns of the
+   * event loop, so the callback is delayed until then.
    */
   ifStillConnected(socket: Socket, callback: () => void): void {
     setImmediate(() => {
--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -32,7 +32,7 @@
 export class Attestations {
   private readonly coverageByPeer = new Map<string, Coverage>();
   private readonly lastReceived = new Map<string, MessageOrigin>();
-  /** Time at which this node confirmed each cancellation, by job id, in order of time. */
+  /** When this node confirmed each cancellation, by job id, the oldest first. */
   private readonly confirmedAt = new Map<string, number>();
   private readonly startedAt: number;
 
