--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -1,30 +1,30 @@
 /**
- * The HTTP client of a controller: requests to workers, the state service and the cloud, within the sockets that it
- * may hold.
+ * The HTTP client of a controller: sends requests to workers, the state service and the cloud within the limits on its
+ * sockets.
  */
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 import type { Socket } from 'node:net';
 import type { Http, HttpMethod, HttpResponse } from '../runtime.js';
 import { type Body, decodeMap, encode } from '../wire/cbor.js';
 
-const NO_REPLY: HttpResponse = { status: 0, body: {} };
+const NO_RESPONSE: HttpResponse = { status: 0, body: {} };
 const STATUS_OK = 200;
-/** How long a connection to a worker stays open without use. */
+/** How long an idle connection to a worker is kept open. */
 const WORKER_IDLE_TIMEOUT_MS = 2500;
 const MAX_CONNECTIONS_PER_SERVICE = 24;
 const AGENT_OPTIONS = { keepAlive: true, scheduling: 'lifo' as const };
 
-/** Which connections stay open, and how many there may be. */
+/** Services to keep connections to, and the limit on connections to workers. */
 export interface HttpClientOptions {
-  /** Addresses, as `host:port`, to which connections stay open: a few services. All others are workers. */
+  /** Addresses, as `host:port`, of the few services to which connections are kept open. All others are workers. */
   services: readonly string[];
   maxConnectionsToWorkers: number;
 }
 
 /**
- * Persistent connections with one request at a time on each (no pipelining). Workers are many, and each holds a
- * connection of its own to us: what we open to them is closed soon after use, or at once when half of the sockets meant
- * for that are taken.
+ * Uses persistent connections with one request at a time on each (no pipelining). There are many workers, and each also
+ * holds a connection of its own to this controller: connections to workers are therefore closed soon after use, or at
+ * once while more than half of the sockets for them are in use.
  */
 export class HttpClient implements Http {
   private readonly serviceAgent = new Agent({
@@ -40,7 +40,7 @@
 
   constructor(private readonly options: HttpClientOptions) {}
 
-  /** Never rejects: a status of 0 stands for no reply. */
+  /** Never rejects: status 0 means that there was no response. */
   send(
     to: string,
     method: HttpMethod,
@@ -49,22 +49,22 @@
     timeoutMs: number,
   ): Promise<HttpResponse> {
     return new Promise((resolve) => {
-      const sent = this.createRequest(to, method, path, body);
-      // Given up also while the connection is still being made, which takes seconds to a host that says nothing;
-      // with the request goes its socket.
+      const clientRequest = this.createRequest(to, method, path, body);
+      // Also ends requests whose connection is still being established, which takes seconds if the host is unreachable.
+      // Destroying the request also destroys its socket.
       const timer = setTimeout(() => {
-        sent.destroy();
-        resolve(NO_REPLY);
+        clientRequest.destroy();
+        resolve(NO_RESPONSE);
       }, timeoutMs);
-      const settle = (reply: HttpResponse): void => {
+      const settle = (result: HttpResponse): void => {
         clearTimeout(timer);
-        resolve(reply);
+        resolve(result);
       };
-      sent.once('response', (response) => {
-        readReply(response, settle);
+      clientRequest.once('response', (response) => {
+        readResponse(response, settle);
       });
-      sent.on('error', () => {
-        settle(NO_REPLY);
+      clientRequest.on('error', () => {
+        settle(NO_RESPONSE);
       });
     });
   }
@@ -78,7 +78,7 @@
     const bytes = body === null ? null : encode(body);
     const isService = this.options.services.includes(to);
     const colon = to.lastIndexOf(':');
-    const sent = request({
+    const clientRequest = request({
       host: to.slice(0, colon),
       port: Number(to.slice(colon + 1)),
       method,
@@ -90,39 +90,39 @@
       },
     });
     if (!isService)
-      sent.on('socket', (socket) => {
-        this.countWorkerSocket(socket);
+      clientRequest.on('socket', (socket) => {
+        this.trackWorkerSocket(socket);
       });
-    sent.end(bytes ?? undefined);
-    return sent;
+    clientRequest.end(bytes ?? undefined);
+    return clientRequest;
   }
 
   private isShortOfSockets(): boolean {
     return this.workerSockets.size > this.options.maxConnectionsToWorkers / 2;
   }
 
-  private countWorkerSocket(socket: Socket): void {
+  private trackWorkerSocket(socket: Socket): void {
     if (this.workerSockets.has(socket)) return;
     this.workerSockets.add(socket);
     socket.once('close', () => this.workerSockets.delete(socket));
   }
 }
 
-function readReply(response: IncomingMessage, settle: (reply: HttpResponse) => void): void {
-  const parts: Buffer[] = [];
-  response.on('data', (part: Buffer) => parts.push(part));
+function readResponse(response: IncomingMessage, settle: (result: HttpResponse) => void): void {
+  const chunks: Buffer[] = [];
+  response.on('data', (chunk: Buffer) => chunks.push(chunk));
   response.on('error', () => {
-    settle(NO_REPLY);
+    settle(NO_RESPONSE);
   });
   response.on('end', () => {
-    settle(decodeReply(response.statusCode ?? 0, parts));
+    settle(decodeResponse(response.statusCode ?? 0, chunks));
   });
 }
 
-function decodeReply(status: number, parts: Buffer[]): HttpResponse {
-  const bytes = parts.length === 1 ? parts[0] : Buffer.concat(parts);
+function decodeResponse(status: number, chunks: Buffer[]): HttpResponse {
+  const bytes = chunks.length === 1 ? chunks[0] : Buffer.concat(chunks);
   const body = bytes.length === 0 ? {} : decodeMap(bytes);
   if (body !== null) return { status, body };
-  // A 200 that can't be decoded counts as no reply: the request may have been executed.
-  return status === STATUS_OK ? NO_REPLY : { status, body: {} };
+  // A response with status 200 that can't be decoded counts as no response: the request may have been executed.
+  return status === STATUS_OK ? NO_RESPONSE : { status, body: {} };
 }
--- a/src/placement/machine-candidates.ts
+++ b/src/placement/machine-candidates.ts
@@ -14,7 +14,7 @@
 /** Inputs of the selection of machines besides the job and the machines. */
 export interface SelectionContext {
   /** Whether cheap machines are preferred, and full ones to empty ones, so that some can be returned to the cloud. */
-  saveMoney: boolean;
+  minimizeCost: boolean;
   preemption: PreemptionPolicy;
 }
 
@@ -138,7 +138,7 @@
       victims.length * COST_PER_VICTIM +
       (machine.isStraggler ? COST_OF_STRAGGLER : 0) +
       this.colocationCost(machine) +
-      (context.saveMoney ? this.rentCost(machine) : this.utilizationCost(machine))
+      (context.minimizeCost ? this.rentCost(machine) : this.utilizationCost(machine))
     );
   }
 
--- /dev/null
+++ b/src/settings/cost-policy.ts
@@ -0,0 +1,20 @@
+/** Decides from the settings whether to keep cost low or to keep spare machines ready. */
+import type { OperatorSettings } from './operator.js';
+import type { PlatformSettings } from './platform.js';
+
+/**
+ * Returns true if cost is to be kept low, and false if more machines than the work needs are to be kept ready. Where
+ * cost is irrelevant, spare machines are a safeguard that costs nothing. Objectives of kind `price` or `useful` state
+ * that cost matters, but the platform hands over only objectives that concern jobs. The teams' guarantees are therefore
+ * considered too: if any team has guaranteed CPUs or GPUs, capacity is reserved for it whether or not it is used, so
+ * more machines than the work needs are meant to be ready. Without any guarantee, machines are requested only for the
+ * work that exists.
+ */
+export function shouldMinimizeCost(
+  platform: PlatformSettings,
+  operator: OperatorSettings,
+): boolean {
+  if (operator.money !== 'objectives') return operator.money === 'counts';
+  if (platform.objectives.some(({ kind }) => kind === 'price' || kind === 'useful')) return true;
+  return !platform.teams.some(({ cpus, gpus }) => cpus > 0 || gpus > 0);
+}
