--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -4,7 +4,7 @@
 
 import { AutoscalerHarness, LEASE_S, TYPE } from './sim/autoscaler-harness.js';
 
-const ids = (zone: string): string[] => [...Array(10).keys()].map((i) => `${zone}${i}`);
+const machineIds = (zone: string): string[] => [...Array(10).keys()].map((i) => `${zone}${i}`);
 
 test('a zone that falls silent as a whole is quarantined but kept: only machines with replicas whose leases nobody extends are deleted', async () => {
   const harness = new AutoscalerHarness(10);
@@ -32,7 +32,7 @@
   await harness.advance(90, (m) => m.zone !== 'b');
   assert.equal(harness.deleted.size, 0);
   await harness.advance(60, (m) => m.zone !== 'b');
-  assert.deepEqual([...harness.deleted].sort(), ids('b'));
+  assert.deepEqual([...harness.deleted].sort(), machineIds('b'));
 });
 
 test('when a partition heals, machines of the zone get the time for a heartbeat', async () => {
@@ -46,16 +46,16 @@
 });
 
 test('in a partitioned zone with controllers, machines with replicas are deleted shortly before extended leases end, where the replicas can run elsewhere', async () => {
-  for (const zonesLost of ['b', 'bc']) {
+  for (const lostZones of ['b', 'bc']) {
     const harness = new AutoscalerHarness(20);
     await harness.advance(5, () => true);
     for (const machine of harness.table.all())
       machine.serviceTasks = machine.zone === 'b' && Number(machine.id.slice(1)) < 3 ? 1 : 0;
     harness.extendableUntil = harness.now + 15_000;
-    await harness.advance(15 + LEASE_S * 0.75, (m) => !zonesLost.includes(m.zone));
+    await harness.advance(15 + LEASE_S * 0.75, (m) => !lostZones.includes(m.zone));
     assert.equal(harness.deleted.size, 0);
-    await harness.advance(LEASE_S * 0.2, (m) => !zonesLost.includes(m.zone));
-    assert.deepEqual([...harness.deleted].sort(), zonesLost === 'b' ? ['b0', 'b1', 'b2'] : []);
+    await harness.advance(LEASE_S * 0.2, (m) => !lostZones.includes(m.zone));
+    assert.deepEqual([...harness.deleted].sort(), lostZones === 'b' ? ['b0', 'b1', 'b2'] : []);
   }
 });
 
@@ -65,7 +65,7 @@
   for (const machine of harness.table.all())
     if (machine.zone === 'b' || machine.id === 'a1') harness.unlisted.add(machine.id);
   await harness.advance(6, (m) => !harness.unlisted.has(m.id));
-  assert.deepEqual([...harness.deleted].sort(), ['a1', ...ids('b')]);
+  assert.deepEqual([...harness.deleted].sort(), ['a1', ...machineIds('b')]);
 });
 
 test('a machine that is heard, but never shows the token it is told, is deleted', async () => {
@@ -104,7 +104,7 @@
   for (const machine of harness.table.all()) machine.commandFailures = 2;
   harness.isLagging = true;
   await harness.advance(6, (m) => m.zone !== 'c' && m.id !== 'a7');
-  assert.deepEqual([...harness.deleted].sort(), ['a7', ...ids('c')]);
+  assert.deepEqual([...harness.deleted].sort(), ['a7', ...machineIds('c')]);
 });
 
 test('a failover deletes nothing in a partitioned zone that has controllers, which may extend leases', async () => {
--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -199,13 +199,13 @@
       cluster.clock.after(cluster.random.between(0, 400), () => void cluster.users.resubmit(id));
     }
     await cluster.run(1);
-    const how =
+    const outcome =
       job.reportedDoneAt !== null
         ? 'done'
         : job.reportedCancelledAt !== null
           ? 'cancelled'
           : 'unknown';
-    outcomes.set(how, (outcomes.get(how) ?? 0) + 1);
+    outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1);
   }
   await cluster.run(10);
   assert.deepEqual(cluster.invariants.violations, []);
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -22,7 +22,9 @@
 }
 
 /** A cloud with many machines; `refuse` may answer a call in its place. */
-async function manyMachines(refuse: (path: string) => Reply | null = () => null): Promise<Setup> {
+async function createSetup(
+  rejectCall: (path: string) => Reply | null = () => null,
+): Promise<Setup> {
   const clock = new VirtualClock();
   const random = new SeededRandom(1);
   const service = new CloudService(
@@ -40,7 +42,7 @@
       send: (_to, _method, path, body) =>
         new Promise((done) => {
           clock.after(CALL_MS, () => {
-            done(refuse(path) ?? service.handle(path, body ?? {}));
+            done(rejectCall(path) ?? service.handle(path, body ?? {}));
           });
         }),
     },
@@ -59,7 +61,7 @@
 }
 
 test('a list of 4,000 machines is read in pages, within the rate, and leaves calls to rentals', async () => {
-  const setup = await manyMachines();
+  const setup = await createSetup();
   let rentals = 0;
   const rentEachSecond = (): void => {
     if (setup.cloud.tryAcquireCall()) {
@@ -70,9 +72,9 @@
   };
   setup.clock.after(500, rentEachSecond);
   for (let round = 0; round < 4; round++) {
-    const began = setup.clock.time;
+    const startedAt = setup.clock.time;
     const list = await listWithin(setup, 12_000);
-    assert.equal(new Set(list?.map((m) => m.id)).size, MACHINES, `round ${round} at ${began}`);
+    assert.equal(new Set(list?.map((m) => m.id)).size, MACHINES, `round ${round} at ${startedAt}`);
   }
   assert.equal(setup.service.received.tooMany, 0);
   assert.ok(rentals >= 40, `${rentals} rentals in 48 s`);
@@ -84,22 +86,22 @@
 });
 
 test('a page that is refused is asked for again, and only that page', async () => {
-  let refused = 0;
+  let rejected = 0;
   let pages = 0;
-  const setup = await manyMachines((path) => {
+  const setup = await createSetup((path) => {
     if (!path.startsWith('/machines?')) return null;
     pages++;
     if (pages !== 5) return null;
-    refused++;
+    rejected++;
     return { status: 503, body: { error: 'trouble' } };
   });
   const list = await listWithin(setup, 12_000);
   assert.equal(list?.length, MACHINES);
-  assert.deepEqual([refused, pages], [1, MACHINES / 500 + 1]);
+  assert.deepEqual([rejected, pages], [1, MACHINES / 500 + 1]);
 });
 
 test('a list that is no longer wanted asks for nothing more', async () => {
-  const setup = await manyMachines();
+  const setup = await createSetup();
   let wanted = true;
   let ended = false;
   void setup.cloud
--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -167,7 +167,7 @@
   });
 
 /** Crashes, outages, refusals, cuts, hangs and losses on top of each other. */
-function chaos(cluster: Cluster, second: number): void {
+function injectRandomFaults(cluster: Cluster, second: number): void {
   const random = cluster.random;
   const until = cluster.clock.time + random.between(1000, 15_000);
   if (random.chance(0.06)) cluster.crash(random.pick(cluster.nodeNames), random.pick([100, 3000]));
@@ -202,5 +202,5 @@
       capacity: 2 + (seed % 3),
       saveMoney: seed % 4 === 0,
     };
-    assertInvariantsHeld(await runScenario(config, chaos), false);
+    assertInvariantsHeld(await runScenario(config, injectRandomFaults), false);
   });
--- a/test/failover-faults.test.ts
+++ b/test/failover-faults.test.ts
@@ -9,7 +9,7 @@
 import { BATCH, SERVICE } from './sim/jobs.js';
 import { HEARTBEAT_PATH, type WorkerHeartbeat, encodeHeartbeat } from './sim/wire/workers.js';
 
-async function leaderFromZoneA(cluster: Cluster): Promise<void> {
+async function ensureLeaderInZoneA(cluster: Cluster): Promise<void> {
   for (let i = 0; i < 20 && zoneOf(cluster.leader() ?? 'n1') !== 'a'; i++) {
     if (cluster.leader()) cluster.crash(cluster.leader()!, 200);
     await cluster.run(8);
@@ -18,13 +18,13 @@
 
 test('a machine that receives nothing does not delay a failover', async () => {
   const cluster = await clusterWithService(12);
-  const deaf = [...cluster.invariants.placesByTask.values()][0][0].machine;
+  const affectedMachine = [...cluster.invariants.placesByTask.values()][0][0].machine;
   void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 30, durationS: 6 }), null);
   await cluster.run(1);
-  holdMessagesTo(cluster, deaf, Infinity);
+  holdMessagesTo(cluster, affectedMachine, Infinity);
   cluster.crash(cluster.leader()!, 200);
   await cluster.run(30);
-  assert.equal(cluster.cloud.machines.has(deaf), false);
+  assert.equal(cluster.cloud.machines.has(affectedMachine), false);
   const array = [...cluster.invariants.jobs.values()].find((j) => j.spec.kind === 'array')!;
   assert.equal(array.finishedTasks.size, 30, 'an old job went on');
   assert.deepEqual(cluster.invariants.violations, []);
@@ -35,7 +35,7 @@
   const before = new Map(
     [...cluster.invariants.placesByTask].map(([task, places]) => [task, places[0].machine]),
   );
-  const ghost: WorkerHeartbeat = {
+  const staleHeartbeat: WorkerHeartbeat = {
     machine: 'i-999999',
     endpoint: 'w-i-999999:9000',
     machineType: 't16',
@@ -56,7 +56,10 @@
     mode: 'hold',
   });
   for (let second = 0; second < 60; second++) {
-    const heartbeat = encodeHeartbeat({ ...ghost, sequence: ghost.sequence + second });
+    const heartbeat = encodeHeartbeat({
+      ...staleHeartbeat,
+      sequence: staleHeartbeat.sequence + second,
+    });
     for (const name of cluster.nodeNames)
       void cluster.network.send('copy', `${name}:80`, 'POST', HEARTBEAT_PATH, heartbeat, 4000);
     await cluster.run(0.1);
@@ -83,7 +86,7 @@
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(4);
-  await leaderFromZoneA(cluster);
+  await ensureLeaderInZoneA(cluster);
   for (let i = 0; i < 4; i++) void cluster.users.run(cluster.users.newJob(SERVICE), null);
   await cluster.run(14);
   assert.equal(cluster.invariants.placesByTask.size, 12);
@@ -114,23 +117,23 @@
 });
 
 test('a failover beside a lost zone waits for its leases and no longer, and the next one not at all', async () => {
-  const known: number[] = [];
-  let serving = 0;
+  const recoveryCompletedAt: number[] = [];
+  let servingSince = 0;
   const cluster: Cluster = new Cluster({
     seed: 28,
     nodes: 5,
     ordinaryUp: 10,
     log: (_node, text, fields) => {
-      if (text === 'recovery complete') known.push(cluster.clock.time);
+      if (text === 'recovery complete') recoveryCompletedAt.push(cluster.clock.time);
       if (text === 'leader term' && (fields as { to: string }).to === 'serving')
-        serving = cluster.clock.time;
+        servingSince = cluster.clock.time;
     },
   });
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(12);
   // So that zone b with its two controllers is the one to lose.
-  await leaderFromZoneA(cluster);
+  await ensureLeaderInZoneA(cluster);
   const inB = cluster.faults.inWholeZone('b');
   cluster.network.partitions.push({
     a: inB,
@@ -140,15 +143,21 @@
   });
   await cluster.run(1);
   cluster.crash(cluster.leader()!, 200);
-  known.length = 0;
+  recoveryCompletedAt.length = 0;
   await cluster.run(40);
   // What keepers may add, a lease, and the time to act on it.
-  const most = leaseExtensionMs(CANCEL_MS / 1000, LEASE_MS / 1000) + LEASE_MS + 1500;
-  assert.equal(known.length, 1);
-  assert.ok(known[0] - serving < most, `${known[0] - serving} ms`);
-  const again = cluster.clock.time;
+  const maxRecoveryMs = leaseExtensionMs(CANCEL_MS / 1000, LEASE_MS / 1000) + LEASE_MS + 1500;
+  assert.equal(recoveryCompletedAt.length, 1);
+  assert.ok(
+    recoveryCompletedAt[0] - servingSince < maxRecoveryMs,
+    `${recoveryCompletedAt[0] - servingSince} ms`,
+  );
+  const secondCrashAt = cluster.clock.time;
   cluster.crash(cluster.leader()!, 200);
   await cluster.run(15);
-  assert.ok((known[1] ?? Infinity) - again < 6000, 'what was proved stays proved');
+  assert.ok(
+    (recoveryCompletedAt[1] ?? Infinity) - secondCrashAt < 6000,
+    'what was proved stays proved',
+  );
   assert.deepEqual(cluster.invariants.violations, []);
 });
--- a/test/failover-recovery.test.ts
+++ b/test/failover-recovery.test.ts
@@ -24,7 +24,7 @@
 };
 
 /** Machines in the order in which they were stored, and how often one was read. */
-function expectedMachines(): {
+function recoveryAwaitingMachines(): {
   machines: Machine[];
   recovery: FailoverRecovery;
   reads: () => number;
@@ -56,9 +56,9 @@
 
 // Each heartbeat once read every machine: 16 million reads while a new leader has the least time.
 test('a recovery with 4,000 machines passes each of them once, in whatever order they are heard', () => {
-  for (const backwards of [false, true]) {
-    const { machines, recovery, reads } = expectedMachines();
-    if (backwards) machines.reverse();
+  for (const inReverse of [false, true]) {
+    const { machines, recovery, reads } = recoveryAwaitingMachines();
+    if (inReverse) machines.reverse();
     machines.forEach((machine, i) => {
       assert.equal(recovery.isComplete(), false, `${i} have spoken`);
       machine.awaitingReconciliation = false;
@@ -72,17 +72,17 @@
 
 // On anketsis-pazar a new leader started 1285 tasks of new jobs while 971 others ended with leases that nobody renewed.
 test('while a recovering leader is congested, leases go before new work, for half a lease at most', () => {
-  const { machines, recovery } = expectedMachines();
-  const began = 5000;
-  recovery.begin(began);
-  assert.equal(recovery.mayPlace(true, began + 100), false);
+  const { machines, recovery } = recoveryAwaitingMachines();
+  const beganAt = 5000;
+  recovery.begin(beganAt);
+  assert.equal(recovery.mayPlace(true, beganAt + 100), false);
   assert.equal(
-    recovery.mayPlace(false, began + 100),
+    recovery.mayPlace(false, beganAt + 100),
     true,
     'nothing waits while the controller keeps up',
   );
-  assert.equal(recovery.mayPlace(true, began + LEASE_MS / 2 + 1), true);
+  assert.equal(recovery.mayPlace(true, beganAt + LEASE_MS / 2 + 1), true);
   for (const machine of machines) machine.awaitingReconciliation = false;
-  assert.ok(recovery.check(began + 200));
-  assert.equal(recovery.mayPlace(true, began + 200), true, 'every machine is known');
+  assert.ok(recovery.check(beganAt + 200));
+  assert.equal(recovery.mayPlace(true, beganAt + 200), true, 'every machine is known');
 });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -4,7 +4,7 @@
 import { type JobSubmission, cancelRequest, decodeJobReply } from './sim/wire/users.js';
 
 /** A long array fills its team's limit on machines that the next leader can't reach at first. */
-async function unreachable(seed: number): Promise<Cluster> {
+async function clusterWithUnreachableMachines(seed: number): Promise<Cluster> {
   const cluster = new Cluster({ seed, teamLimit: 20, ordinaryUp: 6 });
   cluster.network.lossRate = 0;
   await cluster.run(4);
@@ -40,7 +40,7 @@
 
 // Tasks that a new leader has not seen yet count against their team's limit: see `unconfirmedUsage`.
 test('a new job does not break the quota while old tasks are out of sight', async () => {
-  const cluster = await unreachable(3);
+  const cluster = await clusterWithUnreachableMachines(3);
   await cluster.run(3);
   for (const team of ['t0', 't1'])
     void cluster.users.run(
@@ -61,15 +61,15 @@
 });
 
 test('cancelled while out of sight: gone in time, and nothing of it starts', async () => {
-  const cluster = await unreachable(4);
+  const cluster = await clusterWithUnreachableMachines(4);
   const id = [...cluster.invariants.jobs.keys()][0];
   cluster.invariants.jobs.get(id)!.cancelRequested = true;
   const cancel = async (): Promise<void> => {
     const node = cluster.nodeNames.find((name) => name === cluster.leader()) ?? 'n1';
-    const asked = cluster.clock.time;
+    const requestedAt = cluster.clock.time;
     const { method, path, body } = cancelRequest(id);
     const reply = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
-    cluster.invariants.recordAnswer(id, decodeJobReply(reply), asked);
+    cluster.invariants.recordAnswer(id, decodeJobReply(reply), requestedAt);
     if (reply.status !== 200) cluster.clock.after(500, () => void cancel());
   };
   cluster.clock.after(3800, () => void cancel());
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -13,31 +13,31 @@
 test('a machine whose heartbeats arrive but that receives nothing is deleted; its tasks run elsewhere', async () => {
   const cluster = await clusterWithService(11);
   const [task, places] = [...cluster.invariants.placesByTask][0];
-  const deaf = places[0].machine;
-  holdMessagesTo(cluster, deaf, Infinity);
+  const affectedMachine = places[0].machine;
+  holdMessagesTo(cluster, affectedMachine, Infinity);
   await cluster.run(LEASE_MS / 1000 + 6);
-  assert.equal(cluster.cloud.machines.has(deaf), false);
+  assert.equal(cluster.cloud.machines.has(affectedMachine), false);
   assert.equal(cluster.invariants.placesByTask.get(task)?.length, 1);
-  assert.notEqual(cluster.invariants.placesByTask.get(task)![0].machine, deaf);
+  assert.notEqual(cluster.invariants.placesByTask.get(task)![0].machine, affectedMachine);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
 test('late duplicates of heartbeats renew no lease: a dead machine is given up in time', async () => {
   const cluster = await clusterWithService(13);
   const [task, places] = [...cluster.invariants.placesByTask][0];
-  const dead = places[0].machine;
+  const isolatedMachine = places[0].machine;
   const copies: Body[] = [];
   const host = cluster.network.hosts.get(`${cluster.leader()!}:80`)!;
   const handler = host.handler!;
   host.handler = (method, path, body, from) => {
-    if (path === HEARTBEAT_PATH && reportingMachine(body) === dead && from !== 'copy')
+    if (path === HEARTBEAT_PATH && reportingMachine(body) === isolatedMachine && from !== 'copy')
       copies.push(body);
     return handler(method, path, body, from);
   };
   await cluster.run(4);
   assert.ok(copies.length > 0);
   cluster.network.partitions.push({
-    a: (host) => host.startsWith(`w-${dead}:`),
+    a: (host) => host.startsWith(`w-${isolatedMachine}:`),
     b: () => true,
     until: Infinity,
     mode: 'hold',
@@ -50,8 +50,8 @@
         .then((r) => statuses.add(r.status));
     await cluster.run(0.5);
   }
-  assert.equal(cluster.cloud.machines.has(dead), false);
-  assert.notEqual(cluster.invariants.placesByTask.get(task)?.[0]?.machine, dead);
+  assert.equal(cluster.cloud.machines.has(isolatedMachine), false);
+  assert.notEqual(cluster.invariants.placesByTask.get(task)?.[0]?.machine, isolatedMachine);
   assert.ok(statuses.has(503), 'a copy is not answered as if it renewed a lease');
   assert.deepEqual(cluster.invariants.violations, []);
 });
@@ -85,13 +85,13 @@
   // Each question below is asked once, where a user would repeat it until it is answered.
   cluster.network.lossRate = 0;
   await cluster.run(3);
-  const poison: unknown[] = [
+  const malformedRecords: unknown[] = [
     { spec: { id: 'run-700000' }, at: 1 },
     'text',
     { spec: null, at: 'x' },
     null,
   ];
-  poison.forEach((value, i) => {
+  malformedRecords.forEach((value, i) => {
     cluster.state.putDirectly(`j/run-70000${i}`, value);
   });
   cluster.state.putDirectly('m/page-77', { machines: [{ id: 5 }, null, 'x'] });
@@ -102,7 +102,7 @@
   void cluster.users.run(other, null);
   await cluster.run(25);
   assert.notEqual(cluster.invariants.jobs.get(other.id)!.reportedDoneAt, null, 'others run');
-  for (const i of poison.keys()) {
+  for (const i of malformedRecords.keys()) {
     const id = `run-70000${i}`;
     assert.equal((await requestFrom(cluster, 'n1', pollRequest(id))).status, 200);
     assert.equal((await requestFrom(cluster, 'n0', cancelRequest(id))).job?.state, 'cancelled');
@@ -114,18 +114,18 @@
 test('the largest job begins although smaller ones keep coming', async () => {
   const cluster = new Cluster({ seed: 17, ordinaryUp: 4, capacity: 2, teamLimit: 1000 });
   await cluster.run(4);
-  const small = (count: number): void => {
+  const submitSmallJobs = (count: number): void => {
     for (let i = 0; i < count; i++)
       void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 4, durationS: 20 }), null);
   };
-  small(40);
+  submitSmallJobs(40);
   const large = cluster.users.newJob({ ...BATCH, tasks: 200, durationS: 20 });
   void cluster.users.run(large, null);
   for (let second = 0; second < 100; second++) {
-    small(second % 2);
+    submitSmallJobs(second % 2);
     await cluster.run(1);
   }
-  const began = cluster.invariants.jobs.get(large.id)!.firstStartAt;
-  assert.ok(began !== null && began < 80_000, `began at ${began}`);
+  const startedAt = cluster.invariants.jobs.get(large.id)!.firstStartAt;
+  assert.ok(startedAt !== null && startedAt < 80_000, `began at ${startedAt}`);
   assert.deepEqual(cluster.invariants.violations, []);
 });
--- a/test/gang-room.test.ts
+++ b/test/gang-room.test.ts
@@ -80,12 +80,13 @@
 
 test('a gang begins although arrays of its team would fill the limit for ever', async () => {
   const cluster = await clusterWithoutLoss({ seed: 10, ordinaryUp: 6, teamLimit: 24 });
-  const stream = (): void => void submit(cluster, { ...BATCH, team: 't0', tasks: 6, durationS: 4 });
-  for (let i = 0; i < 6; i++) stream();
+  const submitArray = (): void =>
+    void submit(cluster, { ...BATCH, team: 't0', tasks: 6, durationS: 4 });
+  for (let i = 0; i < 6; i++) submitArray();
   await cluster.run(8);
   const job = submit(cluster, { ...GANG, team: 't0', tasks: 10 });
   for (let second = 0; second < 45 && cluster.gangs.begun === 0; second++) {
-    stream();
+    submitArray();
     await cluster.run(1);
   }
   assert.equal(cluster.gangs.begun, 1);
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -57,16 +57,16 @@
   const cluster = await clusterWithoutLoss({ seed: 7 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8 });
   await until(cluster, () => cluster.gangs.begun === 1, 15);
-  const [mute] = machinesOfJob(cluster, job);
+  const [isolatedMachine] = machinesOfJob(cluster, job);
   await cluster.run(5);
   cluster.network.partitions.push({
-    a: (host) => host === `w-${mute}:9000`,
+    a: (host) => host === `w-${isolatedMachine}:9000`,
     b: () => true,
     until: Infinity,
     mode: 'hold',
   });
   await until(cluster, () => job.finishedTasks.size === 6, 5);
-  cluster.cloud.preempt(cluster.cloud.machines.get(mute)!);
+  cluster.cloud.preempt(cluster.cloud.machines.get(isolatedMachine)!);
   await cluster.run(30);
   assert.equal(cluster.gangs.begun, 1);
   assert.notEqual(job.reportedDoneAt, null);
@@ -130,13 +130,13 @@
 });
 
 /** Gangs come beside all other jobs, under faults. */
-function testGangs(
+function testGangScenarios(
   name: string,
   seeds: number[],
   faults: (cluster: Cluster, second: number) => void,
 ): void {
   const eachSecond = (cluster: Cluster, second: number): void => {
-    const over = {
+    const overrides = {
       tasks: cluster.random.int(2, 6),
       oneZone: cluster.random.chance(0.7),
       spot: cluster.random.chance(0.4),
@@ -144,27 +144,27 @@
     const cancelAfterMs = (): number | null =>
       cluster.random.chance(0.2) ? cluster.random.between(0, 12_000) : null;
     if (second % 3 === 0)
-      void cluster.users.run(cluster.users.newJob({ ...GANG, ...over }), cancelAfterMs());
+      void cluster.users.run(cluster.users.newJob({ ...GANG, ...overrides }), cancelAfterMs());
     faults(cluster, second);
   };
-  testScenarios(`gangs: ${name}`, seeds, eachSecond, {}, allGangsServed);
+  testScenarios(`gangs: ${name}`, seeds, eachSecond, {}, assertAllGangsServed);
 }
 
-function allGangsServed({ cluster }: ScenarioOutcome): void {
+function assertAllGangsServed({ cluster }: ScenarioOutcome): void {
   assert.ok(cluster.gangs.begun > 10, `${cluster.gangs.begun} began`);
   for (const [id, job] of cluster.invariants.jobs)
     if (job.spec.kind === 'gang' && job.reportedAccepted && !job.cancelRequested)
       assert.notEqual(job.reportedDoneAt, null, id);
 }
 
-testGangs('leaders crash and change', [11, 12, 13], (cluster, second) => {
+testGangScenarios('leaders crash and change', [11, 12, 13], (cluster, second) => {
   if (second % 9 === 4)
     cluster.crash(leaderOrRandomNode(cluster), cluster.random.pick([150, 3000]));
   if (second === 40)
     for (const name of cluster.nodeNames) cluster.crash(name, cluster.random.between(100, 4000));
 });
 
-testGangs('machines hang, die and are taken', [21, 22, 23], (cluster, second) => {
+testGangScenarios('machines hang, die and are taken', [21, 22, 23], (cluster, second) => {
   const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
   if (!machine?.worker) return;
   if (second % 6 === 2)
@@ -179,7 +179,7 @@
   if (second === 20) cluster.nextMachineSlowness = 4;
 });
 
-testGangs('cuts, refusals and outages', [31, 32, 33], (cluster, second) => {
+testGangScenarios('cuts, refusals and outages', [31, 32, 33], (cluster, second) => {
   const until = cluster.clock.time + cluster.random.between(2000, 14_000);
   const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
   const mode = cluster.random.pick(['hold', 'reset'] as const);
@@ -196,7 +196,7 @@
   if (second % 12 === 8) cluster.faults.cancelRunning(2, 3000);
 });
 
-testGangs(
+testGangScenarios(
   'late duplicates of heartbeats, held commands, late transactions',
   [41, 42],
   (cluster, second) => {
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -11,7 +11,7 @@
 const LEASE_MS = 30_000;
 
 /** A fleet that is up, and the placement work of all its leaders. */
-function largeFleet(seed: number): { c: Cluster; work: PlacementWork } {
+function largeFleet(seed: number): { cluster: Cluster; work: PlacementWork } {
   const work: PlacementWork = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
     seed,
@@ -28,7 +28,7 @@
     state: { rps: 200, writeRps: 30 },
     log: logPlacementWork(work),
   });
-  return { c: cluster, work };
+  return { cluster, work };
 }
 
 function submit(cluster: Cluster, count: number, job: Partial<JobSubmission>): void {
@@ -36,17 +36,17 @@
 }
 
 /** Arrays that fill nearly all of the fleet, one task a machine, and services beside them. */
-function fill(cluster: Cluster): void {
+function submitInitialJobs(cluster: Cluster): void {
   submit(cluster, 30, { ...BATCH, tasks: 125, cpus: CPUS, durationS: 40, spot: true });
   submit(cluster, 20, { ...SERVICE, tasks: 4 });
 }
 
-function upMachines(cluster: Cluster): number {
+function countRunningMachines(cluster: Cluster): number {
   return [...cluster.cloud.machines.values()].filter((m) => m.worker !== null).length;
 }
 
 /** No invariant violated, nothing asked beyond the limits of others, and placing in proportion to what there was to place. */
-function expectProportionate(cluster: Cluster, work: PlacementWork, seconds: number): void {
+function assertProportionateWork(cluster: Cluster, work: PlacementWork, seconds: number): void {
   assert.deepEqual(cluster.invariants.violations, []);
   assert.equal(cluster.cloud.received.tooMany, 0);
   const { received } = cluster.state;
@@ -59,11 +59,11 @@
 }
 
 test('4,000 machines, full: leader crashes, a zone cut off, no state service, all end, cancellations', async () => {
-  const { c: cluster, work } = largeFleet(3);
+  const { cluster, work } = largeFleet(3);
   await cluster.run(14);
-  fill(cluster);
+  submitInitialJobs(cluster);
   await cluster.run(14);
-  assert.equal(upMachines(cluster), MACHINES);
+  assert.equal(countRunningMachines(cluster), MACHINES);
   assert.ok(
     cluster.invariants.placesByTask.size > 0.9 * MACHINES,
     `${cluster.invariants.placesByTask.size} tasks run`,
@@ -87,6 +87,6 @@
   cluster.faultsEndedAt = cluster.clock.time;
   await cluster.run(60);
   cluster.invariants.checkServed();
-  expectProportionate(cluster, work, 171);
+  assertProportionateWork(cluster, work, 171);
   assert.ok(cluster.invariants.starts < 2.5 * MACHINES, `${cluster.invariants.starts} starts`);
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -39,23 +39,32 @@
     true,
     0,
   );
-  const home = [addMachine('m1'), addMachine('m2')];
-  for (let task = 0; task < 4; task++) table.addAttempt(home[task >> 1], 'run-1', gang, task, 7, 0);
+  const currentMachines = [addMachine('m1'), addMachine('m2')];
+  for (let task = 0; task < 4; task++)
+    table.addAttempt(currentMachines[task >> 1], 'run-1', gang, task, 7, 0);
   const gangs = new GangRelocation({
     table,
     isUsable: (machine: Machine) => machine.isReconciled(),
   } satisfies Partial<
     ConstructorParameters<typeof GangRelocation>[0]
   > as unknown as ConstructorParameters<typeof GangRelocation>[0]);
-  const elsewhere = addMachine('m3');
-  assert.equal(gangs.canRelocate(gang, home[0]), false, 'half of it fits');
+  const spareMachine = addMachine('m3');
+  assert.equal(gangs.canRelocate(gang, currentMachines[0]), false, 'half of it fits');
   addMachine('m4');
-  assert.equal(gangs.canRelocate(gang, home[0]), true);
-  home[1].commandFailures = 1;
-  assert.equal(gangs.canRelocate(gang, home[0]), false, 'one machine could not be told to stop');
-  home[1].commandFailures = 0;
-  elsewhere.isStraggler = true;
-  assert.equal(gangs.canRelocate(gang, home[0]), false, 'slow machines are no place to move to');
+  assert.equal(gangs.canRelocate(gang, currentMachines[0]), true);
+  currentMachines[1].commandFailures = 1;
+  assert.equal(
+    gangs.canRelocate(gang, currentMachines[0]),
+    false,
+    'one machine could not be told to stop',
+  );
+  currentMachines[1].commandFailures = 0;
+  spareMachine.isStraggler = true;
+  assert.equal(
+    gangs.canRelocate(gang, currentMachines[0]),
+    false,
+    'slow machines are no place to move to',
+  );
 });
 
 test('a job may use the machines again on which it failed, once it has waited for a while', () => {
@@ -116,7 +125,7 @@
 });
 
 /** Placement over a table whose machines all answer, without anything being sent. */
-function placementOver(
+function createPlacement(
   jobs: JobTable,
   settings: Partial<PlatformSettings>,
 ): { table: MachineTable; placement: Placement } {
@@ -162,7 +171,7 @@
 // normal ones within theirs, and these stopped the urgent ones.
 test('two teams on a full fleet do not stop each other in turn', () => {
   const jobs = new JobTable();
-  const { table, placement } = placementOver(jobs, {
+  const { table, placement } = createPlacement(jobs, {
     teams: [
       { name: 'urgent', cpus: 4, gpus: 0, cpusMax: Infinity, gpusMax: Infinity },
       { name: 'normal', cpus: 400, gpus: 0, cpusMax: Infinity, gpusMax: Infinity },
@@ -205,7 +214,7 @@
 // Incident fleet-loss: when a zone was lost, replicas whose other zones were closed to them used up each cycle's candidates.
 test('replicas that no open zone has room for do not keep all others waiting', () => {
   const jobs = new JobTable();
-  const { table, placement } = placementOver(jobs, {
+  const { table, placement } = createPlacement(jobs, {
     teams: [{ name: 't', cpus: 0, gpus: 0, cpusMax: Infinity, gpusMax: Infinity }],
   });
   addMachines(table, 200, machineType(64));
@@ -233,7 +242,7 @@
 // With 4,000 machines seven shapes that find no machine use up a cycle's candidates; each cycle began with the same seven.
 test('4,000 machines: shapes without room do not keep those behind them from their turn', () => {
   const jobs = new JobTable();
-  const { table, placement } = placementOver(jobs, {
+  const { table, placement } = createPlacement(jobs, {
     teams: [{ name: 't', cpus: 0, gpus: 0, cpusMax: Infinity, gpusMax: Infinity }],
   });
   addMachines(table, 4001, machineType(4));
@@ -256,7 +265,13 @@
       true,
       0,
     );
-  const last = jobs.add(spec({ id: 'run-99', priority: 2, tasks: 1, cpus: 4 }), 1, 0, true, 0);
+  const placeableJob = jobs.add(
+    spec({ id: 'run-99', priority: 2, tasks: 1, cpus: 4 }),
+    1,
+    0,
+    true,
+    0,
+  );
   for (let i = 0; i < 4; i++) placement.runSchedulingCycle();
-  assert.equal(last.attempts.size, 1);
+  assert.equal(placeableJob.attempts.size, 1);
 });
--- a/test/probe-window.test.ts
+++ b/test/probe-window.test.ts
@@ -9,20 +9,23 @@
 
 test('probes make way while timers fire late, and come back step by step', () => {
   const probes = new ProbeWindow(REQUESTS);
-  const first = probes.size();
+  const initialSize = probes.size();
   assert.equal(probes.isCongested(), false);
   probes.timerFired(LATE_MS);
-  assert.ok(probes.size() <= first / 2 && probes.isCongested());
+  assert.ok(probes.size() <= initialSize / 2 && probes.isCongested());
   for (let i = 0; i < 50; i++) probes.timerFired(LATE_MS);
   assert.ok(probes.size() > 0, 'what is silent is still asked');
-  let last = probes.size();
+  let previousSize = probes.size();
   for (let i = 0; i < 50; i++) {
     probes.timerFired(ON_TIME_MS);
-    assert.ok(probes.size() >= last && probes.size() - last <= REQUESTS / 8, 'no rush');
-    last = probes.size();
+    assert.ok(
+      probes.size() >= previousSize && probes.size() - previousSize <= REQUESTS / 8,
+      'no rush',
+    );
+    previousSize = probes.size();
   }
   assert.equal(probes.isCongested(), false);
-  assert.ok(last > first && last < REQUESTS, 'commands are always left some');
+  assert.ok(previousSize > initialSize && previousSize < REQUESTS, 'commands are always left some');
 });
 
 test('a node that may send few requests has a window within them', () => {
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -87,17 +87,17 @@
   assert.ok(received.tooMany < 20, `${received.tooMany} requests over the limits`);
 });
 
-function pickUp(cluster: Cluster, count: number): CloudMachine[] {
-  const up = [...cluster.cloud.machines.values()].filter(({ worker }) => worker !== null);
-  return Array.from({ length: count }, () => cluster.random.pick(up));
+function pickRunningMachines(cluster: Cluster, count: number): CloudMachine[] {
+  const running = [...cluster.cloud.machines.values()].filter(({ worker }) => worker !== null);
+  return Array.from({ length: count }, () => cluster.random.pick(running));
 }
 
 function hang(cluster: Cluster, count: number, ms: number): void {
-  for (const { id } of pickUp(cluster, count)) cluster.faults.hangMachine(id, ms);
+  for (const { id } of pickRunningMachines(cluster, count)) cluster.faults.hangMachine(id, ms);
 }
 
 function killAndPartition(cluster: Cluster, second: number): void {
-  if (second === 12) for (const machine of pickUp(cluster, 60)) machine.worker?.kill();
+  if (second === 12) for (const machine of pickRunningMachines(cluster, 60)) machine.worker?.kill();
   if (second === 14) cluster.crash(cluster.leader()!, 200);
   if (second === 20) {
     const until = cluster.clock.time + 18_000;
@@ -120,7 +120,7 @@
 }
 
 test('more than a thousand machines: waves of deaths and hangs, a zone cut off, a frozen leader, all crashing in an outage', async () => {
-  let most = { candidatesExamined: 0, starts: 1 };
+  let largestRound = { candidatesExamined: 0, starts: 1 };
   const cluster = new Cluster({
     seed: 8,
     nodes: 5,
@@ -132,8 +132,9 @@
     leaseMs: 15_000,
     state: { rps: 250, writeRps: 30 },
     log: (_node, text, fields) => {
-      const round = fields as typeof most;
-      if (text === 'round' && round.candidatesExamined > most.candidatesExamined) most = round;
+      const round = fields as typeof largestRound;
+      if (text === 'round' && round.candidatesExamined > largestRound.candidatesExamined)
+        largestRound = round;
     },
   });
   await cluster.run(8);
@@ -156,7 +157,7 @@
   assert.ok(received.requests < 90 * 125, `${received.requests} requests`);
   assert.ok(received.tooMany < 40, `${received.tooMany} requests over the limits`);
   assert.ok(
-    most.candidatesExamined < 1500 * most.starts,
-    `${most.candidatesExamined} candidates examined for ${most.starts} starts`,
+    largestRound.candidatesExamined < 1500 * largestRound.starts,
+    `${largestRound.candidatesExamined} candidates examined for ${largestRound.starts} starts`,
   );
 });
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -31,7 +31,7 @@
   return new TeamUsage([{ name: 't', cpus: 0, gpus: 0, cpusMax, gpusMax }]);
 }
 
-const one = (over = {}): Parameters<TeamUsage['mayStart']>[0] => ({
+const startRequest = (over = {}): Parameters<TeamUsage['mayStart']>[0] => ({
   spec: spec(over),
   tasks: 1,
   headroomCpus: 0,
@@ -39,36 +39,36 @@
 
 test('a team may take what is left under its limit, everything counted that may be on machines', () => {
   const usage = usageWithLimit(10, 1);
-  assert.equal(usage.mayStart({ ...one(), tasks: 5 }), true);
-  assert.equal(usage.mayStart({ ...one(), tasks: 6 }), false, 'a gang counts whole');
+  assert.equal(usage.mayStart({ ...startRequest(), tasks: 5 }), true);
+  assert.equal(usage.mayStart({ ...startRequest(), tasks: 6 }), false, 'a gang counts whole');
   assert.equal(
-    usage.mayStart({ ...one(), tasks: 5, headroomCpus: 1 }),
+    usage.mayStart({ ...startRequest(), tasks: 5, headroomCpus: 1 }),
     false,
     'headroom is left to others',
   );
-  assert.equal(usage.mayStart(one({ gpus: 2 })), false, 'GPUs count, too');
-  assert.equal(usage.mayStart(one({ team: 'unknown' })), false);
+  assert.equal(usage.mayStart(startRequest({ gpus: 2 })), false, 'GPUs count, too');
+  assert.equal(usage.mayStart(startRequest({ team: 'unknown' })), false);
   for (let i = 0; i < 3; i++) usage.charge(spec());
   usage.setUnconfirmed(new Map([['t', { cpus: 4, gpus: 0 }]]));
-  assert.equal(usage.mayStart(one()), false, 'unconfirmed tasks count');
+  assert.equal(usage.mayStart(startRequest()), false, 'unconfirmed tasks count');
   usage.setUnconfirmed(new Map([['t', { cpus: 2, gpus: 0 }]]));
-  assert.equal(usage.mayStart(one()), true);
+  assert.equal(usage.mayStart(startRequest()), true);
   usage.setUnconfirmed(new Map());
-  assert.equal(usage.mayStart({ ...one(), tasks: 2 }), true);
+  assert.equal(usage.mayStart({ ...startRequest(), tasks: 2 }), true);
   usage.refund(spec());
-  assert.equal(usage.mayStart({ ...one(), tasks: 3 }), true);
+  assert.equal(usage.mayStart({ ...startRequest(), tasks: 3 }), true);
 });
 
 test('a gang that waits for arrays to end fits without them, and not before', () => {
   const usage = usageWithLimit(10);
   for (let i = 0; i < 4; i++) usage.charge(spec());
-  const gang = { ...one(), tasks: 3 };
+  const gang = { ...startRequest(), tasks: 3 };
   assert.equal(usage.mayStart(gang), false);
   assert.equal(usage.fitsWithout(gang, { cpus: 4, gpus: 0 }), true);
   assert.equal(usage.fitsWithout(gang, { cpus: 2, gpus: 0 }), false);
 });
 
-interface Audited {
+interface AuditSetup {
   table: MachineTable;
   machine: Machine;
   job: Job;
@@ -78,7 +78,7 @@
 }
 
 /** A machine with tasks on it, all of them counted. */
-function audited(cpusMax: number, tasks: number): Audited {
+function createAuditSetup(cpusMax: number, tasks: number): AuditSetup {
   const usage = usageWithLimit(cpusMax);
   const errors: Record<string, unknown>[] = [];
   const log: Log = {
@@ -117,11 +117,11 @@
 }
 
 test('a sum that is too low is found, logged with what led to it, corrected, and starts nothing meanwhile', () => {
-  const { usage, audit, errors } = audited(20, 10);
+  const { usage, audit, errors } = createAuditSetup(20, 10);
   audit.tick(0);
   assert.equal(errors.length, 0);
   usage.refund(spec());
-  assert.equal(usage.mayStart(one()), true, 'the wrong sum would let it start');
+  assert.equal(usage.mayStart(startRequest()), true, 'the wrong sum would let it start');
   audit.tick(AUDIT_INTERVAL_MS);
   assert.equal(errors.length, 1);
   assert.equal(errors[0].kind, 'wrong-sum');
@@ -134,7 +134,7 @@
 });
 
 test('a team over its limit on machines that obey us starts nothing until it is below', () => {
-  const { table, machine, job, usage, audit, errors } = audited(10, 7);
+  const { table, machine, job, usage, audit, errors } = createAuditSetup(10, 7);
   audit.tick(0);
   assert.equal(errors.length, 0, 'starts that no report shows are no breach');
   for (const attempt of machine.attempts.values()) attempt.state = 'running';
@@ -150,11 +150,11 @@
   for (const attempt of [...machine.attempts.values()].slice(0, 3)) table.removeAttempt(attempt, 0);
   audit.tick(3 * AUDIT_INTERVAL_MS);
   assert.equal(usage.isSuspended('t'), false);
-  assert.equal(usage.mayStart(one()), true);
+  assert.equal(usage.mayStart(startRequest()), true);
 });
 
 test('what a machine reports under an older token is no proof of a breach', () => {
-  const { machine, audit, errors } = audited(10, 7);
+  const { machine, audit, errors } = createAuditSetup(10, 7);
   for (const attempt of machine.attempts.values()) attempt.state = 'running';
   machine.shownToken = TOKEN - 1;
   audit.tick(0);
@@ -162,7 +162,7 @@
 });
 
 test('an attempt that is dropped twice is released once', () => {
-  const { table, machine, usage } = audited(20, 2);
+  const { table, machine, usage } = createAuditSetup(20, 2);
   const [attempt] = machine.attempts.values();
   table.removeAttempt(attempt, 0);
   table.startsRejected([attempt], 0);
@@ -173,7 +173,7 @@
 });
 
 test('a late status of a dropped gang task does not remove its replacement of the same number', () => {
-  const { table, machine, job } = audited(20, 1);
+  const { table, machine, job } = createAuditSetup(20, 1);
   const [old] = machine.attempts.values();
   table.removeAttempt(old, 0);
   const replacement = table.addAttempt(machine, 'run-1', job, 0, 0, 0);
@@ -185,7 +185,7 @@
 // that was no longer in the table: its tasks counted from then on, no audit of machines passed them, and none of them
 // was ever started elsewhere. The audit's error showed both attempts vanish at 130756 ms and found again at 130757 ms.
 test('the heartbeat of a machine that is gone charges nothing', () => {
-  const { table, machine, job, usage } = audited(20, 1);
+  const { table, machine, job, usage } = createAuditSetup(20, 1);
   table.remove(machine, 0);
   const report = {
     machine: machine.id,
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -46,7 +46,7 @@
 }
 
 /** At the start all that waits for the first machines; then a stream of arrays, more than there is room for at times. */
-function work(cluster: Cluster, second: number): void {
+function submitJobs(cluster: Cluster, second: number): void {
   const urgent: Partial<JobSubmission> = {
     ...BATCH,
     jobClass: 'urgent',
@@ -63,7 +63,7 @@
 }
 
 /** The controllers are restarted one after the other, with the state service slow, and the cloud's interface down. */
-function bringFaults(cluster: Cluster, second: number): void {
+function injectFaults(cluster: Cluster, second: number): void {
   if (second === 15) cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 20_000 };
   if (second === 18) cluster.cloud.downUntil = cluster.clock.time + 20_000;
   if (second >= 20 && second < 38 && (second - 20) % 6 === 0)
@@ -81,8 +81,8 @@
   'one-task machines, a zone of large ones: slow state service, no cloud, a roll, a zone cut off',
   [41, 42],
   (cluster, second) => {
-    work(cluster, second);
-    bringFaults(cluster, second);
+    submitJobs(cluster, second);
+    injectFaults(cluster, second);
   },
   { nodes: 3, ordinaryUp: 0, types: TYPES, pools: POOLS, teamLimit: 400 },
   ({ cluster }) => {
