--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -1,4 +1,4 @@
-/** Cancellations beside other faults, each brought about by itself. docs/safety.md has a row for each. */
+/** Cancellations combined with other faults, one specific combination per test. docs/safety.md has a row for each. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CANCEL_MS, LEASE_MS } from './sim/cluster-config.js';
@@ -13,13 +13,13 @@
 } from './sim/faults.js';
 
 for (const seed of [1, 2, 3])
-  test(`gap: cancelled beside a refused leader, then nobody has the state service (${seed})`, async () => {
+  test(`a job cancelled while the state service rejects the leader stops in time although an outage for all nodes follows (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
-    // Nothing travels between controllers, so that only the bound on what renews a lease helps.
+    // Controllers can't reach each other, so that only the bound on lease renewals helps.
     partitionControllers(cluster);
     const { first } = await cancelDuringRejection(cluster, 14_000);
     cluster.state.beginOutage(CANCEL_MS + 12_000);
-    // Its machines stand still at the end of their leases, and go on.
+    // Its machines hang at the end of their leases, then continue.
     for (const place of cluster.invariants.placesByTask.get(`${first}/0`) ?? [])
       cluster.clock.after(CANCEL_MS / 2, () => {
         cluster.faults.hangMachine(place.machine, LEASE_MS);
@@ -29,11 +29,11 @@
     await cluster.run(40);
     assert.deepEqual(cluster.invariants.violations, []);
     assert.deepEqual(cluster.invariants.startsAfterCancellationMs, []);
-    assert.equal(cluster.invariants.placesByTask.size, 9, 'all others run again');
+    assert.equal(cluster.invariants.placesByTask.size, 9, 'all other tasks run again');
   });
 
 for (const seed of [11, 12, 13, 14])
-  test(`a leader comes back from a pause before it has read what was cancelled meanwhile (${seed})`, async () => {
+  test(`a suspended leader that resumes before it has read the cancellations confirmed meanwhile violates no invariant (${seed})`, async () => {
     let resumed = false;
     const cluster = await clusterWithServices({
       seed,
@@ -45,20 +45,20 @@
     partitionControllers(cluster);
     await cancelDuringRejection(cluster, 15_500);
     cluster.state.beginOutage(14_000);
-    // Renewals are answered, reads only seconds later.
+    // Renewals get a response at once, reads only seconds later.
     cluster.state.slowReads = { byMs: 5000, until: cluster.clock.time + 20_000 };
     for (let i = 0; i < 500 && !resumed; i++) await cluster.run(0.05);
-    assert.ok(resumed, 'the claim outlived the outage');
-    // Heartbeats come, and are answered or not; then machines stand still for nearly a lease.
+    assert.ok(resumed, 'the leadership claim was still valid after the outage');
+    // Heartbeats arrive, and get a response or not; then the machines hang for nearly a lease.
     await cluster.run(1.8);
     for (const machine of cluster.cloud.machines.values())
       if (machine.worker) cluster.faults.hangMachine(machine.id, LEASE_MS - 500);
     await cluster.run(60);
     assert.deepEqual(cluster.invariants.violations, []);
-    assert.equal(cluster.invariants.placesByTask.size, 9, 'all others run again');
+    assert.equal(cluster.invariants.placesByTask.size, 9, 'all other tasks run again');
   });
 
-test('after a pause nothing starts before what was cancelled meanwhile has been read', async () => {
+test('a leader that resumes after a pause starts nothing before it has read the cancellations confirmed meanwhile', async () => {
   const cluster = await clusterWithServices({ seed: 15, teamLimit: 30 });
   const old = cluster.leader()!;
   // One array fills its team's limit, the other waits behind it.
@@ -84,7 +84,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a follower that extends leases for a leader that is gone stops what is cancelled', async () => {
+test('a follower that extends leases for a crashed leader stops the tasks of a cancelled job and keeps all others running', async () => {
   const cluster = await clusterWithServices({ seed: 16 });
   const old = cluster.leader()!;
   cluster.crash(old, 60_000);
@@ -100,31 +100,31 @@
   cluster.state.beginOutage(20_000);
   await cluster.run(6);
   assert.equal(runningTasksOf(cluster, first), 0);
-  assert.equal(cluster.invariants.placesByTask.size, 9, 'all others are kept');
+  assert.equal(cluster.invariants.placesByTask.size, 9, 'all other tasks keep running');
   await cluster.run(30);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
 for (const seed of [21, 22])
-  test(`an outage far longer than leases costs nothing while all controllers attest for each other (${seed})`, async () => {
+  test(`no task restarts in an outage far longer than a lease while all controllers attest for each other (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
     const { starts } = cluster.invariants;
     const { first, old } = await cancelDuringRejection(cluster, 14_000);
     assert.equal(
       runningTasksOf(cluster, first),
       0,
-      'the refused leader has heard of it from the other',
+      'the rejected leader has learned of the cancellation from the other controller',
     );
     cluster.state.beginOutage(2 * CANCEL_MS);
     await cluster.run(2 * (CANCEL_MS / 1000) + 10);
     assert.equal(cluster.leader(), old);
     assert.equal(cluster.invariants.placesByTask.size, 9);
-    assert.equal(cluster.invariants.starts, starts, 'nothing had to start again');
+    assert.equal(cluster.invariants.starts, starts, 'no task was restarted');
     assert.deepEqual(cluster.invariants.violations, []);
   });
 
 for (const seed of [31, 32])
-  test(`who confirmed a cancellation has forgotten it, and the state service is down (${seed})`, async () => {
+  test(`a cancelled job stops in time although the controller that confirmed it restarts and forgets it while the state service is down (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
     const old = cluster.leader()!;
     const confirming = otherNode(cluster, old);
@@ -151,9 +151,9 @@
     assert.deepEqual(cluster.invariants.violations, []);
   });
 
-test('a start is on its way when its job is cancelled: it meets an advanced token', async () => {
+test('a start in transit when its job is cancelled is rejected because the token has advanced', async () => {
   const cluster = await clusterWithServices({ seed: 241, teamLimit: 1000 });
-  // So that all machines have the image, and a start is one at once.
+  // Makes all machines fetch the image, so that a command to start a task starts it at once.
   void cluster.users.run(
     cluster.users.newJob({ ...BATCH, tasks: 80, durationS: 1, image: 'img-0' }),
     null,
@@ -177,7 +177,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('cancellations, questions and repeated submissions meet the end of the last task', async () => {
+test('cancellations, polls and repeated submissions around the end of the last task leave each job done or cancelled', async () => {
   const cluster = await clusterWithServices({ seed: 261 }, 1);
   const outcomes = new Map<string, number>();
   for (let i = 0; i < 60; i++) {
--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -14,7 +14,7 @@
   pickMachines,
 } from './sim/faults.js';
 
-/** Jobs come all the while; each second may bring a fault. Afterwards all are served. */
+/** One test per seed: jobs arrive throughout, each second may bring a fault, and all jobs are served afterwards. */
 function faultCombination(
   name: string,
   seeds: number[],
@@ -33,7 +33,7 @@
 }
 
 faultCombination(
-  'old heartbeats, of earlier incarnations and attempts too, after newer ones',
+  'invariants hold and all jobs are served when old heartbeats, also of earlier incarnations and attempts, arrive after newer ones',
   [101, 102],
   (cluster, second) => {
     duplicateHeartbeats(cluster, 0.25);
@@ -43,7 +43,7 @@
 );
 
 faultCombination(
-  'leaders change every few seconds, also inside an outage',
+  'invariants hold and all jobs are served when leaders change every few seconds, also during an outage of the state service',
   [111, 112],
   (cluster, second) => {
     if (second % 5 === 2)
@@ -54,7 +54,7 @@
 );
 
 faultCombination(
-  'a leader without state service and peers, jobs cancelled through the new one',
+  'invariants hold and all jobs are served when a leader loses the state service and its peers, and jobs are cancelled through another controller',
   [121, 122, 123],
   (cluster, second) => {
     if (second % 30 !== 8) return;
@@ -67,7 +67,7 @@
 );
 
 faultCombination(
-  'all controllers are away for longer than a lease',
+  'invariants hold and all jobs are served when all controllers are frozen or down for longer than a lease',
   [131, 132],
   (cluster, second) => {
     if (second === 12)
@@ -81,7 +81,7 @@
 );
 
 faultCombination(
-  'machines that reach no controller, while commands reach them',
+  "invariants hold and all jobs are served when machines can't reach any controller but receive commands",
   [141, 142],
   (cluster, second) => {
     if (second === 10) cluster.faults.blockConnections(() => true, LEASE_MS + 3000);
@@ -92,7 +92,7 @@
 );
 
 faultCombination(
-  'more work than room, urgent and not, over slow links',
+  'invariants hold and all jobs are served with more jobs than capacity, urgent and not, over slow links',
   [151, 152],
   (cluster, second) => {
     cluster.network.delayFactor = second < 50 ? 20 : 1;
@@ -106,7 +106,7 @@
 );
 
 faultCombination(
-  'a zone with workers and a controller is cut off, the leader ends, jobs are cancelled',
+  'invariants hold and all jobs are served when a zone with its workers and controllers is isolated, the leader crashes and jobs are cancelled',
   [161, 162],
   (cluster, second) => {
     if (second !== 10 && second !== 38) return;
@@ -128,7 +128,7 @@
 );
 
 faultCombination(
-  'the state service is slow, refuses the leader, then everybody',
+  'invariants hold and all jobs are served when the state service is slow and rejects the leader, then all nodes',
   [171, 172],
   (cluster, second) => {
     if (second === 5) cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 25_000 };
@@ -141,7 +141,7 @@
 );
 
 faultCombination(
-  'transactions without an answer are carried out late, after newer ones',
+  'invariants hold and all jobs are served when transactions without a response are executed late, after newer ones',
   [181, 182, 183],
   (cluster, second) => {
     cluster.state.lateWrites = { share: 0.15, until: cluster.clock.time + 1000 };
@@ -152,7 +152,7 @@
 );
 
 faultCombination(
-  'commands are held up for seconds, machines stand still and go on',
+  'invariants hold and all jobs are served when commands are held for seconds, and machines hang and continue',
   [191, 192, 193],
   (cluster, second) => {
     if (second % 6 === 2)
@@ -164,7 +164,7 @@
 );
 
 faultCombination(
-  'a leader ends while machines can not be reached, or do not hear the new one',
+  'invariants hold and all jobs are served when a leader crashes while machines are unreachable or receive nothing from the new leader',
   [201, 202],
   (cluster, second) => {
     const host = cluster.faults.hostsOf(pickMachines(cluster, 0.3));
@@ -185,7 +185,7 @@
 );
 
 faultCombination(
-  'controllers hand over and back, all end, one returns at once',
+  'invariants hold and all jobs are served when controllers hand leadership over and back, all crash, and one restarts at once',
   [211, 212],
   (cluster, second) => {
     const lone = cluster.nodeNames[0];
@@ -199,24 +199,28 @@
   },
 );
 
-faultCombination('jobs of one zone lose machines', [221, 222], (cluster, second) => {
-  const array = { ...BATCH, oneZone: true, tasks: 6, durationS: 6 };
-  if (second % 6 === 1)
-    void cluster.users.run(
-      cluster.users.newJob({ ...array, zone: cluster.random.pick(['a', 'b', null]) }),
-      null,
-    );
-  if (second % 9 === 4) {
-    const machine = [...cluster.cloud.machines.values()].find((x) =>
-      [...cluster.invariants.placesByTask.values()].some((p) => p[0].machine === x.id),
-    );
-    if (machine?.worker) cluster.cloud.preempt(machine);
-  }
-  if (second === 30) cluster.crash(leaderOrRandomNode(cluster), 150);
-});
+faultCombination(
+  'invariants hold and all jobs are served when jobs restricted to one zone lose machines',
+  [221, 222],
+  (cluster, second) => {
+    const array = { ...BATCH, oneZone: true, tasks: 6, durationS: 6 };
+    if (second % 6 === 1)
+      void cluster.users.run(
+        cluster.users.newJob({ ...array, zone: cluster.random.pick(['a', 'b', null]) }),
+        null,
+      );
+    if (second % 9 === 4) {
+      const machine = [...cluster.cloud.machines.values()].find((x) =>
+        [...cluster.invariants.placesByTask.values()].some((p) => p[0].machine === x.id),
+      );
+      if (machine?.worker) cluster.cloud.preempt(machine);
+    }
+    if (second === 30) cluster.crash(leaderOrRandomNode(cluster), 150);
+  },
+);
 
 faultCombination(
-  'heartbeats are held until a new leader has acted, and arrive there',
+  'invariants hold and all jobs are served when delayed heartbeats reach a new leader after it has acted',
   [231, 232],
   (cluster, second) => {
     if (second % 15 !== 6) return;
@@ -233,7 +237,7 @@
 );
 
 for (const seed of [251, 252])
-  test(`jobs of two or three tasks that end far apart, across changes of leader (${seed})`, async () => {
+  test(`arrays of two or three tasks are done although their tasks finish far apart and leaders change (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed }, 1);
     cluster.nextMachineSlowness = 8;
     cluster.cloud.add('t16', 'a', false, true);
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -1,4 +1,4 @@
-/** One fault each, looked at closely: what the seeded runs in cluster.test.ts would only show as a violated invariant. */
+/** One fault per test, with specific checks; the seeded runs in cluster.test.ts only show violated invariants. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { clusterWithService, holdMessagesTo } from './sim/faults.js';
@@ -10,7 +10,7 @@
 import { HEARTBEAT_PATH, reportingMachine } from './sim/wire/workers.js';
 import type { Body } from '../src/wire/cbor.js';
 
-test('a machine whose heartbeats arrive but that receives nothing is deleted; its tasks run elsewhere', async () => {
+test('a machine that sends heartbeats but receives nothing is deleted, and its tasks run elsewhere', async () => {
   const cluster = await clusterWithService(11);
   const [task, places] = [...cluster.invariants.placesByTask][0];
   const affectedMachine = places[0].machine;
@@ -22,7 +22,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('late duplicates of heartbeats renew no lease: a dead machine is given up in time', async () => {
+test('late duplicates of heartbeats renew no lease: an isolated machine is deleted, and its task runs elsewhere', async () => {
   const cluster = await clusterWithService(13);
   const [task, places] = [...cluster.invariants.placesByTask][0];
   const isolatedMachine = places[0].machine;
@@ -52,11 +52,11 @@
   }
   assert.equal(cluster.cloud.machines.has(isolatedMachine), false);
   assert.notEqual(cluster.invariants.placesByTask.get(task)?.[0]?.machine, isolatedMachine);
-  assert.ok(statuses.has(503), 'a copy is not answered as if it renewed a lease');
+  assert.ok(statuses.has(503), 'the response to a duplicate renews no lease');
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a node that the state service alone refuses sends users elsewhere; in an outage for all nobody does', async () => {
+test('a node that the state service rejects alone becomes unhealthy; in an outage for all nodes, every node stays healthy', async () => {
   const cluster = new Cluster({ seed: 15 });
   await cluster.run(5);
   const poll = (n: string): Promise<JobReply> => requestFrom(cluster, n, pollRequest('run-123456'));
@@ -69,7 +69,7 @@
     [true, false, true],
   );
   await cluster.run(8);
-  assert.equal(cluster.healthy('n1'), true, 'and comes back without being asked');
+  assert.equal(cluster.healthy('n1'), true, 'the node becomes healthy again without a request');
   cluster.state.beginOutage(6000);
   for (const name of cluster.nodeNames) await poll(name);
   await cluster.run(2);
@@ -80,9 +80,9 @@
   );
 });
 
-test('broken records: their jobs stay known and can be cancelled, and all others run', async () => {
+test('jobs with malformed records stay known and can be cancelled, and other jobs run', async () => {
   const cluster = new Cluster({ seed: 16 });
-  // Each question below is asked once, where a user would repeat it until it is answered.
+  // Each request below is sent once, while a user would repeat it until it gets a response.
   cluster.network.lossRate = 0;
   await cluster.run(3);
   const malformedRecords: unknown[] = [
@@ -101,7 +101,7 @@
   const other = cluster.users.newJob({ ...BATCH, tasks: 4, durationS: 2 });
   void cluster.users.run(other, null);
   await cluster.run(25);
-  assert.notEqual(cluster.invariants.jobs.get(other.id)!.reportedDoneAt, null, 'others run');
+  assert.notEqual(cluster.invariants.jobs.get(other.id)!.reportedDoneAt, null, 'other jobs run');
   for (const i of malformedRecords.keys()) {
     const id = `run-70000${i}`;
     assert.equal((await requestFrom(cluster, 'n1', pollRequest(id))).status, 200);
@@ -111,7 +111,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('the largest job begins although smaller ones keep coming', async () => {
+test('the largest job starts although smaller jobs keep arriving', async () => {
   const cluster = new Cluster({ seed: 17, ordinaryUp: 4, capacity: 2, teamLimit: 1000 });
   await cluster.run(4);
   const submitSmallJobs = (count: number): void => {
@@ -126,6 +126,6 @@
     await cluster.run(1);
   }
   const startedAt = cluster.invariants.jobs.get(large.id)!.firstStartAt;
-  assert.ok(startedAt !== null && startedAt < 80_000, `began at ${startedAt}`);
+  assert.ok(startedAt !== null && startedAt < 80_000, `first start at ${startedAt} ms`);
   assert.deepEqual(cluster.invariants.violations, []);
 });
