--- a/test/failover-faults.test.ts
+++ b/test/failover-faults.test.ts
@@ -1,4 +1,4 @@
-/** Failovers while a zone or machines can't be heard: how long they take, and what runs through them. */
+/** Failovers while a zone or some machines are unreachable: how long they take, and which tasks keep running. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { clusterWithService, holdMessagesTo } from './sim/faults.js';
@@ -16,7 +16,7 @@
   }
 }
 
-test('a machine that receives nothing does not delay a failover', async () => {
+test('a machine that sends heartbeats but receives nothing is deleted and does not delay a failover', async () => {
   const cluster = await clusterWithService(12);
   const affectedMachine = [...cluster.invariants.placesByTask.values()][0][0].machine;
   void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 30, durationS: 6 }), null);
@@ -26,11 +26,11 @@
   await cluster.run(30);
   assert.equal(cluster.cloud.machines.has(affectedMachine), false);
   const array = [...cluster.invariants.jobs.values()].find((j) => j.spec.kind === 'array')!;
-  assert.equal(array.finishedTasks.size, 30, 'an old job went on');
+  assert.equal(array.finishedTasks.size, 30, 'the job of the former leader continued');
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a duplicated heartbeat that reaches a new leader first ends nothing that runs', async () => {
+test('a duplicated heartbeat that reaches a new leader first stops no running task', async () => {
   const cluster = await clusterWithService(15);
   const before = new Map(
     [...cluster.invariants.placesByTask].map(([task, places]) => [task, places[0].machine]),
@@ -48,7 +48,7 @@
     tasks: [...before.keys()].map((task) => ({ task, attempt: 7, state: 'running' })),
   };
   cluster.crash(cluster.leader()!, 4000);
-  // The copy comes before anything is heard of the machines themselves.
+  // The duplicate arrives before any heartbeat of the machines themselves.
   cluster.network.partitions.push({
     a: (host) => host.startsWith('w-'),
     b: (host) => cluster.nodeNames.some((n) => host === `${n}:80`),
@@ -70,14 +70,14 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('two zones partitioned and the leader lost at once: work on both sides outlives its leases', async () => {
+test('when two zones are partitioned and the leader is isolated at once, tasks on both sides run on beyond their leases', async () => {
   let unusable = {};
   const leaseMs = 10_000;
   const cluster = new Cluster({
     seed: 27,
     nodes: 5,
     ordinaryUp: 8,
-    // A worker may need 7 s to find a controller that it reaches; from zone b it passes by two of zone a.
+    // A worker may need 7 s to find a controller that it can reach; one in zone b may first try two of zone a.
     leaseMs,
     log: (_node, text, fields) => {
       if (text === 'round') unusable = (fields as { unusable: object }).unusable;
@@ -107,16 +107,16 @@
   });
   await cluster.run(30);
   assert.notEqual(cluster.leader(), leader);
-  assert.equal(cluster.invariants.starts, starts, 'nothing had to start again');
+  assert.equal(cluster.invariants.starts, starts, 'no task was restarted');
   assert.equal(cluster.invariants.placesByTask.size, 12);
   assert.deepEqual(cluster.invariants.violations, []);
-  // Machines that had not answered are asked until they do, however long they are heard again: else they get nothing.
-  // A machine rented a moment ago may not be stored yet in the last round.
+  // Machines that did not respond are probed until they do, however long their heartbeats have been arriving again:
+  // otherwise they would get no tasks. A machine rented a moment ago may not be stored yet in the last round.
   await cluster.run(2 * defaultOperatorSettings().round_s);
   assert.deepEqual(unusable, {});
 });
 
-test('a failover beside a lost zone waits for its leases and no longer, and the next one not at all', async () => {
+test('a failover with an unreachable zone waits only until its leases expire, and the next failover does not wait', async () => {
   const recoveryCompletedAt: number[] = [];
   let servingSince = 0;
   const cluster: Cluster = new Cluster({
@@ -132,7 +132,7 @@
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(12);
-  // So that zone b with its two controllers is the one to lose.
+  // The leader must be in zone a, since zone b with its two controllers is the zone to be lost.
   await ensureLeaderInZoneA(cluster);
   const inB = cluster.faults.inWholeZone('b');
   cluster.network.partitions.push({
@@ -145,7 +145,7 @@
   cluster.crash(cluster.leader()!, 200);
   recoveryCompletedAt.length = 0;
   await cluster.run(40);
-  // What keepers may add, a lease, and the time to act on it.
+  // The time by which followers may extend leases, one lease, and the time to act on its expiry.
   const maxRecoveryMs = leaseExtensionMs(CANCEL_MS / 1000, LEASE_MS / 1000) + LEASE_MS + 1500;
   assert.equal(recoveryCompletedAt.length, 1);
   assert.ok(
@@ -157,7 +157,7 @@
   await cluster.run(15);
   assert.ok(
     (recoveryCompletedAt[1] ?? Infinity) - secondCrashAt < 6000,
-    'what was proved stays proved',
+    'a machine whose lease has expired is not awaited again',
   );
   assert.deepEqual(cluster.invariants.violations, []);
 });
--- a/test/failover-recovery.test.ts
+++ b/test/failover-recovery.test.ts
@@ -1,4 +1,4 @@
-/** What the recovery after a failover costs with many machines. */
+/** The recovery after a failover with many machines: its cost, and the precedence of leases over new work. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FailoverRecovery } from '../src/leadership/failover-recovery.js';
@@ -23,7 +23,7 @@
   zones: ['a'],
 };
 
-/** Machines in the order in which they were stored, and how often one was read. */
+/** Returns machines in the order in which they were stored, a recovery that awaits them, and the number of reads. */
 function recoveryAwaitingMachines(): {
   machines: Machine[];
   recovery: FailoverRecovery;
@@ -54,24 +54,25 @@
   return { machines, recovery, reads: () => reads };
 }
 
-// Each heartbeat once read every machine: 16 million reads while a new leader has the least time.
-test('a recovery with 4,000 machines passes each of them once, in whatever order they are heard', () => {
+// Each heartbeat used to read every machine: 16 million reads at the time when a new leader is busiest.
+test('a recovery with 4,000 machines checks each of them once, in whatever order they report', () => {
   for (const inReverse of [false, true]) {
     const { machines, recovery, reads } = recoveryAwaitingMachines();
     if (inReverse) machines.reverse();
     machines.forEach((machine, i) => {
-      assert.equal(recovery.isComplete(), false, `${i} have spoken`);
+      assert.equal(recovery.isComplete(), false, `${i} machines have reported`);
       machine.awaitingReconciliation = false;
       assert.equal(recovery.check(0), i === MACHINES - 1);
     });
     assert.ok(recovery.isComplete());
-    // One look a report, one a machine, and one count of all for the log.
+    // One read per report, one per machine, and one count of all machines for the log.
     assert.ok(reads() <= 3 * MACHINES, `${reads()} reads`);
   }
 });
 
-// On anketsis-pazar a new leader started 1285 tasks of new jobs while 971 others ended with leases that nobody renewed.
-test('while a recovering leader is congested, leases go before new work, for half a lease at most', () => {
+// On the platform anketsis-pazar, a new leader started 1285 tasks of new jobs while 971 other tasks were lost because
+// nobody renewed their leases.
+test('while a recovering leader is congested, lease renewals take precedence over new work for half a lease at most', () => {
   const { machines, recovery } = recoveryAwaitingMachines();
   const beganAt = 5000;
   recovery.begin(beganAt);
@@ -79,7 +80,7 @@
   assert.equal(
     recovery.mayPlace(false, beganAt + 100),
     true,
-    'nothing waits while the controller keeps up',
+    'placement does not wait while the controller keeps up',
   );
   assert.equal(recovery.mayPlace(true, beganAt + LEASE_MS / 2 + 1), true);
   for (const machine of machines) machine.awaitingReconciliation = false;
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,9 +1,13 @@
+/** Failovers while machines are unreachable: team limits, cancellations and deletions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
 import { type JobSubmission, cancelRequest, decodeJobReply } from './sim/wire/users.js';
 
-/** A long array fills its team's limit on machines that the next leader can't reach at first. */
+/**
+ * Returns a cluster whose leader has just crashed. A long array fills its team's limit, on machines that the next
+ * leader can't reach at first.
+ */
 async function clusterWithUnreachableMachines(seed: number): Promise<Cluster> {
   const cluster = new Cluster({ seed, teamLimit: 20, ordinaryUp: 6 });
   cluster.network.lossRate = 0;
@@ -38,8 +42,8 @@
   return cluster;
 }
 
-// Tasks that a new leader has not seen yet count against their team's limit: see `unconfirmedUsage`.
-test('a new job does not break the quota while old tasks are out of sight', async () => {
+// Tasks that no heartbeat has reported to the new leader yet count against their team's limit: see `unconfirmedUsage`.
+test('a new job does not take its team over the limit while earlier tasks run on unreachable machines', async () => {
   const cluster = await clusterWithUnreachableMachines(3);
   await cluster.run(3);
   for (const team of ['t0', 't1'])
@@ -60,7 +64,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('cancelled while out of sight: gone in time, and nothing of it starts', async () => {
+test('a job cancelled while its machines are unreachable stops in time, and none of its tasks starts again', async () => {
   const cluster = await clusterWithUnreachableMachines(4);
   const id = [...cluster.invariants.jobs.keys()][0];
   cluster.invariants.jobs.get(id)!.cancelRequested = true;
@@ -82,7 +86,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a lone machine that stays silent is deleted, and its tasks run elsewhere', async () => {
+test('a single machine that stays unreachable is deleted, and its tasks run elsewhere', async () => {
   const cluster = new Cluster({ seed: 8, ordinaryUp: 6 });
   await cluster.run(4);
   void cluster.users.run(
