--- a/test/gang-room.test.ts
+++ b/test/gang-room.test.ts
@@ -1,17 +1,17 @@
-/** Room for gangs beside other work, and beside each other. */
+/** Capacity for gangs beside other jobs and beside other gangs. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { clusterWithoutLoss, machinesOfJob, submit, until } from './sim/gang-scenarios.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 
-test('a gang that gathers and finds no room for a missing task leaves its room to others at once', async () => {
+test('a starting gang that finds no room for a lost task releases its capacity to other jobs at once', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 18,
     capacity: 0,
     ordinaryUp: 2,
     teamLimit: 1000,
   });
-  // Fetches of up to two minutes: by themselves the tasks that are left would stay for long.
+  // Fetches take up to two minutes: unless they are stopped, the remaining tasks would stay for a long time.
   const job = submit(cluster, {
     ...GANG,
     oneZone: false,
@@ -28,7 +28,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('under a notice a gang that fits nowhere else runs on while there is time, and then still saves', async () => {
+test('after a preemption notice, a gang that fits nowhere else runs on while there is time and then still saves', async () => {
   for (const [graceMs, durationS] of [
     [20_000, 10],
     [9000, 14],
@@ -53,13 +53,14 @@
     leaving.worker!.preemptionDeadline = cluster.clock.time + graceMs;
     await cluster.run(graceMs / 1000 - 0.5);
     assert.equal(cluster.gangs.begun, 1);
-    if (durationS < 12) assert.equal(job.finishedTasks.size, 4, 'done before the machine goes');
-    else assert.ok(job.progressMs > 4000, `${job.progressMs} ms are safe`);
+    if (durationS < 12)
+      assert.equal(job.finishedTasks.size, 4, 'done before the machine is preempted');
+    else assert.ok(job.progressMs > 4000, `${job.progressMs} ms are saved`);
     assert.deepEqual(cluster.invariants.violations, []);
   }
 });
 
-test('a large gang begins although smaller work keeps coming', async () => {
+test('a large gang starts although smaller jobs keep arriving', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 5,
     capacity: 1,
@@ -78,7 +79,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a gang begins although arrays of its team would fill the limit for ever', async () => {
+test('a gang starts although arrays of its team would fill the team limit forever', async () => {
   const cluster = await clusterWithoutLoss({ seed: 10, ordinaryUp: 6, teamLimit: 24 });
   const submitArray = (): void =>
     void submit(cluster, { ...BATCH, team: 't0', tasks: 6, durationS: 4 });
@@ -94,7 +95,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test("a gang that its team's services leave no room for keeps nothing from the arrays", async () => {
+test("a gang that does not fit beside its team's services under the limit does not hold back the team's arrays", async () => {
   const cluster = await clusterWithoutLoss({ seed: 12, ordinaryUp: 6, teamLimit: 24 });
   for (let i = 0; i < 2; i++) submit(cluster, { ...SERVICE, team: 't0' });
   await cluster.run(10);
@@ -107,9 +108,9 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('an array of the same team begins beside a gang that long tasks keep from its share of the limit', async () => {
+test('an array starts while a gang of the same team waits for long tasks to release their share of the limit', async () => {
   const cluster = await clusterWithoutLoss({ seed: 13, ordinaryUp: 6, teamLimit: 24 });
-  // These run on for minutes, and the gang fits under the limit only without them.
+  // These tasks run for minutes, and the gang fits under the limit only without them.
   submit(cluster, { ...BATCH, team: 't0', tasks: 6, durationS: 200 });
   await cluster.run(8);
   submit(cluster, { ...GANG, team: 't0', tasks: 8 });
@@ -121,7 +122,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('gangs that want more room than there is never hold it half, and all are done in turn', async () => {
+test('gangs that together need more capacity than there is never occupy it partially, and all are done in turn', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 6,
     capacity: 1,
@@ -141,7 +142,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a gang of one zone goes where all of it fits, and not where the image is', async () => {
+test('a gang restricted to one zone is placed where all of it fits, not where its image is', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 8,
     capacity: 1,
@@ -161,7 +162,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('arrays leave ordinary room to the next gang, but not for ever', async () => {
+test('arrays leave ordinary capacity to the next gang, but not forever', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 9,
     capacity: 2,
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -1,4 +1,4 @@
-/** Gangs: all tasks at once or none, under faults too. */
+/** Gangs: all tasks run at the same time or none does, also under faults. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -8,7 +8,7 @@
 import { type ScenarioOutcome, testScenarios } from './sim/run-scenario.js';
 import { duplicateHeartbeats, leaderOrRandomNode, pickMachines } from './sim/faults.js';
 
-test('gangs of all sizes run whole, and are done once one task is', async () => {
+test('gangs of all sizes run as a whole, and are done once one of their tasks is', async () => {
   const cluster = await clusterWithoutLoss({ seed: 1 });
   const jobs = [1, 2, 3, 8, 16].map((tasks) => submit(cluster, { ...GANG, tasks, imageGb: 1 }));
   await cluster.run(40);
@@ -17,9 +17,9 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a task lost while the gang gathers is replaced under the same attempt', async () => {
+test('a task lost while its gang is starting is replaced within the same attempt', async () => {
   const cluster = await clusterWithoutLoss({ seed: 2 });
-  // Nobody knows the image yet, so that they gather for a while; in two zones, on machines of their own.
+  // No machine has the image yet, so the gang takes a while to start. It runs in two zones, on machines of its own.
   const job = submit(cluster, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
   await until(
     cluster,
@@ -30,12 +30,12 @@
   await cluster.run(40);
   assert.ok(cluster.gangs.replaced > 0);
   assert.equal(cluster.gangs.begun, 1);
-  assert.equal(cluster.gangs.attempts(), 1, 'the first start came about');
+  assert.equal(cluster.gangs.attempts(), 1, 'the first attempt started');
   assert.notEqual(job.reportedDoneAt, null);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a task lost while the gang runs: it starts again whole, from the saved progress', async () => {
+test('a gang that loses a task while it runs restarts as a whole from the saved progress', async () => {
   const cluster = await clusterWithoutLoss({ seed: 3 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8 });
   await until(cluster, () => cluster.gangs.begun === 1, 15);
@@ -46,14 +46,14 @@
   assert.deepEqual(
     [cluster.gangs.attempts(), cluster.gangs.incomplete],
     [2, 0],
-    'nothing was added to what was leaving',
+    'no task was added to the attempt that was stopping',
   );
   assert.ok(job.progressMs >= 4000, `${job.progressMs}`);
   assert.notEqual(job.reportedDoneAt, null);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('one task is done, so all are: a machine that goes before it could say so changes nothing', async () => {
+test('a gang is done once one task is, even if a machine is preempted before it can report its own tasks', async () => {
   const cluster = await clusterWithoutLoss({ seed: 7 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8 });
   await until(cluster, () => cluster.gangs.begun === 1, 15);
@@ -73,7 +73,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a notice stops the gang in order: all are told, and nothing is lost', async () => {
+test('a preemption notice stops all tasks of a running gang with a checkpoint, and no progress is lost', async () => {
   const cluster = await clusterWithoutLoss({ seed: 4 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8, durationS: 20, checkpointEveryS: 19 });
   await until(cluster, () => cluster.gangs.begun === 1, 15);
@@ -81,14 +81,17 @@
   cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!.worker!.preemptionDeadline =
     cluster.clock.time + 8000;
   await cluster.run(4);
-  assert.ok(job.progressMs > 4000, `${job.progressMs} ms are safe, between two checkpoints`);
+  assert.ok(
+    job.progressMs > 4000,
+    `${job.progressMs} ms are saved, between two regular checkpoints`,
+  );
   await cluster.run(40);
   assert.equal(cluster.gangs.begun, 2);
   assert.notEqual(job.reportedDoneAt, null);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a notice while the gang gathers: only the task there is replaced, and the others go on waiting', async () => {
+test('a preemption notice while a gang is starting replaces only the tasks on that machine; the others keep waiting', async () => {
   const cluster = await clusterWithoutLoss({ seed: 14 });
   const job = submit(cluster, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
   await until(
@@ -111,9 +114,9 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a gang whose images take longer than its tasks wait for each other begins all the same', async () => {
+test('a gang whose image takes longer to fetch than its tasks wait for each other still starts', async () => {
   const cluster = await clusterWithoutLoss({ seed: 15 });
-  // Each machine fetches the image for 6 to 48 s, and a task waits for 6 s: a fetch that is given up is lost.
+  // Each machine fetches the image for 6 to 48 s, and a task waits for 6 s; the progress of an aborted fetch is lost.
   const job = submit(cluster, {
     ...GANG,
     oneZone: false,
@@ -123,13 +126,13 @@
     imageGb: 12,
   });
   await cluster.run(90);
-  assert.ok(cluster.gangs.incomplete > 0, 'the first attempt did not come together');
+  assert.ok(cluster.gangs.incomplete > 0, 'the first attempt did not start completely');
   assert.equal(cluster.gangs.begun, 1);
   assert.notEqual(job.reportedDoneAt, null);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** Gangs come beside all other jobs, under faults. */
+/** Defines a test per seed: gangs are submitted beside all other jobs, under faults, and must all finish. */
 function testGangScenarios(
   name: string,
   seeds: number[],
@@ -147,11 +150,17 @@
       void cluster.users.run(cluster.users.newJob({ ...GANG, ...overrides }), cancelAfterMs());
     faults(cluster, second);
   };
-  testScenarios(`gangs: ${name}`, seeds, eachSecond, {}, assertAllGangsServed);
+  testScenarios(
+    `invariants hold and all gangs finish when ${name}`,
+    seeds,
+    eachSecond,
+    {},
+    assertAllGangsServed,
+  );
 }
 
 function assertAllGangsServed({ cluster }: ScenarioOutcome): void {
-  assert.ok(cluster.gangs.begun > 10, `${cluster.gangs.begun} began`);
+  assert.ok(cluster.gangs.begun > 10, `${cluster.gangs.begun} gangs started`);
   for (const [id, job] of cluster.invariants.jobs)
     if (job.spec.kind === 'gang' && job.reportedAccepted && !job.cancelRequested)
       assert.notEqual(job.reportedDoneAt, null, id);
@@ -164,40 +173,48 @@
     for (const name of cluster.nodeNames) cluster.crash(name, cluster.random.between(100, 4000));
 });
 
-testGangScenarios('machines hang, die and are taken', [21, 22, 23], (cluster, second) => {
-  const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
-  if (!machine?.worker) return;
-  if (second % 6 === 2)
-    cluster.faults.hangMachine(machine.id, cluster.random.between(1000, 11_000));
-  if (second % 8 === 5) cluster.cloud.preempt(machine);
-  if (second % 10 === 7 && machine.spot) {
-    machine.worker.preemptionDeadline = cluster.clock.time + 6000;
-    cluster.clock.after(6000, () => {
-      cluster.cloud.preempt(machine);
-    });
-  }
-  if (second === 20) cluster.nextMachineSlowness = 4;
-});
+testGangScenarios(
+  'machines hang or are preempted with and without notice',
+  [21, 22, 23],
+  (cluster, second) => {
+    const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
+    if (!machine?.worker) return;
+    if (second % 6 === 2)
+      cluster.faults.hangMachine(machine.id, cluster.random.between(1000, 11_000));
+    if (second % 8 === 5) cluster.cloud.preempt(machine);
+    if (second % 10 === 7 && machine.spot) {
+      machine.worker.preemptionDeadline = cluster.clock.time + 6000;
+      cluster.clock.after(6000, () => {
+        cluster.cloud.preempt(machine);
+      });
+    }
+    if (second === 20) cluster.nextMachineSlowness = 4;
+  },
+);
 
-testGangScenarios('cuts, refusals and outages', [31, 32, 33], (cluster, second) => {
-  const until = cluster.clock.time + cluster.random.between(2000, 14_000);
-  const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
-  const mode = cluster.random.pick(['hold', 'reset'] as const);
-  if (second % 10 === 4)
-    cluster.network.partitions.push({
-      a: (host) => host === `w-${machine.id}:9000`,
-      b: () => true,
-      until,
-      mode,
-    });
-  if (second === 15) cluster.state.rejectHost(`${cluster.leader() ?? 'n0'}:80`, 9000);
-  if (second === 30) cluster.state.beginOutage(LEASE_MS + 4000);
-  if (second === 45) cluster.faults.isolate(cluster.leader() ?? 'n1', 12_000, mode);
-  if (second % 12 === 8) cluster.faults.cancelRunning(2, 3000);
-});
+testGangScenarios(
+  'machines or the leader are isolated, and the state service rejects the leader or is down',
+  [31, 32, 33],
+  (cluster, second) => {
+    const until = cluster.clock.time + cluster.random.between(2000, 14_000);
+    const machine = cluster.random.pick([...cluster.cloud.machines.values()]);
+    const mode = cluster.random.pick(['hold', 'reset'] as const);
+    if (second % 10 === 4)
+      cluster.network.partitions.push({
+        a: (host) => host === `w-${machine.id}:9000`,
+        b: () => true,
+        until,
+        mode,
+      });
+    if (second === 15) cluster.state.rejectHost(`${cluster.leader() ?? 'n0'}:80`, 9000);
+    if (second === 30) cluster.state.beginOutage(LEASE_MS + 4000);
+    if (second === 45) cluster.faults.isolate(cluster.leader() ?? 'n1', 12_000, mode);
+    if (second % 12 === 8) cluster.faults.cancelRunning(2, 3000);
+  },
+);
 
 testGangScenarios(
-  'late duplicates of heartbeats, held commands, late transactions',
+  'heartbeats are duplicated late, commands are held and transactions are executed late',
   [41, 42],
   (cluster, second) => {
     duplicateHeartbeats(cluster, 0.15);
