--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,4 @@
-/** Four thousand machines: the invariants, and that work grows with events and not with the square of the fleet. */
+/** A fleet of 4,000 machines: invariants hold, and work grows with events, not with the square of the fleet size. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -10,7 +10,7 @@
 const CPUS = 16;
 const LEASE_MS = 30_000;
 
-/** A fleet that is up, and the placement work of all its leaders. */
+/** Returns a cluster with a running fleet, and the total placement work of all its leaders. */
 function largeFleet(seed: number): { cluster: Cluster; work: PlacementWork } {
   const work: PlacementWork = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
@@ -35,7 +35,7 @@
   for (let i = 0; i < count; i++) void cluster.users.run(cluster.users.newJob(job), null);
 }
 
-/** Arrays that fill nearly all of the fleet, one task a machine, and services beside them. */
+/** Submits arrays that fill nearly the whole fleet, with one task per machine, and services beside them. */
 function submitInitialJobs(cluster: Cluster): void {
   submit(cluster, 30, { ...BATCH, tasks: 125, cpus: CPUS, durationS: 40, spot: true });
   submit(cluster, 20, { ...SERVICE, tasks: 4 });
@@ -45,7 +45,10 @@
   return [...cluster.cloud.machines.values()].filter((m) => m.worker !== null).length;
 }
 
-/** No invariant violated, nothing asked beyond the limits of others, and placing in proportion to what there was to place. */
+/**
+ * Asserts that no invariant is violated, that requests to the cloud and the state service stay within bounds, and that
+ * placement work is proportional to the number of started tasks.
+ */
 function assertProportionateWork(cluster: Cluster, work: PlacementWork, seconds: number): void {
   assert.deepEqual(cluster.invariants.violations, []);
   assert.equal(cluster.cloud.received.tooMany, 0);
@@ -58,7 +61,7 @@
   );
 }
 
-test('4,000 machines, full: leader crashes, a zone cut off, no state service, all end, cancellations', async () => {
+test('with a full fleet of 4,000 machines, invariants hold and work is bounded despite a leader crash, an isolated zone, a crash of all controllers, a state service outage and cancellations', async () => {
   const { cluster, work } = largeFleet(3);
   await cluster.run(14);
   submitInitialJobs(cluster);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,4 +1,4 @@
-/** A deployment of hundreds of machines under five controllers: the invariants, and how much work it takes. */
+/** Deployments of hundreds of machines with five controllers: the invariants hold, and the work stays within bounds. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CloudMachine } from './sim/cloud.js';
@@ -46,7 +46,7 @@
   if (second === 45) cluster.crash(cluster.leader()!, 200);
 }
 
-test('hundreds of machines: invariants hold, and work is in proportion to events', async () => {
+test('with hundreds of machines, invariants hold and work is proportional to events', async () => {
   const work = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
     seed: 5,
@@ -74,7 +74,7 @@
   assert.ok(cluster.cloud.machines.size > 200, `${cluster.cloud.machines.size} machines`);
   assert.ok(cluster.invariants.starts > 5000, `${cluster.invariants.starts} starts`);
   const { received } = cluster.state;
-  // A pass looks at each machine at most once a waiting job, and not once a task.
+  // A scheduling cycle examines each machine at most once per waiting job, not once per task.
   assert.ok(
     work.candidatesExamined < 150 * work.starts,
     `${work.candidatesExamined} candidates examined for ${work.starts} starts`,
@@ -119,7 +119,7 @@
     for (const name of cluster.nodeNames) cluster.crash(name, cluster.random.pick([200, 4000]));
 }
 
-test('more than a thousand machines: waves of deaths and hangs, a zone cut off, a frozen leader, all crashing in an outage', async () => {
+test('with more than a thousand machines, invariants hold and work is bounded despite waves of killed and hanging machines, an isolated zone, a frozen leader and a crash of all controllers in an outage', async () => {
   let largestRound = { candidatesExamined: 0, starts: 1 };
   const cluster = new Cluster({
     seed: 8,
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -1,6 +1,6 @@
 /**
- * A platform of the shape of anketsis-pazar: three controllers, no machine up at the start, machines of the size of one task
- * beside large ones, and a zone with large machines only.
+ * A platform shaped like anketsis-pazar: three controllers, no running machine at the start, machines of the size of
+ * one task beside large ones, and a zone with large machines only.
  */
 import assert from 'node:assert/strict';
 import type { CloudPool } from './sim/cloud.js';
@@ -45,7 +45,7 @@
   void cluster.users.run(cluster.users.newJob({ cpus: TASK_CPUS, ...job }), cancelAfterMs);
 }
 
-/** At the start all that waits for the first machines; then a stream of arrays, more than there is room for at times. */
+/** Submits services that wait for the first machines, then a stream of arrays that exceeds the capacity at times. */
 function submitJobs(cluster: Cluster, second: number): void {
   const urgent: Partial<JobSubmission> = {
     ...BATCH,
@@ -62,7 +62,10 @@
   if (second % 9 === 4) submit(cluster, { ...urgent, tasks: cluster.random.int(6, 16) });
 }
 
-/** The controllers are restarted one after the other, with the state service slow, and the cloud's interface down. */
+/**
+ * Restarts the controllers one after the other while the state service is slow and the cloud API is down; then isolates
+ * the machines of zone b.
+ */
 function injectFaults(cluster: Cluster, second: number): void {
   if (second === 15) cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 20_000 };
   if (second === 18) cluster.cloud.downUntil = cluster.clock.time + 20_000;
@@ -78,7 +81,7 @@
 }
 
 testScenarios(
-  'one-task machines, a zone of large ones: slow state service, no cloud, a roll, a zone cut off',
+  'with one-task machines and a zone of large ones, all jobs are served despite a slow state service, a cloud outage, a rolling restart and an isolated zone',
   [41, 42],
   (cluster, second) => {
     submitJobs(cluster, second);
@@ -97,7 +100,7 @@
 );
 
 testScenarios(
-  'teams within and beyond their guarantees, urgent and not, on a full fleet: what starts is not stopped in turn',
+  'on a full fleet, teams within and beyond their guarantees, with urgent and normal jobs, do not preempt each other in turn',
   [43],
   (cluster, second) => {
     const arrays = { ...BATCH, spot: true, durationS: 5 };
