--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,3 +1,4 @@
+/** Placement of tasks and gangs: order of jobs, relocation, preemption, failures and stragglers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JobTable } from '../src/jobs/job-table.js';
@@ -18,7 +19,7 @@
 import { quietLog } from './sim/quiet-log.js';
 import type { TaskAttempt } from '../src/workers/task-attempt.js';
 
-test('a gang moves whole or not at all: only if all of it fits elsewhere and all its machines answer', () => {
+test('a gang is relocated only as a whole: if all of it fits elsewhere and all its machines are reachable', () => {
   const table = new MachineTable(100, 10_000, () => undefined, {
     attemptAdded: (attempt) => attempt.job?.addAttempt(attempt),
     attemptEnded: () => undefined,
@@ -49,25 +50,25 @@
     ConstructorParameters<typeof GangRelocation>[0]
   > as unknown as ConstructorParameters<typeof GangRelocation>[0]);
   const spareMachine = addMachine('m3');
-  assert.equal(gangs.canRelocate(gang, currentMachines[0]), false, 'half of it fits');
+  assert.equal(gangs.canRelocate(gang, currentMachines[0]), false, 'only half of it fits');
   addMachine('m4');
   assert.equal(gangs.canRelocate(gang, currentMachines[0]), true);
   currentMachines[1].commandFailures = 1;
   assert.equal(
     gangs.canRelocate(gang, currentMachines[0]),
     false,
-    'one machine could not be told to stop',
+    'a stop command would not reach one machine',
   );
   currentMachines[1].commandFailures = 0;
   spareMachine.isStraggler = true;
   assert.equal(
     gangs.canRelocate(gang, currentMachines[0]),
     false,
-    'slow machines are no place to move to',
+    'stragglers are no targets of a relocation',
   );
 });
 
-test('a job may use the machines again on which it failed, once it has waited for a while', () => {
+test('a job avoids the machines on which it failed, and may use them again after a while', () => {
   const job = new TrackedJob<TaskAttempt>(0, spec(), 1, 0, true, 0);
   const machine = {
     index: 4,
@@ -80,7 +81,7 @@
   assert.equal(recordFailure(job, machine, table, 1000), false);
   assert.ok(job.notBefore > 1000 && job.failedOn.has(4));
   expireFailedMachines(job, 20_000);
-  assert.ok(job.failedOn.has(4), 'others are tried first');
+  assert.ok(job.failedOn.has(4), 'other machines are tried first');
   expireFailedMachines(job, 31_000);
   assert.equal(job.failedOn.size, 0);
 });
@@ -93,7 +94,7 @@
   assert.deepEqual([job.isDurable(3), job.isDurable(4)], [true, false]);
 });
 
-test('a machine is slow only if several jobs run longer there than elsewhere', () => {
+test('a machine is a straggler only if several jobs run longer there than elsewhere', () => {
   const samples = new RunTimeSamples();
   for (const job of [1, 2])
     for (const machine of [1, 2, 3, 4]) samples.record(job, machine, 1000 + machine);
@@ -103,10 +104,14 @@
   assert.equal(detectStragglers(samples, 1.5, 2).has(9), true);
   assert.equal(detectStragglers(samples, 1.5, 2).has(1), false);
   for (const job of [3, 4]) for (const machine of [1, 2, 3, 9]) samples.record(job, machine, 1000);
-  assert.equal(detectStragglers(samples, 1.5, 2).has(9), false, 'as many jobs speak against it');
+  assert.equal(
+    detectStragglers(samples, 1.5, 2).has(9),
+    false,
+    'as many jobs run no longer there than elsewhere',
+  );
 });
 
-test('jobs that can still make their goal go before those that cannot, the smallest first', () => {
+test('jobs that can still meet their goal are served before those that cannot, the smallest first', () => {
   const goals = finishGoals([
     { kind: 'finished', jobClass: 'batch', withinS: 250 },
     { kind: 'finished', jobClass: 'batch', withinS: 90 },
@@ -124,7 +129,7 @@
   assert.deepEqual(order, ['service', 'small', 'big', 'second', 'late']);
 });
 
-/** Placement over a table whose machines all answer, without anything being sent. */
+/** Creates a placement over a table whose machines are all reachable; no request is sent. */
 function createPlacement(
   jobs: JobTable,
   settings: Partial<PlatformSettings>,
@@ -167,9 +172,9 @@
   }
 }
 
-// On anketsis-pazar seven of ten starts were displaced again: urgent arrays beyond their team's guarantee stopped
-// normal ones within theirs, and these stopped the urgent ones.
-test('two teams on a full fleet do not stop each other in turn', () => {
+// On the platform anketsis-pazar, seven of ten started tasks were preempted again: urgent arrays beyond their team's
+// guarantee preempted normal ones within theirs, and these preempted the urgent ones.
+test('two teams on a full fleet do not preempt each other in turn', () => {
   const jobs = new JobTable();
   const { table, placement } = createPlacement(jobs, {
     teams: [
@@ -206,13 +211,14 @@
         } satisfies Partial<typeof attempt>);
       }
   }
-  assert.equal(starts, 10, 'each machine got one task, which stayed');
+  assert.equal(starts, 10, 'each machine got one task, which kept running');
   assert.equal(normal.attempts.size, 10);
   assert.equal(urgent.attempts.size, 0);
 });
 
-// Incident fleet-loss: when a zone was lost, replicas whose other zones were closed to them used up each cycle's candidates.
-test('replicas that no open zone has room for do not keep all others waiting', () => {
+// Incident fleet-loss: when a zone was lost, replicas that were not allowed in the other zones used up the candidates
+// of each scheduling cycle.
+test('replicas that fit in no allowed zone do not keep other jobs waiting', () => {
   const jobs = new JobTable();
   const { table, placement } = createPlacement(jobs, {
     teams: [{ name: 't', cpus: 0, gpus: 0, cpusMax: Infinity, gpusMax: Infinity }],
@@ -232,15 +238,16 @@
   for (let i = 0; i < 20; i++) placement.runSchedulingCycle();
   assert.ok(
     services.every((j) => j.attempts.size === 1),
-    'the first of each has its place in the only zone',
+    'the first replica of each service is placed in the only zone',
   );
   const array = jobs.add(spec({ id: 'run-999' }), 1, 0, true, 0);
   placement.runSchedulingCycle();
   assert.equal(array.attempts.size, 10);
 });
 
-// With 4,000 machines seven shapes that find no machine use up a cycle's candidates; each cycle began with the same seven.
-test('4,000 machines: shapes without room do not keep those behind them from their turn', () => {
+// With 4,000 machines, seven shapes that fit no machine use up the candidates of a scheduling cycle, and each cycle
+// used to begin with the same seven.
+test('with 4,000 machines, shapes that fit no machine do not starve those behind them', () => {
   const jobs = new JobTable();
   const { table, placement } = createPlacement(jobs, {
     teams: [{ name: 't', cpus: 0, gpus: 0, cpusMax: Infinity, gpusMax: Infinity }],
@@ -256,7 +263,8 @@
   const idle = jobs.add(spec({ id: 'run-2', priority: 3, tasks: 1, cpus: 4 }), 1, 0, true, 0);
   for (let i = 0; i < 11; i++) placement.runSchedulingCycle();
   assert.deepEqual([running.attempts.size, idle.attempts.size], [3999, 1]);
-  // They may stop the idle task, so they look at all machines, but none has the memory. One machine is free.
+  // These may preempt the idle task, so all machines are examined for them, but none has enough memory. One machine is
+  // free.
   for (let i = 0; i < 20; i++)
     jobs.add(
       spec({ id: `run-${10 + i}`, priority: 1, tasks: 1, cpus: 4, memoryGb: 300 + i }),
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -1,9 +1,9 @@
 /**
- * A team went over its limit while its leader believed it far below. Workers that could not reach any controller for
- * a lease had killed their tasks and begun new sessions; starts that the leader had sent to their old sessions were
- * still on the way. The heartbeat of the new incarnation released these attempts, and the refusal of the start, which
- * arrived a moment later, released them once more. From then on the leader counted 12 CPUs where 32 were in use,
- * against a limit of 20.
+ * Guards against releasing an attempt twice, which let a team exceed its limit. Workers that could not reach any
+ * controller for a lease had killed their tasks and begun new incarnations, while starts that the leader had sent to
+ * the old incarnations were still in transit. The heartbeat of the new incarnation released these attempts, and the
+ * rejection of the start, which arrived a moment later, released them again. From then on the leader counted 12 CPUs
+ * while 32 were in use, against a limit of 20.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -14,10 +14,10 @@
 
 const TEAM_LIMIT = 20;
 
-/** Starts reach the workers this late, but before the controller gives up on an answer. */
+/** Delay of starts on their way to the workers; shorter than the time the controller waits for a response. */
 const START_DELAY_MS = 2300;
 
-/** Commands with starts wait on their way until `until`; all others pass. */
+/** Holds commands with starts until the time `until`; all other commands pass. */
 function delayStarts(cluster: Cluster, until: number): void {
   for (const id of cluster.cloud.machines.keys()) {
     const host = cluster.network.hosts.get(`w-${id}:9000`);
@@ -39,7 +39,7 @@
     cluster.network.lossRate = 0;
     cluster.network.repeatRate = 0;
     await cluster.run(10);
-    // Long enough that every worker's lease ends; commands still reach them.
+    // Long enough that every worker's lease expires; commands still reach the workers.
     cluster.faults.blockConnections(() => true, LEASE_MS + 50);
     await cluster.run(7);
     delayStarts(cluster, cluster.clock.time + START_DELAY_MS);
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -1,4 +1,4 @@
-/** The decision whether a team may take more, and the audit that finds sums that do not hold. */
+/** The decision whether a team may use more resources, and the audit that detects wrong usage sums. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Job } from '../src/jobs/job.js';
@@ -37,10 +37,10 @@
   headroomCpus: 0,
 });
 
-test('a team may take what is left under its limit, everything counted that may be on machines', () => {
+test('a team may use what its limit leaves after everything that may be on machines is counted', () => {
   const usage = usageWithLimit(10, 1);
   assert.equal(usage.mayStart({ ...startRequest(), tasks: 5 }), true);
-  assert.equal(usage.mayStart({ ...startRequest(), tasks: 6 }), false, 'a gang counts whole');
+  assert.equal(usage.mayStart({ ...startRequest(), tasks: 6 }), false, 'a gang counts as a whole');
   assert.equal(
     usage.mayStart({ ...startRequest(), tasks: 5, headroomCpus: 1 }),
     false,
@@ -59,7 +59,7 @@
   assert.equal(usage.mayStart({ ...startRequest(), tasks: 3 }), true);
 });
 
-test('a gang that waits for arrays to end fits without them, and not before', () => {
+test('a gang that waits for arrays to finish fits under the limit only without them', () => {
   const usage = usageWithLimit(10);
   for (let i = 0; i < 4; i++) usage.charge(spec());
   const gang = { ...startRequest(), tasks: 3 };
@@ -77,7 +77,7 @@
   errors: Record<string, unknown>[];
 }
 
-/** A machine with tasks on it, all of them counted. */
+/** Creates an audit over one machine with `tasks` tasks, all of which are counted. */
 function createAuditSetup(cpusMax: number, tasks: number): AuditSetup {
   const usage = usageWithLimit(cpusMax);
   const errors: Record<string, unknown>[] = [];
@@ -116,7 +116,7 @@
   };
 }
 
-test('a sum that is too low is found, logged with what led to it, corrected, and starts nothing meanwhile', () => {
+test('a usage sum that is too low is logged with the decisions before it and corrected, and suspends the team until the next audit', () => {
   const { usage, audit, errors } = createAuditSetup(20, 10);
   audit.tick(0);
   assert.equal(errors.length, 0);
@@ -129,14 +129,14 @@
   assert.equal(usage.quotaStatus('t')!.used.cpus, 20);
   assert.equal(usage.isSuspended('t'), true);
   audit.tick(2 * AUDIT_INTERVAL_MS);
-  assert.equal(usage.isSuspended('t'), false, 'it holds again');
+  assert.equal(usage.isSuspended('t'), false, 'the sum is correct again');
   assert.equal(errors.length, 1);
 });
 
-test('a team over its limit on machines that obey us starts nothing until it is below', () => {
+test('a team over its limit on reconciled machines starts nothing until its usage is below the limit', () => {
   const { table, machine, job, usage, audit, errors } = createAuditSetup(10, 7);
   audit.tick(0);
-  assert.equal(errors.length, 0, 'starts that no report shows are no breach');
+  assert.equal(errors.length, 0, 'starts that no heartbeat has reported are no violation');
   for (const attempt of machine.attempts.values()) attempt.state = 'running';
   audit.tick(AUDIT_INTERVAL_MS);
   audit.tick(2 * AUDIT_INTERVAL_MS);
@@ -153,7 +153,7 @@
   assert.equal(usage.mayStart(startRequest()), true);
 });
 
-test('what a machine reports under an older token is no proof of a breach', () => {
+test('tasks that a machine reports with an older token are no proof of a violation', () => {
   const { machine, audit, errors } = createAuditSetup(10, 7);
   for (const attempt of machine.attempts.values()) attempt.state = 'running';
   machine.shownToken = TOKEN - 1;
@@ -161,7 +161,7 @@
   assert.equal(errors.length, 0);
 });
 
-test('an attempt that is dropped twice is released once', () => {
+test('an attempt that is removed twice is released once', () => {
   const { table, machine, usage } = createAuditSetup(20, 2);
   const [attempt] = machine.attempts.values();
   table.removeAttempt(attempt, 0);
@@ -172,7 +172,7 @@
   assert.equal(machine.usedCpus, 2);
 });
 
-test('a late status of a dropped gang task does not remove its replacement of the same number', () => {
+test('a late status of a removed gang task does not remove its replacement with the same number', () => {
   const { table, machine, job } = createAuditSetup(20, 1);
   const [old] = machine.attempts.values();
   table.removeAttempt(old, 0);
@@ -181,10 +181,11 @@
   assert.deepEqual([...machine.attempts.values()], [replacement]);
 });
 
-// The answer of a machine was on its way when its deletion was confirmed. The report in it was taken over for a machine
-// that was no longer in the table: its tasks counted from then on, no audit of machines passed them, and none of them
-// was ever started elsewhere. The audit's error showed both attempts vanish at 130756 ms and found again at 130757 ms.
-test('the heartbeat of a machine that is gone charges nothing', () => {
+// A machine's response was in transit when the machine's deletion was confirmed. The heartbeat in it was applied to a
+// machine that was no longer in the table: its tasks were counted from then on, no audit of machines covered them, and
+// none of them was ever started elsewhere. The audit's error showed both attempts removed at 130756 ms and added again
+// at 130757 ms.
+test('a heartbeat of a deleted machine is not applied and charges nothing', () => {
   const { table, machine, job, usage } = createAuditSetup(20, 1);
   table.remove(machine, 0);
   const report = {
