--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -1,4 +1,4 @@
-/** The autoscaler against a cloud that only records its calls: failure detection, scale-out and scale-in. */
+/** The autoscaler with a fake cloud that only records calls: failure detection, scale-out and scale-in. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -6,13 +6,17 @@
 
 const machineIds = (zone: string): string[] => [...Array(10).keys()].map((i) => `${zone}${i}`);
 
-test('a zone that falls silent as a whole is quarantined but kept: only machines with replicas whose leases nobody extends are deleted', async () => {
+test('a zone that becomes unreachable as a whole is quarantined but kept: only machines with replicas whose leases nobody extends are deleted', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   for (const machine of harness.table.all())
     machine.serviceTasks = Number(machine.id.slice(1)) < 3 ? 1 : 0;
   await harness.advance(LEASE_S * 0.7, (m) => m.zone !== 'c');
-  assert.equal(harness.deleted.size, 0, 'it may come back, and its work runs on');
+  assert.equal(
+    harness.deleted.size,
+    0,
+    'the zone may become reachable again, and its tasks keep running',
+  );
   harness.requestedZones.clear();
   await harness.advance(LEASE_S * 0.25, (m) => m.zone !== 'c');
   assert.deepEqual([...harness.deleted].sort(), ['c0', 'c1', 'c2']);
@@ -21,11 +25,11 @@
   await harness.advance(15, () => true);
   assert.ok(
     harness.requestedZones.has('a') && !harness.requestedZones.has('c'),
-    'nothing is requested in it for a while',
+    'no machines are requested in the zone for a while',
   );
 });
 
-test('the machines of a partitioned zone that has controllers are kept, and deleted in the end', async () => {
+test('machines in a partitioned zone with controllers are kept for 90 s and deleted within 150 s', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   for (const machine of harness.table.all()) machine.serviceTasks = 1;
@@ -35,17 +39,17 @@
   assert.deepEqual([...harness.deleted].sort(), machineIds('b'));
 });
 
-test('when a partition heals, machines of the zone get the time for a heartbeat', async () => {
+test('when a partition heals, the machines of the zone get enough time to send a heartbeat', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   await harness.advance(14, (m) => m.zone !== 'b');
-  // Half of them report a second or two later than the others; one does not come back.
+  // Half of them report a second or two later than the others; one stays unreachable.
   await harness.advance(2, (m) => m.zone !== 'b' || Number(m.id.slice(1)) < 5);
   await harness.advance(12, (m) => m.id !== 'b9');
   assert.deepEqual([...harness.deleted], ['b9']);
 });
 
-test('in a partitioned zone with controllers, machines with replicas are deleted shortly before extended leases end, where the replicas can run elsewhere', async () => {
+test('in a partitioned zone with controllers, machines with replicas are deleted shortly before extended leases expire, if the replicas can run elsewhere', async () => {
   for (const lostZones of ['b', 'bc']) {
     const harness = new AutoscalerHarness(20);
     await harness.advance(5, () => true);
@@ -59,7 +63,7 @@
   }
 });
 
-test('silent machines that the cloud no longer lists are deleted at once, however many, and in a partitioned zone too', async () => {
+test('unreachable machines that the cloud no longer lists are deleted at once, however many, also in a partitioned zone', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(12, () => true);
   for (const machine of harness.table.all())
@@ -68,7 +72,7 @@
   assert.deepEqual([...harness.deleted].sort(), ['a1', ...machineIds('b')]);
 });
 
-test('a machine that is heard, but never shows the token it is told, is deleted', async () => {
+test('a machine that sends heartbeats but never acknowledges its token is deleted', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   for (let i = 0; i < 40; i++) {
@@ -81,14 +85,14 @@
   assert.deepEqual([...harness.deleted], ['b4']);
 });
 
-test('when machines of all zones are silent at once, it is the leader that is partitioned', async () => {
+test('when machines of all zones become unreachable at once, the leader counts as partitioned and deletes none', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   await harness.advance(30, (m) => Number(m.id.slice(1)) < 5);
   assert.equal(harness.deleted.size, 0);
 });
 
-test('while the leader lags, silent machines are not deleted at once', async () => {
+test('an unreachable machine is not deleted while the leader lags, but soon afterwards', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   harness.isLagging = true;
@@ -99,7 +103,7 @@
   assert.deepEqual([...harness.deleted], ['a3']);
 });
 
-test('a failover waits seconds, not a lease, for the last machines and for a zone whose leases nobody extends', async () => {
+test('after a failover, the last machines and a zone whose leases nobody extends are deleted within seconds, not after a lease', async () => {
   const harness = new AutoscalerHarness(10);
   for (const machine of harness.table.all()) machine.commandFailures = 2;
   harness.isLagging = true;
@@ -107,19 +111,19 @@
   assert.deepEqual([...harness.deleted].sort(), ['a7', ...machineIds('c')]);
 });
 
-test('a failover deletes nothing in a partitioned zone that has controllers, which may extend leases', async () => {
+test('after a failover, no machine is deleted in a partitioned zone whose controllers may extend leases', async () => {
   const harness = new AutoscalerHarness(10);
   for (const machine of harness.table.all()) machine.commandFailures = 2;
   await harness.advance(30, (m) => m.zone !== 'b' && m.id !== 'a7');
   assert.deepEqual([...harness.deleted], ['a7']);
 });
 
-test('a new leader requests nothing in a partitioned zone, and does not count on what was requested there', async () => {
+test('a new leader requests no machines in a partitioned zone and does not count on those already requested there', async () => {
   const harness = new AutoscalerHarness(10);
-  // Twice that is the target, beside a hundred: with the 240 there would be enough.
+  // The target is twice the demand plus 100 CPUs; with the 240 CPUs below there would be enough.
   harness.demand = 140;
   for (const machine of harness.table.all()) if (machine.zone === 'c') machine.commandFailures = 1;
-  // On their way when the zone was cut off: 240 CPUs that will not come.
+  // Requested before the zone was partitioned: 240 CPUs that will not arrive.
   for (let i = 0; i < 30; i++) harness.table.add(`new${i}`, '', TYPE, 'c', false, 0).rentedAt = 0;
   await harness.advance(8, (m) => m.stored && m.zone !== 'c');
   assert.deepEqual([...harness.requestedZones].sort(), ['a', 'b']);
@@ -133,18 +137,18 @@
   assert.ok(harness.requestedZones.size > 0);
 });
 
-test('with no work at all idle machines are deleted also where money does not count', async () => {
+test('without any work, idle machines are deleted even if cost is not minimized', async () => {
   const harness = new AutoscalerHarness(5);
   await harness.advance(40, () => true);
-  assert.equal(harness.deleted.size, 0, 'spare ones are kept while there is work');
+  assert.equal(harness.deleted.size, 0, 'spare machines are kept while there is work');
   harness.demand = 0;
   harness.requestedZones.clear();
   await harness.advance(20, () => true);
   assert.equal(harness.deleted.size, 15);
-  assert.equal(harness.requestedZones.size, 0, 'nor is anything requested');
+  assert.equal(harness.requestedZones.size, 0, 'no machines are requested either');
 });
 
-test('a task that was found running is not timed: its start is not known', () => {
+test('the run time of a task that is already running in its first report is not measured, since its start is unknown', () => {
   const harness = new AutoscalerHarness(1);
   const machine = harness.table.get('a0')!;
   const task = { job: 'run-1', taskNumber: 0, attempt: 1, cause: null };
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -1,4 +1,4 @@
-/** The cloud's interface at the size of a large fleet: lists of many pages within few calls a second. */
+/** The client of the cloud API with a large fleet: lists of many pages at few calls per second. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cloud } from '../src/autoscaler/cloud.js';
@@ -12,7 +12,7 @@
 
 const RPS = 3;
 const MACHINES = 4000;
-/** So fast that nothing but the budget keeps a list within the rate. */
+/** Duration of a call, so short that only the call budget keeps a list within the rate. */
 const CALL_MS = 40;
 
 interface Setup {
@@ -21,7 +21,7 @@
   cloud: Cloud;
 }
 
-/** A cloud with many machines; `refuse` may answer a call in its place. */
+/** Creates a cloud with many machines; `rejectCall` may respond to a call in its place. */
 async function createSetup(
   rejectCall: (path: string) => Reply | null = () => null,
 ): Promise<Setup> {
@@ -60,7 +60,7 @@
   return result;
 }
 
-test('a list of 4,000 machines is read in pages, within the rate, and leaves calls to rentals', async () => {
+test('a list of 4,000 machines is read in pages within the rate limit and leaves calls for rentals', async () => {
   const setup = await createSetup();
   let rentals = 0;
   const rentEachSecond = (): void => {
@@ -81,11 +81,11 @@
   const pages = MACHINES / 500;
   assert.ok(
     setup.cloud.minListIntervalMs() >= (1000 * pages) / (RPS / 2),
-    'lists take half of the calls at most',
+    'lists take at most half of the calls',
   );
 });
 
-test('a page that is refused is asked for again, and only that page', async () => {
+test('a rejected page is requested again, and only that page', async () => {
   let rejected = 0;
   let pages = 0;
   const setup = await createSetup((path) => {
@@ -100,7 +100,7 @@
   assert.deepEqual([rejected, pages], [1, MACHINES / 500 + 1]);
 });
 
-test('a list that is no longer wanted asks for nothing more', async () => {
+test('a list that is no longer wanted sends no further calls', async () => {
   const setup = await createSetup();
   let wanted = true;
   let ended = false;
--- a/test/probe-window.test.ts
+++ b/test/probe-window.test.ts
@@ -1,4 +1,4 @@
-/** How many probes a leader has under way follows whether it keeps up. */
+/** The number of concurrent probes of a leader depends on whether it keeps up. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ProbeWindow } from '../src/workers/probe-window.js';
@@ -7,28 +7,31 @@
 const ON_TIME_MS = 3;
 const LATE_MS = 400;
 
-test('probes make way while timers fire late, and come back step by step', () => {
+test('the probe window shrinks while timers fire late and grows again step by step', () => {
   const probes = new ProbeWindow(REQUESTS);
   const initialSize = probes.size();
   assert.equal(probes.isCongested(), false);
   probes.timerFired(LATE_MS);
   assert.ok(probes.size() <= initialSize / 2 && probes.isCongested());
   for (let i = 0; i < 50; i++) probes.timerFired(LATE_MS);
-  assert.ok(probes.size() > 0, 'what is silent is still asked');
+  assert.ok(probes.size() > 0, 'unreachable machines are still probed');
   let previousSize = probes.size();
   for (let i = 0; i < 50; i++) {
     probes.timerFired(ON_TIME_MS);
     assert.ok(
       probes.size() >= previousSize && probes.size() - previousSize <= REQUESTS / 8,
-      'no rush',
+      'the window grows in small steps',
     );
     previousSize = probes.size();
   }
   assert.equal(probes.isCongested(), false);
-  assert.ok(previousSize > initialSize && previousSize < REQUESTS, 'commands are always left some');
+  assert.ok(
+    previousSize > initialSize && previousSize < REQUESTS,
+    'some requests are always left for commands',
+  );
 });
 
-test('a node that may send few requests has a window within them', () => {
+test('the probe window of a node with a low request limit stays within that limit', () => {
   const probes = new ProbeWindow(10);
   for (let i = 0; i < 20; i++) probes.timerFired(ON_TIME_MS);
   assert.ok(probes.size() >= 1 && probes.size() <= 10);
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -4,7 +4,7 @@
 import { planScaleOut, type Pool } from '../src/autoscaler/scaling-plan.js';
 import { machineType } from './sim/machine-type.js';
 
-test('scale-out: ordinary machines for what needs them, cheap ones for the rest, unavailable pools left alone', () => {
+test('scale-out requests ordinary machines for demand that needs them, spot machines for the rest, and none from unavailable pools', () => {
   const type = machineType(32);
   const pool = (zone: string, spot: boolean, unavailableUntil = 0): Pool => ({
     type,
