--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -1,4 +1,4 @@
-/** The cloud's interface at the size of a large fleet: lists of many pages within few calls a second. */
+/** The client of the cloud API with a large fleet: lists of many pages at few calls per second. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cloud } from '../src/autoscaler/cloud.js';
@@ -12,7 +12,7 @@
 
 const RPS = 3;
 const MACHINES = 4000;
-/** So fast that nothing but the budget keeps a list within the rate. */
+/** Duration of a call, so short that only the call budget keeps a list within the rate. */
 const CALL_MS = 40;
 
 interface Setup {
@@ -21,9 +21,9 @@
   cloud: Cloud;
 }
 
-/** A cloud with many machines; `refuse` may answer a call in its place. */
-async function manyMachines(
-  refuse: (path: string) => HttpResponse | null = () => null,
+/** Creates a cloud with many machines; `rejectCall` may respond to a call in its place. */
+async function createSetup(
+  rejectCall: (path: string) => HttpResponse | null = () => null,
 ): Promise<Setup> {
   const clock = new VirtualClock();
   const random = new SeededRandom(1);
@@ -42,7 +42,7 @@
       send: (_to, _method, path, body) =>
         new Promise((done) => {
           clock.after(CALL_MS, () => {
-            done(refuse(path) ?? service.handle(path, body ?? {}));
+            done(rejectCall(path) ?? service.handle(path, body ?? {}));
           });
         }),
     },
@@ -60,8 +60,8 @@
   return result;
 }
 
-test('a list of 4,000 machines is read in pages, within the rate, and leaves calls to rentals', async () => {
-  const setup = await manyMachines();
+test('a list of 4,000 machines is read in pages within the rate limit and leaves calls for rentals', async () => {
+  const setup = await createSetup();
   let rentals = 0;
   const rentEachSecond = (): void => {
     if (setup.cloud.tryAcquireCall()) {
@@ -72,36 +72,36 @@
   };
   setup.clock.after(500, rentEachSecond);
   for (let round = 0; round < 4; round++) {
-    const began = setup.clock.time;
+    const startedAt = setup.clock.time;
     const list = await listWithin(setup, 12_000);
-    assert.equal(new Set(list?.map((m) => m.id)).size, MACHINES, `round ${round} at ${began}`);
+    assert.equal(new Set(list?.map((m) => m.id)).size, MACHINES, `round ${round} at ${startedAt}`);
   }
   assert.equal(setup.service.received.tooMany, 0);
   assert.ok(rentals >= 40, `${rentals} rentals in 48 s`);
   const pages = MACHINES / 500;
   assert.ok(
     setup.cloud.minListIntervalMs() >= (1000 * pages) / (RPS / 2),
-    'lists take half of the calls at most',
+    'lists take at most half of the calls',
   );
 });
 
-test('a page that is refused is asked for again, and only that page', async () => {
-  let refused = 0;
+test('a rejected page is requested again, and only that page', async () => {
+  let rejected = 0;
   let pages = 0;
-  const setup = await manyMachines((path) => {
+  const setup = await createSetup((path) => {
     if (!path.startsWith('/machines?')) return null;
     pages++;
     if (pages !== 5) return null;
-    refused++;
+    rejected++;
     return { status: 503, body: { error: 'trouble' } };
   });
   const list = await listWithin(setup, 12_000);
   assert.equal(list?.length, MACHINES);
-  assert.deepEqual([refused, pages], [1, MACHINES / 500 + 1]);
+  assert.deepEqual([rejected, pages], [1, MACHINES / 500 + 1]);
 });
 
-test('a list that is no longer wanted asks for nothing more', async () => {
-  const setup = await manyMachines();
+test('a list that is no longer wanted sends no further calls', async () => {
+  const setup = await createSetup();
   let wanted = true;
   let ended = false;
   void setup.cloud
--- a/test/failover-faults.test.ts
+++ b/test/failover-faults.test.ts
@@ -1,4 +1,4 @@
-/** Failovers while a zone or machines can't be heard: how long they take, and what runs through them. */
+/** Failovers while a zone or some machines are unreachable: how long they take, and which tasks keep running. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { clusterWithService, holdMessagesTo } from './sim/faults.js';
@@ -9,33 +9,33 @@
 import { BATCH, SERVICE } from './sim/jobs.js';
 import { HEARTBEAT_PATH, type WorkerHeartbeat, encodeHeartbeat } from './sim/wire/workers.js';
 
-async function leaderFromZoneA(cluster: Cluster): Promise<void> {
+async function ensureLeaderInZoneA(cluster: Cluster): Promise<void> {
   for (let i = 0; i < 20 && zoneOf(cluster.leader() ?? 'n1') !== 'a'; i++) {
     if (cluster.leader()) cluster.crash(cluster.leader()!, 200);
     await cluster.run(8);
   }
 }
 
-test('a machine that receives nothing does not delay a failover', async () => {
+test('a machine that sends heartbeats but receives nothing is deleted and does not delay a failover', async () => {
   const cluster = await clusterWithService(12);
-  const deaf = [...cluster.invariants.placesByTask.values()][0][0].machine;
+  const affectedMachine = [...cluster.invariants.placesByTask.values()][0][0].machine;
   void cluster.users.run(cluster.users.newJob({ ...BATCH, tasks: 30, durationS: 6 }), null);
   await cluster.run(1);
-  holdMessagesTo(cluster, deaf, Infinity);
+  holdMessagesTo(cluster, affectedMachine, Infinity);
   cluster.crash(cluster.leader()!, 200);
   await cluster.run(30);
-  assert.equal(cluster.cloud.machines.has(deaf), false);
+  assert.equal(cluster.cloud.machines.has(affectedMachine), false);
   const array = [...cluster.invariants.jobs.values()].find((j) => j.spec.kind === 'array')!;
-  assert.equal(array.finishedTasks.size, 30, 'an old job went on');
+  assert.equal(array.finishedTasks.size, 30, 'the job of the former leader continued');
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a duplicated heartbeat that reaches a new leader first ends nothing that runs', async () => {
+test('a duplicated heartbeat that reaches a new leader first stops no running task', async () => {
   const cluster = await clusterWithService(15);
   const before = new Map(
     [...cluster.invariants.placesByTask].map(([task, places]) => [task, places[0].machine]),
   );
-  const ghost: WorkerHeartbeat = {
+  const staleHeartbeat: WorkerHeartbeat = {
     machine: 'i-999999',
     endpoint: 'w-i-999999:9000',
     machineType: 't16',
@@ -48,7 +48,7 @@
     tasks: [...before.keys()].map((task) => ({ task, attempt: 7, state: 'running' })),
   };
   cluster.crash(cluster.leader()!, 4000);
-  // The copy comes before anything is heard of the machines themselves.
+  // The duplicate arrives before any heartbeat of the machines themselves.
   cluster.network.partitions.push({
     a: (host) => host.startsWith('w-'),
     b: (host) => cluster.nodeNames.some((n) => host === `${n}:80`),
@@ -56,7 +56,10 @@
     mode: 'hold',
   });
   for (let second = 0; second < 60; second++) {
-    const heartbeat = encodeHeartbeat({ ...ghost, sequence: ghost.sequence + second });
+    const heartbeat = encodeHeartbeat({
+      ...staleHeartbeat,
+      sequence: staleHeartbeat.sequence + second,
+    });
     for (const name of cluster.nodeNames)
       void cluster.network.send('copy', `${name}:80`, 'POST', HEARTBEAT_PATH, heartbeat, 4000);
     await cluster.run(0.1);
@@ -67,14 +70,14 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('two zones partitioned and the leader lost at once: work on both sides outlives its leases', async () => {
+test('when two zones are partitioned and the leader is isolated at once, tasks on both sides run on beyond their leases', async () => {
   let unusable = {};
   const leaseMs = 10_000;
   const cluster = new Cluster({
     seed: 27,
     nodes: 5,
     ordinaryUp: 8,
-    // A worker may need 7 s to find a controller that it reaches; from zone b it passes by two of zone a.
+    // A worker may need 7 s to find a controller that it can reach; one in zone b may first try two of zone a.
     leaseMs,
     log: (_node, text, fields) => {
       if (text === 'round') unusable = (fields as { unusable: object }).unusable;
@@ -83,7 +86,7 @@
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(4);
-  await leaderFromZoneA(cluster);
+  await ensureLeaderInZoneA(cluster);
   for (let i = 0; i < 4; i++) void cluster.users.run(cluster.users.newJob(SERVICE), null);
   await cluster.run(14);
   assert.equal(cluster.invariants.placesByTask.size, 12);
@@ -104,33 +107,33 @@
   });
   await cluster.run(30);
   assert.notEqual(cluster.leader(), leader);
-  assert.equal(cluster.invariants.starts, starts, 'nothing had to start again');
+  assert.equal(cluster.invariants.starts, starts, 'no task was restarted');
   assert.equal(cluster.invariants.placesByTask.size, 12);
   assert.deepEqual(cluster.invariants.violations, []);
-  // Machines that had not answered are asked until they do, however long they are heard again: else they get nothing.
-  // A machine rented a moment ago may not be stored yet in the last round.
+  // Machines that did not respond are probed until they do, however long their heartbeats have been arriving again:
+  // otherwise they would get no tasks. A machine rented a moment ago may not be stored yet in the last round.
   await cluster.run(2 * defaultOperatorSettings().round_s);
   assert.deepEqual(unusable, {});
 });
 
-test('a failover beside a lost zone waits for its leases and no longer, and the next one not at all', async () => {
-  const known: number[] = [];
-  let serving = 0;
+test('a failover with an unreachable zone waits only until its leases expire, and the next failover does not wait', async () => {
+  const recoveryCompletedAt: number[] = [];
+  let servingSince = 0;
   const cluster: Cluster = new Cluster({
     seed: 28,
     nodes: 5,
     ordinaryUp: 10,
     log: (_node, text, fields) => {
-      if (text === 'recovery complete') known.push(cluster.clock.time);
+      if (text === 'recovery complete') recoveryCompletedAt.push(cluster.clock.time);
       if (text === 'leader term' && (fields as { to: string }).to === 'serving')
-        serving = cluster.clock.time;
+        servingSince = cluster.clock.time;
     },
   });
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(12);
-  // So that zone b with its two controllers is the one to lose.
-  await leaderFromZoneA(cluster);
+  // The leader must be in zone a, since zone b with its two controllers is the zone to be lost.
+  await ensureLeaderInZoneA(cluster);
   const inB = cluster.faults.inWholeZone('b');
   cluster.network.partitions.push({
     a: inB,
@@ -140,15 +143,21 @@
   });
   await cluster.run(1);
   cluster.crash(cluster.leader()!, 200);
-  known.length = 0;
+  recoveryCompletedAt.length = 0;
   await cluster.run(40);
-  // What keepers may add, a lease, and the time to act on it.
-  const most = leaseExtensionMs(CANCEL_MS / 1000, LEASE_MS / 1000) + LEASE_MS + 1500;
-  assert.equal(known.length, 1);
-  assert.ok(known[0] - serving < most, `${known[0] - serving} ms`);
-  const again = cluster.clock.time;
+  // The time by which followers may extend leases, one lease, and the time to act on its expiry.
+  const maxRecoveryMs = leaseExtensionMs(CANCEL_MS / 1000, LEASE_MS / 1000) + LEASE_MS + 1500;
+  assert.equal(recoveryCompletedAt.length, 1);
+  assert.ok(
+    recoveryCompletedAt[0] - servingSince < maxRecoveryMs,
+    `${recoveryCompletedAt[0] - servingSince} ms`,
+  );
+  const secondCrashAt = cluster.clock.time;
   cluster.crash(cluster.leader()!, 200);
   await cluster.run(15);
-  assert.ok((known[1] ?? Infinity) - again < 6000, 'what was proved stays proved');
+  assert.ok(
+    (recoveryCompletedAt[1] ?? Infinity) - secondCrashAt < 6000,
+    'a machine whose lease has expired is not awaited again',
+  );
   assert.deepEqual(cluster.invariants.violations, []);
 });
