--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -22,7 +22,7 @@
       requested: ({ from, to, method, path, body }) => {
         if (cluster.isNode(from)) this.add(['request', from, to, method, path], body);
       },
-      replied: ({ from, to, path, status, body }) => {
+      responded: ({ from, to, path, status, body }) => {
         if (cluster.isNode(from)) this.add(['reply', from, to, path, status], body);
       },
     };
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -32,16 +32,16 @@
   connectionsOnly?: boolean;
 }
 
-function cutsForward(
+function blocksForward(
   { a, b, connectionsOnly }: Partition,
   from: string,
   to: string,
-  answer: boolean,
+  isResponse: boolean,
 ): boolean {
-  return a(from) && b(to) && !(connectionsOnly && answer);
+  return a(from) && b(to) && !(connectionsOnly && isResponse);
 }
 
-function cutsBackward(
+function blocksBackward(
   { a, b, oneWay, connectionsOnly }: Partition,
   from: string,
   to: string,
@@ -66,7 +66,7 @@
   body: Uint8Array;
 }
 
-interface ObservedReply {
+interface ObservedResponse {
   /** Who replies. */
   from: string;
   /** Who had asked. */
@@ -80,7 +80,7 @@
 /** Is shown the traffic as it is sent, whether or not it arrives. Must not change anything. */
 export interface NetworkObserver {
   requested(request: ObservedRequest): void;
-  replied(reply: ObservedReply): void;
+  responded(response: ObservedResponse): void;
 }
 
 /** A request as it travels. */
@@ -110,12 +110,12 @@
     private readonly random: SeededRandom,
   ) {}
 
-  private partitionBetween(from: string, to: string, answer: boolean): Partition | undefined {
+  private partitionBetween(from: string, to: string, isResponse: boolean): Partition | undefined {
     const now = this.clock.time;
     return this.partitions.find(
       (partition) =>
         partition.until > now &&
-        (cutsForward(partition, from, to, answer) || cutsBackward(partition, from, to)),
+        (blocksForward(partition, from, to, isResponse) || blocksBackward(partition, from, to)),
     );
   }
 
@@ -130,17 +130,17 @@
   private carry(
     from: string,
     to: string,
-    arrive: () => void,
-    broken: () => void,
-    answer = false,
+    onArrival: () => void,
+    onReset: () => void,
+    isResponse = false,
   ): void {
-    const partition = this.partitionBetween(from, to, answer);
+    const partition = this.partitionBetween(from, to, isResponse);
     if (partition?.mode === 'reset') {
-      this.clock.after(this.delay(), broken);
+      this.clock.after(this.delay(), onReset);
     } else if (partition) {
-      this.clock.after(partition.until - this.clock.time + this.delay(), arrive);
+      this.clock.after(partition.until - this.clock.time + this.delay(), onArrival);
     } else if (!this.random.chance(this.lossRate)) {
-      this.clock.after(this.delay(), arrive);
+      this.clock.after(this.delay(), onArrival);
     }
   }
 
@@ -154,15 +154,15 @@
 
   /** A request that comes once more: nobody waits for its reply. */
   private async deliverDuplicate(message: Message): Promise<void> {
-    const reply = await this.deliver(message);
-    if (!reply || !this.observer) return;
+    const response = await this.deliver(message);
+    if (!response || !this.observer) return;
     const { from, to, path } = message;
-    this.observer.replied({ ...reply, from: to, to: from, path, body: encode(reply.body) });
+    this.observer.responded({ ...response, from: to, to: from, path, body: encode(response.body) });
   }
 
   /** A message without an answer, as between controllers: delayed, held or lost like the rest. */
-  sendOneWay(from: string, to: string, arrive: () => void): void {
-    this.carry(from, to, arrive, () => undefined);
+  sendOneWay(from: string, to: string, onArrival: () => void): void {
+    this.carry(from, to, onArrival, () => undefined);
   }
 
   send(
@@ -180,38 +180,38 @@
     const message: Message = { from, to, method, path, body: sent };
     return new Promise((resolve) => {
       let open = true;
-      const settle = (reply: HttpResponse): void => {
-        if (open) resolve(reply);
+      const settle = (response: HttpResponse): void => {
+        if (open) resolve(response);
         open = false;
       };
-      const settleWithout = (): void => {
+      const settleWithoutResponse = (): void => {
         settle({ status: 0, body: {} });
       };
-      this.clock.after(timeoutMs, settleWithout);
-      const arrive = (): void => {
-        void this.deliver(message).then((reply) => {
-          if (reply) this.carryReply(message, reply, settle, settleWithout);
-          else this.clock.after(1, settleWithout);
+      this.clock.after(timeoutMs, settleWithoutResponse);
+      const onArrival = (): void => {
+        void this.deliver(message).then((response) => {
+          if (response) this.carryResponse(message, response, settle, settleWithoutResponse);
+          else this.clock.after(1, settleWithoutResponse);
         });
       };
-      this.carry(from, to, arrive, settleWithout);
+      this.carry(from, to, onArrival, settleWithoutResponse);
       this.scheduleDuplicates(message);
     });
   }
 
-  private carryReply(
+  private carryResponse(
     { from, to, path }: Message,
     { status, body }: HttpResponse,
-    arrive: (reply: HttpResponse) => void,
-    broken: () => void,
+    onArrival: (response: HttpResponse) => void,
+    onReset: () => void,
   ): void {
     const bytes = encode(body);
     const received = decodeMap(bytes)!;
-    this.observer?.replied({ from: to, to: from, path, status, body: bytes });
+    this.observer?.responded({ from: to, to: from, path, status, body: bytes });
     const settle = (): void => {
-      arrive({ status, body: received });
+      onArrival({ status, body: received });
     };
-    this.carry(to, from, settle, broken, true);
+    this.carry(to, from, settle, onReset, true);
   }
 
   private scheduleDuplicates(message: Message): void {
