--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -33,15 +33,15 @@
   private incarnation = 1;
   private sequence = 0;
   private token = 0;
-  private incarnationBegan: number;
-  private lastAnsweredSent = -Infinity;
+  private incarnationBeganAt: number;
+  private lastAcknowledgedSentAt = -Infinity;
   readonly tasks: WorkerTasks;
-  private node: number;
-  private isAwaitingReply = false;
+  private nodeIndex: number;
+  private isAwaitingResponse = false;
   private hasChanged = false;
   private lastHeartbeatAt = -Infinity;
   private lastTokenChange = -Infinity;
-  private dead = false;
+  private isDead = false;
   preemptionDeadline: number | null = null;
 
   constructor(
@@ -51,7 +51,7 @@
     gangs: GangCoordinator,
     readonly config: WorkerConfig,
   ) {
-    this.incarnationBegan = this.now();
+    this.incarnationBeganAt = this.now();
     this.tasks = new WorkerTasks({
       machine: config,
       random,
@@ -63,7 +63,7 @@
         this.noteChange();
       },
     });
-    this.node = random.int(0, config.nodes.length - 1);
+    this.nodeIndex = random.int(0, config.nodes.length - 1);
     network.hosts.set(config.address, {
       handler: (_method, path, body) => this.handle(path, body),
       hangsUntil: 0,
@@ -74,10 +74,11 @@
 
   /** The lease ends also on a machine that hangs: it may continue only within it. */
   private leaseLoop(): void {
-    if (this.dead) return;
+    if (this.isDead) return;
     this.checkLease();
     // Looked at when it may end, since many workers look.
-    const ends = Math.max(this.incarnationBegan, this.lastAnsweredSent) + this.config.leaseMs;
+    const ends =
+      Math.max(this.incarnationBeganAt, this.lastAcknowledgedSentAt) + this.config.leaseMs;
     this.network.clock.after(Math.max(20, ends + 1 - this.now()), () => {
       this.leaseLoop();
     });
@@ -90,7 +91,7 @@
   private after(ms: number, callback: () => void): () => void {
     let off = false;
     const run = (): void => {
-      if (this.dead || off) return;
+      if (this.isDead || off) return;
       const hang = this.network.hosts.get(this.config.address)!.hangsUntil;
       if (hang > this.now()) {
         this.network.clock.after(hang - this.now(), run);
@@ -107,16 +108,19 @@
   /** The machine is gone, and everything on it. */
   kill(): void {
     this.tasks.killAll();
-    this.dead = true;
+    this.isDead = true;
     this.network.hosts.get(this.config.address)!.handler = null;
   }
 
   private checkLease(): void {
-    if (this.now() - Math.max(this.incarnationBegan, this.lastAnsweredSent) <= this.config.leaseMs)
+    if (
+      this.now() - Math.max(this.incarnationBeganAt, this.lastAcknowledgedSentAt) <=
+      this.config.leaseMs
+    )
       return;
     this.tasks.killAll();
     this.incarnation++;
-    this.incarnationBegan = this.now();
+    this.incarnationBeganAt = this.now();
     this.noteChange();
   }
 
@@ -124,7 +128,7 @@
     this.checkLease();
     const every = this.config.reportMs * this.random.between(0.75, 1.25);
     if (
-      !this.isAwaitingReply &&
+      !this.isAwaitingResponse &&
       (this.now() - this.lastHeartbeatAt >= every ||
         (this.hasChanged && this.now() - this.lastHeartbeatAt >= 500))
     )
@@ -165,47 +169,47 @@
   }
 
   private sendHeartbeat(): void {
-    this.isAwaitingReply = true;
+    this.isAwaitingResponse = true;
     this.hasChanged = false;
-    const sent = (this.lastHeartbeatAt = this.now());
+    const sentAt = (this.lastHeartbeatAt = this.now());
     const { incarnation } = this;
-    const node = this.config.nodes[this.node % this.config.nodes.length];
+    const node = this.config.nodes[this.nodeIndex % this.config.nodes.length];
     void this.network
       .send(this.config.address, node.address, 'POST', HEARTBEAT_PATH, this.heartbeat(), 4000)
-      .then((reply) => {
-        if (this.dead) return;
-        if (reply.status === 421) this.follow(redirectTarget(reply), node.name);
-        else if (reply.status === 200) this.accept(reply.body, sent, incarnation);
+      .then((response) => {
+        if (this.isDead) return;
+        if (response.status === 421) this.followRedirect(redirectTarget(response), node.name);
+        else if (response.status === 200) this.acceptResponse(response.body, sentAt, incarnation);
         else this.tryNextNode();
       });
   }
 
   private tryNextNode(): void {
-    this.node++;
-    this.after(1000, () => (this.isAwaitingReply = false));
+    this.nodeIndex++;
+    this.after(1000, () => (this.isAwaitingResponse = false));
   }
 
   /** Sends its heartbeats to the node that it was referred to. */
-  private follow(target: string | undefined, from: string): void {
+  private followRedirect(target: string | undefined, from: string): void {
     const index = this.config.nodes.findIndex(({ name }) => name === target);
     if (index < 0 || target === from) {
       this.tryNextNode();
       return;
     }
-    this.node = index;
+    this.nodeIndex = index;
     this.after(this.random.between(0, 500), () => {
       this.lastHeartbeatAt = -Infinity;
-      this.isAwaitingReply = false;
+      this.isAwaitingResponse = false;
     });
   }
 
   /** The answer to a heartbeat that was sent in the given incarnation. */
-  private accept(body: Body, sent: number, incarnation: number): void {
-    this.isAwaitingReply = false;
+  private acceptResponse(body: Body, sentAt: number, incarnation: number): void {
+    this.isAwaitingResponse = false;
     this.checkLease();
     const { token, commands } = decodeHeartbeatReply(body);
     if (incarnation !== this.incarnation || token === undefined || token < this.token) return;
-    this.lastAnsweredSent = sent;
+    this.lastAcknowledgedSentAt = sentAt;
     this.observeToken(token);
     this.tasks.execute(commands);
   }
