--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -69,7 +69,7 @@
     const asked = cluster.clock.time;
     const { method, path, body } = cancelRequest(id);
     const reply = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
-    cluster.invariants.recordAnswer(id, decodeJobReply(reply), asked);
+    cluster.invariants.recordResponse(id, decodeJobReply(reply), asked);
     if (reply.status !== 200) cluster.clock.after(500, () => void cancel());
   };
   cluster.clock.after(3800, () => void cancel());
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -280,7 +280,7 @@
       most = Math.max(most, this.leaders());
     });
     if (this.faultsEndedAt !== null) {
-      this.invariants.checkAnswered(this.faultsEndedAt);
+      this.invariants.checkResponded(this.faultsEndedAt);
       this.invariants.checkWaiting(this.machineRooms(), this.fetching());
     }
     if (most > 1) this.invariants.recordViolation('two_leaders', String(most));
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -5,9 +5,9 @@
 import type { JobReply, JobState } from './wire/users.js';
 
 /** Once all faults are over, no accepted job may go without an answer for longer. */
-const FORGOTTEN_MS = 75_000;
+const MAX_RESPONSE_GAP_MS = 75_000;
 /** Nor may one wait for longer beside a machine that fits and has room. */
-const WAITING_MS = 90_000;
+const MAX_WAITING_MS = 90_000;
 
 /** PROTOCOL's rules as invariants: what runs where, and what users were told. */
 export class Invariants {
@@ -98,19 +98,19 @@
   }
 
   /** An answer to a request that was sent at `asked`: what was told before then must stand. */
-  recordAnswer(id: string, { status, job: answered }: JobReply, asked: number): void {
+  recordResponse(id: string, { status, job: reported }: JobReply, sentAt: number): void {
     const job = this.jobs.get(id);
     if (status === 404 && job?.reportedAccepted) this.recordViolation('forgotten', id);
-    if (!answered) return;
+    if (!reported) return;
     if (!job?.submitted) {
       this.recordViolation('invented', id);
       return;
     }
     job.reportedAccepted = true;
-    job.answeredAt = this.now();
-    this.checkFinalStateKept(id, job, answered.state, asked);
-    if (answered.state === 'cancelled') this.reportedCancelled(id, job);
-    if (answered.state === 'done') this.reportedDone(id, job);
+    job.lastResponseAt = this.now();
+    this.checkFinalStateKept(id, job, reported.state, sentAt);
+    if (reported.state === 'cancelled') this.reportedCancelled(id, job);
+    if (reported.state === 'done') this.reportedDone(id, job);
   }
 
   private reportedCancelled(id: string, job: ObservedJob): void {
@@ -125,24 +125,24 @@
   }
 
   /** A job that was called done or cancelled before the question stays so. */
-  private checkFinalStateKept(id: string, job: ObservedJob, state: JobState, asked: number): void {
-    if (job.reportedDoneAt !== null && job.reportedDoneAt <= asked && state !== 'done')
+  private checkFinalStateKept(id: string, job: ObservedJob, state: JobState, sentAt: number): void {
+    if (job.reportedDoneAt !== null && job.reportedDoneAt <= sentAt && state !== 'done')
       this.recordViolation('went_back', `${id} was done, now ${state}`);
     if (
       job.reportedCancelledAt !== null &&
-      job.reportedCancelledAt <= asked &&
+      job.reportedCancelledAt <= sentAt &&
       state !== 'cancelled'
     )
       this.recordViolation('went_back', `${id} was cancelled`);
   }
 
   /** All faults are over since `from`: nobody's job may go without an answer. */
-  checkAnswered(from: number): void {
+  checkResponded(from: number): void {
     for (const [id, job] of this.jobs) {
       if (
         !job.reportedAccepted ||
         job.cancelRequested ||
-        this.now() - Math.max(from, job.answeredAt) <= FORGOTTEN_MS
+        this.now() - Math.max(from, job.lastResponseAt) <= MAX_RESPONSE_GAP_MS
       )
         continue;
       if (!this.violations.some((b) => b.includes(`forgotten: ${id}`)))
@@ -193,7 +193,7 @@
     }
     job.waitingSince ??= this.now();
     if (
-      this.now() - job.waitingSince > WAITING_MS &&
+      this.now() - job.waitingSince > MAX_WAITING_MS &&
       !this.violations.some((b) => b.includes(`waits: ${id}`))
     )
       this.recordViolation('waits', id);
--- a/test/sim/observed-job.ts
+++ b/test/sim/observed-job.ts
@@ -12,7 +12,7 @@
   finishedTasks: Set<number>;
   submittedAt: number;
   /** When a question about it was last answered, or it was accepted. */
-  answeredAt: number;
+  lastResponseAt: number;
   firstStartAt: number | null;
   /** Since when a task of it waits, and none starts, although a machine that fits has room, as last looked at. */
   waitingSince: number | null;
@@ -31,7 +31,7 @@
     reportedDoneAt: null,
     finishedTasks: new Set(),
     submittedAt: now,
-    answeredAt: now,
+    lastResponseAt: now,
     firstStartAt: null,
     waitingSince: null,
     progressMs: 0,
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -72,7 +72,7 @@
       const reply = await this.standIns.ask(address, method, path, body);
       if (reply.status === 0) continue;
       const decoded = decodeJobReply(reply);
-      invariants.recordAnswer(id, decoded, asked);
+      invariants.recordResponse(id, decoded, asked);
       if (decoded.job) return true;
       break;
     }
--- a/test/sim/user-request.ts
+++ b/test/sim/user-request.ts
@@ -11,10 +11,10 @@
   node: string,
   { method, path, body }: UserRequest,
 ): Promise<JobReply> {
-  let reply: HttpResponse | null = null;
+  let response: HttpResponse | null = null;
   void cluster.network
     .send('user', `${node}:80`, method, path, body, TIMEOUT_MS)
-    .then((received) => (reply = received));
-  for (let i = 0; i < 60 && !reply; i++) await cluster.run(0.1);
-  return decodeJobReply(reply!);
+    .then((received) => (response = received));
+  for (let i = 0; i < 60 && !response; i++) await cluster.run(0.1);
+  return decodeJobReply(response!);
 }
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -48,19 +48,19 @@
   }
 
   /** Asks, through `via` or any node, until there is an answer that stands. */
-  private async retryUntilAnswered(
+  private async retryUntilAccepted(
     id: string,
     request: UserRequest,
     via?: string,
   ): Promise<JobReply> {
     for (let i = 0; ; i++) {
-      const asked = this.deps.clock.time;
-      const reply = await this.send(request, via);
-      if (reply.job) {
-        this.deps.invariants.recordAnswer(id, reply, asked);
-        return reply;
+      const sentAt = this.deps.clock.time;
+      const response = await this.send(request, via);
+      if (response.job) {
+        this.deps.invariants.recordResponse(id, response, sentAt);
+        return response;
       }
-      if (reply.status === 400 || reply.status === 422 || i > RETRIES) return reply;
+      if (response.status === 400 || response.status === 422 || i > RETRIES) return response;
       await this.later(RETRY_MS);
     }
   }
@@ -68,7 +68,7 @@
   /** The user cancels the job. */
   async cancel(id: string, via?: string): Promise<void> {
     this.deps.invariants.jobs.get(id)!.cancelRequested = true;
-    await this.retryUntilAnswered(id, cancelRequest(id), via);
+    await this.retryUntilAccepted(id, cancelRequest(id), via);
   }
 
   private later(ms: number): Promise<void> {
@@ -76,20 +76,20 @@
   }
 
   async poll(id: string): Promise<JobReply> {
-    const asked = this.deps.clock.time;
-    const reply = await this.send(pollRequest(id));
-    this.deps.invariants.recordAnswer(id, reply, asked);
-    return reply;
+    const sentAt = this.deps.clock.time;
+    const response = await this.send(pollRequest(id));
+    this.deps.invariants.recordResponse(id, response, sentAt);
+    return response;
   }
 
   /** The same submission once more. */
   async resubmit(id: string): Promise<JobReply> {
-    const asked = this.deps.clock.time;
-    const reply = await this.send(submitRequest(this.deps.invariants.jobs.get(id)!.spec));
-    this.deps.invariants.recordAnswer(id, reply, asked);
-    if (reply.status === 400 || reply.status === 422)
+    const sentAt = this.deps.clock.time;
+    const response = await this.send(submitRequest(this.deps.invariants.jobs.get(id)!.spec));
+    this.deps.invariants.recordResponse(id, response, sentAt);
+    if (response.status === 400 || response.status === 422)
       this.deps.invariants.recordViolation('forgotten', id);
-    return reply;
+    return response;
   }
 
   /** Submits with retries, polls until the end; cancels after a while if asked to. */
@@ -97,7 +97,7 @@
     const { id } = job;
     const facts = observedJob(job, this.deps.clock.time);
     this.deps.invariants.jobs.set(id, facts);
-    const first = await this.retryUntilAnswered(id, submitRequest(job));
+    const first = await this.retryUntilAccepted(id, submitRequest(job));
     if (first.status === 422 && facts.reportedAccepted)
       this.deps.invariants.recordViolation('forgotten', id);
     if (!facts.reportedAccepted) return;
@@ -106,7 +106,7 @@
       await this.later(this.deps.random.between(2000, 5000));
       await this.poll(id);
       if (this.deps.random.chance(RESUBMIT_CHANCE))
-        void this.retryUntilAnswered(id, submitRequest(job));
+        void this.retryUntilAccepted(id, submitRequest(job));
     }
   }
 }
