--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -61,7 +61,7 @@
         return response;
       }
       if (response.status === 400 || response.status === 422 || i > RETRIES) return response;
-      await this.later(RETRY_MS);
+      await this.delay(RETRY_MS);
     }
   }
 
@@ -71,7 +71,7 @@
     await this.retryUntilAccepted(id, cancelRequest(id), via);
   }
 
-  private later(ms: number): Promise<void> {
+  private delay(ms: number): Promise<void> {
     return new Promise((done) => this.deps.clock.after(ms, done));
   }
 
@@ -95,15 +95,15 @@
   /** Submits with retries, polls until the end; cancels after a while if asked to. */
   async run(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
-    const facts = observedJob(job, this.deps.clock.time);
-    this.deps.invariants.jobs.set(id, facts);
+    const observed = observedJob(job, this.deps.clock.time);
+    this.deps.invariants.jobs.set(id, observed);
     const first = await this.retryUntilAccepted(id, submitRequest(job));
-    if (first.status === 422 && facts.reportedAccepted)
+    if (first.status === 422 && observed.reportedAccepted)
       this.deps.invariants.recordViolation('forgotten', id);
-    if (!facts.reportedAccepted) return;
+    if (!observed.reportedAccepted) return;
     if (cancelAfterMs !== null) this.deps.clock.after(cancelAfterMs, () => void this.cancel(id));
     for (;;) {
-      await this.later(this.deps.random.between(2000, 5000));
+      await this.delay(this.deps.random.between(2000, 5000));
       await this.poll(id);
       if (this.deps.random.chance(RESUBMIT_CHANCE))
         void this.retryUntilAccepted(id, submitRequest(job));
