--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -66,16 +66,19 @@
     if (job.finishedTasks.has(Number(task.slice(task.lastIndexOf('/') + 1))))
       this.startsAfterFinish.push(task);
     const { spec } = job;
-    const there = this.placesByTask.get(task) ?? [];
-    if (there.length > 0)
-      this.recordViolation('ran_twice', `${task} on ${place.machine} and ${there[0].machine}`);
+    const otherPlaces = this.placesByTask.get(task) ?? [];
+    if (otherPlaces.length > 0)
+      this.recordViolation(
+        'ran_twice',
+        `${task} on ${place.machine} and ${otherPlaces[0].machine}`,
+      );
     for (const mismatch of mismatches(spec, place, [...this.placesOfJob(id)]))
       this.recordViolation('wrong_place', `${task}${mismatch}`);
     if (job.reportedCancelledAt !== null)
       this.startsAfterCancellationMs.push(this.now() - job.reportedCancelledAt);
     job.firstStartAt ??= this.now();
     job.waitingSince = null;
-    this.placesByTask.set(task, [...there, place]);
+    this.placesByTask.set(task, [...otherPlaces, place]);
     this.placedTasksByJob.set(id, (this.placedTasksByJob.get(id) ?? new Set()).add(task));
     this.addUsage(job, 1);
     const limit = this.limits.get(spec.team) ?? Infinity;
@@ -84,12 +87,12 @@
   }
 
   taskLeft(task: string, machine: string, done: boolean): void {
-    const there = this.placesByTask.get(task) ?? [];
-    const left = there.filter((p) => p.machine !== machine);
+    const placesBefore = this.placesByTask.get(task) ?? [];
+    const remaining = placesBefore.filter((p) => p.machine !== machine);
     const slash = task.lastIndexOf('/');
     const job = this.jobs.get(task.slice(0, slash));
-    if (job) for (let i = left.length; i < there.length; i++) this.addUsage(job, -1);
-    if (left.length > 0) this.placesByTask.set(task, left);
+    if (job) for (let i = remaining.length; i < placesBefore.length; i++) this.addUsage(job, -1);
+    if (remaining.length > 0) this.placesByTask.set(task, remaining);
     else {
       this.placesByTask.delete(task);
       this.placedTasksByJob.get(task.slice(0, slash))?.delete(task);
@@ -157,8 +160,11 @@
     if ((this.placedTasksByJob.get(id)?.size ?? 0) > 0) return false;
     const zones = job.spec.oneZone ? [...new Set(fitting.map((room) => room.zone))] : [null];
     return zones.some((zone) => {
-      const there = fitting.filter((room) => zone === null || room.zone === zone);
-      const count = there.reduce((sum, room) => sum + Math.floor(room.freeCpus / job.spec.cpus), 0);
+      const inSameZone = fitting.filter((room) => zone === null || room.zone === zone);
+      const count = inSameZone.reduce(
+        (sum, room) => sum + Math.floor(room.freeCpus / job.spec.cpus),
+        0,
+      );
       return count >= job.spec.tasks;
     });
   }
@@ -176,8 +182,8 @@
       const together = job.spec.kind === 'gang' ? job.spec.tasks : 1;
       const cpus = (used.get(team) ?? 0) + together * job.spec.cpus;
       const isUnderLimit = cpus <= (this.limits.get(team) ?? Infinity);
-      const waits = this.hasTasksLeft(id, job) && isUnderLimit && this.hasRoom(job, id, rooms);
-      this.noteWaiting(id, job, waits);
+      const isWaiting = this.hasTasksLeft(id, job) && isUnderLimit && this.hasRoom(job, id, rooms);
+      this.recordWaiting(id, job, isWaiting);
     }
   }
 
@@ -186,8 +192,8 @@
     return job.spec.tasks - job.finishedTasks.size - (this.placedTasksByJob.get(id)?.size ?? 0) > 0;
   }
 
-  private noteWaiting(id: string, job: ObservedJob, waits: boolean): void {
-    if (!waits) {
+  private recordWaiting(id: string, job: ObservedJob, isWaiting: boolean): void {
+    if (!isWaiting) {
       job.waitingSince = null;
       return;
     }
