--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -21,7 +21,7 @@
 import { serveNode } from './node-requests.js';
 import { nodeSettings } from './node-settings.js';
 import { type SimulatedProcess, simulatedRuntime } from './simulated-runtime.js';
-import type { MachineRoom } from './places.js';
+import type { MachineCapacity } from './places.js';
 import { SeededRandom } from './random.js';
 import { Invariants } from './invariants.js';
 import { StateService } from './state-service.js';
@@ -262,7 +262,7 @@
   }
 
   /** The machines that are up, and what is free on each. */
-  private machineRooms(): MachineRoom[] {
+  private machineCapacities(): MachineCapacity[] {
     const used = new Map<string, number>();
     for (const [task, places] of this.invariants.placesByTask)
       for (const place of places)
@@ -281,7 +281,7 @@
     });
     if (this.faultsEndedAt !== null) {
       this.invariants.checkResponded(this.faultsEndedAt);
-      this.invariants.checkWaiting(this.machineRooms(), this.fetching());
+      this.invariants.checkWaiting(this.machineCapacities(), this.fetching());
     }
     if (most > 1) this.invariants.recordViolation('two_leaders', String(most));
   }
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -1,6 +1,6 @@
 /** What must hold whatever fails, looked at from outside the service; `docs/safety.md` argues each of these. */
 import type { ObservedJob } from './observed-job.js';
-import { type MachineRoom, type Place, fits, mismatches } from './places.js';
+import { type MachineCapacity, type Place, fits, mismatches } from './places.js';
 import { unservedJobs } from './service-level.js';
 import type { JobReply, JobState } from './wire/users.js';
 
@@ -154,11 +154,11 @@
   }
 
   /** Room for one task, or for a whole gang of which nothing is anywhere. */
-  private hasRoom(job: ObservedJob, id: string, rooms: MachineRoom[]): boolean {
-    const fitting = rooms.filter((room) => fits(job.spec, [...this.placesOfJob(id)], room));
+  private hasCapacity(job: ObservedJob, id: string, rooms: MachineCapacity[]): boolean {
+    const fitting = rooms.filter((machine) => fits(job.spec, [...this.placesOfJob(id)], machine));
     if (job.spec.kind !== 'gang') return fitting.length > 0;
     if ((this.placedTasksByJob.get(id)?.size ?? 0) > 0) return false;
-    const zones = job.spec.oneZone ? [...new Set(fitting.map((room) => room.zone))] : [null];
+    const zones = job.spec.oneZone ? [...new Set(fitting.map((machine) => machine.zone))] : [null];
     return zones.some((zone) => {
       const inSameZone = fitting.filter((room) => zone === null || room.zone === zone);
       const count = inSameZone.reduce(
@@ -170,7 +170,7 @@
   }
 
   /** All faults are over: no job is left waiting beside room, with its team under its limit. */
-  checkWaiting(rooms: MachineRoom[], fetching: string[]): void {
+  checkWaiting(rooms: MachineCapacity[], fetching: string[]): void {
     const used = new Map(this.usedCpusByTeam);
     for (const task of fetching) {
       const { team } = this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec;
@@ -182,7 +182,8 @@
       const together = job.spec.kind === 'gang' ? job.spec.tasks : 1;
       const cpus = (used.get(team) ?? 0) + together * job.spec.cpus;
       const isUnderLimit = cpus <= (this.limits.get(team) ?? Infinity);
-      const isWaiting = this.hasTasksLeft(id, job) && isUnderLimit && this.hasRoom(job, id, rooms);
+      const isWaiting =
+        this.hasTasksLeft(id, job) && isUnderLimit && this.hasCapacity(job, id, rooms);
       this.recordWaiting(id, job, isWaiting);
     }
   }
--- a/test/sim/places.ts
+++ b/test/sim/places.ts
@@ -10,24 +10,24 @@
 }
 
 /** A machine with what is free on it. */
-export interface MachineRoom extends Place {
+export interface MachineCapacity extends Place {
   freeCpus: number;
 }
 
 /** A job that is to be spread has at most half of its tasks, rounded up, in one zone. */
-const mostPerZone = (spec: JobSubmission): number => Math.ceil(spec.tasks / 2);
+const maxPerZone = (spec: JobSubmission): number => Math.ceil(spec.tasks / 2);
 
-function inZone(places: Place[], zone: string): number {
+function countInZone(places: Place[], zone: string): number {
   return places.filter((place) => place.zone === zone).length;
 }
 
 /** Is there room for one more task, given where the job's other tasks are? */
-export function fits(spec: JobSubmission, others: Place[], room: MachineRoom): boolean {
-  if (spec.machineTypes && !spec.machineTypes.includes(room.type)) return false;
-  if ((spec.zone && spec.zone !== room.zone) || (room.spot && !spec.spot)) return false;
-  if (spec.oneZone && others.some((other) => other.zone !== room.zone)) return false;
-  if (spec.spread && inZone(others, room.zone) + 1 > mostPerZone(spec)) return false;
-  return room.freeCpus >= spec.cpus;
+export function fits(spec: JobSubmission, others: Place[], machine: MachineCapacity): boolean {
+  if (spec.machineTypes && !spec.machineTypes.includes(machine.type)) return false;
+  if ((spec.zone && spec.zone !== machine.zone) || (machine.spot && !spec.spot)) return false;
+  if (spec.oneZone && others.some((other) => other.zone !== machine.zone)) return false;
+  if (spec.spread && countInZone(others, machine.zone) + 1 > maxPerZone(spec)) return false;
+  return machine.freeCpus >= spec.cpus;
 }
 
 /** In what a place differs from what the job asks for, given where its other tasks are. */
@@ -39,7 +39,7 @@
   if (place.spot && !spec.spot) found.push(' on a spot machine');
   if (spec.oneZone && others.some((other) => other.zone !== place.zone))
     found.push(' not in one zone');
-  const same = inZone(others, place.zone) + 1;
-  if (spec.spread && same > mostPerZone(spec)) found.push(`: ${same} in ${place.zone}`);
+  const same = countInZone(others, place.zone) + 1;
+  if (spec.spread && same > maxPerZone(spec)) found.push(`: ${same} in ${place.zone}`);
   return found;
 }
