--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -1,5 +1,5 @@
 /** Deployments that the digest's scenarios run in. */
-import { ROLLOUT, SETTINGS as DUTIES } from '../sim/cloud-invariants.js';
+import { ROLLOUT_SETTINGS, DUTY_SETTINGS as DUTIES } from '../sim/cloud-invariants.js';
 import type { ClusterConfig } from '../sim/cluster-config.js';
 import type { CloudType } from '../sim/wire/cloud.js';
 
@@ -9,7 +9,7 @@
 export const withDuties: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   saveMoney: true,
-  rollout: ROLLOUT,
+  rollout: ROLLOUT_SETTINGS,
   duties: DUTIES,
 };
 
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,6 +1,6 @@
 /** The scenarios by seed: seeds that are `SCENARIOS.length` apart run the same one with other random numbers. */
 import { type Cluster } from '../sim/cluster.js';
-import { SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
+import { DUTY_SETTINGS as DUTIES, putFeatureLevel } from '../sim/cloud-invariants.js';
 import { OLD, SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
 import { duplicateHeartbeats } from '../sim/faults.js';
 import { THREE_ZONES, largeFleet, unevenMachines, wide, withDuties } from './deployments.js';
@@ -126,7 +126,7 @@
   },
   {
     config: withDuties,
-    prepare: plantLevel,
+    prepare: putFeatureLevel,
     eachSecond: combine(
       mixedJobs,
       every(8, 3, (cluster) => {
@@ -222,7 +222,7 @@
   },
   {
     config: { ...withDuties, nodes: 5, zones: THREE_ZONES },
-    prepare: plantLevel,
+    prepare: putFeatureLevel,
     eachSecond: combine(
       mixedJobs,
       gangs,
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -4,7 +4,12 @@
 import { DUTIES, type Intent, INTENTS_PREFIX } from '@millring/duties';
 import { Cluster } from './sim/cluster.js';
 import type { ClusterConfig } from './sim/cluster-config.js';
-import { CloudInvariants, ROLLOUT, SETTINGS, plantLevel } from './sim/cloud-invariants.js';
+import {
+  CloudInvariants,
+  ROLLOUT_SETTINGS,
+  DUTY_SETTINGS,
+  putFeatureLevel,
+} from './sim/cloud-invariants.js';
 import { BATCH } from './sim/jobs.js';
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
 
@@ -20,10 +25,17 @@
       if (second > 0) faults(cluster, second);
     };
     const outcome = await runScenario(
-      { ordinaryUp: 0, seed, saveMoney: true, rollout: ROLLOUT, duties: SETTINGS, ...config },
+      {
+        ordinaryUp: 0,
+        seed,
+        saveMoney: true,
+        rollout: ROLLOUT_SETTINGS,
+        duties: DUTY_SETTINGS,
+        ...config,
+      },
       before,
       (cluster) => {
-        plantLevel(cluster);
+        putFeatureLevel(cluster);
         watch = new CloudInvariants(cluster);
       },
     );
@@ -47,10 +59,10 @@
     seed: 51,
     ordinaryUp: 4,
     capacity: 8,
-    rollout: ROLLOUT,
-    duties: SETTINGS,
+    rollout: ROLLOUT_SETTINGS,
+    duties: DUTY_SETTINGS,
   });
-  plantLevel(cluster);
+  putFeatureLevel(cluster);
   cluster.state.putDirectly('duties/holds/return', { by: 'operator', sinceMs: 0 });
   await cluster.run(45);
   const named = (): string[] =>
@@ -90,10 +102,10 @@
     seed: 52,
     ordinaryUp: 0,
     capacity: 8,
-    rollout: ROLLOUT,
-    duties: SETTINGS,
+    rollout: ROLLOUT_SETTINGS,
+    duties: DUTY_SETTINGS,
   });
-  plantLevel(cluster);
+  putFeatureLevel(cluster);
   const watch = new CloudInvariants(cluster);
   cluster.state.putDirectly('duties/holds/rent', { by: 'operator', sinceMs: 0 });
   await cluster.run(3);
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -1,6 +1,11 @@
 /** The duties of a fleet of 4,000 machines, beside the leader acting itself. Simulated; see docs/duties.md. */
 import { DUTIES } from '@millring/duties';
-import { CloudInvariants, ROLLOUT, SETTINGS, plantLevel } from './sim/cloud-invariants.js';
+import {
+  CloudInvariants,
+  ROLLOUT_SETTINGS,
+  DUTY_SETTINGS,
+  putFeatureLevel,
+} from './sim/cloud-invariants.js';
 import { Cluster } from './sim/cluster.js';
 import { BATCH } from './sim/jobs.js';
 
@@ -49,10 +54,10 @@
     cloudRps: 3,
     pollMs: 400,
     state: { rps: 200, writeRps: 30 },
-    rollout: ROLLOUT,
-    duties: { ...SETTINGS, mode },
+    rollout: ROLLOUT_SETTINGS,
+    duties: { ...DUTY_SETTINGS, mode },
   });
-  plantLevel(cluster);
+  putFeatureLevel(cluster);
   const watch = mode === 'on' ? new CloudInvariants(cluster) : null;
   await cluster.run(14);
   for (let i = 0; i < 16; i++)
--- a/test/sim/cloud-invariants.ts
+++ b/test/sim/cloud-invariants.ts
@@ -4,16 +4,16 @@
 import type { Cluster } from './cluster.js';
 import { decodeCloudRequest } from './wire/cloud.js';
 
-const LEVEL = 3;
+const FEATURE_LEVEL = 3;
 /** As in the operators' file. */
-export const ROLLOUT = {
+export const ROLLOUT_SETTINGS = {
   mode: 'manual',
   announcement_lease_s: 3,
   stall_s: 15,
   ungated_builds_retired: true,
 } as const;
 /** How the duties take part, as in the operators' file. */
-export const SETTINGS = {
+export const DUTY_SETTINGS = {
   mode: 'on',
   lease_s: 2,
   settle_s: 4,
@@ -22,10 +22,10 @@
 } as const;
 
 /** The level has been raised before anything runs. */
-export function plantLevel(cluster: Cluster): void {
+export function putFeatureLevel(cluster: Cluster): void {
   cluster.state.putDirectly('rollout/level', {
     state: 'stable',
-    active: LEVEL,
+    active: FEATURE_LEVEL,
     target: null,
     change: 8,
     changedBy: 'n0',
@@ -63,11 +63,11 @@
     for (const [key, { value }] of state.items)
       if (key.startsWith(INTENTS_PREFIX))
         this.intents.set(key.slice(INTENTS_PREFIX.length), value as Intent);
-    this.checkOpen();
+    this.checkOpenIntents();
   }
 
   /** No machine is to be deleted twice, and no pool rented from twice at a time, whoever leads. */
-  private checkOpen(): void {
+  private checkOpenIntents(): void {
     const seen = new Set<string>();
     for (const [key, { value }] of this.cluster.state.items) {
       const intent = key.startsWith(INTENTS_PREFIX) ? (value as Intent) : null;
