--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -12,7 +12,7 @@
 }
 
 /** What a simulated process shares with others, and its own clock and log. */
-export interface SimulatedSurroundings {
+export interface SimulatedEnvironment {
   clock: VirtualClock;
   network: Network;
   random: SeededRandom;
@@ -37,9 +37,9 @@
 export function simulatedRuntime(
   host: string,
   process: SimulatedProcess,
-  surroundings: SimulatedSurroundings,
+  environment: SimulatedEnvironment,
 ): Runtime {
-  const { clock, network, own, seen } = surroundings;
+  const { clock, network, own, seen } = environment;
   const whenThisResumes = (callback: () => void): void => {
     whenResumed(process, clock, callback);
   };
@@ -54,14 +54,14 @@
     http: {
       send: (to, method, path, body, timeoutMs) =>
         new Promise((done) => {
-          void network.send(host, to, method, path, body, timeoutMs).then((reply) => {
+          void network.send(host, to, method, path, body, timeoutMs).then((response) => {
             whenThisResumes(() => {
-              done(seen ? seen(path, reply) : reply);
+              done(seen ? seen(path, response) : response);
             });
           });
         }),
     },
-    log: surroundings.log,
-    random: () => surroundings.random.unit(),
+    log: environment.log,
+    random: () => environment.random.unit(),
   };
 }
