--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -154,15 +154,17 @@
   }
 
   /** Room for one task, or for a whole gang of which nothing is anywhere. */
-  private hasCapacity(job: ObservedJob, id: string, rooms: MachineCapacity[]): boolean {
-    const fitting = rooms.filter((machine) => fits(job.spec, [...this.placesOfJob(id)], machine));
+  private hasCapacity(job: ObservedJob, id: string, capacities: MachineCapacity[]): boolean {
+    const fitting = capacities.filter((machine) =>
+      fits(job.spec, [...this.placesOfJob(id)], machine),
+    );
     if (job.spec.kind !== 'gang') return fitting.length > 0;
     if ((this.placedTasksByJob.get(id)?.size ?? 0) > 0) return false;
     const zones = job.spec.oneZone ? [...new Set(fitting.map((machine) => machine.zone))] : [null];
     return zones.some((zone) => {
-      const inSameZone = fitting.filter((room) => zone === null || room.zone === zone);
+      const inSameZone = fitting.filter((machine) => zone === null || machine.zone === zone);
       const count = inSameZone.reduce(
-        (sum, room) => sum + Math.floor(room.freeCpus / job.spec.cpus),
+        (sum, machine) => sum + Math.floor(machine.freeCpus / job.spec.cpus),
         0,
       );
       return count >= job.spec.tasks;
@@ -170,7 +172,7 @@
   }
 
   /** All faults are over: no job is left waiting beside room, with its team under its limit. */
-  checkWaiting(rooms: MachineCapacity[], fetching: string[]): void {
+  checkWaiting(capacities: MachineCapacity[], fetching: string[]): void {
     const used = new Map(this.usedCpusByTeam);
     for (const task of fetching) {
       const { team } = this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec;
@@ -183,7 +185,7 @@
       const cpus = (used.get(team) ?? 0) + together * job.spec.cpus;
       const isUnderLimit = cpus <= (this.limits.get(team) ?? Infinity);
       const isWaiting =
-        this.hasTasksLeft(id, job) && isUnderLimit && this.hasCapacity(job, id, rooms);
+        this.hasTasksLeft(id, job) && isUnderLimit && this.hasCapacity(job, id, capacities);
       this.recordWaiting(id, job, isWaiting);
     }
   }
