--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -167,9 +167,9 @@
       clock: this.clock,
       network: this.network,
       random: this.random,
-      own: this.clock.host(this.random.between(1, 1.0005), () => process.alive),
+      processClock: this.clock.host(this.random.between(1, 1.0005), () => process.alive),
       log: this.logOf(name),
-      seen: this.ungated.has(name) ? withoutGate : undefined,
+      alterResponse: this.ungated.has(name) ? withoutGate : undefined,
     });
     const tell = (message: PeerMessage): void => {
       this.peerMessageListener(message);
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -17,10 +17,10 @@
   network: Network;
   random: SeededRandom;
   /** The process's own clock. */
-  own: Clock;
+  processClock: Clock;
   log: Log;
   /** What the process makes of an answer; else the answer itself. */
-  seen?: ((path: string, reply: HttpResponse) => HttpResponse) | undefined;
+  alterResponse?: ((path: string, reply: HttpResponse) => HttpResponse) | undefined;
 }
 
 /** Runs the callback once the process goes on, unless it has ended by then. */
@@ -39,15 +39,15 @@
   process: SimulatedProcess,
   environment: SimulatedEnvironment,
 ): Runtime {
-  const { clock, network, own, seen } = environment;
+  const { clock, network, processClock, alterResponse } = environment;
   const whenThisResumes = (callback: () => void): void => {
     whenResumed(process, clock, callback);
   };
   return {
     clock: {
-      now: () => own.now(),
+      now: () => processClock.now(),
       after: (ms, callback) =>
-        own.after(ms, () => {
+        processClock.after(ms, () => {
           whenThisResumes(callback);
         }),
     },
@@ -56,7 +56,7 @@
         new Promise((done) => {
           void network.send(host, to, method, path, body, timeoutMs).then((response) => {
             whenThisResumes(() => {
-              done(seen ? seen(path, response) : response);
+              done(alterResponse ? alterResponse(path, response) : response);
             });
           });
         }),
