--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -65,17 +65,17 @@
   await cluster.run(2.5);
   await poll('n1');
   assert.deepEqual(
-    cluster.nodeNames.map((n) => cluster.healthy(n)),
+    cluster.nodeNames.map((n) => cluster.isHealthy(n)),
     [true, false, true],
   );
   await cluster.run(8);
-  assert.equal(cluster.healthy('n1'), true, 'and comes back without being asked');
+  assert.equal(cluster.isHealthy('n1'), true, 'and comes back without being asked');
   cluster.state.beginOutage(6000);
   for (const name of cluster.nodeNames) await poll(name);
   await cluster.run(2);
   for (const name of cluster.nodeNames) assert.equal((await poll(name)).status, 503);
   assert.deepEqual(
-    cluster.nodeNames.map((n) => cluster.healthy(n)),
+    cluster.nodeNames.map((n) => cluster.isHealthy(n)),
     [true, true, true],
   );
 });
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -133,10 +133,10 @@
 
   /** The builds that the present processes run. */
   readonly startedWith = new Map<string, Build>();
-  private readonly ungatedNow = new Set<string>();
+  private readonly runningUngated = new Set<string>();
 
   runsUngated(name: string): boolean {
-    return this.ungatedNow.has(name);
+    return this.runningUngated.has(name);
   }
 
   /** How far a node's wall clock is off. */
@@ -171,7 +171,7 @@
       log: this.logOf(name),
       alterResponse: this.ungated.has(name) ? withoutGate : undefined,
     });
-    const tell = (message: PeerMessage): void => {
+    const broadcast = (message: PeerMessage): void => {
       this.peerMessageListener(message);
       for (const [other, target] of this.processes)
         if (other !== name)
@@ -183,8 +183,8 @@
     const operator = defaultOperatorSettings();
     const build = this.builds.get(name) ?? BUILD;
     this.startedWith.set(name, build);
-    if (this.ungated.has(name)) this.ungatedNow.add(name);
-    else this.ungatedNow.delete(name);
+    if (this.ungated.has(name)) this.runningUngated.add(name);
+    else this.runningUngated.delete(name);
     const node = new ControllerNode({
       runtime,
       settings: { ...nodeSettings(name, this.nodeNames, this.config), ...this.overrides.get(name) },
@@ -196,7 +196,7 @@
           : { ...operator.rollout, ...this.config.rollout },
       },
       wallMs: () => 1e12 + this.clock.time + (this.wallSkewMs.get(name) ?? 0),
-      broadcast: tell,
+      broadcast,
       build,
     });
     process.node = node;
@@ -237,22 +237,22 @@
     return this.processes.get(name)!.alive;
   }
 
-  healthy(name: string): boolean {
+  isHealthy(name: string): boolean {
     return this.processes.get(name)!.node.health().kind === 'healthy';
   }
 
-  private leads(name: string): boolean {
+  private isLeading(name: string): boolean {
     const { alive, node } = this.processes.get(name)!;
     return alive && node.leadership.isLeader();
   }
 
   leader(): string | undefined {
-    return this.nodeNames.find((name) => this.leads(name));
+    return this.nodeNames.find((name) => this.isLeading(name));
   }
 
   /** How many nodes think that they lead: never more than one. */
-  leaders(): number {
-    return this.nodeNames.filter((name) => this.leads(name)).length;
+  countLeaders(): number {
+    return this.nodeNames.filter((name) => this.isLeading(name)).length;
   }
 
   private fetching(): string[] {
@@ -273,16 +273,16 @@
   }
 
   async run(seconds: number): Promise<void> {
-    let most = 0;
+    let maxLeaders = 0;
     await this.clock.runUntil(this.clock.time + seconds * 1000, () => {
       this.invariants.check();
       for (const check of this.checks) check();
-      most = Math.max(most, this.leaders());
+      maxLeaders = Math.max(maxLeaders, this.countLeaders());
     });
     if (this.faultsEndedAt !== null) {
       this.invariants.checkResponded(this.faultsEndedAt);
       this.invariants.checkWaiting(this.machineCapacities(), this.fetching());
     }
-    if (most > 1) this.invariants.recordViolation('two_leaders', String(most));
+    if (maxLeaders > 1) this.invariants.recordViolation('two_leaders', String(maxLeaders));
   }
 }
