--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -37,7 +37,7 @@
   );
   for (let i = 0; i < MACHINES; i++) service.add('t16', 'a', false, true);
   const runtime: Runtime = {
-    clock: clock.host(1, () => true),
+    clock: clock.hostClock(1, () => true),
     http: {
       send: (_to, _method, path, body) =>
         new Promise((done) => {
--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -28,12 +28,12 @@
   }
 
   /** The clock of one host: it may run fast or slow by a little. */
-  host(rate: number, alive: () => boolean): Clock {
+  hostClock(rate: number, isAlive: () => boolean): Clock {
     return {
       now: () => this.time * rate,
       after: (ms, callback) =>
         this.after(ms / rate, () => {
-          if (alive()) callback();
+          if (isAlive()) callback();
         }),
     };
   }
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -167,7 +167,7 @@
       clock: this.clock,
       network: this.network,
       random: this.random,
-      processClock: this.clock.host(this.random.between(1, 1.0005), () => process.alive),
+      processClock: this.clock.hostClock(this.random.between(1, 1.0005), () => process.alive),
       log: this.logOf(name),
       alterResponse: this.ungated.has(name) ? withoutGate : undefined,
     });
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -97,7 +97,7 @@
       clock: this.clock,
       network: this.network,
       random: this.random,
-      processClock: this.clock.host(rate, () => process.alive),
+      processClock: this.clock.hostClock(rate, () => process.alive),
       log: { ...quietLog, info: note, error: note },
     });
   }
