--- a/test/cluster.test.ts
+++ b/test/cluster.test.ts
@@ -91,8 +91,8 @@
     const outcome = await runScenario({ seed, ordinaryUp: 8 }, (cluster, second) => {
       if (second === 15 || second === 40)
         cluster.network.partitions.push({
-          a: cluster.faults.inWholeZone('a'),
-          b: cluster.faults.inWholeZone('b'),
+          a: cluster.faults.isHostIn('a'),
+          b: cluster.faults.isHostIn('b'),
           until: cluster.clock.time + (second === 15 ? 9500 : 25_000),
           mode: cluster.random.pick(['hold', 'reset']),
         });
@@ -154,7 +154,7 @@
       const until = cluster.clock.time + cluster.random.between(8000, 25_000);
       const mode = cluster.random.pick(['hold', 'reset'] as const);
       const isNode = (host: string): boolean => cluster.nodeNames.some((n) => host === `${n}:80`);
-      const inside = cluster.faults.inWholeZone(cluster.random.pick(['a', 'b']));
+      const inside = cluster.faults.isHostIn(cluster.random.pick(['a', 'b']));
       if (second === 8)
         cluster.network.partitions.push({ a: isNode, b: isNode, until, mode: 'reset' });
       if (second === 25)
--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -90,7 +90,7 @@
 
 /** Machines and controllers of a zone are apart from all others. */
 export function partitionZone(cluster: Cluster, zone: string): void {
-  const inside = cluster.faults.inWholeZone(zone);
+  const inside = cluster.faults.isHostIn(zone);
   cluster.network.partitions.push({
     a: inside,
     b: (host) => !inside(host),
--- a/test/failover-faults.test.ts
+++ b/test/failover-faults.test.ts
@@ -97,8 +97,8 @@
     mode: 'reset',
   });
   cluster.network.partitions.push({
-    a: cluster.faults.inWholeZone('a'),
-    b: cluster.faults.inWholeZone('b'),
+    a: cluster.faults.isHostIn('a'),
+    b: cluster.faults.isHostIn('b'),
     until,
     mode: 'hold',
   });
@@ -131,7 +131,7 @@
   await cluster.run(12);
   // So that zone b with its two controllers is the one to lose.
   await leaderFromZoneA(cluster);
-  const inB = cluster.faults.inWholeZone('b');
+  const inB = cluster.faults.isHostIn('b');
   cluster.network.partitions.push({
     a: inB,
     b: (host) => !inB(host),
--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -110,7 +110,7 @@
   [161, 162],
   (cluster, second) => {
     if (second !== 10 && second !== 38) return;
-    const inside = cluster.faults.inWholeZone('b');
+    const inside = cluster.faults.isHostIn('b');
     const until = cluster.clock.time + 16_000;
     cluster.network.partitions.push({
       a: inside,
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -72,7 +72,7 @@
   cluster.faults.cancelRunning(3, 12_000);
   await cluster.run(10);
   cluster.network.partitions.push({
-    a: cluster.faults.inZone('d'),
+    a: cluster.faults.isMachineHostIn('d'),
     b: () => true,
     until: cluster.clock.time + 18_000,
     mode: 'hold',
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -102,7 +102,7 @@
   if (second === 20) {
     const until = cluster.clock.time + 18_000;
     cluster.network.partitions.push({
-      a: cluster.faults.inZone('d'),
+      a: cluster.faults.isMachineHostIn('d'),
       b: () => true,
       until,
       mode: 'hold',
--- a/test/sim/cluster-faults.ts
+++ b/test/sim/cluster-faults.ts
@@ -88,15 +88,15 @@
   }
 
   /** Everything that ends at a machine of the zone. */
-  inZone(zone: string): (host: string) => boolean {
+  isMachineHostIn(zone: string): (host: string) => boolean {
     return this.hostsOf((id) => this.deps.cloud.machines.get(id)?.zone === zone);
   }
 
   /** Everything that ends at a machine or a controller of the zone. */
-  inWholeZone(zone: string): (host: string) => boolean {
-    const isMachineThere = this.inZone(zone);
-    const isNodeThere = (host: string): boolean =>
+  isHostIn(zone: string): (host: string) => boolean {
+    const isMachineHost = this.isMachineHostIn(zone);
+    const isNodeHost = (host: string): boolean =>
       this.deps.isNode(host) && zoneOf(host.slice(0, host.indexOf(':'))) === zone;
-    return (host) => isMachineThere(host) || isNodeThere(host);
+    return (host) => isMachineHost(host) || isNodeHost(host);
   }
 }
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -175,7 +175,7 @@
 }
 
 function partitionMachinesOf(cluster: Cluster, zone: string, forMs: number): void {
-  const isInside = cluster.faults.inZone(zone);
+  const isInside = cluster.faults.isMachineHostIn(zone);
   cluster.network.partitions.push({
     a: isInside,
     b: (host) => !isInside(host),
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -70,7 +70,7 @@
     cluster.crash(cluster.nodeNames[(second - 20) / 6], 2000);
   if (second === 42)
     cluster.network.partitions.push({
-      a: cluster.faults.inZone('b'),
+      a: cluster.faults.isMachineHostIn('b'),
       b: () => true,
       until: cluster.clock.time + 9000,
       mode: 'hold',
