--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -17,7 +17,7 @@
   /** Its machine stands still. */
   hangs(): boolean;
   /** How much longer everything takes there. */
-  slow: number;
+  slowness: number;
 }
 
 interface Gang {
@@ -27,7 +27,7 @@
   /** When it began to run, and how far the job was then, in milliseconds of progress. */
   beganAt: number;
   base: number;
-  pace: number;
+  slowness: number;
   /** Progress at the first stop, and when that was. */
   firstStop: { at: number; progress: number } | null;
 }
@@ -39,7 +39,7 @@
     stopRequests: new Map(),
     beganAt: 0,
     base: 0,
-    pace: 1,
+    slowness: 1,
     firstStop: null,
   };
 }
@@ -80,10 +80,10 @@
     this.begun++;
     gang.beganAt = this.clock.time;
     gang.base = job.progressMs;
-    gang.pace = Math.max(...[...gang.members.values()].map((m) => m.slow));
+    gang.slowness = Math.max(...[...gang.members.values()].map((m) => m.slowness));
     for (const member of gang.members.values()) member.run();
     const left =
-      job.finishedTasks.size > 0 ? 1 : (job.spec.durationS * 1000 - gang.base) * gang.pace;
+      job.finishedTasks.size > 0 ? 1 : (job.spec.durationS * 1000 - gang.base) * gang.slowness;
     this.clock.after(Math.max(1, left), () => {
       if (gang.state !== 'running') return;
       if ([...gang.members.values()].some((m) => m.hangs())) {
@@ -125,7 +125,7 @@
   }
 
   private progress(gang: Gang): number {
-    return gang.base + (this.clock.time - gang.beganAt) / gang.pace;
+    return gang.base + (this.clock.time - gang.beganAt) / gang.slowness;
   }
 
   /** Gone from its machine, for whatever reason: the others of a gang that runs fall apart. */
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -234,7 +234,7 @@
       leaseMs: this.config.leaseMs,
       pollMs: POLL_MS,
       nodes: this.config.controllers,
-      slow: 1,
+      slowness: 1,
       faulty: false,
     });
     this.delayStarts(this.endpointOf(machine.id));
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -33,7 +33,7 @@
   zone: string;
   spot: boolean;
   /** How much longer everything takes here. */
-  slow: number;
+  slowness: number;
   /** Tasks fail soon after they begin. */
   faulty: boolean;
 }
@@ -163,7 +163,7 @@
         });
       },
       hangs: () => this.deps.isHanging(),
-      slow: this.deps.machine.slow,
+      slowness: this.deps.machine.slowness,
     });
   }
 
@@ -228,6 +228,8 @@
   /** The result of a task that was done before is kept. */
   private runMs(job: ObservedJob, taskNumber: number): number {
     if (job.finishedTasks.has(taskNumber)) return 1;
-    return job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slow;
+    return (
+      job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slowness
+    );
   }
 }
