--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -8,14 +8,14 @@
 export const GANG_WAIT_MS = 6000;
 /** Tasks of a gang end within this time after one of them is lost. */
 export const GANG_PEER_MS = 2000;
-const LOOK_MS = 250;
+const HANG_CHECK_INTERVAL_MS = 250;
 
 /** A task of a gang that has its image, as its worker stands for it. */
 export interface Member {
   run(): void;
   exit(cause: ReportedExitCause): void;
   /** Its machine stands still. */
-  hangs(): boolean;
+  isHanging(): boolean;
   /** How much longer everything takes there. */
   slowness: number;
 }
@@ -25,8 +25,8 @@
   members: Map<number, Member>;
   stopRequests: Map<number, number>;
   /** When it began to run, and how far the job was then, in milliseconds of progress. */
-  beganAt: number;
-  base: number;
+  startedAt: number;
+  progressAtStart: number;
   slowness: number;
   /** Progress at the first stop, and when that was. */
   firstStop: { at: number; progress: number } | null;
@@ -37,8 +37,8 @@
     state: 'gathering',
     members: new Map(),
     stopRequests: new Map(),
-    beganAt: 0,
-    base: 0,
+    startedAt: 0,
+    progressAtStart: 0,
     slowness: 1,
     firstStop: null,
   };
@@ -68,8 +68,8 @@
     this.gangs.set(key, gang);
     gang.members.set(taskNumber, member);
     this.clock.after(GANG_WAIT_MS, () => {
-      const waits = gang.state !== 'running' && gang.state !== 'stopping';
-      if (waits && gang.members.get(taskNumber) === member)
+      const isWaiting = gang.state !== 'running' && gang.state !== 'stopping';
+      if (isWaiting && gang.members.get(taskNumber) === member)
         this.leave(job, attempt, taskNumber, 'incomplete');
     });
     if (gang.state === 'gathering' && gang.members.size === job.spec.tasks) this.begin(job, gang);
@@ -78,15 +78,17 @@
   private begin(job: ObservedJob, gang: Gang): void {
     gang.state = 'running';
     this.begun++;
-    gang.beganAt = this.clock.time;
-    gang.base = job.progressMs;
+    gang.startedAt = this.clock.time;
+    gang.progressAtStart = job.progressMs;
     gang.slowness = Math.max(...[...gang.members.values()].map((m) => m.slowness));
     for (const member of gang.members.values()) member.run();
-    const left =
-      job.finishedTasks.size > 0 ? 1 : (job.spec.durationS * 1000 - gang.base) * gang.slowness;
-    this.clock.after(Math.max(1, left), () => {
+    const remainingMs =
+      job.finishedTasks.size > 0
+        ? 1
+        : (job.spec.durationS * 1000 - gang.progressAtStart) * gang.slowness;
+    this.clock.after(Math.max(1, remainingMs), () => {
       if (gang.state !== 'running') return;
-      if ([...gang.members.values()].some((m) => m.hangs())) {
+      if ([...gang.members.values()].some((m) => m.isHanging())) {
         this.fail(job, gang);
         return;
       }
@@ -98,9 +100,9 @@
   /** The others notice one that hangs. */
   private watch(job: ObservedJob, gang: Gang): void {
     if (gang.state !== 'running') return;
-    if ([...gang.members.values()].some((m) => m.hangs())) this.fail(job, gang);
+    if ([...gang.members.values()].some((m) => m.isHanging())) this.fail(job, gang);
     else
-      this.clock.after(LOOK_MS, () => {
+      this.clock.after(HANG_CHECK_INTERVAL_MS, () => {
         this.watch(job, gang);
       });
   }
@@ -108,9 +110,13 @@
   /** Back to the last checkpoint; whoever is left goes within a while. */
   private fail(job: ObservedJob, gang: Gang): void {
     if (gang.state === 'over') return;
-    const every = job.spec.checkpointEveryS * 1000;
+    const checkpointIntervalMs = job.spec.checkpointEveryS * 1000;
     const progress = gang.firstStop?.progress ?? this.progress(gang);
-    if (every > 0) job.progressMs = Math.max(job.progressMs, Math.floor(progress / every) * every);
+    if (checkpointIntervalMs > 0)
+      job.progressMs = Math.max(
+        job.progressMs,
+        Math.floor(progress / checkpointIntervalMs) * checkpointIntervalMs,
+      );
     for (const member of this.disband(gang))
       this.clock.after(this.random.between(0, GANG_PEER_MS), () => {
         member.exit('peer_lost');
@@ -125,7 +131,7 @@
   }
 
   private progress(gang: Gang): number {
-    return gang.base + (this.clock.time - gang.beganAt) / gang.slowness;
+    return gang.progressAtStart + (this.clock.time - gang.startedAt) / gang.slowness;
   }
 
   /** Gone from its machine, for whatever reason: the others of a gang that runs fall apart. */
@@ -148,8 +154,8 @@
   stop(job: ObservedJob, attempt: number, taskNumber: number, graceS: number): void {
     const gang = this.gangs.get(`${job.spec.id}#${attempt}`);
     const saveS = job.spec.checkpointS;
-    const saves = job.spec.checkpointEveryS > 0 && graceS >= saveS;
-    if (!gang || !saves || (gang.state !== 'running' && gang.state !== 'stopping')) {
+    const canSave = job.spec.checkpointEveryS > 0 && graceS >= saveS;
+    if (!gang || !canSave || (gang.state !== 'running' && gang.state !== 'stopping')) {
       this.leave(job, attempt, taskNumber, 'stopped');
       return;
     }
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -162,7 +162,7 @@
           this.exit(task, cause);
         });
       },
-      hangs: () => this.deps.isHanging(),
+      isHanging: () => this.deps.isHanging(),
       slowness: this.deps.machine.slowness,
     });
   }
