--- a/test/gang-room.test.ts
+++ b/test/gang-room.test.ts
@@ -1,7 +1,7 @@
 /** Room for gangs beside other work, and beside each other. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { clusterWithoutLoss, machinesOfJob, submit, until } from './sim/gang-scenarios.js';
+import { clusterWithoutLoss, machinesOfJob, submit, runUntil } from './sim/gang-scenarios.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 
 test('a gang that gathers and finds no room for a missing task leaves its room to others at once', async () => {
@@ -20,10 +20,10 @@
     image: 'img-9',
     imageGb: 30,
   });
-  await until(cluster, () => machinesOfJob(cluster, job).length > 0, 120);
+  await runUntil(cluster, () => machinesOfJob(cluster, job).length > 0, 120);
   cluster.cloud.preempt(cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!);
   const other = submit(cluster, { ...BATCH, tasks: 2, cpus: 8, durationS: 2 });
-  await until(cluster, () => other.firstStartAt !== null, 12);
+  await runUntil(cluster, () => other.firstStartAt !== null, 12);
   assert.equal(cluster.gangs.begun, 0);
   assert.deepEqual(cluster.invariants.violations, []);
 });
@@ -47,7 +47,7 @@
       durationS,
       checkpointEveryS: 100,
     });
-    await until(cluster, () => cluster.gangs.begun === 1, 20);
+    await runUntil(cluster, () => cluster.gangs.begun === 1, 20);
     await cluster.run(1);
     const leaving = cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!;
     leaving.worker!.preemptionDeadline = cluster.clock.time + graceMs;
@@ -175,7 +175,7 @@
   );
   await cluster.run(4);
   const job = submit(cluster, { ...GANG, tasks: 6 });
-  await until(cluster, () => job.firstStartAt !== null, 8);
+  await runUntil(cluster, () => job.firstStartAt !== null, 8);
   await cluster.run(100);
   for (const array of arrays) assert.notEqual(array.reportedDoneAt, null);
   assert.deepEqual(cluster.invariants.violations, []);
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
 import { LEASE_MS } from './sim/cluster-config.js';
-import { clusterWithoutLoss, machinesOfJob, submit, until } from './sim/gang-scenarios.js';
+import { clusterWithoutLoss, machinesOfJob, submit, runUntil } from './sim/gang-scenarios.js';
 import { GANG } from './sim/jobs.js';
 import { type ScenarioOutcome, testScenarios } from './sim/run-scenario.js';
 import { duplicateHeartbeats, leaderOrRandomNode, pickMachines } from './sim/faults.js';
@@ -21,7 +21,7 @@
   const cluster = await clusterWithoutLoss({ seed: 2 });
   // Nobody knows the image yet, so that they gather for a while; in two zones, on machines of their own.
   const job = submit(cluster, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
-  await until(
+  await runUntil(
     cluster,
     () => machinesOfJob(cluster, job).length > 1 && cluster.gangs.begun === 0,
     10,
@@ -38,7 +38,7 @@
 test('a task lost while the gang runs: it starts again whole, from the saved progress', async () => {
   const cluster = await clusterWithoutLoss({ seed: 3 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8 });
-  await until(cluster, () => cluster.gangs.begun === 1, 15);
+  await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   await cluster.run(4.5);
   cluster.cloud.preempt(cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!);
   await cluster.run(40);
@@ -56,7 +56,7 @@
 test('one task is done, so all are: a machine that goes before it could say so changes nothing', async () => {
   const cluster = await clusterWithoutLoss({ seed: 7 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8 });
-  await until(cluster, () => cluster.gangs.begun === 1, 15);
+  await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   const [mute] = machinesOfJob(cluster, job);
   await cluster.run(5);
   cluster.network.partitions.push({
@@ -65,7 +65,7 @@
     until: Infinity,
     mode: 'hold',
   });
-  await until(cluster, () => job.finishedTasks.size === 6, 5);
+  await runUntil(cluster, () => job.finishedTasks.size === 6, 5);
   cluster.cloud.preempt(cluster.cloud.machines.get(mute)!);
   await cluster.run(30);
   assert.equal(cluster.gangs.begun, 1);
@@ -76,7 +76,7 @@
 test('a notice stops the gang in order: all are told, and nothing is lost', async () => {
   const cluster = await clusterWithoutLoss({ seed: 4 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8, durationS: 20, checkpointEveryS: 19 });
-  await until(cluster, () => cluster.gangs.begun === 1, 15);
+  await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   await cluster.run(5);
   cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!.worker!.preemptionDeadline =
     cluster.clock.time + 8000;
@@ -91,7 +91,7 @@
 test('a notice while the gang gathers: only the task there is replaced, and the others go on waiting', async () => {
   const cluster = await clusterWithoutLoss({ seed: 14 });
   const job = submit(cluster, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
-  await until(
+  await runUntil(
     cluster,
     () => machinesOfJob(cluster, job).length > 1 && cluster.gangs.begun === 0,
     10,
--- a/test/sim/gang-scenarios.ts
+++ b/test/sim/gang-scenarios.ts
@@ -28,7 +28,11 @@
     .map(([, places]) => places[0].machine);
 
 /** Runs the cluster until this holds; fails after so many seconds. */
-export async function until(cluster: Cluster, what: () => boolean, seconds: number): Promise<void> {
-  for (let step = 0; step < seconds * 20 && !what(); step++) await cluster.run(0.05);
-  assert.ok(what(), 'came about');
+export async function runUntil(
+  cluster: Cluster,
+  condition: () => boolean,
+  seconds: number,
+): Promise<void> {
+  for (let step = 0; step < seconds * 20 && !condition(); step++) await cluster.run(0.05);
+  assert.ok(condition(), 'came about');
 }
