--- a/test/sim/gang-scenarios.ts
+++ b/test/sim/gang-scenarios.ts
@@ -15,8 +15,8 @@
 }
 
 /** Submits a job for a user that asks until it is over. */
-export function submit(cluster: Cluster, over: Partial<JobSubmission>): ObservedJob {
-  const job = cluster.users.newJob(over);
+export function submit(cluster: Cluster, overrides: Partial<JobSubmission>): ObservedJob {
+  const job = cluster.users.newJob(overrides);
   void cluster.users.run(job, null);
   return cluster.invariants.jobs.get(job.id)!;
 }
--- a/test/sim/job-spec.ts
+++ b/test/sim/job-spec.ts
@@ -2,7 +2,7 @@
 import type { JobSpec } from '../../src/wire/model.js';
 
 /** An array as the controllers keep it, for tests of single parts. */
-export function spec(over: Partial<JobSpec> = {}): JobSpec {
+export function spec(overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'run-1',
     cls: 'batch',
@@ -24,6 +24,6 @@
     checkpointS: 0,
     saveS: 0,
     deadlineS: null,
-    ...over,
+    ...overrides,
   };
 }
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -36,8 +36,8 @@
 
   constructor(private readonly deps: UsersDependencies) {}
 
-  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
-    return { ...randomJob(this.nextJob++, this.deps.random), ...over };
+  newJob(overrides: Partial<JobSubmission> = {}): JobSubmission {
+    return { ...randomJob(this.nextJob++, this.deps.random), ...overrides };
   }
 
   private async send({ method, path, body }: UserRequest, via?: string): Promise<JobReply> {
