--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -17,15 +17,15 @@
     const cluster = await clusterWithServices({ seed });
     // Nothing travels between controllers, so that only the bound on what renews a lease helps.
     partitionControllers(cluster);
-    const { first } = await cancelDuringRejection(cluster, 14_000);
+    const { cancelledJob } = await cancelDuringRejection(cluster, 14_000);
     cluster.state.beginOutage(CANCEL_MS + 12_000);
     // Its machines stand still at the end of their leases, and go on.
-    for (const place of cluster.invariants.placesByTask.get(`${first}/0`) ?? [])
+    for (const place of cluster.invariants.placesByTask.get(`${cancelledJob}/0`) ?? [])
       cluster.clock.after(CANCEL_MS / 2, () => {
         cluster.faults.hangMachine(place.machine, LEASE_MS);
       });
     await cluster.run(CANCEL_MS / 1000 + 10);
-    assert.equal(runningTasksOf(cluster, first), 0);
+    assert.equal(runningTasksOf(cluster, cancelledJob), 0);
     await cluster.run(40);
     assert.deepEqual(cluster.invariants.violations, []);
     assert.deepEqual(cluster.invariants.startsAfterCancellationMs, []);
@@ -109,15 +109,15 @@
   test(`an outage far longer than leases costs nothing while all controllers attest for each other (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
     const { starts } = cluster.invariants;
-    const { first, old } = await cancelDuringRejection(cluster, 14_000);
+    const { cancelledJob, formerLeader } = await cancelDuringRejection(cluster, 14_000);
     assert.equal(
-      runningTasksOf(cluster, first),
+      runningTasksOf(cluster, cancelledJob),
       0,
       'the refused leader has heard of it from the other',
     );
     cluster.state.beginOutage(2 * CANCEL_MS);
     await cluster.run(2 * (CANCEL_MS / 1000) + 10);
-    assert.equal(cluster.leader(), old);
+    assert.equal(cluster.leader(), formerLeader);
     assert.equal(cluster.invariants.placesByTask.size, 9);
     assert.equal(cluster.invariants.starts, starts, 'nothing had to start again');
     assert.deepEqual(cluster.invariants.violations, []);
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -68,7 +68,7 @@
 export async function cancelDuringRejection(
   cluster: Cluster,
   rejectedMs: number,
-): Promise<{ first: string; old: string }> {
+): Promise<{ cancelledJob: string; formerLeader: string }> {
   const old = cluster.leader()!;
   cluster.state.rejectHost(`${old}:80`, rejectedMs);
   await cluster.run(0.2);
@@ -80,7 +80,7 @@
     null,
     'confirmed before the outage',
   );
-  return { first, old };
+  return { cancelledJob: first, formerLeader: old };
 }
 
 /** That share of heartbeats comes again, up to four leases later, to whoever leads then. */
