--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -15,14 +15,14 @@
   doneJobs: number;
 }
 
-function report(cluster: Cluster): ScenarioOutcome {
-  const counted = [...cluster.invariants.jobs.values()].filter(
+function outcomeOf(cluster: Cluster): ScenarioOutcome {
+  const countedJobs = [...cluster.invariants.jobs.values()].filter(
     (job) => job.spec.kind !== 'service' && !job.cancelRequested,
   );
   return {
     cluster,
-    countedJobs: counted.length,
-    doneJobs: counted.filter((job) => job.reportedDoneAt !== null).length,
+    countedJobs: countedJobs.length,
+    doneJobs: countedJobs.filter((job) => job.reportedDoneAt !== null).length,
   };
 }
 
@@ -46,7 +46,7 @@
   }
   cluster.faultsEndedAt = cluster.clock.time + 20_000;
   for (let second = 0; second < 30; second++) await cluster.run(4);
-  return report(cluster);
+  return outcomeOf(cluster);
 }
 
 /** Also that everything is done, unless `finished` is false. */
