--- a/test/sim/lease-table.ts
+++ b/test/sim/lease-table.ts
@@ -3,7 +3,7 @@
 
 interface Lease {
   ttlMs: number;
-  endsAt: number;
+  expiresAt: number;
 }
 
 /** Leases end by the virtual clock; the state service looks which have expired. */
@@ -15,7 +15,7 @@
 
   grant(ttlMs: number): number {
     const id = this.nextId++;
-    this.leases.set(id, { ttlMs, endsAt: this.clock.time + ttlMs });
+    this.leases.set(id, { ttlMs, expiresAt: this.clock.time + ttlMs });
     return id;
   }
 
@@ -25,7 +25,7 @@
 
   renew(id: number): void {
     const lease = this.leases.get(id);
-    if (lease) lease.endsAt = this.clock.time + lease.ttlMs;
+    if (lease) lease.expiresAt = this.clock.time + lease.ttlMs;
   }
 
   /** After an outage no lease ends at once. */
@@ -38,7 +38,7 @@
   }
 
   expired(): number[] {
-    const isExpired = ([, { endsAt }]: [number, Lease]): boolean => endsAt <= this.clock.time;
+    const isExpired = ([, { expiresAt }]: [number, Lease]): boolean => expiresAt <= this.clock.time;
     return [...this.leases].filter(isExpired).map(([id]) => id);
   }
 }
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -109,18 +109,20 @@
 
   private expireLoop(): void {
     if (this.clock.time >= this.downUntil)
-      for (const id of this.leases.expired()) this.endLease(id);
+      for (const id of this.leases.expired()) this.removeLease(id);
     this.clock.after(20, () => {
       this.expireLoop();
     });
   }
 
-  private endLease(id: number): void {
+  private removeLease(id: number): void {
     this.leases.revoke(id);
-    const gone = [...this.items].filter(([, item]) => item.lease === id).map(([key]) => key);
-    if (gone.length === 0) return;
+    const attachedKeys = [...this.items]
+      .filter(([, item]) => item.lease === id)
+      .map(([key]) => key);
+    if (attachedKeys.length === 0) return;
     this.revision++;
-    for (const key of gone) this.removeKey(key);
+    for (const key of attachedKeys) this.removeKey(key);
     this.notify();
   }
 
@@ -133,11 +135,11 @@
   }
 
   async handle(method: string, path: string, body: Body, from: string): Promise<HttpResponse> {
-    const reply = await this.run(method, path, body, from);
+    const response = await this.run(method, path, body, from);
     const slow = this.slowReads && this.clock.time < this.slowReads.until ? this.slowReads.byMs : 0;
     if (slow > 0 && method === 'GET')
       await new Promise<void>((done) => this.clock.after(slow, done));
-    return reply;
+    return response;
   }
 
   private async run(method: string, path: string, body: Body, from: string): Promise<HttpResponse> {
@@ -185,7 +187,7 @@
 
   private changeLease(kind: 'renew-lease' | 'revoke-lease', id: number): HttpResponse {
     if (!this.leases.has(id)) return { status: 404, body: {} };
-    if (kind === 'revoke-lease') this.endLease(id);
+    if (kind === 'revoke-lease') this.removeLease(id);
     else this.leases.renew(id);
     return ok(encodeLease(id));
   }
@@ -246,22 +248,22 @@
   private watch(request: WatchRequest, from: string): Promise<HttpResponse> | HttpResponse {
     const { prefix, afterRevision, waitMs } = request;
     if (this.events.isCompacted(afterRevision)) return { status: 410, body: {} };
-    const look = (): HttpResponse | null => {
+    const tryRespond = (): HttpResponse | null => {
       if (this.isUnavailable(from)) return null;
       const events = this.events.after(prefix, afterRevision);
       return events.length > 0 ? ok(encodeEvents(events, this.revision)) : null;
     };
-    const now = look();
-    if (now) return now;
+    const immediate = tryRespond();
+    if (immediate) return immediate;
     if (this.isUnavailable(from)) return { status: 503, body: {} };
     return new Promise((resolve) => {
-      const finish = (reply: HttpResponse): void => {
+      const finish = (response: HttpResponse): void => {
         this.waiters.delete(wake);
-        resolve(reply);
+        resolve(response);
       };
       const wake = (): void => {
-        const reply = look();
-        if (reply) finish(reply);
+        const response = tryRespond();
+        if (response) finish(response);
       };
       this.waiters.add(wake);
       this.clock.after(waitMs, () => {
