--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -52,14 +52,14 @@
 /** Bursts of so many seconds' worth of calls are allowed. */
 const BURST_S = 2;
 /** A page of the list holds at most so many machines. */
-const PAGE = 500;
+const PAGE_SIZE = 500;
 
 /** Stand-in for the cloud, after PROTOCOL: lists lag and come in pages, some machines never come up. */
 export class CloudService {
   readonly machines = new Map<string, CloudMachine>();
-  private readonly answers = new Map<string, string[]>();
+  private readonly rentalsByRequest = new Map<string, string[]>();
   private readonly snapshots: { at: number; list: MachineListEntry[] }[] = [];
-  private next = 1;
+  private nextNumber = 1;
   downUntil = 0;
   /** Calls that came, and those beyond the rate, which get 429. */
   readonly received = { calls: 0, tooMany: 0 };
@@ -91,11 +91,11 @@
 
   /** Names are never used twice: those of machines that tests only tell of are passed over. */
   numberMachinesFrom(number: number): void {
-    this.next = number;
+    this.nextNumber = number;
   }
 
-  private page(after: string, wanted: number | null): HttpResponse {
-    const limit = Math.min(PAGE, wanted ?? PAGE);
+  private listPage(after: string, wanted: number | null): HttpResponse {
+    const limit = Math.min(PAGE_SIZE, wanted ?? PAGE_SIZE);
     const at = this.clock.time - this.random.between(1000, 4000);
     const list = [...this.snapshots].reverse().find((snapshot) => snapshot.at <= at)?.list ?? [];
     const rest = list.filter((machine) => machine.id > after);
@@ -122,9 +122,9 @@
     });
   }
 
-  add(type: string, zone: string, spot: boolean, up: boolean): CloudMachine {
-    const id = `i-${String(this.next++).padStart(6, '0')}`;
-    const bootMs = up ? 0 : this.random.chance(0.03) ? Infinity : this.random.between(2500, 9000);
+  add(type: string, zone: string, spot: boolean, isUp: boolean): CloudMachine {
+    const id = `i-${String(this.nextNumber++).padStart(6, '0')}`;
+    const bootMs = isUp ? 0 : this.random.chance(0.03) ? Infinity : this.random.between(2500, 9000);
     const machine: CloudMachine = {
       id,
       type,
@@ -164,7 +164,7 @@
         }
         return { status: 200, body: {} };
       case 'list':
-        return this.page(request.after, request.limit);
+        return this.listPage(request.after, request.limit);
       case 'rent':
         return this.rent(request);
     }
@@ -177,8 +177,8 @@
   }
 
   private rent({ request, type, zone, spot, count }: RentalRequest): HttpResponse {
-    const before = this.answers.get(request);
-    if (before) return { status: 200, body: encodeRental(before) };
+    const earlierRental = this.rentalsByRequest.get(request);
+    if (earlierRental) return { status: 200, body: encodeRental(earlierRental) };
     const pool = this.pools.find((p) => p.type === type && p.zone === zone);
     const used = [...this.machines.values()].filter(
       (m) => m.type === type && m.zone === zone && m.spot === spot,
@@ -186,7 +186,7 @@
     const granted = Math.min(count, (pool?.count ?? 0) - used);
     if (granted <= 0) return { status: 503, body: { error: 'no capacity' } };
     const ids = Array.from({ length: granted }, () => this.add(type, zone, spot, false).id);
-    this.answers.set(request, ids);
+    this.rentalsByRequest.set(request, ids);
     return { status: 200, body: encodeRental(ids) };
   }
 }
