--- a/test/sim/autoscaler-harness.ts
+++ b/test/sim/autoscaler-harness.ts
@@ -41,12 +41,12 @@
   readonly table: MachineTable;
   readonly autoscaler: Autoscaler;
 
-  constructor(perZone: number) {
+  constructor(machinesPerZone: number) {
     const runtime = this.createRuntime();
-    const none = (): undefined => undefined;
-    this.table = new MachineTable(100, LEASE_S * 1000, none, {
-      attemptAdded: none,
-      attemptEnded: none,
+    const ignore = (): undefined => undefined;
+    this.table = new MachineTable(100, LEASE_S * 1000, ignore, {
+      attemptAdded: ignore,
+      attemptEnded: ignore,
     });
     const cloud = new Cloud(runtime, 'cloud:1', 50);
     this.autoscaler = new Autoscaler({
@@ -78,7 +78,7 @@
       },
     });
     for (const zone of ['a', 'b', 'c'])
-      for (let i = 0; i < perZone; i++) {
+      for (let i = 0; i < machinesPerZone; i++) {
         const machine = this.table.add(`${zone}${i}`, `${zone}${i}:1`, TYPE, zone, false, 0);
         machine.stored = true;
         machine.awaitingReconciliation = true;
@@ -105,8 +105,8 @@
   }
 
   private list(): Body {
-    const there = [...this.table.all()].filter((m) => !this.unlisted.has(m.id));
-    const entries = there.map(({ id, endpoint, zone, spot }): MachineListEntry => ({
+    const listed = [...this.table.all()].filter((m) => !this.unlisted.has(m.id));
+    const entries = listed.map(({ id, endpoint, zone, spot }): MachineListEntry => ({
       id,
       endpoint,
       type: TYPE.name,
@@ -138,11 +138,11 @@
   }
 
   /** Time goes on; those that are heard send heartbeats, the others answer no probe either. */
-  async advance(seconds: number, heard: (machine: Machine) => boolean): Promise<void> {
+  async advance(seconds: number, sendsHeartbeat: (machine: Machine) => boolean): Promise<void> {
     for (let i = 0; i < seconds * 2; i++) {
       this.now += 500;
       for (const machine of [...this.table.all()])
-        if (heard(machine)) this.sendHeartbeat(machine);
+        if (sendsHeartbeat(machine)) this.sendHeartbeat(machine);
         else if (this.autoscaler.isHeartbeatOverdue(machine, this.now)) machine.commandFailures++;
       this.autoscaler.tick();
       await new Promise<void>((done) => setImmediate(done));
