--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -121,11 +121,11 @@
     const [job, taskNumber] = this.jobOf(task.name);
     if (job?.spec.kind === 'gang' && task.state !== 'fetching')
       this.deps.gangs.stop(job, task.attempt, taskNumber, graceS);
-    else if (job && this.saves(task, job, graceS)) this.save(task, job.spec.checkpointS);
+    else if (job && this.canSave(task, job, graceS)) this.save(task, job.spec.checkpointS);
     else if (task.state !== 'saving' || graceS === 0) this.exit(task, 'stopped');
   }
 
-  private saves(task: Task, job: ObservedJob, graceS: number): boolean {
+  private canSave(task: Task, job: ObservedJob, graceS: number): boolean {
     const { checkpointEveryS, checkpointS } = job.spec;
     return task.state === 'running' && checkpointEveryS > 0 && graceS > 0 && graceS >= checkpointS;
   }
@@ -144,21 +144,21 @@
   private join(task: Task, job: ObservedJob, taskNumber: number): void {
     task.state = 'waiting';
     this.deps.changed();
-    const alive = (act: () => void): void => {
+    const unlessExited = (action: () => void): void => {
       this.deps.after(0, () => {
         if (this.tasks.get(keyOf(task.name, task.attempt)) === task && task.state !== 'exited')
-          act();
+          action();
       });
     };
     this.deps.gangs.arrive(job, task.attempt, taskNumber, {
       run: () => {
-        alive(() => {
+        unlessExited(() => {
           task.state = 'running';
           this.deps.changed();
         });
       },
       exit: (cause) => {
-        alive(() => {
+        unlessExited(() => {
           this.exit(task, cause);
         });
       },
