--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -117,12 +117,10 @@
 
   private removeLease(id: number): void {
     this.leases.revoke(id);
-    const attachedKeys = [...this.items]
-      .filter(([, item]) => item.lease === id)
-      .map(([key]) => key);
-    if (attachedKeys.length === 0) return;
+    const keys = [...this.items].filter(([, item]) => item.lease === id).map(([key]) => key);
+    if (keys.length === 0) return;
     this.revision++;
-    for (const key of attachedKeys) this.removeKey(key);
+    for (const key of keys) this.removeKey(key);
     this.notify();
   }
 
