--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -21,7 +21,7 @@
 }
 
 interface Gang {
-  state: 'gathering' | 'running' | 'stopping' | 'over';
+  state: 'gathering' | 'running' | 'stopping' | 'disbanded';
   members: Map<number, Member>;
   stopRequests: Map<number, number>;
   /** When it began to run, and how far the job was then, in milliseconds of progress. */
@@ -109,7 +109,7 @@
 
   /** Back to the last checkpoint; whoever is left goes within a while. */
   private fail(job: ObservedJob, gang: Gang): void {
-    if (gang.state === 'over') return;
+    if (gang.state === 'disbanded') return;
     const checkpointIntervalMs = job.spec.checkpointEveryS * 1000;
     const progress = gang.firstStop?.progress ?? this.progress(gang);
     if (checkpointIntervalMs > 0)
@@ -125,7 +125,7 @@
 
   private disband(gang: Gang): Member[] {
     const all = [...gang.members.values()];
-    gang.state = 'over';
+    gang.state = 'disbanded';
     gang.members.clear();
     return all;
   }
