--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -1,16 +1,15 @@
-/** How large a simulated deployment is, and what it runs. */
+/** Size and settings of a simulated deployment. */
 import type { DutySettings } from '@millring/duties';
 import type { Build, RolloutSettings } from '@millring/rollout';
 import { type CloudPool, TYPES } from './cloud.js';
 import { POLL_MS } from './worker.js';
 import type { CloudType } from './wire/cloud.js';
 
-/** The teams of users. */
 export const TEAMS = ['t0', 't1'];
 const REPORT_MS = 1000;
-/** How long a worker may go on without a heartbeat that was answered. */
+/** Default time in milliseconds that a worker may run tasks after the last heartbeat that got a response. */
 export const LEASE_MS = 8000;
-/** Within this time after its confirmation nothing of a cancelled job runs. */
+/** Default time in milliseconds after a confirmed cancellation within which all tasks of the job must have exited. */
 export const CANCEL_MS = 22_000;
 const CLOUD_RPS = 5;
 const TEAM_LIMIT_CPUS = 80;
@@ -18,41 +17,50 @@
 const CAPACITY = 4;
 const ORDINARY_UP = 4;
 
-/** Nodes with an even number are in zone `a`, the others in zone `b`. */
+/** Returns the zone of a controller: `a` for even numbers, `b` for odd ones. */
 export const zoneOf = (node: string): string => (Number(node.slice(1)) % 2 ? 'b' : 'a');
 
-/** What differs from the deployment that most tests use. */
+/** Differences from the default deployment, which most tests use. */
 export interface ClusterConfig {
   seed: number;
+  /** Whether the controllers have a price objective. */
   saveMoney?: boolean;
-  /** Machines of each zone and kind. */
+  /** Number of machines that the cloud has per zone, ordinary and spot each; ignored if `pools` is set. */
   capacity?: number;
-  /** Machine types, and where they are; else one type everywhere. */
+  /** Machine types and their pools; by default there is one type in all zones. */
   types?: CloudType[];
   pools?: CloudPool[];
-  /** Zones of machines; controllers are in `a` and `b` only. */
+  /** Zones that have machines; controllers are in `a` and `b` only. */
   zones?: string[];
+  /** Number of ordinary machines that run from the start. */
   ordinaryUp?: number;
+  /** Maximum number of CPUs that a team may use. */
   teamLimit?: number;
-  /** Controllers. */
+  /** Number of controllers. */
   nodes?: number;
+  /** Interval of the workers' heartbeats. */
   reportMs?: number;
+  /** Duration of the workers' leases. */
   leaseMs?: number;
+  /** Maximum time from a confirmed cancellation until no task of the job runs. */
   cancelMs?: number;
-  /** Workers of large fleets look less often whether a heartbeat is due. */
+  /** Interval at which workers check whether a heartbeat is due; longer in large fleets. */
   pollMs?: number;
+  /** Calls per second that the cloud accepts. */
   cloudRps?: number;
+  /** Requests and writes per second that the state service accepts. */
   state?: { rps: number; writeRps: number };
-  /** How the controllers take part in the rollout; off where it is not named. */
+  /** The controllers' rollout settings; the rollout is off by default. */
   rollout?: Partial<RolloutSettings>;
-  /** Who rents and deletes machines; the leader where it is not named. */
+  /** The duty settings, which determine who rents and deletes machines; by default the leader does. */
   duties?: Partial<DutySettings>;
-  /** The builds that the nodes start with, where they are not this one. */
+  /** Builds that the nodes start with, by node; the others start with `BUILD`. */
   builds?: Record<string, Build>;
+  /** Receives the controllers' log lines of level info. */
   log?: (node: string, text: string, fields: object) => void;
 }
 
-/** A configuration in which everything that has a default is set. */
+/** A configuration in which all settings with a default are set. */
 export type CompleteClusterConfig = ClusterConfig &
   Required<
     Pick<
@@ -72,7 +80,7 @@
     >
   >;
 
-/** Adds the defaults. */
+/** Adds the defaults to the configuration. */
 export function completeConfig(config: ClusterConfig): CompleteClusterConfig {
   const zones = config.zones ?? ['a', 'b'];
   const count = config.capacity ?? CAPACITY;
--- a/test/sim/cluster-faults.ts
+++ b/test/sim/cluster-faults.ts
@@ -6,7 +6,7 @@
 import type { Network } from './network.js';
 import type { Users } from './users.js';
 
-/** What faults act on. */
+/** The simulated services and users that faults affect. */
 export interface ClusterFaultsDependencies {
   clock: VirtualClock;
   network: Network;
@@ -16,11 +16,11 @@
   isNode: (host: string) => boolean;
 }
 
-/** Each fault begins at once, and ends by itself after its time. */
+/** Injects faults. Each fault begins at once and ends by itself after the given time. */
 export class ClusterFaults {
   constructor(private readonly deps: ClusterFaultsDependencies) {}
 
-  /** Addresses of the chosen machines, as a filter of hosts. */
+  /** Returns a predicate for the hosts of the selected machines. */
   hostsOf(machines: (id: string) => boolean): (host: string) => boolean {
     return (host) => {
       const id = /^w-(.*):9000$/.exec(host)?.[1];
@@ -28,7 +28,7 @@
     };
   }
 
-  /** Commands to these machines and their answers are held for a while, and arrive after it. */
+  /** Holds commands to these machines for the given time; the commands, and the responses to them, arrive after it. */
   holdCommands(machines: (id: string) => boolean, ms: number): void {
     const chosen = this.hostsOf(machines);
     const until = this.deps.clock.time + ms;
@@ -41,7 +41,7 @@
     });
   }
 
-  /** The machines can't open connections to any controller, while direct commands reach them. */
+  /** Keeps the machines from opening connections to any controller; commands sent directly to them still arrive. */
   blockConnections(machines: (id: string) => boolean, ms: number): void {
     const chosen = this.hostsOf(machines);
     const until = this.deps.clock.time + ms;
@@ -54,7 +54,7 @@
     });
   }
 
-  /** What runs now, by job. */
+  /** Ids of the jobs that have tasks on machines and are not to be cancelled. */
   runningJobs(): string[] {
     const ids = [...this.deps.invariants.placesByTask.keys()].map((task) =>
       task.slice(0, task.lastIndexOf('/')),
@@ -62,7 +62,7 @@
     return [...new Set(ids)].filter((id) => !this.deps.invariants.jobs.get(id)!.cancelRequested);
   }
 
-  /** Users cancel jobs that run, all at once; their machines stand still for as long. */
+  /** Users cancel the first `count` running jobs at once; the machines of these jobs hang for `hangMs`. */
   cancelRunning(count: number, hangMs: number, via?: string): void {
     for (const id of this.runningJobs().slice(0, count)) {
       void this.deps.users.cancel(id, via);
@@ -72,12 +72,12 @@
     }
   }
 
-  /** The machine stands still, and goes on within its lease. */
+  /** The machine hangs for this time; afterwards its tasks continue only if the worker's lease has not expired. */
   hangMachine(machine: string, ms: number): void {
     this.deps.network.hosts.get(`w-${machine}:9000`)!.hangsUntil = this.deps.clock.time + ms;
   }
 
-  /** The node loses the state service and the other controllers, not its workers or users. */
+  /** Isolates the node from the state service and the other controllers, not from its workers or users. */
   isolate(name: string, ms: number, mode: 'hold' | 'reset'): void {
     this.deps.network.partitions.push({
       a: (host) => host === `${name}:80`,
@@ -87,12 +87,12 @@
     });
   }
 
-  /** Everything that ends at a machine of the zone. */
+  /** Returns a predicate for the hosts of machines in the zone. */
   isMachineHostIn(zone: string): (host: string) => boolean {
     return this.hostsOf((id) => this.deps.cloud.machines.get(id)?.zone === zone);
   }
 
-  /** Everything that ends at a machine or a controller of the zone. */
+  /** Returns a predicate for the hosts of machines and controllers in the zone. */
   isHostIn(zone: string): (host: string) => boolean {
     const isMachineHost = this.isMachineHostIn(zone);
     const isNodeHost = (host: string): boolean =>
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in virtual time: controllers, state service, cloud, workers and users. */
+/** A complete deployment in virtual time: controllers, state service, cloud, workers and users. */
 import type { Build } from '@millring/rollout';
 import { BUILD } from '../../src/build.js';
 import { ControllerNode } from '../../src/node.js';
@@ -34,7 +34,10 @@
   node: ControllerNode;
 }
 
-/** Composes the stand-ins and the controllers. All that is random comes from the seed of the configuration; `run` lets time go on. */
+/**
+ * Connects controllers to the simulated services, workers and users. All random choices derive from the seed in the
+ * configuration. Time advances only in `run`.
+ */
 export class Cluster {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
@@ -47,13 +50,15 @@
   readonly faults: ClusterFaults;
   readonly nodeNames: string[];
   private readonly processes = new Map<string, NodeProcess>();
+  /** Whether the next machine to boot is faulty. */
   nextMachineFaulty = false;
+  /** Factor by which everything takes longer on the next machine to boot. */
   nextMachineSlowness = 1;
-  /** Further checks after each step. */
+  /** Additional checks that run after each step. */
   readonly checks: (() => void)[] = [];
-  /** Nodes that run, from their next start on, as a build from before levels would: see `withoutGate`. */
+  /** Nodes that behave, from their next start on, like a build from before feature levels; see `withoutGate`. */
   readonly ungated = new Set<string>();
-  /** When the last fault was over. */
+  /** Virtual time at which the last fault ended; null while faults may occur. */
   faultsEndedAt: number | null = null;
 
   private readonly config: CompleteClusterConfig;
@@ -125,31 +130,32 @@
     return worker;
   }
 
-  /** What the settings of a node say otherwise, from its next start on. */
+  /** Platform settings by node that replace the default ones from the node's next start on. */
   readonly overrides = new Map<string, Partial<PlatformSettings>>();
 
-  /** The build that a node runs from its next start on, where it is not this one. */
+  /** Builds by node that run from the node's next start on; nodes that are missing run `BUILD`. */
   readonly builds: Map<string, Build>;
 
-  /** The builds that the present processes run. */
+  /** The build that each current process runs, by node. */
   readonly startedWith = new Map<string, Build>();
   private readonly runningUngated = new Set<string>();
 
+  /** Whether the node's current process behaves like a build from before feature levels. */
   runsUngated(name: string): boolean {
     return this.runningUngated.has(name);
   }
 
-  /** How far a node's wall clock is off. */
+  /** Offset of a node's wall clock, in milliseconds. */
   readonly wallSkewMs = new Map<string, number>();
 
   private peerMessageListener: (message: PeerMessage) => void = () => undefined;
 
-  /** Shows each message that a controller sends to the others. */
+  /** Sets the listener that receives each message that a controller broadcasts to its peers. */
   onPeerMessage(listener: (message: PeerMessage) => void): void {
     this.peerMessageListener = listener;
   }
 
-  /** A broken invariant ends the run: what it logs in service would go unnoticed here. */
+  /** Returns a log that throws if a controller logs a violation of the team usage invariant, so that the run fails. */
   private logOf(name: string): Log {
     return {
       ...quietLog,
@@ -208,6 +214,7 @@
     node.run();
   }
 
+  /** Ends the node's process and starts a new one after `downMs`; does nothing if the process is already down. */
   crash(name: string, downMs: number): void {
     const process = this.processes.get(name)!;
     if (!process.alive) return;
@@ -218,7 +225,7 @@
     });
   }
 
-  /** The process stands still while its clock runs on: what comes meanwhile waits, and is then seen all at once. */
+  /** Suspends the process while its clock continues; messages that arrive meanwhile are all processed on resumption. */
   freeze(name: string, ms: number): void {
     const until = this.clock.time + ms;
     this.processes.get(name)!.frozenUntil = until;
@@ -250,18 +257,19 @@
     return this.nodeNames.find((name) => this.isLeading(name));
   }
 
-  /** How many nodes think that they lead: never more than one. */
+  /** Number of nodes that consider themselves leader; must never exceed one. */
   countLeaders(): number {
     return this.nodeNames.filter((name) => this.isLeading(name)).length;
   }
 
+  /** Tasks on all machines that have started and still fetch their images. */
   private fetching(): string[] {
     return [...this.cloud.machines.values()].flatMap(
       (machine) => machine.worker?.tasks.fetching() ?? [],
     );
   }
 
-  /** The machines that are up, and what is free on each. */
+  /** The running machines that are not faulty, with the free capacity of each. */
   private machineCapacities(): MachineCapacity[] {
     const used = new Map<string, number>();
     for (const [task, places] of this.invariants.placesByTask)
@@ -272,6 +280,7 @@
       .map((m) => ({ ...m, machine: m.id, freeCpus: this.cpusOf(m) - (used.get(m.id) ?? 0) }));
   }
 
+  /** Runs the cluster for this virtual time, checking the invariants after each step. */
   async run(seconds: number): Promise<void> {
     let maxLeaders = 0;
     await this.clock.runUntil(this.clock.time + seconds * 1000, () => {
--- a/test/sim/node-requests.ts
+++ b/test/sim/node-requests.ts
@@ -1,11 +1,11 @@
-/** Hands requests that reach a simulated controller to its API, as the HTTP server does for a real one. */
+/** Passes requests to a simulated controller on to its API, as the HTTP server does for a real one. */
 import type { ControllerNode } from '../../src/node.js';
 import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import { userOperation } from './wire/users.js';
 import { HEARTBEAT_PATH } from './wire/workers.js';
 
-/** Fails for a request that PROTOCOL does not know. */
+/** Returns the controller's response; throws for a request that PROTOCOL doesn't define. */
 export async function serveNode(
   node: ControllerNode,
   method: string,
--- a/test/sim/node-settings.ts
+++ b/test/sim/node-settings.ts
@@ -3,7 +3,7 @@
 import { type CompleteClusterConfig, TEAMS, zoneOf } from './cluster-config.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
 
-/** As the platform's file would have them. */
+/** Returns the settings that the platform's file would contain for this node. */
 export function nodeSettings(
   name: string,
   nodeNames: string[],
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -1,29 +1,28 @@
-/** The runtime of a simulated process, which may end, or stand still while its clock runs on. */
+/** The runtime of a simulated process, which may end, or be suspended while its clock continues. */
 import type { Clock, Log, HttpResponse, Runtime } from '../../src/runtime.js';
 import type { VirtualClock } from './clock.js';
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
 
-/** Whether a simulated process runs. */
+/** State of a simulated process. */
 export interface SimulatedProcess {
   alive: boolean;
-  /** Stands still until then. */
+  /** Virtual time until which the process is suspended. */
   frozenUntil: number;
 }
 
-/** What a simulated process shares with others, and its own clock and log. */
+/** The simulated services that processes share, and the process's own clock and log. */
 export interface SimulatedEnvironment {
   clock: VirtualClock;
   network: Network;
   random: SeededRandom;
-  /** The process's own clock. */
   processClock: Clock;
   log: Log;
-  /** What the process makes of an answer; else the answer itself. */
+  /** Returns the response that the process gets in place of the actual one. */
   alterResponse?: ((path: string, reply: HttpResponse) => HttpResponse) | undefined;
 }
 
-/** Runs the callback once the process goes on, unless it has ended by then. */
+/** Runs the callback once the process is no longer suspended, unless it has ended by then. */
 function whenResumed(process: SimulatedProcess, clock: VirtualClock, callback: () => void): void {
   const left = process.frozenUntil - clock.time;
   if (left > 0)
@@ -33,7 +32,7 @@
   else if (process.alive) callback();
 }
 
-/** Callbacks and answers reach the process only while it runs; those of an ended process are dropped. */
+/** Returns a runtime that delays callbacks and responses while the process is suspended, and drops them if it ended. */
 export function simulatedRuntime(
   host: string,
   process: SimulatedProcess,
