--- a/test/sim/autoscaler-harness.ts
+++ b/test/sim/autoscaler-harness.ts
@@ -1,4 +1,4 @@
-/** An autoscaler by itself, before a cloud that only records its calls. */
+/** Runs an autoscaler alone, with a fake cloud that records the calls and rents no machines. */
 import { Cloud } from '../../src/autoscaler/cloud.js';
 import { DirectActions } from '../../src/autoscaler/machine-actions.js';
 import { Autoscaler } from '../../src/autoscaler/autoscaler.js';
@@ -11,7 +11,7 @@
 import { quietLog } from './quiet-log.js';
 import { type MachineListEntry, decodeCloudRequest, encodeMachineList } from './wire/cloud.js';
 
-/** The only machine type. */
+/** The only machine type of the harness. */
 export const TYPE: MachineType = {
   name: 't',
   cpus: 8,
@@ -23,20 +23,25 @@
   bootS: 20,
   zones: ['a', 'b', 'c'],
 };
-/** Workers' lease, in seconds. */
+/** Duration of the workers' leases, in seconds. */
 export const LEASE_S = 20;
 const HEARTBEAT_INTERVAL_S = 2;
 
-/** Three zones of silent machines, of which tests say which are heard. */
+/** An autoscaler with machines in three zones; tests choose which machines send heartbeats. */
 export class AutoscalerHarness {
+  /** Time in milliseconds. */
   now = 0;
+  /** Ids of the machines that the autoscaler has asked the cloud to delete. */
   deleted = new Set<string>();
+  /** Zones in which the autoscaler has tried to rent machines. */
   requestedZones = new Set<string>();
-  /** Not in the cloud's list any more. */
+  /** Ids of the machines that the cloud's list omits. */
   readonly unlisted = new Set<string>();
-  /** Until when controllers in zones a and b may extend the leases there. */
+  /** Time in milliseconds until which controllers in zones `a` and `b` may extend the leases in those zones. */
   extendableUntil = Infinity;
+  /** Whether the controller reports that its event loop lags. */
   isLagging = false;
+  /** Demand for ordinary CPUs. */
   demand = 400;
   readonly table: MachineTable;
   readonly autoscaler: Autoscaler;
@@ -137,7 +142,10 @@
     machine.commandFailures = 0;
   }
 
-  /** Time goes on; those that are heard send heartbeats, the others answer no probe either. */
+  /**
+   * Advances the time in steps of 500 ms. Machines for which `sendsHeartbeat` is true send heartbeats; the others are
+   * unreachable and fail a probe in each step while their heartbeat is overdue.
+   */
   async advance(seconds: number, sendsHeartbeat: (machine: Machine) => boolean): Promise<void> {
     for (let i = 0; i < seconds * 2; i++) {
       this.now += 500;
--- a/test/sim/cloud-invariants.ts
+++ b/test/sim/cloud-invariants.ts
@@ -1,18 +1,18 @@
-/** What must hold of the requests to the cloud while the duties are on, in a whole simulated cluster. */
+/** Invariants of the requests to the cloud while duties are enabled, for a complete simulated cluster. */
 import { INTENTS_PREFIX, type Intent } from '@millring/duties';
 import type { Body } from '../../src/wire/cbor.js';
 import type { Cluster } from './cluster.js';
 import { decodeCloudRequest } from './wire/cloud.js';
 
 const FEATURE_LEVEL = 3;
-/** As in the operators' file. */
+/** Rollout settings, as in the operators' file. */
 export const ROLLOUT_SETTINGS = {
   mode: 'manual',
   announcement_lease_s: 3,
   stall_s: 15,
   ungated_builds_retired: true,
 } as const;
-/** How the duties take part, as in the operators' file. */
+/** Duty settings, as in the operators' file. */
 export const DUTY_SETTINGS = {
   mode: 'on',
   lease_s: 2,
@@ -21,7 +21,7 @@
   retention_s: 10,
 } as const;
 
-/** The level has been raised before anything runs. */
+/** Stores a raised feature level, before the cluster starts to run. */
 export function putFeatureLevel(cluster: Cluster): void {
   cluster.state.putDirectly('rollout/level', {
     state: 'stable',
@@ -36,11 +36,13 @@
   });
 }
 
-/** Looks at each request to the cloud as it is executed. */
+/** Checks each request to the cloud when the cloud executes it, and each change of the stored intents. */
 export class CloudInvariants {
-  /** All intents that were ever stored. */
+  /** All intents stored so far, by id, with their latest content. */
   readonly intents = new Map<string, Intent>();
+  /** Number of deletion requests that the cloud received. */
   deletions = 0;
+  /** Number of rental requests that the cloud received. */
   rentals = 0;
   private revisionSeen = 0;
 
@@ -66,7 +68,7 @@
     this.checkOpenIntents();
   }
 
-  /** No machine is to be deleted twice, and no pool rented from twice at a time, whoever leads. */
+  /** Checks that no two open intents delete the same machine or rent from the same pool, whichever node leads. */
   private checkOpenIntents(): void {
     const seen = new Set<string>();
     for (const [key, { value }] of this.cluster.state.items) {
@@ -101,7 +103,7 @@
     );
     if (intents.length === 0)
       invariants.recordViolation('deleted_without_intent', machines.join(', '));
-    // Machines that nothing needs are empty; only silent ones may have had work.
+    // Machines that are returned because they are not needed have no tasks; only unreachable ones may have had some.
     if (intents.some(({ duty }) => duty === 'reclaim')) return;
     for (const places of invariants.placesByTask.values())
       for (const { machine } of places)
@@ -110,6 +112,7 @@
   }
 }
 
+/** The machines that the intent deletes, or the pool that it rents from. */
 function subjectsOf({ action }: Intent): string[] {
   return action.kind === 'delete'
     ? action.machines
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the cloud that rents machines. */
+/** Simulated cloud that rents machines. */
 import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
@@ -16,26 +16,29 @@
 } from './wire/cloud.js';
 import type { Worker } from './worker.js';
 
-/** A machine that is rented. `bootMs` is infinite if it never comes up. */
+/** A rented machine. */
 export interface CloudMachine {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
+  /** Virtual time of the rental in milliseconds. */
   rentedAt: number;
+  /** Time from the rental until the machine runs, in milliseconds; infinite if it never boots. */
   bootMs: number;
+  /** Null until the machine has booted. */
   worker: Worker | null;
   state: MachineState;
 }
 
-/** How many machines of a type there are in a zone, of each kind: ordinary and spot. */
+/** Capacity of a machine type in a zone: `count` ordinary machines and as many spot machines. */
 export interface CloudPool {
   type: string;
   zone: string;
   count: number;
 }
 
-/** The machine types of a cluster that names none. */
+/** Default machine types, for clusters whose configuration specifies none. */
 export const TYPES: CloudType[] = [
   {
     name: 't16',
@@ -49,19 +52,21 @@
   },
 ];
 
-/** Bursts of so many seconds' worth of calls are allowed. */
+/** Size of the allowed burst, as the calls that the rate limit allows in this many seconds. */
 const BURST_S = 2;
-/** A page of the list holds at most so many machines. */
+/** Maximum number of machines in a page of the machine list. */
 const PAGE_SIZE = 500;
 
-/** Stand-in for the cloud, after PROTOCOL: lists lag and come in pages, some machines never come up. */
+/** Simulated cloud, as PROTOCOL specifies: machine lists lag and are paged, and some machines never boot. */
 export class CloudService {
   readonly machines = new Map<string, CloudMachine>();
+  /** Ids of the rented machines by request id, so that a repeated request rents no further machines. */
   private readonly rentalsByRequest = new Map<string, string[]>();
   private readonly snapshots: { at: number; list: MachineListEntry[] }[] = [];
   private nextNumber = 1;
+  /** Until this virtual time every call fails with status 503. */
   downUntil = 0;
-  /** Calls that came, and those beyond the rate, which get 429. */
+  /** Number of calls received, and of those that exceeded the rate limit and got status 429. */
   readonly received = { calls: 0, tooMany: 0 };
   private readonly rateLimit: RateLimit | null;
 
@@ -89,7 +94,10 @@
     return true;
   }
 
-  /** Names are never used twice: those of machines that tests only tell of are passed over. */
+  /**
+   * Numbers the next machines from `number` on. Ids are never reused, so tests skip those of machines that exist only
+   * in stored records.
+   */
   numberMachinesFrom(number: number): void {
     this.nextNumber = number;
   }
@@ -122,6 +130,7 @@
     });
   }
 
+  /** Adds a machine; if `isUp` it runs at once, else it boots after a random time or, with probability 0.03, never. */
   add(type: string, zone: string, spot: boolean, isUp: boolean): CloudMachine {
     const id = `i-${String(this.nextNumber++).padStart(6, '0')}`;
     const bootMs = isUp ? 0 : this.random.chance(0.03) ? Infinity : this.random.between(2500, 9000);
@@ -145,6 +154,7 @@
     return machine;
   }
 
+  /** Removes the machine and everything that runs on it. */
   preempt(machine: CloudMachine): void {
     machine.worker?.kill();
     this.machines.delete(machine.id);
--- a/test/sim/machine-type.ts
+++ b/test/sim/machine-type.ts
@@ -1,7 +1,7 @@
-/** Machine types for tests of single parts. */
+/** Machine types for unit tests. */
 import type { MachineType } from '../../src/wire/model.js';
 
-/** A type that is in the zones `a` and `b`. */
+/** Returns a machine type that is available in the zones `a` and `b`. */
 export function machineType(cpus: number): MachineType {
   return {
     name: 'm',
