--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -1,10 +1,10 @@
-/** The network between the simulated hosts, with its faults. */
+/** The network between the simulated hosts, with injected faults. */
 import type { HttpResponse } from '../../src/runtime.js';
 import { type Body, decodeMap, encode } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
 
-/** Answers a request; `from` is the host that sent it. */
+/** Handles a request; `from` is the host that sent it. */
 export type Handler = (
   method: string,
   path: string,
@@ -14,21 +14,21 @@
 
 /** A host of the network. */
 export interface Host {
-  /** Answers requests, or null while it is down. */
+  /** Handles requests; null while the host is down. */
   handler: Handler | null;
-  /** Hanging: requests wait until then. */
+  /** Virtual time until which the host hangs and requests wait. */
   hangsUntil: number;
 }
 
-/** Hosts that can't reach each other, until a time. */
+/** Hosts `a` and `b` that can't reach each other until a given virtual time: messages are held until then, or reset. */
 export interface Partition {
   a: (host: string) => boolean;
   b: (host: string) => boolean;
   until: number;
   mode: 'hold' | 'reset';
-  /** Only what goes from `a` to `b` is cut; the other way works. */
+  /** Blocks only messages from `a` to `b`; those from `b` to `a` arrive. */
   oneWay?: boolean;
-  /** Only connections from `a` to `b` can't be opened: what `b` asks is answered. */
+  /** Blocks only requests from `a` to `b`, as if no connection could be opened; requests from `b` get responses. */
   connectionsOnly?: boolean;
 }
 
@@ -49,7 +49,7 @@
   return !oneWay && !connectionsOnly && a(to) && b(from);
 }
 
-/** Late duplicates of requests: how likely, how late at most, and where else they may turn up. */
+/** Late duplicates of the requests to a path: their probability, maximum delay and recipient. */
 export interface Duplication {
   path: string;
   chance: number;
@@ -67,9 +67,9 @@
 }
 
 interface ObservedResponse {
-  /** Who replies. */
+  /** The host that responds. */
   from: string;
-  /** Who had asked. */
+  /** The host that sent the request. */
   to: string;
   path: string;
   status: number;
@@ -77,13 +77,13 @@
   body: Uint8Array;
 }
 
-/** Is shown the traffic as it is sent, whether or not it arrives. Must not change anything. */
+/** Receives the traffic as it is sent, whether or not it arrives. Must not change anything. */
 export interface NetworkObserver {
   requested(request: ObservedRequest): void;
   responded(response: ObservedResponse): void;
 }
 
-/** A request as it travels. */
+/** A request in transit. */
 interface Message {
   from: string;
   to: string;
@@ -92,16 +92,16 @@
   body: Body;
 }
 
-/** Requests are delayed, lost, held by partitions and delivered late, and now and then repeated. */
+/** Delays, loses and repeats requests at random, and holds or resets messages that partitions block. */
 export class Network {
   readonly hosts = new Map<string, Host>();
   partitions: Partition[] = [];
-  /** How likely a message is lost. */
+  /** Probability that a message is lost. */
   lossRate = 0.002;
-  /** How likely a request comes once more. */
+  /** Probability that a POST request is delivered a second time. */
   repeatRate = 0.003;
   duplicates: Duplication | null = null;
-  /** How much longer everything takes. */
+  /** Factor by which all delays are longer than usual. */
   delayFactor = 1;
   observer: NetworkObserver | null = null;
 
@@ -126,7 +126,7 @@
     );
   }
 
-  /** One way: `arrive` runs when (if) the message gets there, `broken` when the sender sees a reset. */
+  /** Sends one message: `onArrival` runs if and when it arrives, `onReset` if the sender sees a connection reset. */
   private carry(
     from: string,
     to: string,
@@ -152,7 +152,7 @@
     return host.handler ? host.handler(method, path, body, from) : null;
   }
 
-  /** A request that comes once more: nobody waits for its reply. */
+  /** Delivers a duplicate of a request, whose response is shown to the observer and then dropped. */
   private async deliverDuplicate(message: Message): Promise<void> {
     const response = await this.deliver(message);
     if (!response || !this.observer) return;
@@ -160,11 +160,12 @@
     this.observer.responded({ ...response, from: to, to: from, path, body: encode(response.body) });
   }
 
-  /** A message without an answer, as between controllers: delayed, held or lost like the rest. */
+  /** Sends a message without a response, as between controllers; delayed, held or lost like all messages. */
   sendOneWay(from: string, to: string, onArrival: () => void): void {
     this.carry(from, to, onArrival, () => undefined);
   }
 
+  /** Sends a request. Never rejects: a status of 0 means that there was no response. */
   send(
     from: string,
     to: string,
@@ -173,7 +174,7 @@
     body: Body | null,
     timeoutMs: number,
   ): Promise<HttpResponse> {
-    // Through the codec, so that what is sent is what the wire can carry.
+    // Encoded and decoded, so that the receiver gets only what the wire format can represent.
     const bytes = body === null ? new Uint8Array() : encode(body);
     const sent = body === null ? {} : decodeMap(bytes)!;
     this.observer?.requested({ from, to, method, path, body: bytes });
--- a/test/sim/user-request.ts
+++ b/test/sim/user-request.ts
@@ -1,11 +1,11 @@
-/** A single request of a user to one controller, without retries. */
+/** A single user request to one controller, without retries. */
 import type { HttpResponse } from '../../src/runtime.js';
 import type { Cluster } from './cluster.js';
 import { type JobReply, type UserRequest, decodeJobReply } from './wire/users.js';
 
 const TIMEOUT_MS = 5000;
 
-/** Runs the cluster until the answer is there. */
+/** Sends the request and runs the cluster until the response arrives, for at most 6 s. */
 export async function requestFrom(
   cluster: Cluster,
   node: string,
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -1,4 +1,4 @@
-/** Users of a simulated deployment: they submit, ask and cancel, and note what they are told. */
+/** Users of a simulated deployment, who submit, poll and cancel jobs; the responses are recorded. */
 import type { VirtualClock } from './clock.js';
 import type { Invariants } from './invariants.js';
 import { observedJob } from './observed-job.js';
@@ -18,10 +18,10 @@
 const TIMEOUT_MS = 5000;
 const RETRY_MS = 1000;
 const RETRIES = 60;
-/** How likely a user submits once more instead of asking only. */
+/** Probability that a user submits the job again after a poll. */
 const RESUBMIT_CHANCE = 0.03;
 
-/** What users reach, and where what they are told is recorded. */
+/** The network and controllers that users send requests to, and the invariants that record the responses. */
 export interface UsersDependencies {
   clock: VirtualClock;
   random: SeededRandom;
@@ -30,7 +30,7 @@
   nodeNames: string[];
 }
 
-/** Users repeat a request until it is answered, as PROTOCOL asks; each answer is checked by the invariants. */
+/** Users repeat a request until it gets a response, as PROTOCOL requires; the invariants check each response. */
 export class Users {
   private nextJob = 1;
 
@@ -47,7 +47,10 @@
     );
   }
 
-  /** Asks, through `via` or any node, until there is an answer that stands. */
+  /**
+   * Sends a request through `via`, or through a random node each time, until it is accepted, is rejected with status
+   * 400 or 422, or has been retried more than `RETRIES` times.
+   */
   private async retryUntilAccepted(
     id: string,
     request: UserRequest,
@@ -65,7 +68,6 @@
     }
   }
 
-  /** The user cancels the job. */
   async cancel(id: string, via?: string): Promise<void> {
     this.deps.invariants.jobs.get(id)!.cancelRequested = true;
     await this.retryUntilAccepted(id, cancelRequest(id), via);
@@ -82,7 +84,7 @@
     return response;
   }
 
-  /** The same submission once more. */
+  /** Submits the job again, once; an accepted job must not be rejected. */
   async resubmit(id: string): Promise<JobReply> {
     const sentAt = this.deps.clock.time;
     const response = await this.send(submitRequest(this.deps.invariants.jobs.get(id)!.spec));
@@ -92,7 +94,7 @@
     return response;
   }
 
-  /** Submits with retries, polls until the end; cancels after a while if asked to. */
+  /** Submits the job with retries and polls it until the run ends; cancels it after `cancelAfterMs` unless null. */
   async run(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
     const observed = observedJob(job, this.deps.clock.time);
