--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -1,24 +1,26 @@
-/** What must hold whatever fails, looked at from outside the service; `docs/safety.md` argues each of these. */
+/** Invariants that must hold under all faults, as seen from outside the service; `docs/safety.md` justifies each. */
 import type { ObservedJob } from './observed-job.js';
 import { type MachineCapacity, type Place, fits, mismatches } from './places.js';
 import { unservedJobs } from './service-level.js';
 import type { JobReply, JobState } from './wire/users.js';
 
-/** Once all faults are over, no accepted job may go without an answer for longer. */
+/** Maximum time in milliseconds without a response about an accepted job, once all faults have ended. */
 const MAX_RESPONSE_GAP_MS = 75_000;
-/** Nor may one wait for longer beside a machine that fits and has room. */
+/** Maximum time in milliseconds that a job may wait while a machine has capacity for it, once all faults have ended. */
 const MAX_WAITING_MS = 90_000;
 
-/** PROTOCOL's rules as invariants: what runs where, and what users were told. */
+/** Checks PROTOCOL's rules on where tasks run and on the responses to users. */
 export class Invariants {
+  /** The violations, each with its virtual time in milliseconds. */
   readonly violations: string[] = [];
   readonly jobs = new Map<string, ObservedJob>();
-  /** Which task is on which machines now. */
+  /** The places of each task that is on a machine now; more than one if it runs twice. */
   readonly placesByTask = new Map<string, Place[]>();
+  /** Number of task starts, repeated ones included. */
   starts = 0;
-  /** Tasks that were started once more after they were done. */
+  /** Tasks that were started again after they had finished. */
   readonly startsAfterFinish: string[] = [];
-  /** Starts after a confirmed cancellation: how long after it. */
+  /** For each start after a confirmed cancellation, the time since the confirmation in milliseconds. */
   readonly startsAfterCancellationMs: number[] = [];
 
   constructor(
@@ -31,7 +33,7 @@
     this.violations.push(`${Math.round(this.now())} ${invariant}: ${detail}`);
   }
 
-  /** The same by job, and what each team uses: large runs ask at every start. */
+  /** The tasks on machines by job, and the CPUs that each team uses: kept since large runs need them at each start. */
   private readonly placedTasksByJob = new Map<string, Set<string>>();
   private readonly usedCpusByTeam = new Map<string, number>();
   private readonly cancelled = new Map<string, ObservedJob>();
@@ -45,7 +47,7 @@
     return this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec.cpus;
   }
 
-  /** What the team's tasks use now. */
+  /** Number of CPUs that the team's tasks use now. */
   usedCpus(team: string): number {
     return this.usedCpusByTeam.get(team) ?? 0;
   }
@@ -55,6 +57,7 @@
     this.usedCpusByTeam.set(team, (this.usedCpusByTeam.get(team) ?? 0) + sign * job.spec.cpus);
   }
 
+  /** A worker has started the task, which has its image. */
   taskStarted(task: string, place: Place): void {
     this.starts++;
     const id = task.slice(0, task.lastIndexOf('/'));
@@ -86,6 +89,7 @@
       this.recordViolation('quota', `${spec.team} by ${task}`);
   }
 
+  /** The task is no longer on the machine; `done` if it has finished. */
   taskLeft(task: string, machine: string, done: boolean): void {
     const placesBefore = this.placesByTask.get(task) ?? [];
     const remaining = placesBefore.filter((p) => p.machine !== machine);
@@ -100,7 +104,7 @@
     if (done) job?.finishedTasks.add(Number(task.slice(slash + 1)));
   }
 
-  /** An answer to a request that was sent at `asked`: what was told before then must stand. */
+  /** Records the response to a request sent at `sentAt`; it must agree with the responses received before that. */
   recordResponse(id: string, { status, job: reported }: JobReply, sentAt: number): void {
     const job = this.jobs.get(id);
     if (status === 404 && job?.reportedAccepted) this.recordViolation('forgotten', id);
@@ -117,7 +121,8 @@
   }
 
   private reportedCancelled(id: string, job: ObservedJob): void {
-    if (!job.cancelRequested) this.recordViolation('went_back', `${id} cancelled by nobody`);
+    if (!job.cancelRequested)
+      this.recordViolation('went_back', `${id} cancelled without a request`);
     job.reportedCancelledAt ??= this.now();
     this.cancelled.set(id, job);
   }
@@ -127,7 +132,7 @@
     if (job.finishedTasks.size < job.spec.tasks) this.recordViolation('not_done', id);
   }
 
-  /** A job that was called done or cancelled before the question stays so. */
+  /** Checks that a job that was reported as done or cancelled before the request was sent is still in that state. */
   private checkFinalStateKept(id: string, job: ObservedJob, state: JobState, sentAt: number): void {
     if (job.reportedDoneAt !== null && job.reportedDoneAt <= sentAt && state !== 'done')
       this.recordViolation('went_back', `${id} was done, now ${state}`);
@@ -139,7 +144,7 @@
       this.recordViolation('went_back', `${id} was cancelled`);
   }
 
-  /** All faults are over since `from`: nobody's job may go without an answer. */
+  /** Checks that all accepted jobs got a response recently, given that all faults ended at `from`. */
   checkResponded(from: number): void {
     for (const [id, job] of this.jobs) {
       if (
@@ -153,7 +158,7 @@
     }
   }
 
-  /** Room for one task, or for a whole gang of which nothing is anywhere. */
+  /** Whether there is capacity for one more task or, if none of its tasks is on a machine, for a whole gang. */
   private hasCapacity(job: ObservedJob, id: string, capacities: MachineCapacity[]): boolean {
     const fitting = capacities.filter((machine) =>
       fits(job.spec, [...this.placesOfJob(id)], machine),
@@ -171,7 +176,7 @@
     });
   }
 
-  /** All faults are over: no job is left waiting beside room, with its team under its limit. */
+  /** Checks, after all faults, that no job keeps waiting while there is capacity and its team is under its limit. */
   checkWaiting(capacities: MachineCapacity[], fetching: string[]): void {
     const used = new Map(this.usedCpusByTeam);
     for (const task of fetching) {
@@ -180,7 +185,7 @@
     }
     for (const [id, job] of this.jobs) {
       const { team } = job.spec;
-      // A gang starts whole or not at all, so that all of it has to fit under the limit.
+      // All tasks of a gang start together or not at all, so the whole gang has to fit under the limit.
       const together = job.spec.kind === 'gang' ? job.spec.tasks : 1;
       const cpus = (used.get(team) ?? 0) + together * job.spec.cpus;
       const isUnderLimit = cpus <= (this.limits.get(team) ?? Infinity);
@@ -208,13 +213,13 @@
       this.recordViolation('waits', id);
   }
 
-  /** Of each class, each team and the largest jobs of each class at least half are served, and these begin in time. */
+  /** Checks the service level; see `unservedJobs`. */
   checkServed(): void {
     for (const unserved of unservedJobs(this.jobs.values(), this.now()))
       this.recordViolation('unserved', unserved);
   }
 
-  /** After each step. */
+  /** Checks, after each step, that no task of a job runs later than `cancelMs` after its confirmed cancellation. */
   check(): void {
     for (const [id, job] of this.cancelled)
       if (this.now() > job.reportedCancelledAt! + this.cancelMs)
--- a/test/sim/places.ts
+++ b/test/sim/places.ts
@@ -1,7 +1,7 @@
-/** Where tasks may be, by what their job asks for. */
+/** Checks where tasks may run against the requirements of their job. */
 import type { JobSubmission } from './wire/users.js';
 
-/** Where a task is. */
+/** The machine that a task is on. */
 export interface Place {
   machine: string;
   type: string;
@@ -9,19 +9,19 @@
   spot: boolean;
 }
 
-/** A machine with what is free on it. */
+/** A machine and its free capacity. */
 export interface MachineCapacity extends Place {
   freeCpus: number;
 }
 
-/** A job that is to be spread has at most half of its tasks, rounded up, in one zone. */
+/** Maximum number of tasks of a spread job in one zone: half of them, rounded up. */
 const maxPerZone = (spec: JobSubmission): number => Math.ceil(spec.tasks / 2);
 
 function countInZone(places: Place[], zone: string): number {
   return places.filter((place) => place.zone === zone).length;
 }
 
-/** Is there room for one more task, given where the job's other tasks are? */
+/** Whether the machine can take one more task of the job, given the places of the job's other tasks. */
 export function fits(spec: JobSubmission, others: Place[], machine: MachineCapacity): boolean {
   if (spec.machineTypes && !spec.machineTypes.includes(machine.type)) return false;
   if ((spec.zone && spec.zone !== machine.zone) || (machine.spot && !spec.spot)) return false;
@@ -30,7 +30,7 @@
   return machine.freeCpus >= spec.cpus;
 }
 
-/** In what a place differs from what the job asks for, given where its other tasks are. */
+/** Returns how a place violates the job's requirements, given the places of its other tasks; empty if it doesn't. */
 export function mismatches(spec: JobSubmission, place: Place, others: Place[]): string[] {
   const found: string[] = [];
   if (spec.machineTypes && !spec.machineTypes.includes(place.type))
--- a/test/sim/service-level.ts
+++ b/test/sim/service-level.ts
@@ -1,9 +1,9 @@
-/** How much of what users asked for has to be served, as the bench counts it. */
+/** The share of jobs that has to be served, as the bench computes it. */
 import type { ObservedJob } from './observed-job.js';
 
-/** The largest jobs of a class begin within this time. */
+/** Maximum time in milliseconds from the submission to the first start, for the largest jobs of a class. */
 const LARGEST_START_LIMIT_MS = 240_000;
-/** One job in so many of a class counts among its largest. */
+/** One in this many jobs of a class counts as one of its largest. */
 const LARGEST_SHARE = 10;
 
 function isServed(job: ObservedJob): boolean {
@@ -15,7 +15,7 @@
   return bySize.slice(0, Math.ceil(jobs.length / LARGEST_SHARE));
 }
 
-/** Accepted jobs that nobody cancelled, by what counts together: classes, and teams. */
+/** Groups accepted jobs that were not cancelled by class and by team. */
 function groupsOf(jobs: ObservedJob[]): Map<string, ObservedJob[]> {
   const groups = new Map<string, ObservedJob[]>();
   const add = (key: string, job: ObservedJob): void => {
@@ -28,7 +28,10 @@
   return groups;
 }
 
-/** Of each class, each team and the largest jobs of each class at least half are served, and these begin in time. */
+/**
+ * Returns the violations of the service level: at least half of the jobs of each class, of each team and of the largest
+ * jobs of each class must be served, and these largest jobs must start in time.
+ */
 export function unservedJobs(jobs: Iterable<ObservedJob>, nowMs: number): string[] {
   const unserved: string[] = [];
   const accepted = [...jobs].filter((job) => job.reportedAccepted && !job.cancelRequested);
@@ -39,7 +42,7 @@
     groups.set(`largest of ${key}`, largest);
     for (const { spec, firstStartAt, submittedAt } of largest)
       if ((firstStartAt ?? nowMs) - submittedAt > LARGEST_START_LIMIT_MS)
-        unserved.push(`${spec.id}, among the largest, begins late`);
+        unserved.push(`${spec.id}, among the largest, starts late`);
   }
   for (const [key, group] of groups) {
     const served = group.filter(isServed);
