--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,11 +1,11 @@
-/** Faults, and clusters to begin with, that several tests use; what is random comes from the cluster's seed. */
+/** Faults and initial clusters that several tests use. All random choices derive from the cluster's seed. */
 import assert from 'node:assert/strict';
 import { Cluster } from './cluster.js';
 import { type ClusterConfig, LEASE_MS } from './cluster-config.js';
 import { SERVICE } from './jobs.js';
 import { HEARTBEAT_PATH } from './wire/workers.js';
 
-/** Services on their machines, nobody losing messages by chance. */
+/** Returns a cluster that runs `jobs` services, with a network that loses and repeats no messages at random. */
 export async function clusterWithServices(config: ClusterConfig, jobs = 4): Promise<Cluster> {
   const cluster = new Cluster({ ordinaryUp: 8, nodes: 5, ...config });
   cluster.network.lossRate = 0;
@@ -17,7 +17,7 @@
   return cluster;
 }
 
-/** One service on its machines, nobody losing messages by chance. */
+/** Returns a cluster that runs one service, with a network that loses and repeats no messages at random. */
 export async function clusterWithService(seed: number): Promise<Cluster> {
   const cluster = new Cluster({ seed, ordinaryUp: 6 });
   cluster.network.lossRate = 0;
@@ -29,14 +29,14 @@
   return cluster;
 }
 
-/** What placing cost, as the leaders' logs tell of each round. */
+/** Cost of placement, summed over the rounds that the leaders log. */
 export interface PlacementWork {
   cycles: number;
   candidatesExamined: number;
   starts: number;
 }
 
-/** A log that adds up the placement work of all leaders. */
+/** Returns a log that adds the placement work of all leaders to `work`. */
 export function logPlacementWork(work: PlacementWork): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
@@ -46,25 +46,25 @@
 }
 
 export const jobIds = (cluster: Cluster): string[] => [...cluster.invariants.jobs.keys()];
-/** Any controller but this one. */
+/** Returns the first controller other than `than`. */
 export const otherNode = (cluster: Cluster, than: string): string =>
   cluster.nodeNames.find((name) => name !== than)!;
-/** Any controller, where none leads. */
+/** Returns the leader, or a random controller if there is no leader. */
 export const leaderOrRandomNode = (cluster: Cluster): string =>
   cluster.leader() ?? cluster.random.pick(cluster.nodeNames);
 
-/** How many tasks of the job are on machines. */
+/** Number of tasks of the job that are on machines. */
 export function runningTasksOf(cluster: Cluster, id: string): number {
   return [...cluster.invariants.placesByTask.keys()].filter((t) => t.startsWith(`${id}/`)).length;
 }
 
-/** Nothing travels between controllers. */
+/** Partitions the controllers from each other for the rest of the run. */
 export function partitionControllers(cluster: Cluster): void {
   const isNode = (host: string): boolean => cluster.isNode(host);
   cluster.network.partitions.push({ a: isNode, b: isNode, until: Infinity, mode: 'reset' });
 }
 
-/** The state service rejects the leader alone, and another controller confirms a cancellation; 2 s pass. */
+/** The state service rejects the leader only, and another controller confirms a cancellation; takes 2 s. */
 export async function cancelDuringRejection(
   cluster: Cluster,
   rejectedMs: number,
@@ -78,12 +78,12 @@
   assert.notEqual(
     cluster.invariants.jobs.get(first)!.reportedCancelledAt,
     null,
-    'confirmed before the outage',
+    'the cancellation is confirmed before the outage',
   );
   return { cancelledJob: first, formerLeader: old };
 }
 
-/** That share of heartbeats comes again, up to four leases later, to whoever leads then. */
+/** Duplicates heartbeats with this probability, up to four leases later, to the node that leads when they are sent. */
 export function duplicateHeartbeats(cluster: Cluster, chance: number): void {
   cluster.network.duplicates = {
     path: HEARTBEAT_PATH,
@@ -93,7 +93,7 @@
   };
 }
 
-/** A random share of the machines that the cloud has now, as a filter of their names. */
+/** Returns a predicate, by id, for a random share of the machines that the cloud has now. */
 export function pickMachines(cluster: Cluster, share: number): (id: string) => boolean {
   const chosen = new Set(
     [...cluster.cloud.machines.keys()].filter(() => cluster.random.chance(share)),
@@ -101,13 +101,13 @@
   return (id) => chosen.has(id);
 }
 
-/** A random share of the machines stands still. */
+/** A random share of the running machines hangs for this time. */
 export function hangMachines(cluster: Cluster, share: number, ms: number): void {
   for (const machine of cluster.cloud.machines.values())
     if (machine.worker && cluster.random.chance(share)) cluster.faults.hangMachine(machine.id, ms);
 }
 
-/** What the machine sends still arrives; answers and commands to it are held. */
+/** Holds responses and commands to the machine for this time; what the machine sends still arrives. */
 export function holdMessagesTo(cluster: Cluster, machine: string, forMs: number): void {
   cluster.network.partitions.push({
     a: () => true,
--- a/test/sim/job-spec.ts
+++ b/test/sim/job-spec.ts
@@ -1,7 +1,7 @@
-/** Job specifications for tests that need no user. */
+/** Job specifications for tests without simulated users. */
 import type { JobSpec } from '../../src/wire/model.js';
 
-/** An array as the controllers keep it, for tests of single parts. */
+/** Returns an array job as the controllers represent it, for unit tests. */
 export function spec(overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'run-1',
--- a/test/sim/jobs.ts
+++ b/test/sim/jobs.ts
@@ -2,7 +2,7 @@
 import type { SeededRandom } from './random.js';
 import type { JobSubmission } from './wire/users.js';
 
-/** What the tests' users ask for, as changes of `Cluster.newJob`. */
+/** A spread service, as overrides of `Users.newJob`. */
 export const SERVICE = {
   kind: 'service',
   jobClass: 'desk',
@@ -14,6 +14,7 @@
   durationS: 0,
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
+/** An array, as overrides of `Users.newJob`. */
 export const BATCH = {
   kind: 'array',
   jobClass: 'batch',
@@ -23,7 +24,7 @@
   spot: false,
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
-/** All tasks at once, in one zone, saving every 2 s. */
+/** A gang in one zone that saves a checkpoint every 2 s, as overrides of `Users.newJob`. */
 export const GANG = {
   kind: 'gang',
   jobClass: 'panel',
@@ -38,7 +39,7 @@
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
 
-/** What no test looks at, of an array that may run anywhere. */
+/** Fields of an array that may run anywhere, for tests that don't depend on their values. */
 export const PLAIN_ARRAY = {
   jobClass: 'batch',
   kind: 'array',
@@ -57,12 +58,12 @@
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
 
-/** The name of a user's job, as the bench counts them. */
+/** Returns the id of a user's job, in the numbering that the bench uses. */
 export function jobId(number: number): string {
   return `run-${String(number).padStart(6, '0')}`;
 }
 
-/** A service or an array, as it comes. */
+/** Returns a random service or array. */
 export function randomJob(number: number, random: SeededRandom): JobSubmission {
   const isService = random.chance(0.4);
   return {
--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -1,17 +1,18 @@
-/** Runs of a simulated deployment under faults, and what must hold after them. */
+/** Runs a simulated deployment under faults, and checks its invariants afterwards. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './cluster.js';
 import type { ClusterConfig } from './cluster-config.js';
 
-/** Brings about the faults of a second; seconds count from 0. */
+/** Injects the faults of a second; seconds count from 0. */
 type EachSecond = (cluster: Cluster, second: number) => void;
 
-/** A run that is over. */
+/** A completed run. */
 export interface ScenarioOutcome {
   cluster: Cluster;
-  /** Arrays and gangs not cancelled, and how many of them their users were told are done. */
+  /** Number of arrays and gangs that were not cancelled. */
   countedJobs: number;
+  /** Number of those that were reported to their users as done. */
   doneJobs: number;
 }
 
@@ -26,7 +27,7 @@
   };
 }
 
-/** Jobs arrive for a while with faults among them; then the cluster is left alone to finish. */
+/** Submits jobs and injects faults for 60 s, then runs the cluster for 120 s without them, so that jobs can finish. */
 export async function runScenario(
   config: ClusterConfig,
   eachSecond: EachSecond,
@@ -49,16 +50,16 @@
   return outcomeOf(cluster);
 }
 
-/** Also that everything is done, unless `finished` is false. */
+/** Asserts that no invariant was violated and, unless `finished` is false, that all arrays and gangs are done. */
 export function assertInvariantsHeld(outcome: ScenarioOutcome, finished = true): void {
   if (finished) outcome.cluster.invariants.checkServed();
   assert.deepEqual(outcome.cluster.invariants.violations, []);
-  assert.ok(outcome.cluster.invariants.starts > 0, 'something ran');
+  assert.ok(outcome.cluster.invariants.starts > 0, 'at least one task started');
   if (finished)
     assert.equal(outcome.doneJobs, outcome.countedJobs, 'all arrays and gangs are done');
 }
 
-/** A test for each seed: a run under faults, after which no invariant was violated and all jobs are served. */
+/** Declares a test for each seed: a run under faults that violates no invariant and serves all jobs. */
 export function testScenarios(
   name: string,
   seeds: number[],
