--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -1,34 +1,39 @@
-/** Stand-in for what the tasks of a gang tell each other. */
+/** Simulates the communication between the tasks of a gang. */
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
 import type { ObservedJob } from './observed-job.js';
 import type { ReportedExitCause } from './wire/workers.js';
 
-/** A task of a gang gives up if the others are not there within this time. */
+/** A task of a gang exits if the gang has not started within this time after the task got its image. */
 export const GANG_WAIT_MS = 6000;
-/** Tasks of a gang end within this time after one of them is lost. */
+/** The tasks of a gang exit within this time after one of them is lost. */
 export const GANG_PEER_MS = 2000;
 const HANG_CHECK_INTERVAL_MS = 250;
 
-/** A task of a gang that has its image, as its worker stands for it. */
+/** A task of a gang that has its image, as its worker presents it to the coordinator. */
 export interface Member {
+  /** The gang has started. */
   run(): void;
+  /** The task exits with this cause. */
   exit(cause: ReportedExitCause): void;
-  /** Its machine stands still. */
+  /** Whether its machine hangs. */
   isHanging(): boolean;
-  /** How much longer everything takes there. */
+  /** Factor by which everything takes longer on its machine. */
   slowness: number;
 }
 
 interface Gang {
   state: 'gathering' | 'running' | 'stopping' | 'disbanded';
+  /** Members by task number. */
   members: Map<number, Member>;
+  /** Virtual time of each member's first stop request, by task number. */
   stopRequests: Map<number, number>;
-  /** When it began to run, and how far the job was then, in milliseconds of progress. */
+  /** Virtual time at which the gang started, and the job's progress at that time, both in milliseconds. */
   startedAt: number;
   progressAtStart: number;
+  /** The largest slowness of its members, which slows down the whole gang. */
   slowness: number;
-  /** Progress at the first stop, and when that was. */
+  /** Time of the first stop request, and the progress at that time. */
   firstStop: { at: number; progress: number } | null;
 }
 
@@ -44,12 +49,14 @@
   };
 }
 
-/** How the tasks of one attempt find each other: acted out for all workers at once. */
+/** Simulates, for all workers, how the tasks of each attempt find each other and start, fail and stop together. */
 export class GangCoordinator {
   private readonly gangs = new Map<string, Gang>();
-  /** How many gangs began, for tests. */
+  /** Number of gangs that started. */
   begun = 0;
+  /** Number of members that were lost while their gang was gathering. */
   replaced = 0;
+  /** Number of members that gave up because their gang did not start within `GANG_WAIT_MS`. */
   incomplete = 0;
 
   constructor(
@@ -57,11 +64,12 @@
     private readonly random: SeededRandom,
   ) {}
 
-  /** How many attempts had a task that got its image. */
+  /** Number of attempts of which at least one task got its image. */
   attempts(): number {
     return this.gangs.size;
   }
 
+  /** Adds a task that has its image to its gang, and starts the gang if the task is the last one. */
   arrive(job: ObservedJob, attempt: number, taskNumber: number, member: Member): void {
     const key = `${job.spec.id}#${attempt}`;
     const gang = this.gangs.get(key) ?? newGang();
@@ -97,7 +105,7 @@
     this.watch(job, gang);
   }
 
-  /** The others notice one that hangs. */
+  /** Fails the gang when one of its members hangs, as the others notice that. */
   private watch(job: ObservedJob, gang: Gang): void {
     if (gang.state !== 'running') return;
     if ([...gang.members.values()].some((m) => m.isHanging())) this.fail(job, gang);
@@ -107,7 +115,7 @@
       });
   }
 
-  /** Back to the last checkpoint; whoever is left goes within a while. */
+  /** Resets the job to its last checkpoint; the remaining members exit within `GANG_PEER_MS`. */
   private fail(job: ObservedJob, gang: Gang): void {
     if (gang.state === 'disbanded') return;
     const checkpointIntervalMs = job.spec.checkpointEveryS * 1000;
@@ -123,6 +131,7 @@
       });
   }
 
+  /** Returns the members that the gang had. */
   private disband(gang: Gang): Member[] {
     const all = [...gang.members.values()];
     gang.state = 'disbanded';
@@ -134,7 +143,10 @@
     return gang.progressAtStart + (this.clock.time - gang.startedAt) / gang.slowness;
   }
 
-  /** Gone from its machine, for whatever reason: the others of a gang that runs fall apart. */
+  /**
+   * Removes a task that has left its machine for any reason, which makes a running or stopping gang fail. A task with a
+   * cause exits with it.
+   */
   leave(
     job: ObservedJob,
     attempt: number,
@@ -151,6 +163,10 @@
     if (cause !== null) member.exit(cause);
   }
 
+  /**
+   * Stops a task. If the job saves checkpoints and the grace period suffices, the task waits until all the others are
+   * stopped too and saves together with them; the gang fails if that takes longer than `GANG_PEER_MS`.
+   */
   stop(job: ObservedJob, attempt: number, taskNumber: number, graceS: number): void {
     const gang = this.gangs.get(`${job.spec.id}#${attempt}`);
     const saveS = job.spec.checkpointS;
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -1,4 +1,4 @@
-/** The tasks on a simulated worker's machine: started, saved, ended and removed as its commands say. */
+/** The tasks on a simulated worker's machine, which it starts, saves, stops and removes on command. */
 import type { GangCoordinator } from './gang-coordinator.js';
 import type { Invariants } from './invariants.js';
 import type { ObservedJob } from './observed-job.js';
@@ -19,46 +19,50 @@
   cancel: () => void;
 }
 
-/** The task is on its machine: it has its image and has not exited. */
+/** Whether the task is on its machine: it has its image and has not exited. */
 const isPresent = ({ state }: Task): boolean =>
   state === 'waiting' || state === 'running' || state === 'saving';
 
 const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
 
-/** What tasks depend on of their machine. */
+/** The properties of a machine that its tasks depend on. */
 export interface TaskMachine {
   id: string;
   type: string;
   cpus: number;
   zone: string;
   spot: boolean;
-  /** How much longer everything takes here. */
+  /** Factor by which everything takes longer on this machine. */
   slowness: number;
-  /** Tasks fail soon after they begin. */
+  /** Whether tasks fail soon after they start. */
   faulty: boolean;
 }
 
-/** What the tasks need of their worker and of the simulation. */
+/** The parts of the worker and of the simulation that the tasks depend on. */
 export interface WorkerTasksDependencies {
   machine: TaskMachine;
   random: SeededRandom;
   invariants: Invariants;
   gangs: GangCoordinator;
-  /** Runs the callback after so many milliseconds, later if the machine hangs, unless it is revoked or the machine gone. */
+  /**
+   * Runs the callback after `ms`, or later if the machine hangs, unless the machine no longer exists by then. Returns a
+   * function that cancels the callback.
+   */
   after(ms: number, callback: () => void): () => void;
   isHanging(): boolean;
-  /** Something has changed that is to be reported soon. */
+  /** Called after a change that the worker should report soon. */
   changed(): void;
 }
 
-/** Tasks by name and attempt; what has exited stays until it is removed by a command. */
+/** The tasks of a machine by name and attempt; a task that has exited stays until a command removes it. */
 export class WorkerTasks {
   private readonly tasks = new Map<string, Task>();
+  /** Images that have been fetched. */
   private readonly images = new Set<string>();
 
   constructor(private readonly deps: WorkerTasksDependencies) {}
 
-  /** As in a heartbeat. */
+  /** Returns the tasks as a heartbeat reports them. */
   reported(): ReportedTask[] {
     return [...this.tasks.values()].map(({ name, attempt, state, cause }) => ({
       task: name,
@@ -68,7 +72,7 @@
     }));
   }
 
-  /** Everything here ends with its machine, or with the machine's lease. */
+  /** Removes all tasks, as their machine has ended or its lease has expired. */
   killAll(): void {
     for (const task of this.tasks.values()) {
       task.cancel();
@@ -79,12 +83,12 @@
     this.tasks.clear();
   }
 
-  /** Is the task saving here, after it was told to stop? */
+  /** Whether the task is saving a checkpoint here after a stop command. */
   isSaving(name: string): boolean {
     return [...this.tasks.values()].some((task) => task.name === name && task.state === 'saving');
   }
 
-  /** Started here, and without their image yet. */
+  /** Returns the names of the tasks that have started and still fetch their images. */
   fetching(): string[] {
     return [...this.tasks.values()]
       .filter(({ state }) => state === 'fetching')
@@ -125,12 +129,13 @@
     else if (task.state !== 'saving' || graceS === 0) this.exit(task, 'stopped');
   }
 
+  /** Whether the task can save a checkpoint within its grace period. */
   private canSave(task: Task, job: ObservedJob, graceS: number): boolean {
     const { checkpointEveryS, checkpointS } = job.spec;
     return task.state === 'running' && checkpointEveryS > 0 && graceS > 0 && graceS >= checkpointS;
   }
 
-  /** It stays on its machine while it saves. */
+  /** Saves a checkpoint and then exits; the task stays on its machine while it saves. */
   private save(task: Task, checkpointS: number): void {
     task.cancel();
     task.state = 'saving';
@@ -140,7 +145,7 @@
     });
   }
 
-  /** It has its image, and finds the others of its attempt. */
+  /** Adds a task of a gang, which has its image, to the other tasks of its attempt. */
   private join(task: Task, job: ObservedJob, taskNumber: number): void {
     task.state = 'waiting';
     this.deps.changed();
@@ -192,6 +197,7 @@
     });
   }
 
+  /** Returns why the task can't start here, or null if it can. */
   private refusalOf(name: string, job: ObservedJob | undefined): ReportedExitCause | null {
     if (!job?.submitted) return 'unknown_task';
     if ([...this.tasks.values()].some((task) => task.name === name)) return 'already_present';
@@ -203,7 +209,7 @@
     return this.images.has(image) ? 1 : this.deps.random.between(500, 4000) * imageGb;
   }
 
-  /** The task has its image. */
+  /** Starts the execution of a task that has its image. */
   private begin(task: Task, job: ObservedJob, taskNumber: number): void {
     const { id, type, zone, spot, faulty } = this.deps.machine;
     const { kind, image } = job.spec;
@@ -225,7 +231,7 @@
     });
   }
 
-  /** The result of a task that was done before is kept. */
+  /** Returns the run time of a task, 1 ms if it has finished before, since its result was kept. */
   private runMs(job: ObservedJob, taskNumber: number): number {
     if (job.finishedTasks.has(taskNumber)) return 1;
     return (
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a worker: sends heartbeats to the controllers, keeps its lease, and takes commands. */
+/** Simulated worker: sends heartbeats to the controllers, enforces its lease, and executes commands. */
 import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { SeededRandom } from './random.js';
@@ -15,33 +15,40 @@
 } from './wire/workers.js';
 import { type TaskMachine, WorkerTasks } from './worker-tasks.js';
 
-/** How often a worker usually looks whether a heartbeat is due. */
+/** Default interval, in milliseconds, at which a worker checks whether a heartbeat is due. */
 export const POLL_MS = 50;
 
-/** The machine, and how its worker talks to the controllers. Times are in milliseconds. */
+/** The machine, and how its worker communicates with the controllers. Times are in milliseconds. */
 export interface WorkerConfig extends TaskMachine {
   address: string;
+  /** Average interval of heartbeats. */
   reportMs: number;
+  /** Duration of the lease, from the sending of the last heartbeat that got a response. */
   leaseMs: number;
-  /** How often it looks whether a heartbeat is due. */
+  /** Interval at which the worker checks whether a heartbeat is due. */
   pollMs: number;
   nodes: { name: string; address: string }[];
 }
 
-/** Stand-in for a worker, after PROTOCOL. */
+/** Simulated worker, as PROTOCOL specifies. */
 export class Worker {
   private incarnation = 1;
   private sequence = 0;
+  /** The highest fencing token seen. */
   private token = 0;
   private incarnationBeganAt: number;
+  /** When the last heartbeat that got a valid response was sent. */
   private lastAcknowledgedSentAt = -Infinity;
   readonly tasks: WorkerTasks;
+  /** Index of the controller that gets the heartbeats; wraps around. */
   private nodeIndex: number;
   private isAwaitingResponse = false;
+  /** Whether there are changes to report, which make the next heartbeat due sooner. */
   private hasChanged = false;
   private lastHeartbeatAt = -Infinity;
   private lastTokenChange = -Infinity;
   private isDead = false;
+  /** Virtual time at which the cloud will preempt the machine; null without a preemption notice. */
   preemptionDeadline: number | null = null;
 
   constructor(
@@ -72,11 +79,11 @@
     this.leaseLoop();
   }
 
-  /** The lease ends also on a machine that hangs: it may continue only within it. */
+  /** Enforces the lease also while the machine hangs, so that it may resume its tasks only before the lease expires. */
   private leaseLoop(): void {
     if (this.isDead) return;
     this.checkLease();
-    // Looked at when it may end, since many workers look.
+    // Checked only when it may expire, since there may be many workers.
     const ends =
       Math.max(this.incarnationBeganAt, this.lastAcknowledgedSentAt) + this.config.leaseMs;
     this.network.clock.after(Math.max(20, ends + 1 - this.now()), () => {
@@ -88,6 +95,7 @@
     return this.network.clock.time;
   }
 
+  /** Runs the callback after this time, or once the machine no longer hangs; returns a function that cancels it. */
   private after(ms: number, callback: () => void): () => void {
     let off = false;
     const run = (): void => {
@@ -105,7 +113,7 @@
     };
   }
 
-  /** The machine is gone, and everything on it. */
+  /** Ends the machine and everything on it. */
   kill(): void {
     this.tasks.killAll();
     this.isDead = true;
@@ -189,7 +197,7 @@
     this.after(1000, () => (this.isAwaitingResponse = false));
   }
 
-  /** Sends its heartbeats to the node that it was referred to. */
+  /** Sends further heartbeats to the node that a response redirected it to. */
   private followRedirect(target: string | undefined, from: string): void {
     const index = this.config.nodes.findIndex(({ name }) => name === target);
     if (index < 0 || target === from) {
@@ -203,7 +211,7 @@
     });
   }
 
-  /** The answer to a heartbeat that was sent in the given incarnation. */
+  /** Processes the response to a heartbeat that was sent at `sentAt` in the given incarnation. */
   private acceptResponse(body: Body, sentAt: number, incarnation: number): void {
     this.isAwaitingResponse = false;
     this.checkLease();
