--- a/test/sim/clock.ts
+++ b/test/sim/clock.ts
@@ -1,19 +1,22 @@
-/** The time of the simulated deployments. */
+/** Virtual time of simulated deployments. */
 import type { Clock } from '../../src/runtime.js';
 
 interface TimedEvent {
   at: number;
+  /** Orders events at the same time by when they were scheduled. */
   order: number;
   callback: () => void;
   isCancelled: boolean;
 }
 
-/** Virtual time: events run in order, and everything that they cause at once is done before the next. */
+/** Runs events in the order of their virtual times; all immediate effects of an event complete before the next one. */
 export class VirtualClock {
   private heap: TimedEvent[] = [];
   private order = 0;
+  /** Current time in milliseconds. */
   time = 0;
 
+  /** Runs the callback after this time; returns a function that cancels it. */
   after(ms: number, callback: () => void): () => void {
     const event: TimedEvent = {
       at: this.time + Math.max(0, ms),
@@ -27,7 +30,7 @@
     };
   }
 
-  /** The clock of one host: it may run fast or slow by a little. */
+  /** Returns the clock of one host, which runs slightly fast or slow: at `rate` times the virtual time. */
   hostClock(rate: number, isAlive: () => boolean): Clock {
     return {
       now: () => this.time * rate,
@@ -71,7 +74,7 @@
     return top;
   }
 
-  /** `check` looks at the invariants after each step. */
+  /** Runs all events until `end`, and `check` after each of them. */
   async runUntil(end: number, check: () => void): Promise<void> {
     while (this.heap.length > 0 && this.heap[0].at <= end) {
       const event = this.pop()!;
--- a/test/sim/lease-table.ts
+++ b/test/sim/lease-table.ts
@@ -1,4 +1,4 @@
-/** The leases that the state service has granted. */
+/** The leases that the simulated state service has granted. */
 import type { VirtualClock } from './clock.js';
 
 interface Lease {
@@ -6,7 +6,7 @@
   expiresAt: number;
 }
 
-/** Leases end by the virtual clock; the state service looks which have expired. */
+/** Leases by id, with expiry by the virtual clock; expired ones stay until the state service revokes them. */
 export class LeaseTable {
   private readonly leases = new Map<number, Lease>();
   private nextId = 1;
@@ -28,7 +28,7 @@
     if (lease) lease.expiresAt = this.clock.time + lease.ttlMs;
   }
 
-  /** After an outage no lease ends at once. */
+  /** Renews all leases, so that none expires right after an outage. */
   renewAll(): void {
     for (const id of this.leases.keys()) this.renew(id);
   }
--- a/test/sim/random.ts
+++ b/test/sim/random.ts
@@ -1,8 +1,8 @@
-/** Random numbers of simulated runs. */
+/** Random numbers for simulated runs. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Seeded random for one run. */
+/** Random number generator of one run, determined by its seed. */
 export class SeededRandom {
   private readonly rng;
 
@@ -10,12 +10,12 @@
     this.rng = xoroshiro128plus(seed);
   }
 
-  /** A whole number from `from` to `to`, both included. */
+  /** Returns an integer from `from` to `to`, both included. */
   int(from: number, to: number): number {
     return uniformInt(this.rng, from, to);
   }
 
-  /** From 0 on, below 1. */
+  /** Returns a number of at least 0 and less than 1. */
   unit(): number {
     return this.int(0, 2 ** 30 - 1) / 2 ** 30;
   }
--- a/test/sim/rate-limit.ts
+++ b/test/sim/rate-limit.ts
@@ -1,6 +1,6 @@
-/** Limits on requests as the stand-ins enforce them: buckets that fill up over time. */
+/** Rate limits that the simulated services enforce, as token buckets. */
 
-/** A bucket that fills at a steady rate up to a burst. */
+/** A token bucket that fills at a constant rate up to the size of a burst. */
 export class RateLimit {
   private level: number;
   private levelAt = 0;
@@ -18,7 +18,7 @@
     this.levelAt = nowMs;
   }
 
-  /** Is there enough in the bucket for so many at this time? */
+  /** Whether the bucket contains at least `count` tokens at this time. */
   has(count: number, nowMs: number): boolean {
     this.refill(nowMs);
     return this.level >= count;
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the state service. */
+/** Simulated state service. */
 import type { HttpResponse } from '../../src/runtime.js';
 import { type Body, isMap } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
@@ -29,19 +29,19 @@
   lease: number | null;
 }
 
-/** Which transactions are carried out late. */
+/** Selects the transactions that are executed late. */
 export interface LateWrites {
   share: number;
   until: number;
-  /** How late, where it is not left to chance. */
+  /** Delay in milliseconds; random by default. */
   byMs?: number;
-  /** Only transactions that change a key with this prefix. */
+  /** Limits the selection to transactions that change a key with this prefix. */
   keys?: string;
 }
 
 const ok = (body: Body): HttpResponse => ({ status: 200, body });
 
-/** Stand-in for the state service, after PROTOCOL. */
+/** Simulated state service, as PROTOCOL specifies. */
 export class StateService {
   readonly items = new Map<string, Item>();
   revision = 1;
@@ -50,7 +50,7 @@
   private readonly waiters = new Set<() => void>();
   private downUntil = 0;
   private readonly refusedUntil = new Map<string, number>();
-  /** What was asked of it, and how often more than the limits allow. */
+  /** Number of requests and changes received, and of requests beyond the rate limits, which got status 429. */
   readonly received = { requests: 0, changes: 0, tooMany: 0 };
   private readonly limits: { requests: RateLimit; writes: RateLimit } | null;
 
@@ -59,7 +59,7 @@
     private readonly random: SeededRandom,
     limits: { rps: number; writeRps: number } | null = null,
   ) {
-    // Both limits allow bursts of one second's worth.
+    // Both limits allow bursts of as many requests or writes as they allow per second.
     this.limits = limits && {
       requests: new RateLimit(limits.rps, limits.rps),
       writes: new RateLimit(limits.writeRps, limits.writeRps),
@@ -79,12 +79,12 @@
     this.refusedUntil.set(host, this.clock.time + forMs);
   }
 
-  /** Until then, that share of transactions gets no answer and is carried out late, after newer ones. */
+  /** Until the given time, a share of transactions gets no response and is executed late, after newer ones. */
   lateWrites: LateWrites | null = null;
-  /** Larger values and transactions get 400; how many did. */
+  /** Larger values and transactions get status 400; `tooLarge` counts them. */
   bounds: TransactionBounds | null = null;
   tooLarge = 0;
-  /** Until then, whatever is read is answered so much later. */
+  /** Until the given time, responses to all reads are delayed by `byMs`. */
   slowReads: { byMs: number; until: number } | null = null;
 
   private exceedsRate(changes: number): boolean {
@@ -270,29 +270,29 @@
     });
   }
 
-  /** A record that was put there by something else than the service. */
+  /** Stores a record directly, without a request. */
   putDirectly(key: string, value: unknown): void {
     const put: RecordMutation = { kind: 'put', key, value, lease: null };
     void this.transact({ preconditions: [], mutations: [put] });
   }
 
-  /** An operator deletes a record. */
+  /** Deletes a record as an operator would, by a request. */
   async deleteAsOperator(key: string): Promise<void> {
     const { method, path, body } = deleteRequest(key);
     await this.handle(method, path, body, 'operator');
   }
 
-  /** All that was ever put under the key, as far as changes are kept. */
+  /** Returns all values that were put under the key, as far as changes are kept. */
   history(key: string): unknown[] {
     return this.events.valuesOf(key);
   }
 
-  /** Changes to keys with the prefix, as far as changes are kept. */
+  /** Number of changes to keys with the prefix, as far as changes are kept. */
   changesUnder(prefix: string): number {
     return this.events.after(prefix, 0).length;
   }
 
-  /** A record as a test may look at it. */
+  /** Returns the value of a record for a test; undefined if there is no record or the value is not a map. */
   value(key: string): unknown {
     const value = this.items.get(key)?.value;
     return isMap(value) ? value : undefined;
