--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -234,7 +234,7 @@
       leaseMs: this.config.leaseMs,
       pollMs: POLL_MS,
       nodes: this.config.controllers,
-      slowness: 1,
+      slow: 1,
       faulty: false,
     });
     this.delayStarts(this.endpointOf(machine.id));
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -33,7 +33,7 @@
   zone: string;
   spot: boolean;
   /** Factor by which everything takes longer on this machine. */
-  slowness: number;
+  slow: number;
   /** Whether tasks fail soon after they start. */
   faulty: boolean;
 }
@@ -168,7 +168,7 @@
         });
       },
       isHanging: () => this.deps.isHanging(),
-      slowness: this.deps.machine.slowness,
+      slowness: this.deps.machine.slow,
     });
   }
 
@@ -234,8 +234,6 @@
   /** Returns the run time of a task, 1 ms if it has finished before, since its result was kept. */
   private runMs(job: ObservedJob, taskNumber: number): number {
     if (job.finishedTasks.has(taskNumber)) return 1;
-    return (
-      job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slowness
-    );
+    return job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slow;
   }
 }
