--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -19,7 +19,7 @@
   processClock: Clock;
   log: Log;
   /** Returns the response that the process gets in place of the actual one. */
-  alterResponse?: ((path: string, reply: HttpResponse) => HttpResponse) | undefined;
+  alterResponse?: ((path: string, response: HttpResponse) => HttpResponse) | undefined;
 }
 
 /** Runs the callback once the process is no longer suspended, unless it has ended by then. */
