--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -33,7 +33,7 @@
     this.violations.push(`${Math.round(this.now())} ${invariant}: ${detail}`);
   }
 
-  /** The tasks on machines by job, and the CPUs that each team uses: kept since large runs need them at each start. */
+  /** The tasks on machines by job, and the CPUs that each team uses; kept since large runs query them at each start. */
   private readonly placedTasksByJob = new Map<string, Set<string>>();
   private readonly usedCpusByTeam = new Map<string, number>();
   private readonly cancelled = new Map<string, ObservedJob>();
