--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -58,7 +58,7 @@
   readonly checks: (() => void)[] = [];
   /** Nodes that behave, from their next start on, like a build from before feature levels; see `withoutGate`. */
   readonly ungated = new Set<string>();
-  /** Virtual time at which the last fault ended; unless null, `run` also checks that all jobs get responses and start. */
+  /** Virtual time at which the last fault ended; unless null, `run` also checks that jobs get responses and start. */
   faultsEndedAt: number | null = null;
 
   private readonly config: CompleteClusterConfig;
