--- a/test/failover-faults.test.ts
+++ b/test/failover-faults.test.ts
@@ -100,8 +100,8 @@
     mode: 'reset',
   });
   cluster.network.partitions.push({
-    a: cluster.faults.inWholeZone('a'),
-    b: cluster.faults.inWholeZone('b'),
+    a: cluster.faults.isHostIn('a'),
+    b: cluster.faults.isHostIn('b'),
     until,
     mode: 'hold',
   });
@@ -134,7 +134,7 @@
   await cluster.run(12);
   // The leader must be in zone a, since zone b with its two controllers is the zone to be lost.
   await ensureLeaderInZoneA(cluster);
-  const inB = cluster.faults.inWholeZone('b');
+  const inB = cluster.faults.isHostIn('b');
   cluster.network.partitions.push({
     a: inB,
     b: (host) => !inB(host),
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -73,7 +73,7 @@
     const requestedAt = cluster.clock.time;
     const { method, path, body } = cancelRequest(id);
     const reply = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
-    cluster.invariants.recordAnswer(id, decodeJobReply(reply), requestedAt);
+    cluster.invariants.recordResponse(id, decodeJobReply(reply), requestedAt);
     if (reply.status !== 200) cluster.clock.after(500, () => void cancel());
   };
   cluster.clock.after(3800, () => void cancel());
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
 import { LEASE_MS } from './sim/cluster-config.js';
-import { clusterWithoutLoss, machinesOfJob, submit, until } from './sim/gang-scenarios.js';
+import { clusterWithoutLoss, machinesOfJob, submit, runUntil } from './sim/gang-scenarios.js';
 import { GANG } from './sim/jobs.js';
 import { type ScenarioOutcome, testScenarios } from './sim/run-scenario.js';
 import { duplicateHeartbeats, leaderOrRandomNode, pickMachines } from './sim/faults.js';
@@ -21,7 +21,7 @@
   const cluster = await clusterWithoutLoss({ seed: 2 });
   // No machine has the image yet, so the gang takes a while to start. It runs in two zones, on machines of its own.
   const job = submit(cluster, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
-  await until(
+  await runUntil(
     cluster,
     () => machinesOfJob(cluster, job).length > 1 && cluster.gangs.begun === 0,
     10,
@@ -38,7 +38,7 @@
 test('a gang that loses a task while it runs restarts as a whole from the saved progress', async () => {
   const cluster = await clusterWithoutLoss({ seed: 3 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8 });
-  await until(cluster, () => cluster.gangs.begun === 1, 15);
+  await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   await cluster.run(4.5);
   cluster.cloud.preempt(cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!);
   await cluster.run(40);
@@ -56,7 +56,7 @@
 test('a gang is done once one task is, even if a machine is preempted before it can report its own tasks', async () => {
   const cluster = await clusterWithoutLoss({ seed: 7 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8 });
-  await until(cluster, () => cluster.gangs.begun === 1, 15);
+  await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   const [isolatedMachine] = machinesOfJob(cluster, job);
   await cluster.run(5);
   cluster.network.partitions.push({
@@ -65,7 +65,7 @@
     until: Infinity,
     mode: 'hold',
   });
-  await until(cluster, () => job.finishedTasks.size === 6, 5);
+  await runUntil(cluster, () => job.finishedTasks.size === 6, 5);
   cluster.cloud.preempt(cluster.cloud.machines.get(isolatedMachine)!);
   await cluster.run(30);
   assert.equal(cluster.gangs.begun, 1);
@@ -76,7 +76,7 @@
 test('a preemption notice stops all tasks of a running gang with a checkpoint, and no progress is lost', async () => {
   const cluster = await clusterWithoutLoss({ seed: 4 });
   const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8, durationS: 20, checkpointEveryS: 19 });
-  await until(cluster, () => cluster.gangs.begun === 1, 15);
+  await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   await cluster.run(5);
   cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!.worker!.preemptionDeadline =
     cluster.clock.time + 8000;
@@ -94,7 +94,7 @@
 test('a preemption notice while a gang is starting replaces only the tasks on that machine; the others keep waiting', async () => {
   const cluster = await clusterWithoutLoss({ seed: 14 });
   const job = submit(cluster, { ...GANG, oneZone: false, tasks: 10, cpus: 8, image: 'img-9' });
-  await until(
+  await runUntil(
     cluster,
     () => machinesOfJob(cluster, job).length > 1 && cluster.gangs.begun === 0,
     10,
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -75,7 +75,7 @@
   cluster.faults.cancelRunning(3, 12_000);
   await cluster.run(10);
   cluster.network.partitions.push({
-    a: cluster.faults.inZone('d'),
+    a: cluster.faults.isMachineHostIn('d'),
     b: () => true,
     until: cluster.clock.time + 18_000,
     mode: 'hold',
--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the cloud that rents machines. */
+/** Simulated cloud that rents machines. */
 import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
@@ -16,26 +16,29 @@
 } from './wire/cloud.js';
 import type { Worker } from './worker.js';
 
-/** A machine that is rented. `bootMs` is infinite if it never comes up. */
+/** A rented machine. */
 export interface CloudMachine {
   id: string;
   type: string;
   zone: string;
   spot: boolean;
+  /** Virtual time of the rental in milliseconds. */
   rentedAt: number;
+  /** Time from the rental until the machine runs, in milliseconds; infinite if it never boots. */
   bootMs: number;
+  /** Null until the machine has booted. */
   worker: Worker | null;
   state: MachineState;
 }
 
-/** How many machines of a type there are in a zone, of each kind: ordinary and spot. */
+/** Capacity of a machine type in a zone: `count` ordinary machines and as many spot machines. */
 export interface CloudPool {
   type: string;
   zone: string;
   count: number;
 }
 
-/** The machine types of a cluster that names none. */
+/** Default machine types, for clusters whose configuration specifies none. */
 export const TYPES: CloudType[] = [
   {
     name: 't16',
@@ -49,19 +52,21 @@
   },
 ];
 
-/** Bursts of so many seconds' worth of calls are allowed. */
+/** Size of the allowed burst, as the calls that the rate limit allows in this many seconds. */
 const BURST_S = 2;
-/** A page of the list holds at most so many machines. */
-const PAGE = 500;
+/** Maximum number of machines in a page of the machine list. */
+const PAGE_SIZE = 500;
 
-/** Stand-in for the cloud, after PROTOCOL: lists lag and come in pages, some machines never come up. */
+/** Simulated cloud, as PROTOCOL specifies: machine lists lag and are paged, and some machines never boot. */
 export class CloudService {
   readonly machines = new Map<string, CloudMachine>();
-  private readonly answers = new Map<string, string[]>();
+  /** Ids of the rented machines by request id, so that a repeated request rents no further machines. */
+  private readonly rentalsByRequest = new Map<string, string[]>();
   private readonly snapshots: { at: number; list: MachineListEntry[] }[] = [];
-  private next = 1;
+  private nextNumber = 1;
+  /** Until this virtual time every call fails with status 503. */
   downUntil = 0;
-  /** Calls that came, and those beyond the rate, which get 429. */
+  /** Number of calls received, and of those that exceeded the rate limit and got status 429. */
   readonly received = { calls: 0, tooMany: 0 };
   private readonly rateLimit: RateLimit | null;
 
@@ -89,13 +94,16 @@
     return true;
   }
 
-  /** Names are never used twice: those of machines that tests only tell of are passed over. */
+  /**
+   * Numbers the next machines from `number` on. Ids are never reused, so tests skip those of machines that exist only
+   * in stored records.
+   */
   numberMachinesFrom(number: number): void {
-    this.next = number;
+    this.nextNumber = number;
   }
 
-  private page(after: string, wanted: number | null): HttpResponse {
-    const limit = Math.min(PAGE, wanted ?? PAGE);
+  private listPage(after: string, wanted: number | null): HttpResponse {
+    const limit = Math.min(PAGE_SIZE, wanted ?? PAGE_SIZE);
     const at = this.clock.time - this.random.between(1000, 4000);
     const list = [...this.snapshots].reverse().find((snapshot) => snapshot.at <= at)?.list ?? [];
     const rest = list.filter((machine) => machine.id > after);
@@ -122,9 +130,10 @@
     });
   }
 
-  add(type: string, zone: string, spot: boolean, up: boolean): CloudMachine {
-    const id = `i-${String(this.next++).padStart(6, '0')}`;
-    const bootMs = up ? 0 : this.random.chance(0.03) ? Infinity : this.random.between(2500, 9000);
+  /** Adds a machine; if `isUp` it runs at once, else it boots after a random time or, with probability 0.03, never. */
+  add(type: string, zone: string, spot: boolean, isUp: boolean): CloudMachine {
+    const id = `i-${String(this.nextNumber++).padStart(6, '0')}`;
+    const bootMs = isUp ? 0 : this.random.chance(0.03) ? Infinity : this.random.between(2500, 9000);
     const machine: CloudMachine = {
       id,
       type,
@@ -145,6 +154,7 @@
     return machine;
   }
 
+  /** Removes the machine and everything that runs on it. */
   preempt(machine: CloudMachine): void {
     machine.worker?.kill();
     this.machines.delete(machine.id);
@@ -164,7 +174,7 @@
         }
         return { status: 200, body: {} };
       case 'list':
-        return this.page(request.after, request.limit);
+        return this.listPage(request.after, request.limit);
       case 'rent':
         return this.rent(request);
     }
@@ -177,8 +187,8 @@
   }
 
   private rent({ request, type, zone, spot, count }: RentalRequest): HttpResponse {
-    const before = this.answers.get(request);
-    if (before) return { status: 200, body: encodeRental(before) };
+    const earlierRental = this.rentalsByRequest.get(request);
+    if (earlierRental) return { status: 200, body: encodeRental(earlierRental) };
     const pool = this.pools.find((p) => p.type === type && p.zone === zone);
     const used = [...this.machines.values()].filter(
       (m) => m.type === type && m.zone === zone && m.spot === spot,
@@ -186,7 +196,7 @@
     const granted = Math.min(count, (pool?.count ?? 0) - used);
     if (granted <= 0) return { status: 503, body: { error: 'no capacity' } };
     const ids = Array.from({ length: granted }, () => this.add(type, zone, spot, false).id);
-    this.answers.set(request, ids);
+    this.rentalsByRequest.set(request, ids);
     return { status: 200, body: encodeRental(ids) };
   }
 }
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -1,34 +1,39 @@
-/** Stand-in for what the tasks of a gang tell each other. */
+/** Simulates the communication between the tasks of a gang. */
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
 import type { ObservedJob } from './observed-job.js';
 import type { ReportedExitCause } from './wire/workers.js';
 
-/** A task of a gang gives up if the others are not there within this time. */
+/** A task of a gang exits if the gang has not started within this time after the task got its image. */
 export const GANG_WAIT_MS = 6000;
-/** Tasks of a gang end within this time after one of them is lost. */
+/** The tasks of a gang exit within this time after one of them is lost. */
 export const GANG_PEER_MS = 2000;
-const LOOK_MS = 250;
+const HANG_CHECK_INTERVAL_MS = 250;
 
-/** A task of a gang that has its image, as its worker stands for it. */
+/** A task of a gang that has its image, as its worker presents it to the coordinator. */
 export interface Member {
+  /** The gang has started. */
   run(): void;
+  /** The task exits with this cause. */
   exit(cause: ReportedExitCause): void;
-  /** Its machine stands still. */
-  hangs(): boolean;
-  /** How much longer everything takes there. */
-  slow: number;
+  /** Whether its machine hangs. */
+  isHanging(): boolean;
+  /** Factor by which everything takes longer on its machine. */
+  slowness: number;
 }
 
 interface Gang {
-  state: 'gathering' | 'running' | 'stopping' | 'over';
+  state: 'gathering' | 'running' | 'stopping' | 'disbanded';
+  /** Members by task number. */
   members: Map<number, Member>;
+  /** Virtual time of each member's first stop request, by task number. */
   stopRequests: Map<number, number>;
-  /** When it began to run, and how far the job was then, in milliseconds of progress. */
-  beganAt: number;
-  base: number;
-  pace: number;
-  /** Progress at the first stop, and when that was. */
+  /** Virtual time at which the gang started, and the job's progress at that time, both in milliseconds. */
+  startedAt: number;
+  progressAtStart: number;
+  /** The largest slowness of its members, which slows down the whole gang. */
+  slowness: number;
+  /** Time of the first stop request, and the progress at that time. */
   firstStop: { at: number; progress: number } | null;
 }
 
@@ -37,19 +42,21 @@
     state: 'gathering',
     members: new Map(),
     stopRequests: new Map(),
-    beganAt: 0,
-    base: 0,
-    pace: 1,
+    startedAt: 0,
+    progressAtStart: 0,
+    slowness: 1,
     firstStop: null,
   };
 }
 
-/** How the tasks of one attempt find each other: acted out for all workers at once. */
+/** Simulates, for all workers, how the tasks of each attempt find each other and start, fail and stop together. */
 export class GangCoordinator {
   private readonly gangs = new Map<string, Gang>();
-  /** How many gangs began, for tests. */
+  /** Number of gangs that started. */
   begun = 0;
+  /** Number of members that were lost while their gang was gathering. */
   replaced = 0;
+  /** Number of members that gave up because their gang did not start within `GANG_WAIT_MS`. */
   incomplete = 0;
 
   constructor(
@@ -57,19 +64,20 @@
     private readonly random: SeededRandom,
   ) {}
 
-  /** How many attempts had a task that got its image. */
+  /** Number of attempts of which at least one task got its image. */
   attempts(): number {
     return this.gangs.size;
   }
 
+  /** Adds a task that has its image to its gang, and starts the gang if the task is the last one. */
   arrive(job: ObservedJob, attempt: number, taskNumber: number, member: Member): void {
     const key = `${job.spec.id}#${attempt}`;
     const gang = this.gangs.get(key) ?? newGang();
     this.gangs.set(key, gang);
     gang.members.set(taskNumber, member);
     this.clock.after(GANG_WAIT_MS, () => {
-      const waits = gang.state !== 'running' && gang.state !== 'stopping';
-      if (waits && gang.members.get(taskNumber) === member)
+      const isWaiting = gang.state !== 'running' && gang.state !== 'stopping';
+      if (isWaiting && gang.members.get(taskNumber) === member)
         this.leave(job, attempt, taskNumber, 'incomplete');
     });
     if (gang.state === 'gathering' && gang.members.size === job.spec.tasks) this.begin(job, gang);
@@ -78,15 +86,17 @@
   private begin(job: ObservedJob, gang: Gang): void {
     gang.state = 'running';
     this.begun++;
-    gang.beganAt = this.clock.time;
-    gang.base = job.progressMs;
-    gang.pace = Math.max(...[...gang.members.values()].map((m) => m.slow));
+    gang.startedAt = this.clock.time;
+    gang.progressAtStart = job.progressMs;
+    gang.slowness = Math.max(...[...gang.members.values()].map((m) => m.slowness));
     for (const member of gang.members.values()) member.run();
-    const left =
-      job.finishedTasks.size > 0 ? 1 : (job.spec.durationS * 1000 - gang.base) * gang.pace;
-    this.clock.after(Math.max(1, left), () => {
+    const remainingMs =
+      job.finishedTasks.size > 0
+        ? 1
+        : (job.spec.durationS * 1000 - gang.progressAtStart) * gang.slowness;
+    this.clock.after(Math.max(1, remainingMs), () => {
       if (gang.state !== 'running') return;
-      if ([...gang.members.values()].some((m) => m.hangs())) {
+      if ([...gang.members.values()].some((m) => m.isHanging())) {
         this.fail(job, gang);
         return;
       }
@@ -95,40 +105,48 @@
     this.watch(job, gang);
   }
 
-  /** The others notice one that hangs. */
+  /** Fails the gang when one of its members hangs, as the others notice that. */
   private watch(job: ObservedJob, gang: Gang): void {
     if (gang.state !== 'running') return;
-    if ([...gang.members.values()].some((m) => m.hangs())) this.fail(job, gang);
+    if ([...gang.members.values()].some((m) => m.isHanging())) this.fail(job, gang);
     else
-      this.clock.after(LOOK_MS, () => {
+      this.clock.after(HANG_CHECK_INTERVAL_MS, () => {
         this.watch(job, gang);
       });
   }
 
-  /** Back to the last checkpoint; whoever is left goes within a while. */
+  /** Resets the job to its last checkpoint; the remaining members exit within `GANG_PEER_MS`. */
   private fail(job: ObservedJob, gang: Gang): void {
-    if (gang.state === 'over') return;
-    const every = job.spec.checkpointEveryS * 1000;
+    if (gang.state === 'disbanded') return;
+    const checkpointIntervalMs = job.spec.checkpointEveryS * 1000;
     const progress = gang.firstStop?.progress ?? this.progress(gang);
-    if (every > 0) job.progressMs = Math.max(job.progressMs, Math.floor(progress / every) * every);
+    if (checkpointIntervalMs > 0)
+      job.progressMs = Math.max(
+        job.progressMs,
+        Math.floor(progress / checkpointIntervalMs) * checkpointIntervalMs,
+      );
     for (const member of this.disband(gang))
       this.clock.after(this.random.between(0, GANG_PEER_MS), () => {
         member.exit('peer_lost');
       });
   }
 
+  /** Returns the members that the gang had. */
   private disband(gang: Gang): Member[] {
     const all = [...gang.members.values()];
-    gang.state = 'over';
+    gang.state = 'disbanded';
     gang.members.clear();
     return all;
   }
 
   private progress(gang: Gang): number {
-    return gang.base + (this.clock.time - gang.beganAt) / gang.pace;
+    return gang.progressAtStart + (this.clock.time - gang.startedAt) / gang.slowness;
   }
 
-  /** Gone from its machine, for whatever reason: the others of a gang that runs fall apart. */
+  /**
+   * Removes a task that has left its machine for any reason, which makes a running or stopping gang fail. A task with a
+   * cause exits with it.
+   */
   leave(
     job: ObservedJob,
     attempt: number,
@@ -145,11 +163,15 @@
     if (cause !== null) member.exit(cause);
   }
 
+  /**
+   * Stops a task. If the job saves checkpoints and the grace period suffices, the task waits until all the others are
+   * stopped too and saves together with them; the gang fails if that takes longer than `GANG_PEER_MS`.
+   */
   stop(job: ObservedJob, attempt: number, taskNumber: number, graceS: number): void {
     const gang = this.gangs.get(`${job.spec.id}#${attempt}`);
     const saveS = job.spec.checkpointS;
-    const saves = job.spec.checkpointEveryS > 0 && graceS >= saveS;
-    if (!gang || !saves || (gang.state !== 'running' && gang.state !== 'stopping')) {
+    const canSave = job.spec.checkpointEveryS > 0 && graceS >= saveS;
+    if (!gang || !canSave || (gang.state !== 'running' && gang.state !== 'stopping')) {
       this.leave(job, attempt, taskNumber, 'stopped');
       return;
     }
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -1,24 +1,26 @@
-/** What must hold whatever fails, looked at from outside the service; `docs/safety.md` argues each of these. */
+/** Invariants that must hold under all faults, as seen from outside the service; `docs/safety.md` justifies each. */
 import type { ObservedJob } from './observed-job.js';
-import { type MachineRoom, type Place, fits, mismatches } from './places.js';
+import { type MachineCapacity, type Place, fits, mismatches } from './places.js';
 import { unservedJobs } from './service-level.js';
 import type { JobReply, JobState } from './wire/users.js';
 
-/** Once all faults are over, no accepted job may go without an answer for longer. */
-const FORGOTTEN_MS = 75_000;
-/** Nor may one wait for longer beside a machine that fits and has room. */
-const WAITING_MS = 90_000;
+/** Maximum time in milliseconds without a response about an accepted job, once all faults have ended. */
+const MAX_RESPONSE_GAP_MS = 75_000;
+/** Maximum time in milliseconds that a job may wait while a machine has capacity for it, once all faults have ended. */
+const MAX_WAITING_MS = 90_000;
 
-/** PROTOCOL's rules as invariants: what runs where, and what users were told. */
+/** Checks PROTOCOL's rules on where tasks run and on the responses to users. */
 export class Invariants {
+  /** The violations, each with its virtual time in milliseconds. */
   readonly violations: string[] = [];
   readonly jobs = new Map<string, ObservedJob>();
-  /** Which task is on which machines now. */
+  /** The places of each task that is on a machine now; more than one if it runs twice. */
   readonly placesByTask = new Map<string, Place[]>();
+  /** Number of task starts, repeated ones included. */
   starts = 0;
-  /** Tasks that were started once more after they were done. */
+  /** Tasks that were started again after they had finished. */
   readonly startsAfterFinish: string[] = [];
-  /** Starts after a confirmed cancellation: how long after it. */
+  /** For each start after a confirmed cancellation, the time since the confirmation in milliseconds. */
   readonly startsAfterCancellationMs: number[] = [];
 
   constructor(
@@ -31,7 +33,7 @@
     this.violations.push(`${Math.round(this.now())} ${invariant}: ${detail}`);
   }
 
-  /** The same by job, and what each team uses: large runs ask at every start. */
+  /** The tasks on machines by job, and the CPUs that each team uses; kept since large runs query them at each start. */
   private readonly placedTasksByJob = new Map<string, Set<string>>();
   private readonly usedCpusByTeam = new Map<string, number>();
   private readonly cancelled = new Map<string, ObservedJob>();
@@ -45,7 +47,7 @@
     return this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec.cpus;
   }
 
-  /** What the team's tasks use now. */
+  /** Number of CPUs that the team's tasks use now. */
   usedCpus(team: string): number {
     return this.usedCpusByTeam.get(team) ?? 0;
   }
@@ -55,6 +57,7 @@
     this.usedCpusByTeam.set(team, (this.usedCpusByTeam.get(team) ?? 0) + sign * job.spec.cpus);
   }
 
+  /** A worker has started the task, which has its image. */
   taskStarted(task: string, place: Place): void {
     this.starts++;
     const id = task.slice(0, task.lastIndexOf('/'));
@@ -66,16 +69,19 @@
     if (job.finishedTasks.has(Number(task.slice(task.lastIndexOf('/') + 1))))
       this.startsAfterFinish.push(task);
     const { spec } = job;
-    const there = this.placesByTask.get(task) ?? [];
-    if (there.length > 0)
-      this.recordViolation('ran_twice', `${task} on ${place.machine} and ${there[0].machine}`);
+    const otherPlaces = this.placesByTask.get(task) ?? [];
+    if (otherPlaces.length > 0)
+      this.recordViolation(
+        'ran_twice',
+        `${task} on ${place.machine} and ${otherPlaces[0].machine}`,
+      );
     for (const mismatch of mismatches(spec, place, [...this.placesOfJob(id)]))
       this.recordViolation('wrong_place', `${task}${mismatch}`);
     if (job.reportedCancelledAt !== null)
       this.startsAfterCancellationMs.push(this.now() - job.reportedCancelledAt);
     job.firstStartAt ??= this.now();
     job.waitingSince = null;
-    this.placesByTask.set(task, [...there, place]);
+    this.placesByTask.set(task, [...otherPlaces, place]);
     this.placedTasksByJob.set(id, (this.placedTasksByJob.get(id) ?? new Set()).add(task));
     this.addUsage(job, 1);
     const limit = this.limits.get(spec.team) ?? Infinity;
@@ -83,13 +89,14 @@
       this.recordViolation('quota', `${spec.team} by ${task}`);
   }
 
+  /** The task is no longer on the machine; `done` if it has finished. */
   taskLeft(task: string, machine: string, done: boolean): void {
-    const there = this.placesByTask.get(task) ?? [];
-    const left = there.filter((p) => p.machine !== machine);
+    const placesBefore = this.placesByTask.get(task) ?? [];
+    const remaining = placesBefore.filter((p) => p.machine !== machine);
     const slash = task.lastIndexOf('/');
     const job = this.jobs.get(task.slice(0, slash));
-    if (job) for (let i = left.length; i < there.length; i++) this.addUsage(job, -1);
-    if (left.length > 0) this.placesByTask.set(task, left);
+    if (job) for (let i = remaining.length; i < placesBefore.length; i++) this.addUsage(job, -1);
+    if (remaining.length > 0) this.placesByTask.set(task, remaining);
     else {
       this.placesByTask.delete(task);
       this.placedTasksByJob.get(task.slice(0, slash))?.delete(task);
@@ -97,24 +104,25 @@
     if (done) job?.finishedTasks.add(Number(task.slice(slash + 1)));
   }
 
-  /** An answer to a request that was sent at `asked`: what was told before then must stand. */
-  recordAnswer(id: string, { status, job: answered }: JobReply, asked: number): void {
+  /** Records the response to a request sent at `sentAt`; it must agree with the responses received before that. */
+  recordResponse(id: string, { status, job: reported }: JobReply, sentAt: number): void {
     const job = this.jobs.get(id);
     if (status === 404 && job?.reportedAccepted) this.recordViolation('forgotten', id);
-    if (!answered) return;
+    if (!reported) return;
     if (!job?.submitted) {
       this.recordViolation('invented', id);
       return;
     }
     job.reportedAccepted = true;
-    job.answeredAt = this.now();
-    this.checkFinalStateKept(id, job, answered.state, asked);
-    if (answered.state === 'cancelled') this.reportedCancelled(id, job);
-    if (answered.state === 'done') this.reportedDone(id, job);
+    job.lastResponseAt = this.now();
+    this.checkFinalStateKept(id, job, reported.state, sentAt);
+    if (reported.state === 'cancelled') this.reportedCancelled(id, job);
+    if (reported.state === 'done') this.reportedDone(id, job);
   }
 
   private reportedCancelled(id: string, job: ObservedJob): void {
-    if (!job.cancelRequested) this.recordViolation('went_back', `${id} cancelled by nobody`);
+    if (!job.cancelRequested)
+      this.recordViolation('went_back', `${id} cancelled without a request`);
     job.reportedCancelledAt ??= this.now();
     this.cancelled.set(id, job);
   }
@@ -124,25 +132,25 @@
     if (job.finishedTasks.size < job.spec.tasks) this.recordViolation('not_done', id);
   }
 
-  /** A job that was called done or cancelled before the question stays so. */
-  private checkFinalStateKept(id: string, job: ObservedJob, state: JobState, asked: number): void {
-    if (job.reportedDoneAt !== null && job.reportedDoneAt <= asked && state !== 'done')
+  /** Checks that a job that was reported as done or cancelled before the request was sent is still in that state. */
+  private checkFinalStateKept(id: string, job: ObservedJob, state: JobState, sentAt: number): void {
+    if (job.reportedDoneAt !== null && job.reportedDoneAt <= sentAt && state !== 'done')
       this.recordViolation('went_back', `${id} was done, now ${state}`);
     if (
       job.reportedCancelledAt !== null &&
-      job.reportedCancelledAt <= asked &&
+      job.reportedCancelledAt <= sentAt &&
       state !== 'cancelled'
     )
       this.recordViolation('went_back', `${id} was cancelled`);
   }
 
-  /** All faults are over since `from`: nobody's job may go without an answer. */
-  checkAnswered(from: number): void {
+  /** Checks that all accepted jobs got a response recently, given that all faults ended at `from`. */
+  checkResponded(from: number): void {
     for (const [id, job] of this.jobs) {
       if (
         !job.reportedAccepted ||
         job.cancelRequested ||
-        this.now() - Math.max(from, job.answeredAt) <= FORGOTTEN_MS
+        this.now() - Math.max(from, job.lastResponseAt) <= MAX_RESPONSE_GAP_MS
       )
         continue;
       if (!this.violations.some((b) => b.includes(`forgotten: ${id}`)))
@@ -150,21 +158,26 @@
     }
   }
 
-  /** Room for one task, or for a whole gang of which nothing is anywhere. */
-  private hasRoom(job: ObservedJob, id: string, rooms: MachineRoom[]): boolean {
-    const fitting = rooms.filter((room) => fits(job.spec, [...this.placesOfJob(id)], room));
+  /** Whether there is capacity for one more task or, if none of its tasks is on a machine, for a whole gang. */
+  private hasCapacity(job: ObservedJob, id: string, capacities: MachineCapacity[]): boolean {
+    const fitting = capacities.filter((machine) =>
+      fits(job.spec, [...this.placesOfJob(id)], machine),
+    );
     if (job.spec.kind !== 'gang') return fitting.length > 0;
     if ((this.placedTasksByJob.get(id)?.size ?? 0) > 0) return false;
-    const zones = job.spec.oneZone ? [...new Set(fitting.map((room) => room.zone))] : [null];
+    const zones = job.spec.oneZone ? [...new Set(fitting.map((machine) => machine.zone))] : [null];
     return zones.some((zone) => {
-      const there = fitting.filter((room) => zone === null || room.zone === zone);
-      const count = there.reduce((sum, room) => sum + Math.floor(room.freeCpus / job.spec.cpus), 0);
+      const inSameZone = fitting.filter((machine) => zone === null || machine.zone === zone);
+      const count = inSameZone.reduce(
+        (sum, machine) => sum + Math.floor(machine.freeCpus / job.spec.cpus),
+        0,
+      );
       return count >= job.spec.tasks;
     });
   }
 
-  /** All faults are over: no job is left waiting beside room, with its team under its limit. */
-  checkWaiting(rooms: MachineRoom[], fetching: string[]): void {
+  /** Checks, after all faults, that no job keeps waiting while there is capacity and its team is under its limit. */
+  checkWaiting(capacities: MachineCapacity[], fetching: string[]): void {
     const used = new Map(this.usedCpusByTeam);
     for (const task of fetching) {
       const { team } = this.jobs.get(task.slice(0, task.lastIndexOf('/')))!.spec;
@@ -172,12 +185,13 @@
     }
     for (const [id, job] of this.jobs) {
       const { team } = job.spec;
-      // A gang starts whole or not at all, so that all of it has to fit under the limit.
+      // All tasks of a gang start together or not at all, so the whole gang has to fit under the limit.
       const together = job.spec.kind === 'gang' ? job.spec.tasks : 1;
       const cpus = (used.get(team) ?? 0) + together * job.spec.cpus;
       const isUnderLimit = cpus <= (this.limits.get(team) ?? Infinity);
-      const waits = this.hasTasksLeft(id, job) && isUnderLimit && this.hasRoom(job, id, rooms);
-      this.noteWaiting(id, job, waits);
+      const isWaiting =
+        this.hasTasksLeft(id, job) && isUnderLimit && this.hasCapacity(job, id, capacities);
+      this.recordWaiting(id, job, isWaiting);
     }
   }
 
@@ -186,26 +200,26 @@
     return job.spec.tasks - job.finishedTasks.size - (this.placedTasksByJob.get(id)?.size ?? 0) > 0;
   }
 
-  private noteWaiting(id: string, job: ObservedJob, waits: boolean): void {
-    if (!waits) {
+  private recordWaiting(id: string, job: ObservedJob, isWaiting: boolean): void {
+    if (!isWaiting) {
       job.waitingSince = null;
       return;
     }
     job.waitingSince ??= this.now();
     if (
-      this.now() - job.waitingSince > WAITING_MS &&
+      this.now() - job.waitingSince > MAX_WAITING_MS &&
       !this.violations.some((b) => b.includes(`waits: ${id}`))
     )
       this.recordViolation('waits', id);
   }
 
-  /** Of each class, each team and the largest jobs of each class at least half are served, and these begin in time. */
+  /** Checks the service level; see `unservedJobs`. */
   checkServed(): void {
     for (const unserved of unservedJobs(this.jobs.values(), this.now()))
       this.recordViolation('unserved', unserved);
   }
 
-  /** After each step. */
+  /** Checks, after each step, that no task of a job runs later than `cancelMs` after its confirmed cancellation. */
   check(): void {
     for (const [id, job] of this.cancelled)
       if (this.now() > job.reportedCancelledAt! + this.cancelMs)
--- a/test/sim/job-spec.ts
+++ b/test/sim/job-spec.ts
@@ -1,8 +1,8 @@
-/** Job specifications for tests that need no user. */
+/** Job specifications for tests without simulated users. */
 import type { JobSpec } from '../../src/wire/model.js';
 
-/** An array as the controllers keep it, for tests of single parts. */
-export function spec(over: Partial<JobSpec> = {}): JobSpec {
+/** Returns an array job as the controllers represent it, for unit tests. */
+export function spec(overrides: Partial<JobSpec> = {}): JobSpec {
   return {
     id: 'run-1',
     cls: 'batch',
@@ -24,6 +24,6 @@
     checkpointS: 0,
     saveS: 0,
     deadlineS: null,
-    ...over,
+    ...overrides,
   };
 }
--- a/test/sim/lease-table.ts
+++ b/test/sim/lease-table.ts
@@ -1,12 +1,12 @@
-/** The leases that the state service has granted. */
+/** The leases that the simulated state service has granted. */
 import type { VirtualClock } from './clock.js';
 
 interface Lease {
   ttlMs: number;
-  endsAt: number;
+  expiresAt: number;
 }
 
-/** Leases end by the virtual clock; the state service looks which have expired. */
+/** Leases by id, with expiry by the virtual clock; expired ones stay until the state service revokes them. */
 export class LeaseTable {
   private readonly leases = new Map<number, Lease>();
   private nextId = 1;
@@ -15,7 +15,7 @@
 
   grant(ttlMs: number): number {
     const id = this.nextId++;
-    this.leases.set(id, { ttlMs, endsAt: this.clock.time + ttlMs });
+    this.leases.set(id, { ttlMs, expiresAt: this.clock.time + ttlMs });
     return id;
   }
 
@@ -25,10 +25,10 @@
 
   renew(id: number): void {
     const lease = this.leases.get(id);
-    if (lease) lease.endsAt = this.clock.time + lease.ttlMs;
+    if (lease) lease.expiresAt = this.clock.time + lease.ttlMs;
   }
 
-  /** After an outage no lease ends at once. */
+  /** Renews all leases, so that none expires right after an outage. */
   renewAll(): void {
     for (const id of this.leases.keys()) this.renew(id);
   }
@@ -38,7 +38,7 @@
   }
 
   expired(): number[] {
-    const isExpired = ([, { endsAt }]: [number, Lease]): boolean => endsAt <= this.clock.time;
+    const isExpired = ([, { expiresAt }]: [number, Lease]): boolean => expiresAt <= this.clock.time;
     return [...this.leases].filter(isExpired).map(([id]) => id);
   }
 }
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -1,10 +1,10 @@
-/** The network between the simulated hosts, with its faults. */
+/** The network between the simulated hosts, with injected faults. */
 import type { HttpResponse } from '../../src/runtime.js';
 import { type Body, decodeMap, encode } from '../../src/wire/cbor.js';
 import type { VirtualClock } from './clock.js';
 import type { SeededRandom } from './random.js';
 
-/** Answers a request; `from` is the host that sent it. */
+/** Handles a request; `from` is the host that sent it. */
 export type Handler = (
   method: string,
   path: string,
@@ -14,34 +14,34 @@
 
 /** A host of the network. */
 export interface Host {
-  /** Answers requests, or null while it is down. */
+  /** Handles requests; null while the host is down. */
   handler: Handler | null;
-  /** Hanging: requests wait until then. */
+  /** Virtual time until which the host hangs and requests wait. */
   hangsUntil: number;
 }
 
-/** Hosts that can't reach each other, until a time. */
+/** Hosts `a` and `b` that can't reach each other until a given virtual time: messages are held until then, or reset. */
 export interface Partition {
   a: (host: string) => boolean;
   b: (host: string) => boolean;
   until: number;
   mode: 'hold' | 'reset';
-  /** Only what goes from `a` to `b` is cut; the other way works. */
+  /** Blocks only messages from `a` to `b`; those from `b` to `a` arrive. */
   oneWay?: boolean;
-  /** Only connections from `a` to `b` can't be opened: what `b` asks is answered. */
+  /** Blocks only requests from `a` to `b`, as if no connection could be opened; requests from `b` get responses. */
   connectionsOnly?: boolean;
 }
 
-function cutsForward(
+function blocksForward(
   { a, b, connectionsOnly }: Partition,
   from: string,
   to: string,
-  answer: boolean,
+  isResponse: boolean,
 ): boolean {
-  return a(from) && b(to) && !(connectionsOnly && answer);
+  return a(from) && b(to) && !(connectionsOnly && isResponse);
 }
 
-function cutsBackward(
+function blocksBackward(
   { a, b, oneWay, connectionsOnly }: Partition,
   from: string,
   to: string,
@@ -49,7 +49,7 @@
   return !oneWay && !connectionsOnly && a(to) && b(from);
 }
 
-/** Late duplicates of requests: how likely, how late at most, and where else they may turn up. */
+/** Late duplicates of the requests to a path: their probability, maximum delay and recipient. */
 export interface Duplication {
   path: string;
   chance: number;
@@ -66,10 +66,10 @@
   body: Uint8Array;
 }
 
-interface ObservedReply {
-  /** Who replies. */
+interface ObservedResponse {
+  /** The host that responds. */
   from: string;
-  /** Who had asked. */
+  /** The host that sent the request. */
   to: string;
   path: string;
   status: number;
@@ -77,13 +77,13 @@
   body: Uint8Array;
 }
 
-/** Is shown the traffic as it is sent, whether or not it arrives. Must not change anything. */
+/** Receives the traffic as it is sent, whether or not it arrives. Must not change anything. */
 export interface NetworkObserver {
   requested(request: ObservedRequest): void;
-  replied(reply: ObservedReply): void;
+  responded(response: ObservedResponse): void;
 }
 
-/** A request as it travels. */
+/** A request in transit. */
 interface Message {
   from: string;
   to: string;
@@ -92,16 +92,16 @@
   body: Body;
 }
 
-/** Requests are delayed, lost, held by partitions and delivered late, and now and then repeated. */
+/** Delays, loses and repeats requests at random, and holds or resets messages that partitions block. */
 export class Network {
   readonly hosts = new Map<string, Host>();
   partitions: Partition[] = [];
-  /** How likely a message is lost. */
+  /** Probability that a message is lost. */
   lossRate = 0.002;
-  /** How likely a request comes once more. */
+  /** Probability that a POST request is delivered a second time. */
   repeatRate = 0.003;
   duplicates: Duplication | null = null;
-  /** How much longer everything takes. */
+  /** Factor by which all delays are longer than usual. */
   delayFactor = 1;
   observer: NetworkObserver | null = null;
 
@@ -110,12 +110,12 @@
     private readonly random: SeededRandom,
   ) {}
 
-  private partitionBetween(from: string, to: string, answer: boolean): Partition | undefined {
+  private partitionBetween(from: string, to: string, isResponse: boolean): Partition | undefined {
     const now = this.clock.time;
     return this.partitions.find(
       (partition) =>
         partition.until > now &&
-        (cutsForward(partition, from, to, answer) || cutsBackward(partition, from, to)),
+        (blocksForward(partition, from, to, isResponse) || blocksBackward(partition, from, to)),
     );
   }
 
@@ -126,21 +126,21 @@
     );
   }
 
-  /** One way: `arrive` runs when (if) the message gets there, `broken` when the sender sees a reset. */
+  /** Sends one message: `onArrival` runs if and when it arrives, `onReset` if the sender sees a connection reset. */
   private carry(
     from: string,
     to: string,
-    arrive: () => void,
-    broken: () => void,
-    answer = false,
+    onArrival: () => void,
+    onReset: () => void,
+    isResponse = false,
   ): void {
-    const partition = this.partitionBetween(from, to, answer);
+    const partition = this.partitionBetween(from, to, isResponse);
     if (partition?.mode === 'reset') {
-      this.clock.after(this.delay(), broken);
+      this.clock.after(this.delay(), onReset);
     } else if (partition) {
-      this.clock.after(partition.until - this.clock.time + this.delay(), arrive);
+      this.clock.after(partition.until - this.clock.time + this.delay(), onArrival);
     } else if (!this.random.chance(this.lossRate)) {
-      this.clock.after(this.delay(), arrive);
+      this.clock.after(this.delay(), onArrival);
     }
   }
 
@@ -152,19 +152,20 @@
     return host.handler ? host.handler(method, path, body, from) : null;
   }
 
-  /** A request that comes once more: nobody waits for its reply. */
+  /** Delivers a duplicate of a request, whose response is shown to the observer and then dropped. */
   private async deliverDuplicate(message: Message): Promise<void> {
-    const reply = await this.deliver(message);
-    if (!reply || !this.observer) return;
+    const response = await this.deliver(message);
+    if (!response || !this.observer) return;
     const { from, to, path } = message;
-    this.observer.replied({ ...reply, from: to, to: from, path, body: encode(reply.body) });
+    this.observer.responded({ ...response, from: to, to: from, path, body: encode(response.body) });
   }
 
-  /** A message without an answer, as between controllers: delayed, held or lost like the rest. */
-  sendOneWay(from: string, to: string, arrive: () => void): void {
-    this.carry(from, to, arrive, () => undefined);
+  /** Sends a message without a response, as between controllers; delayed, held or lost like all messages. */
+  sendOneWay(from: string, to: string, onArrival: () => void): void {
+    this.carry(from, to, onArrival, () => undefined);
   }
 
+  /** Sends a request. Never rejects: a status of 0 means that there was no response. */
   send(
     from: string,
     to: string,
@@ -173,45 +174,45 @@
     body: Body | null,
     timeoutMs: number,
   ): Promise<HttpResponse> {
-    // Through the codec, so that what is sent is what the wire can carry.
+    // Encoded and decoded, so that the receiver gets only what the wire format can represent.
     const bytes = body === null ? new Uint8Array() : encode(body);
     const sent = body === null ? {} : decodeMap(bytes)!;
     this.observer?.requested({ from, to, method, path, body: bytes });
     const message: Message = { from, to, method, path, body: sent };
     return new Promise((resolve) => {
       let open = true;
-      const settle = (reply: HttpResponse): void => {
-        if (open) resolve(reply);
+      const settle = (response: HttpResponse): void => {
+        if (open) resolve(response);
         open = false;
       };
-      const settleWithout = (): void => {
+      const settleWithoutResponse = (): void => {
         settle({ status: 0, body: {} });
       };
-      this.clock.after(timeoutMs, settleWithout);
-      const arrive = (): void => {
-        void this.deliver(message).then((reply) => {
-          if (reply) this.carryReply(message, reply, settle, settleWithout);
-          else this.clock.after(1, settleWithout);
+      this.clock.after(timeoutMs, settleWithoutResponse);
+      const onArrival = (): void => {
+        void this.deliver(message).then((response) => {
+          if (response) this.carryResponse(message, response, settle, settleWithoutResponse);
+          else this.clock.after(1, settleWithoutResponse);
         });
       };
-      this.carry(from, to, arrive, settleWithout);
+      this.carry(from, to, onArrival, settleWithoutResponse);
       this.scheduleDuplicates(message);
     });
   }
 
-  private carryReply(
+  private carryResponse(
     { from, to, path }: Message,
     { status, body }: HttpResponse,
-    arrive: (reply: HttpResponse) => void,
-    broken: () => void,
+    onArrival: (response: HttpResponse) => void,
+    onReset: () => void,
   ): void {
     const bytes = encode(body);
     const received = decodeMap(bytes)!;
-    this.observer?.replied({ from: to, to: from, path, status, body: bytes });
+    this.observer?.responded({ from: to, to: from, path, status, body: bytes });
     const settle = (): void => {
-      arrive({ status, body: received });
+      onArrival({ status, body: received });
     };
-    this.carry(to, from, settle, broken, true);
+    this.carry(to, from, settle, onReset, true);
   }
 
   private scheduleDuplicates(message: Message): void {
--- a/test/sim/simulated-runtime.ts
+++ b/test/sim/simulated-runtime.ts
@@ -1,29 +1,28 @@
-/** The runtime of a simulated process, which may end, or stand still while its clock runs on. */
+/** The runtime of a simulated process, which may end, or be suspended while its clock continues. */
 import type { Clock, Log, HttpResponse, Runtime } from '../../src/runtime.js';
 import type { VirtualClock } from './clock.js';
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
 
-/** Whether a simulated process runs. */
+/** State of a simulated process. */
 export interface SimulatedProcess {
   alive: boolean;
-  /** Stands still until then. */
+  /** Virtual time until which the process is suspended. */
   frozenUntil: number;
 }
 
-/** What a simulated process shares with others, and its own clock and log. */
-export interface SimulatedSurroundings {
+/** The simulated services that processes share, and the process's own clock and log. */
+export interface SimulatedEnvironment {
   clock: VirtualClock;
   network: Network;
   random: SeededRandom;
-  /** The process's own clock. */
-  own: Clock;
+  processClock: Clock;
   log: Log;
-  /** What the process makes of an answer; else the answer itself. */
-  seen?: ((path: string, reply: HttpResponse) => HttpResponse) | undefined;
+  /** Returns the response that the process gets in place of the actual one. */
+  alterResponse?: ((path: string, response: HttpResponse) => HttpResponse) | undefined;
 }
 
-/** Runs the callback once the process goes on, unless it has ended by then. */
+/** Runs the callback once the process is no longer suspended, unless it has ended by then. */
 function whenResumed(process: SimulatedProcess, clock: VirtualClock, callback: () => void): void {
   const left = process.frozenUntil - clock.time;
   if (left > 0)
@@ -33,35 +32,35 @@
   else if (process.alive) callback();
 }
 
-/** Callbacks and answers reach the process only while it runs; those of an ended process are dropped. */
+/** Returns a runtime that delays callbacks and responses while the process is suspended, and drops them if it ended. */
 export function simulatedRuntime(
   host: string,
   process: SimulatedProcess,
-  surroundings: SimulatedSurroundings,
+  environment: SimulatedEnvironment,
 ): Runtime {
-  const { clock, network, own, seen } = surroundings;
+  const { clock, network, processClock, alterResponse } = environment;
   const whenThisResumes = (callback: () => void): void => {
     whenResumed(process, clock, callback);
   };
   return {
     clock: {
-      now: () => own.now(),
+      now: () => processClock.now(),
       after: (ms, callback) =>
-        own.after(ms, () => {
+        processClock.after(ms, () => {
           whenThisResumes(callback);
         }),
     },
     http: {
       send: (to, method, path, body, timeoutMs) =>
         new Promise((done) => {
-          void network.send(host, to, method, path, body, timeoutMs).then((reply) => {
+          void network.send(host, to, method, path, body, timeoutMs).then((response) => {
             whenThisResumes(() => {
-              done(seen ? seen(path, reply) : reply);
+              done(alterResponse ? alterResponse(path, response) : response);
             });
           });
         }),
     },
-    log: surroundings.log,
-    random: () => surroundings.random.unit(),
+    log: environment.log,
+    random: () => environment.random.unit(),
   };
 }
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -1,4 +1,4 @@
-/** Users of a simulated deployment: they submit, ask and cancel, and note what they are told. */
+/** Users of a simulated deployment, who submit, poll and cancel jobs; the responses are recorded. */
 import type { VirtualClock } from './clock.js';
 import type { Invariants } from './invariants.js';
 import { observedJob } from './observed-job.js';
@@ -18,10 +18,10 @@
 const TIMEOUT_MS = 5000;
 const RETRY_MS = 1000;
 const RETRIES = 60;
-/** How likely a user submits once more instead of asking only. */
+/** Probability that a user submits the job again after a poll. */
 const RESUBMIT_CHANCE = 0.03;
 
-/** What users reach, and where what they are told is recorded. */
+/** The network and controllers that users send requests to, and the invariants that record the responses. */
 export interface UsersDependencies {
   clock: VirtualClock;
   random: SeededRandom;
@@ -30,14 +30,14 @@
   nodeNames: string[];
 }
 
-/** Users repeat a request until it is answered, as PROTOCOL asks; each answer is checked by the invariants. */
+/** Users repeat a request until it gets a response, as PROTOCOL requires; the invariants check each response. */
 export class Users {
   private nextJob = 1;
 
   constructor(private readonly deps: UsersDependencies) {}
 
-  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
-    return { ...randomJob(this.nextJob++, this.deps.random), ...over };
+  newJob(overrides: Partial<JobSubmission> = {}): JobSubmission {
+    return { ...randomJob(this.nextJob++, this.deps.random), ...overrides };
   }
 
   private async send({ method, path, body }: UserRequest, via?: string): Promise<JobReply> {
@@ -47,66 +47,68 @@
     );
   }
 
-  /** Asks, through `via` or any node, until there is an answer that stands. */
-  private async retryUntilAnswered(
+  /**
+   * Sends a request through `via`, or through a random node each time, until it is accepted, is rejected with status
+   * 400 or 422, or has been retried more than `RETRIES` times.
+   */
+  private async retryUntilAccepted(
     id: string,
     request: UserRequest,
     via?: string,
   ): Promise<JobReply> {
     for (let i = 0; ; i++) {
-      const asked = this.deps.clock.time;
-      const reply = await this.send(request, via);
-      if (reply.job) {
-        this.deps.invariants.recordAnswer(id, reply, asked);
-        return reply;
+      const sentAt = this.deps.clock.time;
+      const response = await this.send(request, via);
+      if (response.job) {
+        this.deps.invariants.recordResponse(id, response, sentAt);
+        return response;
       }
-      if (reply.status === 400 || reply.status === 422 || i > RETRIES) return reply;
-      await this.later(RETRY_MS);
+      if (response.status === 400 || response.status === 422 || i > RETRIES) return response;
+      await this.delay(RETRY_MS);
     }
   }
 
-  /** The user cancels the job. */
   async cancel(id: string, via?: string): Promise<void> {
     this.deps.invariants.jobs.get(id)!.cancelRequested = true;
-    await this.retryUntilAnswered(id, cancelRequest(id), via);
+    await this.retryUntilAccepted(id, cancelRequest(id), via);
   }
 
-  private later(ms: number): Promise<void> {
+  private delay(ms: number): Promise<void> {
     return new Promise((done) => this.deps.clock.after(ms, done));
   }
 
   async poll(id: string): Promise<JobReply> {
-    const asked = this.deps.clock.time;
-    const reply = await this.send(pollRequest(id));
-    this.deps.invariants.recordAnswer(id, reply, asked);
-    return reply;
+    const sentAt = this.deps.clock.time;
+    const response = await this.send(pollRequest(id));
+    this.deps.invariants.recordResponse(id, response, sentAt);
+    return response;
   }
 
-  /** The same submission once more. */
+  /** Submits the job again, once; an accepted job must not be rejected. */
   async resubmit(id: string): Promise<JobReply> {
-    const asked = this.deps.clock.time;
-    const reply = await this.send(submitRequest(this.deps.invariants.jobs.get(id)!.spec));
-    this.deps.invariants.recordAnswer(id, reply, asked);
-    if (reply.status === 400 || reply.status === 422)
+    const sentAt = this.deps.clock.time;
+    const response = await this.send(submitRequest(this.deps.invariants.jobs.get(id)!.spec));
+    this.deps.invariants.recordResponse(id, response, sentAt);
+    if (response.status === 400 || response.status === 422)
       this.deps.invariants.recordViolation('forgotten', id);
-    return reply;
+    return response;
   }
 
-  /** Submits with retries, polls until the end; cancels after a while if asked to. */
+  /** Submits the job with retries and polls it until the run ends; cancels it after `cancelAfterMs` unless null. */
   async run(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
-    const facts = observedJob(job, this.deps.clock.time);
-    this.deps.invariants.jobs.set(id, facts);
-    const first = await this.retryUntilAnswered(id, submitRequest(job));
-    if (first.status === 422 && facts.reportedAccepted)
+    const observed = observedJob(job, this.deps.clock.time);
+    this.deps.invariants.jobs.set(id, observed);
+    const first = await this.retryUntilAccepted(id, submitRequest(job));
+    if (first.status === 422 && observed.reportedAccepted)
       this.deps.invariants.recordViolation('forgotten', id);
-    if (!facts.reportedAccepted) return;
+    if (!observed.reportedAccepted) return;
     if (cancelAfterMs !== null) this.deps.clock.after(cancelAfterMs, () => void this.cancel(id));
     for (;;) {
-      await this.later(this.deps.random.between(2000, 5000));
+      await this.delay(this.deps.random.between(2000, 5000));
       await this.poll(id);
       if (this.deps.random.chance(RESUBMIT_CHANCE))
-        void this.retryUntilAnswered(id, submitRequest(job));
+        void this.retryUntilAccepted(id, submitRequest(job));
     }
   }
 }
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -1,4 +1,4 @@
-/** Stand-in for a worker: sends heartbeats to the controllers, keeps its lease, and takes commands. */
+/** Simulated worker: sends heartbeats to the controllers, enforces its lease, and executes commands. */
 import type { HttpResponse } from '../../src/runtime.js';
 import type { Body } from '../../src/wire/cbor.js';
 import type { SeededRandom } from './random.js';
@@ -15,33 +15,40 @@
 } from './wire/workers.js';
 import { type TaskMachine, WorkerTasks } from './worker-tasks.js';
 
-/** How often a worker usually looks whether a heartbeat is due. */
+/** Default interval, in milliseconds, at which a worker checks whether a heartbeat is due. */
 export const POLL_MS = 50;
 
-/** The machine, and how its worker talks to the controllers. Times are in milliseconds. */
+/** The machine, and how its worker communicates with the controllers. Times are in milliseconds. */
 export interface WorkerConfig extends TaskMachine {
   address: string;
+  /** Average interval of heartbeats. */
   reportMs: number;
+  /** Duration of the lease, from the sending of the last heartbeat that got a response. */
   leaseMs: number;
-  /** How often it looks whether a heartbeat is due. */
+  /** Interval at which the worker checks whether a heartbeat is due. */
   pollMs: number;
   nodes: { name: string; address: string }[];
 }
 
-/** Stand-in for a worker, after PROTOCOL. */
+/** Simulated worker, as PROTOCOL specifies. */
 export class Worker {
   private incarnation = 1;
   private sequence = 0;
+  /** The highest fencing token seen. */
   private token = 0;
-  private incarnationBegan: number;
-  private lastAnsweredSent = -Infinity;
+  private incarnationBeganAt: number;
+  /** When the last heartbeat that got a valid response was sent. */
+  private lastAcknowledgedSentAt = -Infinity;
   readonly tasks: WorkerTasks;
-  private node: number;
-  private isAwaitingReply = false;
+  /** Index of the controller that gets the heartbeats; wraps around. */
+  private nodeIndex: number;
+  private isAwaitingResponse = false;
+  /** Whether there are changes to report, which make the next heartbeat due sooner. */
   private hasChanged = false;
   private lastHeartbeatAt = -Infinity;
   private lastTokenChange = -Infinity;
-  private dead = false;
+  private isDead = false;
+  /** Virtual time at which the cloud will preempt the machine; null without a preemption notice. */
   preemptionDeadline: number | null = null;
 
   constructor(
@@ -51,7 +58,7 @@
     gangs: GangCoordinator,
     readonly config: WorkerConfig,
   ) {
-    this.incarnationBegan = this.now();
+    this.incarnationBeganAt = this.now();
     this.tasks = new WorkerTasks({
       machine: config,
       random,
@@ -63,7 +70,7 @@
         this.noteChange();
       },
     });
-    this.node = random.int(0, config.nodes.length - 1);
+    this.nodeIndex = random.int(0, config.nodes.length - 1);
     network.hosts.set(config.address, {
       handler: (_method, path, body) => this.handle(path, body),
       hangsUntil: 0,
@@ -72,12 +79,13 @@
     this.leaseLoop();
   }
 
-  /** The lease ends also on a machine that hangs: it may continue only within it. */
+  /** Enforces the lease also while the machine hangs, so that it may resume its tasks only before the lease expires. */
   private leaseLoop(): void {
-    if (this.dead) return;
+    if (this.isDead) return;
     this.checkLease();
-    // Looked at when it may end, since many workers look.
-    const ends = Math.max(this.incarnationBegan, this.lastAnsweredSent) + this.config.leaseMs;
+    // Checked only when it may expire, since there may be many workers.
+    const ends =
+      Math.max(this.incarnationBeganAt, this.lastAcknowledgedSentAt) + this.config.leaseMs;
     this.network.clock.after(Math.max(20, ends + 1 - this.now()), () => {
       this.leaseLoop();
     });
@@ -87,10 +95,11 @@
     return this.network.clock.time;
   }
 
+  /** Runs the callback after this time, or once the machine no longer hangs; returns a function that cancels it. */
   private after(ms: number, callback: () => void): () => void {
     let off = false;
     const run = (): void => {
-      if (this.dead || off) return;
+      if (this.isDead || off) return;
       const hang = this.network.hosts.get(this.config.address)!.hangsUntil;
       if (hang > this.now()) {
         this.network.clock.after(hang - this.now(), run);
@@ -104,19 +113,22 @@
     };
   }
 
-  /** The machine is gone, and everything on it. */
+  /** Ends the machine and everything on it. */
   kill(): void {
     this.tasks.killAll();
-    this.dead = true;
+    this.isDead = true;
     this.network.hosts.get(this.config.address)!.handler = null;
   }
 
   private checkLease(): void {
-    if (this.now() - Math.max(this.incarnationBegan, this.lastAnsweredSent) <= this.config.leaseMs)
+    if (
+      this.now() - Math.max(this.incarnationBeganAt, this.lastAcknowledgedSentAt) <=
+      this.config.leaseMs
+    )
       return;
     this.tasks.killAll();
     this.incarnation++;
-    this.incarnationBegan = this.now();
+    this.incarnationBeganAt = this.now();
     this.noteChange();
   }
 
@@ -124,7 +136,7 @@
     this.checkLease();
     const every = this.config.reportMs * this.random.between(0.75, 1.25);
     if (
-      !this.isAwaitingReply &&
+      !this.isAwaitingResponse &&
       (this.now() - this.lastHeartbeatAt >= every ||
         (this.hasChanged && this.now() - this.lastHeartbeatAt >= 500))
     )
@@ -165,47 +177,47 @@
   }
 
   private sendHeartbeat(): void {
-    this.isAwaitingReply = true;
+    this.isAwaitingResponse = true;
     this.hasChanged = false;
-    const sent = (this.lastHeartbeatAt = this.now());
+    const sentAt = (this.lastHeartbeatAt = this.now());
     const { incarnation } = this;
-    const node = this.config.nodes[this.node % this.config.nodes.length];
+    const node = this.config.nodes[this.nodeIndex % this.config.nodes.length];
     void this.network
       .send(this.config.address, node.address, 'POST', HEARTBEAT_PATH, this.heartbeat(), 4000)
-      .then((reply) => {
-        if (this.dead) return;
-        if (reply.status === 421) this.follow(redirectTarget(reply), node.name);
-        else if (reply.status === 200) this.accept(reply.body, sent, incarnation);
+      .then((response) => {
+        if (this.isDead) return;
+        if (response.status === 421) this.followRedirect(redirectTarget(response), node.name);
+        else if (response.status === 200) this.acceptResponse(response.body, sentAt, incarnation);
         else this.tryNextNode();
       });
   }
 
   private tryNextNode(): void {
-    this.node++;
-    this.after(1000, () => (this.isAwaitingReply = false));
+    this.nodeIndex++;
+    this.after(1000, () => (this.isAwaitingResponse = false));
   }
 
-  /** Sends its heartbeats to the node that it was referred to. */
-  private follow(target: string | undefined, from: string): void {
+  /** Sends further heartbeats to the node that a response redirected it to. */
+  private followRedirect(target: string | undefined, from: string): void {
     const index = this.config.nodes.findIndex(({ name }) => name === target);
     if (index < 0 || target === from) {
       this.tryNextNode();
       return;
     }
-    this.node = index;
+    this.nodeIndex = index;
     this.after(this.random.between(0, 500), () => {
       this.lastHeartbeatAt = -Infinity;
-      this.isAwaitingReply = false;
+      this.isAwaitingResponse = false;
     });
   }
 
-  /** The answer to a heartbeat that was sent in the given incarnation. */
-  private accept(body: Body, sent: number, incarnation: number): void {
-    this.isAwaitingReply = false;
+  /** Processes the response to a heartbeat that was sent at `sentAt` in the given incarnation. */
+  private acceptResponse(body: Body, sentAt: number, incarnation: number): void {
+    this.isAwaitingResponse = false;
     this.checkLease();
     const { token, commands } = decodeHeartbeatReply(body);
     if (incarnation !== this.incarnation || token === undefined || token < this.token) return;
-    this.lastAnsweredSent = sent;
+    this.lastAcknowledgedSentAt = sentAt;
     this.observeToken(token);
     this.tasks.execute(commands);
   }
