--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -24,7 +24,7 @@
   return cluster;
 }
 
-test('malformed, impossible, unknown and repeated submissions', async () => {
+test('submissions get 400 if malformed, 422 if the job can never run and 200 if repeated; unknown jobs get 404', async () => {
   const cluster = quiet(5);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
@@ -53,9 +53,13 @@
   assert.equal(
     await status({ kind: 'service', tasks: 41 }),
     422,
-    'a service over its limit as a whole',
+    'a service that exceeds the limit of its team as a whole',
+  );
+  assert.equal(
+    await status({ kind: 'gang', tasks: 41 }),
+    422,
+    'a gang that exceeds the limit of its team as a whole',
   );
-  assert.equal(await status({ kind: 'gang', tasks: 41 }), 422, 'a gang over its limit as a whole');
   assert.equal((await requestFrom(cluster, 'n0', pollRequest(job.id))).status, 404);
   assert.equal((await requestFrom(cluster, 'n0', cancelRequest('run-999999'))).status, 404);
   cluster.invariants.jobs.set(job.id, observedJob(job, cluster.clock.time));
@@ -69,7 +73,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** Values as they stand in the body, not translated. */
+/** Invalid values of each field, as they are encoded in the body, without translation to wire values. */
 const INVALID: Record<keyof JobSubmission, unknown[]> = {
   id: ['x', 'run-', 'run-1x', 7, ''],
   jobClass: ['', 3],
@@ -94,7 +98,7 @@
 };
 const NULLABLE: (keyof JobSubmission)[] = ['machineTypes', 'zone', 'deadlineS'];
 
-test('a field that is missing or invalid gets 400, at every node and again on repetition', async () => {
+test('a submission with a missing or invalid field gets 400, from every node and when repeated', async () => {
   const cluster = quiet(8);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
@@ -114,7 +118,7 @@
   assert.equal((await requestFrom(cluster, 'n0', pollRequest(job.id))).status, 404);
 });
 
-test('a job that can never run gets 422, at every node and again on repetition', async () => {
+test('a job that can never run gets 422, from every node and when repeated', async () => {
   const cluster = quiet(9);
   await cluster.run(3);
   const never: Partial<JobSubmission>[] = [
@@ -151,7 +155,7 @@
   assert.equal((await requestFrom(oneZone, 'n0', submitRequest(apart))).status, 422);
 });
 
-test('what cannot be served is answered at once, and never as unknown', async () => {
+test('in an outage of the state service, submissions and polls get 503 within 1 s, and no poll gets 404', async () => {
   const cluster = quiet(6);
   await cluster.run(3);
   cluster.state.beginOutage(5000);
@@ -162,7 +166,7 @@
   assert.ok(cluster.clock.time - before < 1000);
 });
 
-test('integers above 32 bits stay integers on the wire', () => {
+test('integers above 32 bits are encoded as integers, and malformed CBOR decodes to null', () => {
   const value = 2 ** 45 + 1;
   const back = decodeMap(encode({ v: toWireInteger(value) }))!;
   assert.equal(typeof back.v, 'bigint');
@@ -171,7 +175,7 @@
   assert.equal(decodeMap(encode([1])), null);
 });
 
-test('a malformed heartbeat changes nothing', () => {
+test('a malformed heartbeat is rejected, and so is a submission without an id', () => {
   assert.equal(readHeartbeat(heartbeatOfNameOnly('i-1')), null);
   assert.deepEqual(readJob({}), { kind: 'invalid', field: 'id' });
 });
--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -1,21 +1,21 @@
-/** What controllers vouch for to each other, looked at message by message. */
+/** Attestations that controllers exchange, tested message by message. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Attestations } from '../src/peers/attestations.js';
 import type { AttestationMessage } from '../src/peers/peer-messages.js';
 
 interface Nodes {
-  /** What the clocks of the three processes read. */
+  /** Current time of the clock of each of the three processes, in ms. */
   clocks: { a: number; b: number; c: number };
   a: Attestations;
   b: Attestations;
   c: Attestations;
   advance(ms: number): void;
-  /** b and c receive an attestation of a, and a one of each of them. */
+  /** Delivers an attestation of a to b and c, and then one of each of them to a. */
   exchange(byB?: { highestSeenEpoch?: number; isCandidate?: boolean }): void;
 }
 
-/** Three nodes, whose clocks have nothing in common. */
+/** Three nodes whose clocks are unrelated. */
 function threeNodes(): Nodes {
   const clocks = { a: 100_000, b: 5000, c: 900_000 };
   const create = (self: 'a' | 'b' | 'c'): Attestations =>
@@ -47,7 +47,7 @@
   return nodes;
 }
 
-test('statements of all nodes prove everything up to the earliest echo, and not a moment more', () => {
+test('attestations of all peers cover the time up to the earliest echo, and no longer', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const known = nodes.clocks.a;
@@ -55,14 +55,14 @@
   const asked = nodes.clocks.a;
   nodes.exchange();
   assert.equal(nodes.a.completeUntil(known), asked);
-  // One of the two is not heard any more.
+  // From here on, a receives no attestations of b.
   nodes.advance(1000);
   nodes.c.recordAttestation(nodes.a.attest(7, false));
   nodes.a.recordAttestation(nodes.c.attest(7, false));
   assert.equal(nodes.a.completeUntil(known), asked);
 });
 
-test('a statement without an echo, or with one meant for an earlier process, proves nothing', () => {
+test('an attestation without an echo, or with the echo of an earlier process, covers nothing', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const known = nodes.clocks.a - 100;
@@ -71,7 +71,7 @@
   assert.equal(nodes.a.completeUntil(known), known);
   nodes.exchange();
   const before = nodes.b.attest(7, false);
-  // a starts again, and its clock happens to read the same.
+  // a restarts, and the clock of the new process happens to show the same time.
   const again = new Attestations('a', 'a-2', ['b', 'c'], () => nodes.clocks.a);
   nodes.advance(500);
   again.recordAttestation(before);
@@ -79,7 +79,7 @@
   assert.equal(again.completeUntil(known), known);
 });
 
-test('a node that started again proves nothing of the time before, however it goes on', () => {
+test('attestations of a restarted peer do not cover the time before its restart', () => {
   const nodes = threeNodes();
   nodes.advance(5000);
   nodes.exchange();
@@ -98,16 +98,16 @@
   assert.equal(
     nodes.a.completeUntil(known),
     known,
-    'its former life may have confirmed what nobody knows',
+    'its previous process may have confirmed a cancellation that no other node knows',
   );
-  // Once something else has told of the time before its start, it counts again.
+  // Once the time before its start is known from another source, its attestations extend the covered time again.
   const read = startedAt + 150;
   const asked = nodes.clocks.a;
   nodes.exchange();
   assert.equal(nodes.a.completeUntil(read), asked);
 });
 
-test('what was confirmed is told for as long as statements cover it', () => {
+test('an attestation contains each confirmed cancellation for as long as attestations cover its time', () => {
   const nodes = threeNodes();
   nodes.b.recordConfirmation('run-1');
   nodes.advance(59_000);
@@ -116,10 +116,10 @@
   assert.deepEqual(nodes.b.attest(7, false).cancelled, []);
   const from = nodes.clocks.a - 61_000;
   nodes.exchange();
-  assert.equal(nodes.a.completeUntil(from), from, 'older than that it vouches for nothing');
+  assert.equal(nodes.a.completeUntil(from), from, 'attestations do not cover older confirmations');
 });
 
-test('a newer claim, or one on its way, ends the proof that nobody else leads', () => {
+test('a candidate does not extend the proven time without another leader, and a newer epoch resets it', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const valid = nodes.clocks.a;
@@ -129,13 +129,13 @@
   assert.equal(nodes.a.uncontestedUntil(7, valid), asked);
   nodes.advance(500);
   nodes.exchange({ isCandidate: true });
-  assert.equal(nodes.a.uncontestedUntil(7, valid), asked, 'its claim may have been made');
+  assert.equal(nodes.a.uncontestedUntil(7, valid), asked, 'the candidate may have been elected');
   nodes.advance(500);
   nodes.exchange({ highestSeenEpoch: 9 });
   assert.equal(nodes.a.uncontestedUntil(7, valid), valid);
 });
 
-test('a late statement proves only what it says', () => {
+test('an attestation that arrives late covers only the time up to its own echo', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const known = nodes.clocks.a - 50;
@@ -153,7 +153,7 @@
   assert.equal(nodes.a.completeUntil(known), second);
 });
 
-test('a late statement of a former life closes no gap', () => {
+test('a late attestation of an earlier process does not close the gap that a restart left', () => {
   const nodes = threeNodes();
   nodes.advance(20_000);
   nodes.exchange();
