--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -1,4 +1,4 @@
-/** Duties in whole simulated clusters: what the leader decides is done by other controllers, whatever fails. */
+/** Duties in whole simulated clusters: other controllers execute what the leader decides, under all kinds of faults. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Intent, INTENTS_PREFIX } from '@millring/duties';
@@ -29,20 +29,20 @@
     );
     assertInvariantsHeld(outcome);
     const seen = watch as CloudInvariants | null;
-    assert.ok(seen && seen.rentals + seen.deletions > 0, 'the cloud was asked');
+    assert.ok(seen && seen.rentals + seen.deletions > 0, 'machines were rented or deleted');
     assert.ok([...seen.intents.values()].some(({ outcome: end }) => end !== null));
   });
 }
 
-/** Machines that some task runs on. */
+/** Ids of the machines with at least one task. */
 function withTasks(cluster: Cluster): Set<string> {
   return new Set(
     [...cluster.invariants.placesByTask.values()].flat().map(({ machine }) => machine),
   );
 }
 
-// Guards: a new leader reads all intents before it places anything.
-test('machines that a former leader wanted to give back take no work, whoever leads', async () => {
+// A new leader must read all intents before it places tasks.
+test('machines with an open intent of a former leader to delete them take no work under any later leader', async () => {
   const cluster = new Cluster({
     seed: 51,
     ordinaryUp: 4,
@@ -61,7 +61,7 @@
         : [];
     });
   const machines = named();
-  assert.ok(machines.length > 0, 'machines without work are to be given back');
+  assert.ok(machines.length > 0, 'deletions of idle machines are intended');
   for (let round = 0; round < 2; round++) {
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
     await cluster.run(6);
@@ -74,18 +74,18 @@
       );
     }
   }
-  assert.ok(withTasks(cluster).size > 0, 'others are rented and take the work');
+  assert.ok(withTasks(cluster).size > 0, 'other machines are rented and take the work');
   await cluster.state.deleteAsOperator('duties/holds/return');
   await cluster.run(15);
   assert.ok(
     machines.every((id) => !cluster.cloud.machines.has(id)),
-    'they are given back',
+    'the machines are deleted',
   );
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-// Guards: a new leader does not rent for what its predecessor is renting for.
-test('an open rental of a former leader is waited for', async () => {
+// A new leader must not rent for demand that an open rental of its predecessor already covers.
+test('a new leader waits for an open rental of its predecessor and rents nothing more for the same demand', async () => {
   const cluster = new Cluster({
     seed: 52,
     ordinaryUp: 0,
@@ -116,11 +116,11 @@
 });
 
 for (const seed of [41, 42])
-  testDuties('a run without faults: everything goes through intents', seed, () => undefined);
+  testDuties('without faults all rentals and deletions go through intents', seed, () => undefined);
 
 for (const seed of [43, 44, 45])
   testDuties(
-    'holders and leaders die, freeze and lose the state service',
+    'invariants hold while holders and leaders crash, freeze and lose the state service',
     seed,
     (cluster, second) => {
       const { random } = cluster;
@@ -136,12 +136,16 @@
     },
   );
 
-testDuties('all controllers end at once, in the middle of actions', 48, (cluster, second) => {
-  if (second % 20 === 10) for (const name of cluster.nodeNames) cluster.crash(name, 2000);
-});
+testDuties(
+  'invariants hold when all controllers crash at once during actions',
+  48,
+  (cluster, second) => {
+    if (second % 20 === 10) for (const name of cluster.nodeNames) cluster.crash(name, 2000);
+  },
+);
 
 testDuties(
-  'several hundred machines, while holders and machines die',
+  'invariants hold with several hundred machines while controllers and machines crash',
   49,
   (cluster, second) => {
     for (let i = 0; i < 3; i++)
@@ -165,7 +169,7 @@
 
 for (const seed of [46, 47])
   testDuties(
-    'machines die and controllers are cut off while writes come late',
+    'invariants hold while machines crash, controllers are isolated and writes are applied late',
     seed,
     (cluster, second) => {
       const { random } = cluster;
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -1,12 +1,12 @@
-/** The duties and the cluster's level: lowering while intents are open, and beside another feature. */
+/** Lowering the cluster's feature level below that of the duties: with open intents, and next to another feature. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BUILD } from '../src/build.js';
 import { BATCH } from './sim/jobs.js';
 import { LARGE, RollingUpgrade, SETTINGS, withJobs } from './sim/rolling-upgrade.js';
 
-// Guards: a leader that can't follow intents must not lead while a machine may be deleted because of one.
-test('lowering from the level of the duties waits for open intents, and the leader then acts itself', async () => {
+// A leader of a build without intents must not lead while an open intent may still delete a machine.
+test('lowering the level below that of the duties waits for open intents, and the leader then rents without intents', async () => {
   const roll = new RollingUpgrade(19, BUILD, {
     ordinaryUp: 0,
     rollout: { ...SETTINGS, ungated_builds_retired: true },
@@ -41,12 +41,12 @@
   assert.equal(
     state.changesUnder('duties/intents/'),
     intents,
-    'no intent is opened below the level',
+    'no intent is opened below the level of the duties',
   );
 });
 
-// Guards: what the lower level still uses is not converted.
-test('lowering from the level of the duties leaves segments as they are', async () => {
+// Records in a form that the lower level still uses must not be converted.
+test('lowering the level below that of the duties leaves segments unchanged', async () => {
   const roll = new RollingUpgrade(20, BUILD, {
     ...LARGE,
     rollout: { ...SETTINGS, ungated_builds_retired: true },
--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -1,4 +1,4 @@
-/** Duties: records that nobody understands, what operators do, and records that are cleaned up. */
+/** Duties: malformed records, commands of operators, and removal of resolved intents. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyOperator } from '@millring/duties';
@@ -7,8 +7,7 @@
 import type { DutyGroup } from './sim/duty-group.js';
 import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
 
-// Guards: records that can't be read are neither acted on nor replaced.
-test('malformed and unknown records are left alone, and logged once', async () => {
+test('malformed and unknown records are neither acted on nor replaced, and logged once', async () => {
   const group = await settledGroup(17);
   const calls = group.provider.calls.length;
   group.state.putDirectly('duties/intents/x', {
@@ -35,14 +34,14 @@
   }
 });
 
-test('a holder record that nobody understands keeps the duty from being held until an operator frees it', async () => {
+test('a malformed holder record prevents the duty from being held until an operator releases it', async () => {
   const group = await settledGroup(18);
   group.invariants.operatorActed = true;
   group.state.putDirectly('duties/holders/rent', { who: 'knows' });
   await group.run(10);
   assert.equal(group.holder('rent'), undefined);
   assert.equal((await ask(group, (operator) => operator.release('rent'))).kind, 'done');
-  await group.until('it is held again', () => group.holder('rent') !== undefined);
+  await group.until('the duty is held again', () => group.holder('rent') !== undefined);
   assert.deepEqual(
     group.invariants.violations.filter((line) => !line.includes('holder_token')),
     [],
@@ -78,17 +77,17 @@
   });
   let result: T | null = null;
   void question(operator).then((r) => (result = r));
-  await group.until('the operator has an answer', () => result !== null);
+  await group.until('the command of the operator ends', () => result !== null);
   return result ?? assert.fail();
 }
 
-test('operators: a duty on hold has no holder, its intents wait, and release lets them be done', async () => {
+test('a duty that an operator put on hold has no holder, and its intents are executed after its release', async () => {
   const group = await settledGroup(19);
   const machines = await withMachines(group, 1);
   assert.equal((await ask(group, (operator) => operator.hold('return'))).kind, 'done');
   assert.equal((await ask(group, (operator) => operator.hold('return'))).kind, 'refused');
   const opened = group.delete('return', machines[0]);
-  // Longer than a lost answer of a watch keeps a holder from seeing it.
+  // Longer than a lost response of a watch can keep the holder from seeing the hold.
   await group.run(12);
   assert.equal(group.holder('return'), undefined);
   assert.equal(group.provider.machines.size, 1);
@@ -101,17 +100,20 @@
   assert.equal(group.provider.machines.size, 0);
 });
 
-test('operators: release takes a duty from its holder, and another one gets it', async () => {
+test('release by an operator takes a duty from its holder, and another controller acquires it', async () => {
   const group = await settledGroup(20);
   await group.run(5);
   const old = group.holder('reclaim') ?? assert.fail();
   assert.equal((await ask(group, (operator) => operator.release('reclaim'))).kind, 'done');
-  await group.until('another holds it', () => (group.holder('reclaim') ?? old) !== old);
+  await group.until(
+    'another controller holds the duty',
+    () => (group.holder('reclaim') ?? old) !== old,
+  );
   assert.notEqual(group.recorded('reclaim')?.controller, old);
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('finished intents are removed by the holder of clean-up, and by nobody else', async () => {
+test('resolved intents are removed by the holder of the clean-up duty only', async () => {
   const group = await settledGroup(21);
   await withMachines(group, 1);
   assert.equal((await ask(group, (operator) => operator.hold('clean-up'))).kind, 'done');
@@ -120,7 +122,7 @@
   assert.ok([...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')));
   assert.equal((await ask(group, (operator) => operator.release('clean-up'))).kind, 'done');
   await group.until(
-    'it is removed',
+    'the intent is removed',
     () => ![...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')),
   );
 });
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -1,4 +1,4 @@
-/** A holder of a duty as a real process on loopback, suspended past its lease and continued. */
+/** A duty holder as a real process on loopback that is suspended until its lease has expired, and then continued. */
 import assert from 'node:assert/strict';
 import { type TestContext, test } from 'node:test';
 import type { Duty } from '@millring/duties';
@@ -6,12 +6,12 @@
 import { DUTY, DutyProcesses } from './sim/duty-processes.js';
 
 const NAMES = ['n0', 'n1', 'n2'];
-/** Longer than a busy machine may stand still, so that no holder loses a duty for that. */
+/** Longer than a busy machine may stall processes, so that no holder loses a duty because of a stall. */
 const LEASE_S = 5;
-/** Longer than such a machine may take to suspend a process that has just passed the check. */
+/** Longer than a busy machine may take to suspend a process that has just passed the check. */
 const BEFORE_SENDING_MS = 4000;
 
-/** Processes of which one holds the duty; they end with the test. */
+/** Starts controller processes and waits until one holds the duty. The processes are stopped when the test ends. */
 async function startProcesses(
   context: TestContext,
   beforeSendingMs: number,
@@ -23,9 +23,9 @@
   return { processes, old: controller, token };
 }
 
-/** The old holder found out, and every action that it tried was refused. */
+/** Waits until the old holder notices the loss of the duty. Asserts that all its actions under `token` were refused. */
 async function expectFenced(processes: DutyProcesses, old: string, token: number): Promise<void> {
-  await processes.until('the old holder finds out', () => {
+  await processes.until('the old holder notices the loss of the duty', () => {
     const states = processes.states(old);
     return states.indexOf('vacant', states.indexOf('lost')) > 0;
   });
@@ -35,7 +35,7 @@
   assert.ok(stale.every((call) => !call.executed));
 }
 
-test('suspended before the check: the successor acts, and the old holder begins nothing', async (context) => {
+test('a holder process suspended before the check starts no action after its successor has acted', async (context) => {
   const { processes, old, token } = await startProcesses(context, 0);
   processes.signal(old, 'SIGSTOP');
   processes.plantDeletion('i-1', 'm-1');
@@ -48,7 +48,7 @@
   assert.equal(processes.checks(old), 0);
 });
 
-test('suspended between check and send: the request that it sends on waking is refused', async (context) => {
+test('a holder process suspended between check and send has its request refused once it continues', async (context) => {
   const { processes, old, token } = await startProcesses(context, BEFORE_SENDING_MS);
   processes.plantDeletion('i-1', 'm-1');
   await processes.until('the check is passed', () => processes.checks(old) > 0);
@@ -58,11 +58,14 @@
   await processes.until('the intent is done', () => processes.isDone('i-1'));
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
   processes.signal(old, 'SIGCONT');
-  await processes.until('the old holder has tried', () => processes.provider.refused().length > 0);
+  await processes.until(
+    'a request of the old holder is refused',
+    () => processes.provider.refused().length > 0,
+  );
   await expectFenced(processes, old, token);
 });
 
-test('suspended with the request in flight: executed late, it is refused, and nothing is written', async (context) => {
+test('a request in flight of a suspended holder process is refused after the takeover, and its result is not stored', async (context) => {
   const { processes, old, token } = await startProcesses(context, 0);
   let release: () => void = () => undefined;
   const held = new Promise<void>((done) => (release = done));
@@ -83,7 +86,7 @@
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
 });
 
-/** Long enough that a machine without a free moment gives nothing up. */
+/** Timeouts long enough that no change of level is aborted on a fully loaded machine. */
 const ROLLOUT = {
   mode: 'automatic',
   soak_s: 0.5,
@@ -107,7 +110,7 @@
   return (JSON.parse(answer.stdout) as StatusAnswer).duties;
 }
 
-test('three controllers with the duties on: a holder is suspended under submissions, operators hold and release', async (context) => {
+test('under continuous submissions a suspended holder is replaced, and operators can hold and release duties', async (context) => {
   const deployment = new ControllerProcesses();
   context.after(() => deployment.stop());
   await deployment.start('latest', ROLLOUT, ON);
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -1,17 +1,17 @@
-/** Duties in simulated groups of controllers: suspended holders, lost leases, late writes. */
+/** Duties in simulated groups of controllers: distribution, crashes of holders, refusals and random faults. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Duty, type IntentResult } from '@millring/duties';
 import { DutyGroup } from './sim/duty-group.js';
 import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
 
-test('each duty has one holder, spread over the controllers; actions are done under its token', async () => {
+test('each duty has one holder, holders are spread over the controllers, and actions carry the token of the holder', async () => {
   const group = await settledGroup(1);
   const holders = DUTIES.map((duty) => group.recorded(duty)?.controller);
   assert.equal(new Set(holders).size, 3);
   assert.ok(
     DUTIES.every((duty) => group.recorded(duty)?.token === 1),
-    'spread from the start, without a move',
+    'duties are spread at the start, without a move',
   );
   const [machine] = await withMachines(group, 2);
   const opened = await resolved(group, group.delete('return', machine));
@@ -22,15 +22,15 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('the leader holds fewer duties than others', async () => {
+test('in a group of three controllers the leader holds no duty', async () => {
   const group = await settledGroup(2, { leader: 'n1' });
   await group.run(60);
   assert.ok(DUTIES.every((duty) => group.recorded(duty)?.controller !== 'n1'));
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: the term of a membership. Each time that the duties are turned on, one loop renews one lease.
-test('duties that are turned off and on again and again: handed over in order, renewed as often as before', async () => {
+// Each time that duties are turned on, exactly one loop must renew the lease of the new membership term.
+test('repeatedly turning duties off and on for a controller does not increase the rate of lease renewals', async () => {
   const group = await settledGroup(38);
   await group.run(20);
   const renewalsIn = async (seconds: number): Promise<number> => {
@@ -47,12 +47,12 @@
   }
   await group.run(30);
   const after = await renewalsIn(20);
-  assert.ok(after < 1.15 * usual, `${after} requests where there were ${usual}`);
+  assert.ok(after < 1.15 * usual, `${after} requests after toggling, ${usual} before`);
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: intents are stored before the first request, and a repeated request name rents nothing more.
-test('holders die between request and record, again and again: one rental, a bounded number of calls', async () => {
+// Intents must be stored before the first request, and a repeated request name must not rent further machines.
+test('holders that repeatedly crash between request and record execute a rental once, with a bounded number of calls', async () => {
   const group = await settledGroup(12);
   const opened = group.rent(3);
   for (let deaths = 0; deaths < 5; deaths++) {
@@ -71,11 +71,11 @@
     outcome: { kind: 'rented', machines: [...group.provider.machines] },
   });
   assert.equal(group.provider.machines.size, 3);
-  assert.ok(group.provider.executed('rent').length <= 8, 'few calls for each holder');
+  assert.ok(group.provider.executed('rent').length <= 8, 'a bounded number of calls');
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('a provider that refuses is asked ever more seldom, and the intent is done once it serves', async () => {
+test('a provider that refuses is called with backoff, and the intent is resolved once it accepts requests', async () => {
   const group = await settledGroup(13);
   const machines = await withMachines(group, 1);
   let asked = 0;
@@ -94,8 +94,8 @@
   });
 });
 
-// Guards: delays for those that are not settled, and for whoever just had the duty.
-test('a controller that comes and goes each second moves no duties each second', async () => {
+// Controllers that have not settled yet, and the last holder of a duty, must wait before they acquire it.
+test('a controller that restarts every second does not cause a move of duties every second', async () => {
   const group = await settledGroup(14);
   const flapping = 'n2';
   const held = (duty: Duty): number => group.recorded(duty)?.token ?? 0;
@@ -104,30 +104,32 @@
     await group.run(1);
   }
   const sum = DUTIES.reduce((total, duty) => total + held(duty), 0);
-  // Each duty once at the start, and those of the flapping controller once more.
-  assert.ok(sum <= 2 * DUTIES.length + 2, `tokens in all: ${sum}`);
+  // Each duty is acquired once at the start, and those of the flapping controller once more.
+  assert.ok(sum <= 2 * DUTIES.length + 2, `sum of the tokens: ${sum}`);
   assert.ok(DUTIES.every((duty) => group.recorded(duty)?.controller !== flapping));
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('one controller left of three holds everything; all that end at once come back', async () => {
+test('the last controller of three holds all duties, and acquires them again after a crash of its own', async () => {
   const group = await settledGroup(15);
   for (const name of ['n0', 'n1']) group.crash(name, 30_000);
-  await group.until('n2 holds all', () => DUTIES.every((duty) => group.holder(duty) === 'n2'));
+  await group.until('n2 holds all duties', () =>
+    DUTIES.every((duty) => group.holder(duty) === 'n2'),
+  );
   const opened = group.rent(2);
   assert.equal((await resolved(group, opened)).kind, 'resolved');
   group.crash('n2', 1000);
   await group.run(5);
-  await group.until('n2 holds all again', () =>
+  await group.until('n2 holds all duties again', () =>
     DUTIES.every((duty) => group.holder(duty) === 'n2'),
   );
-  // The others return, and get their share.
+  // The other controllers return and acquire their share.
   await group.run(60);
   assert.equal(new Set(DUTIES.map((duty) => group.recorded(duty)?.controller)).size, 3);
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('a hand-over lets requests on their way end, and is not taken back at once', async () => {
+test('a release waits for requests in flight, and the former holder does not acquire the duty again at once', async () => {
   const group = await settledGroup(16);
   const machines = await withMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
@@ -138,12 +140,15 @@
   await group.run(0.2);
   assert.equal(group.member(old).holder('return').state(), 'releasing');
   assert.equal((await resolved(group, opened)).kind, 'resolved');
-  await group.until('another holds it', () => (group.holder('return') ?? old) !== old);
+  await group.until(
+    'another controller holds the duty',
+    () => (group.holder('return') ?? old) !== old,
+  );
   assert.equal(group.provider.calls.filter((call) => call.duty === 'return').length, 1);
   assert.deepEqual(group.invariants.violations, []);
 });
 
-/** Any of the faults, at random. */
+/** Injects one random fault. */
 function randomFault(group: DutyGroup): void {
   const { random } = group;
   const name = random.pick(group.names);
@@ -175,7 +180,7 @@
 }
 
 for (const seed of [31, 32, 33, 34])
-  test(`all faults at random: one holder, rising tokens, nothing without an intent, nothing lost (${seed})`, async () => {
+  test(`under random faults each duty has one holder with rising tokens, no action lacks an intent and no intent is lost (${seed})`, async () => {
     const group = await settledGroup(seed, { size: 3 + (seed % 3) });
     const { random } = group;
     let followed = 0;
@@ -195,8 +200,8 @@
     group.provider.failure = { refuses: false, silent: false };
     await group.run(30);
     await group.settled();
-    await group.until('nothing is open', () => group.openIntents() === 0);
-    assert.equal(followed, opened, 'whoever decides learned of each end');
+    await group.until('no intent is open', () => group.openIntents() === 0);
+    assert.equal(followed, opened, 'the decider learned the outcome of each intent');
     assert.deepEqual(group.invariants.unaccounted(), []);
     assert.deepEqual(group.invariants.violations, []);
     const calls = group.provider.calls.length;
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -1,10 +1,10 @@
-/** Holders of duties that have lost them, or may have: what they begin is not begun, or is refused by its token. */
+/** Holders that have lost their duty, or may have: actions are not started, or are refused because of the token. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES } from '@millring/duties';
 import { assertLossNoticed, resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
 
-test('suspended before the check: the successor acts, and the old holder begins nothing', async () => {
+test('a holder suspended before the check starts no action after its successor has acted', async () => {
   for (const seed of [3, 4, 5]) {
     const group = await settledGroup(seed);
     const machines = await withMachines(group, 4);
@@ -16,7 +16,7 @@
     assert.notEqual(group.recorded('return')?.controller, old);
     assert.ok((group.recorded('return')?.token ?? 0) > before);
     await group.run(8);
-    // It wakes up, with an intent to act on.
+    // The old holder continues, and there is an intent that it could execute.
     await resolved(group, group.delete('return', machines[1]));
     await group.run(2);
     assertLossNoticed(group, old, 'return');
@@ -25,8 +25,8 @@
   }
 });
 
-// Guards: the check right before an action, whatever the caller has checked before.
-test('an action of a holder whose lease may have ended is not begun', async () => {
+// The lease must be checked right before each action, regardless of earlier checks by the caller.
+test('an action is not started if the lease of its holder may have expired', async () => {
   const group = await settledGroup(24);
   const old = group.holder('return') ?? assert.fail();
   const { duty } = group.member(old).holder('return');
@@ -40,8 +40,8 @@
   assert.deepEqual([performed.kind, begun], ['not-held', 0]);
 });
 
-// Guards: the lease counted from when its renewal was sent, not from when its answer came.
-test('slow answers of the state service: whoever believes to hold a duty stands in its record', async () => {
+// The lease must be counted from the time its renewal was sent, not from the time of the response.
+test('with slow responses of the state service, only the controller in the holder record considers itself the holder', async () => {
   for (const seed of [25, 26, 27]) {
     const group = await settledGroup(seed);
     group.network.delayFactor = 60;
@@ -53,8 +53,8 @@
   }
 });
 
-// Guards: what follows from a refusal of the other side.
-test('a holder that is told that its token is stale gives up at once, and counts it', async () => {
+// A refusal by the provider must end the holding of the duty.
+test('a holder whose token is rejected as stale gives up the duty at once and counts the rejection', async () => {
   const group = await settledGroup(35);
   const machines = await withMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
@@ -62,7 +62,7 @@
   group.provider.delay = () =>
     new Promise((done) => group.clock.after(asked++ === 0 ? 4500 : 0, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the request is on its way', () => asked > 0);
+  await group.until('the request is in flight', () => asked > 0);
   group.refuse(old, 10_000);
   await resolved(group, opened);
   await group.until('the request is refused', () => group.provider.refused().length > 0);
@@ -72,8 +72,8 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: the token in each request. What was sent before the successor took over arrives after it.
-test('requests held on their way until a successor has acted are refused by the provider', async () => {
+// Each request must carry the token: a request sent before the takeover may arrive after it.
+test('requests delayed until a successor has acted are refused by the provider', async () => {
   for (const seed of [6, 7, 8]) {
     const group = await settledGroup(seed);
     const machines = await withMachines(group, 4);
@@ -82,7 +82,7 @@
     group.holdRequests(old, 9000);
     const opened = group.delete('return', machines[0]);
     await group.run(0.3);
-    // The request is on its way; now its sender stands still, too.
+    // The request is in flight; now its sender is suspended, too.
     group.freeze(old, 7000);
     await resolved(group, opened);
     assert.ok((group.recorded('return')?.token ?? 0) > before);
@@ -94,8 +94,9 @@
   }
 });
 
-// Guards: suspended is not lost. The lease lives while its renewals are executed, answered or not.
-test('renewals that are executed and not answered: nothing is done, nobody takes over, and the holder goes on', async () => {
+// A suspended holder has not lost its duty: its lease is valid as long as renewals are executed, with or without a
+// response.
+test('a holder whose renewals are executed without a response is suspended, keeps the duty and resumes', async () => {
   const group = await settledGroup(36);
   const holder = group.holder('return') ?? assert.fail();
   const before = group.recorded('return');
@@ -108,7 +109,7 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('an outage for all: nothing is done in it, and holders go on after it where their leases live', async () => {
+test('in an outage of the state service no duty is held, and holders with valid leases resume after it', async () => {
   const group = await settledGroup(10);
   const machines = await withMachines(group, 2);
   const before = DUTIES.map((duty) => group.recorded(duty)?.token);
@@ -124,11 +125,14 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('an outage for the holder alone: another takes over, and the old one finds out', async () => {
+test('when the state service refuses the holder only, another controller takes over and the old holder notices the loss', async () => {
   const group = await settledGroup(11);
   const old = group.holder('rent') ?? assert.fail();
   group.refuse(old, 8000);
-  await group.until('another holds it', () => (group.holder('rent') ?? old) !== old);
+  await group.until(
+    'another controller holds the duty',
+    () => (group.holder('rent') ?? old) !== old,
+  );
   assert.deepEqual(await resolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
   await group.run(10);
   assertLossNoticed(group, old, 'rent');
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -1,11 +1,11 @@
-/** Writes of duties and intents that are carried out late, or whose answer is lost. */
+/** Writes of duties and intents that are applied late, or whose response is lost. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyGroup } from './sim/duty-group.js';
 import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
 
-// Guards: the removal of a claim whose answer was lost.
-test('claims that are carried out late and without an answer keep no duty from being held', async () => {
+// A claim whose response was lost must be removed.
+test('claims that are applied late and without a response do not prevent a duty from being held', async () => {
   const group = new DutyGroup({ seed: 28 });
   group.state.lateWrites = { share: 1, until: 1500, byMs: 2500, keys: 'duties/tokens/' };
   await group.run(3);
@@ -13,8 +13,8 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: the duty's record among the conditions of the write that resolves an intent.
-test('a write of the old holder that arrives late changes nothing', async () => {
+// The write that resolves an intent must have the holder record of the duty as a precondition.
+test('a write of the old holder that arrives after the intent was resolved changes nothing', async () => {
   const group = await settledGroup(9);
   const machines = await withMachines(group, 2);
   const old = group.holder('return') ?? assert.fail();
@@ -37,8 +37,8 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: the claim of whoever decides among the conditions of an intent.
-test('an intent of a former decider that is carried out late is never stored', async () => {
+// The write of an intent must have the claim of the decider as a precondition.
+test('an intent of a former decider that is applied late is not stored', async () => {
   const group = await settledGroup(22);
   const machines = await withMachines(group, 1);
   group.state.lateWrites = {
@@ -57,8 +57,8 @@
   assert.equal(group.state.history('duties/intents/i-2').length, 0);
 });
 
-// Guards: an intent without an answer is stored again as it was, and followed to its end.
-test('an intent whose answer is lost is stored once, and whoever decides learns of its end', async () => {
+// An intent whose write got no response must be written again unchanged, and followed until it is resolved.
+test('an intent whose write gets no response is stored once, and the decider learns its outcome', async () => {
   const group = await settledGroup(23);
   const machines = await withMachines(group, 1);
   group.state.lateWrites = {
@@ -74,8 +74,8 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: the duty's record among the conditions, where the intent itself is still as it was.
-test('a late write of the old holder does not resolve an intent that its successor has not done yet', async () => {
+// The holder record must be a precondition also where the intent itself is unchanged.
+test('a late write of the old holder does not resolve an intent that its successor has not executed yet', async () => {
   const group = await settledGroup(29);
   const machines = await withMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
@@ -98,8 +98,8 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-// Guards: the version of the intent among the conditions of the write that resolves it.
-test('a late copy of the resolving write does not bring back a record that was cleaned up', async () => {
+// The write that resolves an intent must have the version of the intent as a precondition.
+test('a late copy of the resolving write does not restore an intent that was cleaned up', async () => {
   const group = await settledGroup(30);
   const machines = await withMachines(group, 1);
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
@@ -117,8 +117,8 @@
   assert.ok(![...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')));
 });
 
-// Guards: the version of the holder's record among the conditions of its removal.
-test('a release that is carried out late does not take the duty from its next holder', async () => {
+// The removal of a holder record must have its version as a precondition.
+test('a release that is applied late does not take the duty from its next holder', async () => {
   const group = await settledGroup(37);
   const old = group.holder('return') ?? assert.fail();
   group.state.lateWrites = {
@@ -128,7 +128,10 @@
     keys: 'duties/holders/return',
   };
   void group.member(old).holder('return').release('by the test');
-  await group.until('another holds it', () => (group.holder('return') ?? old) !== old);
+  await group.until(
+    'another controller holds the duty',
+    () => (group.holder('return') ?? old) !== old,
+  );
   const next = group.recorded('return');
   await group.run(12);
   assert.deepEqual(group.recorded('return'), next);
