--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -1,4 +1,4 @@
-/** Changes of the cluster level under faults: frozen leaders, outages, late writes and processes that end. */
+/** Changes of the feature level under faults: frozen leaders, outages, late writes and processes that end. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Cluster } from './sim/cluster.js';
@@ -15,16 +15,16 @@
   withJobs,
 } from './sim/rolling-upgrade.js';
 
-test('a frozen leader wakes amid a change, with a late transaction on its way', async () => {
+test('a change of level completes when its leader freezes with a late transaction in flight and later resumes', async () => {
   for (const seed of [6, 7, 8]) {
     const roll = new RollingUpgrade(seed, NEW);
     withJobs(roll);
     await roll.reaches('preparing', 1);
-    // Whatever is written now is carried out seconds later and never answered.
+    // Writes from now on are applied seconds later, and get no response.
     roll.cluster.state.lateWrites = { share: 1, until: roll.cluster.clock.time + 700 };
     await roll.cluster.run(0.7);
     roll.cluster.freeze(roll.leader(), 9000);
-    await roll.until('it is settled', () => roll.level.state === 'stable');
+    await roll.until('the level is stable', () => roll.level.state === 'stable');
     await roll.cluster.run(20);
     assert.equal(roll.level.state, 'stable');
     await roll.finish();
@@ -46,7 +46,7 @@
     },
   ],
   [
-    'everyone',
+    'all controllers',
     (roll) => {
       roll.cluster.state.beginOutage(OUTAGE_MS);
     },
@@ -54,7 +54,7 @@
 ];
 for (const phase of ['preparing', 'activating', 'lowering'] as const)
   for (const [who, refuse] of OUTAGES)
-    test(`the state service refuses ${who} while ${phase}: the change goes on afterwards`, async () => {
+    test(`a change of level completes after the state service refused ${who} while ${phase}`, async () => {
       const roll = new RollingUpgrade(9, NEW);
       withJobs(roll);
       if (phase === 'lowering') {
@@ -66,15 +66,15 @@
       await roll.finish();
     });
 
-test('a change without progress is given up, and waits for an operator', async () => {
+test('a change without progress is aborted, and not retried until an operator activates it', async () => {
   const roll = new RollingUpgrade(10, NEW);
   await roll.reaches('preparing', 1);
   const gone = roll.follower();
   roll.cluster.crash(gone, 25_000);
-  await roll.until('given up', () => roll.level.held !== null);
+  await roll.until('the change is aborted', () => roll.level.held !== null);
   assert.match(roll.level.held!.reason, new RegExp(`no progress for 15 s: ${gone}`));
   await roll.reaches('stable', 1);
-  // It comes back with the build that it had.
+  // It returns with the same build.
   await roll.staysAt(1, 30);
   assert.ok(roll.cluster.isUp(gone));
   assert.equal((await roll.ask('activate')).kind, 'done');
@@ -82,7 +82,7 @@
   await roll.finish();
 });
 
-test('a change is given up when processes of a controller keep ending', async () => {
+test('a change is aborted when a controller restarts repeatedly', async () => {
   const roll = new RollingUpgrade(11, NEW);
   await roll.reaches('preparing', 1);
   const ending = roll.follower();
@@ -90,16 +90,16 @@
     roll.cluster.crash(ending, 50);
     await roll.cluster.run(0.4);
   }
-  await roll.until('given up', () => roll.level.held !== null);
+  await roll.until('the change is aborted', () => roll.level.held !== null);
   assert.match(roll.level.held!.reason, new RegExp(`${ending} has started`));
   await roll.staysAt(1, 20);
 });
 
-// Without the guard on the level a segment would land after the last one was converted.
-test('a segment on its way while the level is lowered changes nothing', async () => {
+// Without the precondition on the level, the segment would be stored after the last one was converted.
+test('a segment write in flight while the level is lowered is not applied', async () => {
   const roll = new RollingUpgrade(16, NEW, LARGE);
   await roll.reaches('stable', 2);
-  // It outlives the write that is on its way.
+  // The job runs for longer than the write is in flight.
   const id = roll.submitLarge(5);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
   const { state, clock } = roll.cluster;
@@ -115,11 +115,11 @@
   await roll.finish();
 });
 
-// Without the guards of its writes the process that has ended would seem to be there, with its build.
-test('what a replaced process has on its way does not count for its successor', async () => {
+// Without the preconditions of its writes, the ended process would appear to be running, with its build.
+test('writes in flight from a replaced process are not attributed to its successor', async () => {
   const roll = new RollingUpgrade(19, NEW);
   const { state, clock } = roll.cluster;
-  await roll.until('all have announced', () =>
+  await roll.until('all controllers have announced themselves', () =>
     NAMES.every((name) => state.value(`rollout/controllers/${name}`)),
   );
   const name = roll.follower();
@@ -134,8 +134,8 @@
   assert.deepEqual(roll.cluster.invariants.violations, []);
 });
 
-// Without the guards on all announcements the level would rise over a build that can't follow.
-test('the last confirmation counts only while every announcement stands as it was read', async () => {
+// Without preconditions on all announcements, the level would rise above what the old build supports.
+test('the level is raised only if no announcement has changed since the leader read it', async () => {
   const roll = new RollingUpgrade(22, NEW);
   await roll.reaches('activating', 1);
   const { state, clock, invariants } = roll.cluster;
@@ -146,8 +146,8 @@
   assert.deepEqual(invariants.violations, []);
 });
 
-// Without the guard on the record's version the late one would undo what came after it.
-test("a leader's change without an answer, made again, and then carried out late, changes nothing", async () => {
+// Without the precondition on the version of the record, the late write would undo later changes.
+test('a level write without a response that is retried and later applied late changes nothing', async () => {
   const roll = new RollingUpgrade(20, NEW);
   await roll.reaches('preparing', 1);
   const { state, clock, invariants } = roll.cluster;
@@ -155,12 +155,16 @@
   roll.replace(roll.follower(), OLD, 100);
   await roll.cluster.run(2);
   assert.equal(roll.level.state, 'preparing');
-  await roll.until('given up', () => roll.level.held !== null && roll.level.state === 'stable', 10);
+  await roll.until(
+    'the change is aborted',
+    () => roll.level.held !== null && roll.level.state === 'stable',
+    10,
+  );
   await roll.staysAt(1, ROLL_S);
   assert.deepEqual(invariants.violations, []);
 });
 
-test('a malformed announcement is ignored, logged once, and replaced by its controller', async () => {
+test('a malformed announcement is ignored, logged once, and replaced by the next process of its controller', async () => {
   const lines: string[] = [];
   const roll = new RollingUpgrade(15, OLD, {
     log: (_node, text, fields) => {
@@ -175,7 +179,7 @@
   await roll.staysAt(1, 10);
   assert.equal(lines.length, 1);
   assert.match(lines[0], /malformed/);
-  // The next process of the controller announces itself anew.
+  // The next process of the controller writes a new announcement.
   roll.cluster.crash('n2', 50);
   await roll.reaches('stable', 2);
 });
@@ -199,7 +203,7 @@
   if (second % 21 === 15) cluster.faults.isolate(name, random.between(1000, 5000), 'reset');
 }
 
-/** All end up with the new build. */
+/** Finally replaces all controllers with the new build. */
 function replaceAllByNew(cluster: Cluster, second: number): void {
   if (second === 50) for (const name of NAMES) cluster.builds.set(name, NEW);
   if (second === 52)
@@ -207,7 +211,7 @@
 }
 
 for (const seed of [31, 32, 33, 34, 35, 36])
-  test(`random upgrades, rollbacks, crashes, cuts, outages and late writes (${seed})`, async () => {
+  test(`invariants hold under random upgrades, rollbacks, crashes, partitions, outages and late writes (${seed})`, async () => {
     let invariants: RolloutInvariants | null = null;
     const outcome = await runScenario(
       {
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -1,11 +1,11 @@
-/** Three controller processes on loopback, replaced one at a time by another build while jobs keep coming. */
+/** Three controller processes on loopback, replaced one at a time by another build while jobs are submitted. */
 import assert from 'node:assert/strict';
 import { afterEach, beforeEach, test } from 'node:test';
 import { ControllerProcesses } from './sim/controller-processes.js';
 import { segmentsIn } from './sim/rollout-invariants.js';
 
 const NAMES = ['n0', 'n1', 'n2'];
-// Long enough that a machine without a free moment gives nothing up.
+// Timeouts long enough that no change of level is aborted on a fully loaded machine.
 const AUTOMATIC = {
   mode: 'automatic',
   soak_s: 0.5,
@@ -22,7 +22,7 @@
 
 afterEach(() => deployment.stop());
 
-/** Replaces a controller and lets some jobs end. */
+/** Replaces a controller, and waits until it is healthy and some more jobs were accepted. */
 async function replaceUnderLoad(name: string, build: 'old' | 'new'): Promise<void> {
   await deployment.replace(name, build);
   await deployment.untilHealthy(name);
@@ -34,7 +34,7 @@
   deployment.users.checkHistory();
 }
 
-test('a whole roll: the level rises after the last controller; one that goes back serves nothing until it is lowered', async () => {
+test('the level rises after the last upgrade, and a rolled-back controller is unhealthy until the level is lowered', async () => {
   await deployment.start('old', AUTOMATIC);
   void deployment.users.stream(EVERY_MS);
   for (const name of NAMES) {
@@ -60,10 +60,10 @@
     () => segmentsIn(deployment.standIns.state).length > 0,
   );
   await deployment.replace('n1', 'old');
-  // A process that hasn't read the level yet refuses for that reason first; it is never healthy in between.
+  // A process that has not read the level yet is unhealthy for that reason first. It must not be healthy in between.
   await deployment.until('n1 is excluded by the level', async () => {
     const { status, text } = await deployment.health('n1');
-    assert.ok(status === 0 || status === 503, `n1 answered ${status}: ${text}`);
+    assert.ok(status === 0 || status === 503, `n1 responded with ${status}: ${text}`);
     return text.includes("the cluster's level is 2");
   });
   const text = await deployment.rollout('n0', 'downgrade');
@@ -79,7 +79,7 @@
   deployment.users.checkHistory();
 });
 
-test('an abandoned roll: nothing is raised, commands are refused with a reason, and everything goes back', async () => {
+test('in an abandoned upgrade the level stays, commands are refused with a reason, and controllers can be rolled back', async () => {
   await deployment.start('old', { ...AUTOMATIC, mode: 'manual' });
   void deployment.users.stream(EVERY_MS);
   for (const name of ['n0', 'n1']) await replaceUnderLoad(name, 'new');
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -1,4 +1,4 @@
-/** The rollout in whole simulated clusters: builds that differ in their highest level, replaced while jobs run. */
+/** Rolling upgrades of whole simulated clusters: builds that differ in their highest feature level, while jobs run. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BATCH } from './sim/jobs.js';
@@ -14,7 +14,7 @@
   withJobs,
 } from './sim/rolling-upgrade.js';
 
-test('the level is raised by itself once every controller has the new build, and not before', async () => {
+test('the level is raised automatically once every controller runs the new build, and not before', async () => {
   const roll = new RollingUpgrade(1, OLD);
   await roll.cluster.run(6);
   withJobs(roll);
@@ -26,22 +26,22 @@
   await roll.finish();
 });
 
-// Without the check of builds while a level is raised, the one that went back would be left behind.
+// Without the check of builds while the level is raised, the rolled-back controller could not serve at the new level.
 for (const phase of ['preparing', 'activating'] as const)
   for (const role of ['follower', 'leader'] as const)
-    test(`a ${role} that is rolled back while ${phase} ends the change, which begins again with the next build`, async () => {
+    test(`the rollback of a ${role} while ${phase} aborts the change, which starts again once it runs the new build`, async () => {
       const roll = new RollingUpgrade(2, NEW);
       withJobs(roll);
       await roll.reaches(phase, 1);
       const name = roll[role]();
       roll.replace(name, OLD, 100);
-      await roll.until('given up', () => roll.level.held !== null);
+      await roll.until('the change is aborted', () => roll.level.held !== null);
       assert.match(roll.level.held!.reason, new RegExp(`${name} runs build 0.0.9`));
       await roll.reaches('stable', 1);
       await roll.staysAt(1, ROLL_S);
       assert.ok(
         roll.cluster.node(name).rollout.mayServe(),
-        'nothing was written that it cannot read',
+        'no record was written that it cannot read',
       );
       roll.replace(name, NEW);
       await roll.reaches('stable', 2);
@@ -49,7 +49,7 @@
     });
 
 for (const role of ['follower', 'leader'] as const)
-  test(`a ${role} that is rolled back after the level was raised serves nothing until it is lowered`, async () => {
+  test(`a ${role} that is rolled back after the level was raised serves nothing until the level is lowered`, async () => {
     const roll = new RollingUpgrade(3, NEW, LARGE);
     await roll.reaches('stable', 2);
     roll.submitLarge();
@@ -68,27 +68,27 @@
     assert.equal((await node.api.poll('run-000001')).status, 503);
     assert.equal((await node.api.cancel('run-000001')).status, 503);
     assert.equal(node.handleHeartbeat(body).status, 503);
-    // The others go, and still it does not lead.
+    // Even while the others are down, it is not elected.
     for (const other of NAMES) if (other !== name) roll.cluster.crash(other, 6000);
     for (let second = 0; second < 7; second++) {
       await roll.cluster.run(1);
       assert.notEqual(roll.cluster.leader(), name);
     }
-    await roll.until('another leads', () => roll.cluster.leader() !== undefined);
+    await roll.until('another controller leads', () => roll.cluster.leader() !== undefined);
     assert.equal((await roll.ask('downgrade')).kind, 'done');
     await roll.reaches('stable', 1);
-    await roll.until('it serves again', () => node.health().kind === 'healthy');
+    await roll.until('the controller serves again', () => node.health().kind === 'healthy');
     await roll.finish();
   });
 
-test('a straggler that was away all the time: nothing is raised without it, whatever build it comes back with', async () => {
+test('the level is not raised while a controller is down, or after it has returned with the old build', async () => {
   const roll = new RollingUpgrade(4, OLD);
   await roll.cluster.run(6);
   roll.cluster.crash('n2', 60_000);
   for (const name of ['n0', 'n1']) roll.replace(name, NEW);
   withJobs(roll);
   await roll.staysAt(1, 55);
-  assert.equal(roll.invariants.history.length, 0, 'nothing was even proposed');
+  assert.equal(roll.invariants.history.length, 0, 'no change was started');
   await roll.cluster.run(8);
   assert.ok(roll.cluster.node('n2').rollout.mayServe());
   await roll.staysAt(1, ROLL_S);
@@ -97,8 +97,8 @@
   await roll.finish();
 });
 
-// docs/safety.md: it can't refuse by itself, so the form must be one that it takes for missing knowledge.
-test('a straggler without any gate comes back, leads and goes on with what is stored in the new form', async () => {
+// docs/safety.md: such a build cannot exclude itself, so it must treat the new form as missing information.
+test('a build from before feature levels that returns as the leader continues jobs stored in the new form', async () => {
   const roll = new RollingUpgrade(5, NEW, LARGE);
   await roll.reaches('stable', 2);
   roll.submitLarge();
@@ -108,12 +108,12 @@
   roll.cluster.crash('n1', 100);
   await roll.cluster.run(3);
   for (const name of ['n0', 'n2']) roll.cluster.crash(name, 7000);
-  await roll.until('it leads', () => roll.cluster.leader() === 'n1', 7);
+  await roll.until('n1 leads', () => roll.cluster.leader() === 'n1', 7);
   await roll.finish();
-  assert.deepEqual(roll.invariants.segments(), [], 'the records go with their job');
+  assert.deepEqual(roll.invariants.segments(), [], 'the records are removed with their job');
 });
 
-test('lowering converts what is stored, across a crash of the leader, and is not undone by itself', async () => {
+test('lowering converts stored records despite a crash of the leader, and is not reverted automatically', async () => {
   const roll = new RollingUpgrade(12, NEW, LARGE);
   await roll.reaches('stable', 2);
   roll.submitLarge();
@@ -126,7 +126,7 @@
   await roll.finish();
 });
 
-test('lowering is refused by name where the older form does not fit, and the level stays', async () => {
+test('if records do not fit in the older form, lowering is aborted and the reason names the job', async () => {
   const roll = new RollingUpgrade(13, NEW, LARGE);
   for (const name of NAMES) roll.cluster.overrides.set(name, { maxValueKb: 0.5 });
   for (const name of NAMES) roll.cluster.crash(name, 50);
@@ -136,14 +136,14 @@
   void roll.cluster.users.run(job, null);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
   assert.equal((await roll.ask('downgrade')).kind, 'done');
-  await roll.until('kept', () => roll.level.state === 'stable');
+  await roll.until('lowering is aborted', () => roll.level.state === 'stable');
   assert.equal(roll.level.active, 2);
   assert.match(roll.level.reason ?? '', new RegExp(`finished tasks of ${job.id} don't fit`));
   assert.equal(roll.cluster.state.tooLarge, 0);
   assert.deepEqual(roll.cluster.invariants.violations, []);
 });
 
-test("operators' commands work while nobody leads, and are refused with a reason", async () => {
+test('commands of operators work without a leader, and refusals state a reason', async () => {
   const roll = new RollingUpgrade(14, NEW, { rollout: { ...SETTINGS, mode: 'manual' } });
   await roll.cluster.run(6);
   assert.deepEqual(await roll.ask('abort'), {
@@ -152,12 +152,12 @@
   });
   assert.equal((await roll.ask('downgrade')).kind, 'refused');
   roll.cluster.crash(roll.leader(), 8000);
-  // The announcement of the process that has just ended still stands: the change waits for its successor.
+  // The announcement of the process that has just ended still exists: the change waits for its successor.
   assert.equal((await roll.ask('activate')).kind, 'done');
   assert.equal(roll.cluster.leader(), undefined);
   assert.equal((await roll.ask('abort')).kind, 'done');
   await roll.reaches('stable', 1);
-  await roll.until('all are back', () => NAMES.every((name) => roll.cluster.isUp(name)));
+  await roll.until('all controllers are up', () => NAMES.every((name) => roll.cluster.isUp(name)));
   await roll.cluster.run(3);
   assert.equal((await roll.ask('activate')).kind, 'done');
   await roll.reaches('stable', 2);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,4 +1,4 @@
-/** Old and new versions side by side and on each other's data; limits of the state service that fall. */
+/** Compatibility with records and messages of older and later versions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { endedKey, liveKey, readEnded, readLive } from '../src/jobs/records.js';
@@ -14,7 +14,7 @@
 import { observedJob } from './sim/observed-job.js';
 
 for (const older of OLDER)
-  test(`records and messages of ${older.version} are read`, () => {
+  test(`records and messages of ${older.version} can be read`, () => {
     const kinds = new Set<string>();
     for (const [key, value] of Object.entries(older.items)) {
       const pair = { key, value, version: 3 };
@@ -38,7 +38,7 @@
     ]);
   });
 
-/** Names and types of all fields, so that records can be compared for what a reader relies on. */
+/** Returns the names and types of all fields, to compare records for what a reader relies on. */
 function shapeOf(value: unknown): unknown {
   if (Array.isArray(value)) return value.length > 0 ? [shapeOf(value[0])] : [];
   if (typeof value !== 'object' || value === null) return value === null ? 'null' : typeof value;
@@ -50,7 +50,7 @@
   const shapes = new Map<string, Set<string>>();
   for (const [key, value] of items) {
     const kind = key.slice(0, 2);
-    // Values that may be null or not are compared as if they were null.
+    // Nullable fields are compared as if they were null.
     const text = JSON.stringify(shapeOf(value)).replace(
       /"(deadlineS|types|zone)":("number"|"string"|\[.*?\])/g,
       '"$1":"null"',
@@ -60,7 +60,7 @@
   return shapes;
 }
 
-test('what this version writes has the fields that older versions write and read', async () => {
+test('records and messages of this version have the fields of older versions', async () => {
   const cluster = new Cluster({ seed: 31, ordinaryUp: 20, capacity: 12 });
   const sent = new Map<string, unknown>();
   cluster.onPeerMessage((m) => sent.set(m.t, m));
@@ -98,7 +98,7 @@
     }
 });
 
-test('messages of other kinds, or without what they need, are skipped', () => {
+test('peer messages of unknown kinds, or without required fields, are skipped', () => {
   assert.equal(readPeerMessage({ t: 'future', from: 'n1' }), null);
   assert.equal(readPeerMessage({ t: 'constructor', from: 'n1' }), null);
   assert.equal(readPeerMessage({ t: 'attest', from: 'n1', life: 'x' }), null);
@@ -112,7 +112,7 @@
   );
 });
 
-/** Lets the invariants know of jobs that were stored before; the ids of those that are not cancelled. */
+/** Registers previously stored jobs with the invariants. Returns the ids of those that are not cancelled. */
 function observeStoredJobs(cluster: Cluster, live: [string, unknown][]): Set<string> {
   const waiting = new Set<string>();
   const kinds: Record<SubmittedKind, Partial<JobSubmission>> = {
@@ -134,19 +134,19 @@
 }
 
 for (const older of OLDER)
-  test(`a cluster goes on from the records of ${older.version}: live, cancelled and half finished jobs`, async () => {
+  test(`a cluster continues live, cancelled and partly finished jobs from records of ${older.version}`, async () => {
     const cluster = new Cluster({ seed: 1, ordinaryUp: 0 });
-    // The cloud never gives a name again: a new spot machine must not be taken for a stored ordinary one.
+    // The cloud never reuses a name: a new spot machine must not be mistaken for a stored ordinary one.
     cluster.cloud.numberMachinesFrom(1000);
     for (const name of cluster.nodeNames) cluster.crash(name, 1000);
     for (const [key, value] of Object.entries(older.items)) cluster.state.putDirectly(key, value);
     const live = Object.entries(older.items).filter(([key]) => key.startsWith('j/'));
     const waiting = observeStoredJobs(cluster, live);
-    // The machines of that time are gone; old jobs wait until that is proved.
+    // The stored machines no longer exist. Their jobs wait until that is proved.
     await cluster.run(90);
     for (const id of waiting) {
       const job = cluster.invariants.jobs.get(id)!;
-      assert.ok(job.firstStartAt !== null, `${id} went on`);
+      assert.ok(job.firstStartAt !== null, `${id} was continued`);
       if (job.spec.kind !== 'service')
         assert.deepEqual(cluster.state.value(endedKey(id)), {
           state: 'done',
@@ -165,7 +165,7 @@
     );
   });
 
-/** Stores a live job as a later version would, with fields that this one does not know. */
+/** Stores a live job as a later version would, with fields that this version does not know. */
 function putRecordOfLaterVersion(cluster: Cluster, id: string): JobSpec {
   const [, old] = Object.entries(OLD.items).find(
     ([key, value]) => key.startsWith('j/') && !readLive(value)!.cancelled,
@@ -179,7 +179,7 @@
   return spec;
 }
 
-test('what only another version knows stays in a record that is rewritten', async () => {
+test('unknown fields of a record are kept when it is rewritten', async () => {
   const cluster = new Cluster({ seed: 2 });
   await cluster.run(4);
   const id = 'run-000900';
@@ -188,7 +188,7 @@
     id,
     observedJob(cluster.users.newJob({ ...BATCH, id, team: spec.team }), 0),
   );
-  // A machine that hangs keeps the record live for a while.
+  // A hanging machine keeps the job live for a while.
   for (const machine of cluster.cloud.machines.values())
     if (machine.worker) cluster.faults.hangMachine(machine.id, LEASE_MS);
   void cluster.users.cancel(id);
