--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -1,4 +1,4 @@
-/** The health of a node, as health checks see it. */
+/** Health of a node as reported to health checks. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Health, HealthCheck } from '../src/health.js';
@@ -34,7 +34,7 @@
   reason: 'the state service does not serve this controller',
 };
 
-test('a node that may not serve, or knows no machine types, is unhealthy for that reason', () => {
+test('a node that may not serve, or does not know the machine types, is unhealthy and reports the reason', () => {
   const node = nodeWith({ hasPeers: true });
   assert.deepEqual(node.check.health(), HEALTHY);
   node.knowsMachineTypes = false;
@@ -46,11 +46,11 @@
   assert.deepEqual(node.check.health(), { kind: 'unhealthy', reason: 'another level' });
 });
 
-test('a node that the state service alone does not serve is unhealthy, in an outage for all it is not', () => {
+test('a node is unhealthy if the state service is unavailable to it alone, and healthy in an outage for all nodes', () => {
   const node = nodeWith({ hasPeers: true });
   node.unavailableForMs = 1499;
   node.check.recordPeerStatus('n1', true);
-  assert.deepEqual(node.check.health(), HEALTHY, 'it may be a passing fault');
+  assert.deepEqual(node.check.health(), HEALTHY, 'the fault may be transient');
   node.unavailableForMs = 1500;
   assert.deepEqual(node.check.health(), NOT_SERVED);
   node.check.recordPeerStatus('n1', false);
@@ -59,14 +59,14 @@
   assert.deepEqual(node.check.health(), NOT_SERVED);
 });
 
-test('a node that hears no peer takes itself for the only one that is not served, unless it has none', () => {
+test('a node without recent peer reports is unhealthy if the state service is unavailable to it, unless it has no peers', () => {
   const node = nodeWith({ hasPeers: true });
   node.unavailableForMs = 5000;
   node.check.recordPeerStatus('n1', false);
   node.now += 1499;
   assert.deepEqual(node.check.health(), HEALTHY);
   node.now += 1;
-  assert.deepEqual(node.check.health(), NOT_SERVED, 'what the peer told is too old');
+  assert.deepEqual(node.check.health(), NOT_SERVED, 'the report of the peer is too old');
   const alone = nodeWith({ hasPeers: false });
   alone.unavailableForMs = 5000;
   assert.deepEqual(alone.check.health(), HEALTHY);
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -1,13 +1,14 @@
-/** The HTTP client, on real sockets. */
+/** The HTTP client on real sockets. */
 import assert from 'node:assert/strict';
 import { type Socket, createServer } from 'node:net';
 import { test } from 'node:test';
 import { HttpClient } from '../src/http/http-client.js';
 
-// Giving up must not wait until the request can have a connection: a leader learnt of dead machines, whose
-// connections are never made, seconds late. Here the one connection is taken by a request without an answer.
+// The timeout must include the time that a request waits for a connection. Connections to dead machines are never
+// established, and a leader noticed such machines seconds late. Here a request without a response occupies the only
+// connection.
 test(
-  'a request that waits for a connection is given up when its time is over',
+  'a request that waits for a connection fails when its timeout expires',
   { timeout: 5000 },
   async () => {
     const sockets: Socket[] = [];
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -1,4 +1,4 @@
-/** Real sockets on loopback: what happens when more workers want connections than there are sockets. */
+/** The HTTP server on real loopback sockets, with more workers than it has sockets. */
 import assert from 'node:assert/strict';
 import { Agent, request } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
@@ -13,7 +13,7 @@
 
 const LIMIT = 60;
 
-/** A node that answers heartbeats as the leader, or as a follower, does. */
+/** A node that responds to heartbeats with `status`: 200 as the leader, 421 as a follower. */
 function answering(status: number): ControllerNode {
   return {
     handleHeartbeat: () => ({ status, body: {} }),
@@ -40,7 +40,7 @@
   });
 }
 
-/** Serves until the test is over; returns the port. */
+/** Starts a server that is closed when the test ends. Returns its port. */
 async function serve(
   context: TestContext,
   node: ControllerNode,
@@ -55,7 +55,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-test('with more workers than sockets each is answered, and health checks still get through', async (context) => {
+test('with more workers than sockets every heartbeat gets a response, and health checks still succeed', async (context) => {
   const shares = allocateSockets(LIMIT);
   const port = await serve(context, answering(200));
   const agents: Agent[] = [];
@@ -75,14 +75,14 @@
   for (const agent of agents) agent.destroy();
 });
 
-test('a worker that is sent elsewhere leaves no connection behind', async (context) => {
+test('the connection of a worker that is redirected to the leader is closed', async (context) => {
   const port = await serve(context, answering(421));
   const agent = new Agent({ keepAlive: true });
   assert.deepEqual(await ask(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
   agent.destroy();
 });
 
-/** Connects, sends a heartbeat and gives up before it can be answered. */
+/** Connects, sends a heartbeat and disconnects before the response. */
 function giveUp(port: number): Promise<void> {
   return new Promise((done) => {
     const socket = connect({ port, host: '127.0.0.1' }, () => {
@@ -97,8 +97,9 @@
   });
 }
 
-// After a restart of all controllers of anketsis-pazar the leader answered 3000 heartbeats in 16 s, and none of them in time.
-test('workers that gave up while they waited are not answered, and those that still wait are', async (context) => {
+// After a restart of all controllers of anketsis-pazar the leader responded to 3000 heartbeats in 16 s, all of them too
+// late.
+test('heartbeats of workers that disconnected while waiting are dropped, and those of waiting workers are handled', async (context) => {
   let heartbeats = 0;
   const lines: string[] = [];
   const node = {
@@ -118,20 +119,24 @@
   assert.equal(
     (await ask(port, 'POST', HEARTBEAT_PATH, kept))[0],
     200,
-    'open connections are served on',
+    'open connections are still served',
   );
   await new Promise((done) => setTimeout(done, 200));
   assert.ok(lines.some((line) => line.startsWith('dropped connections')));
   const fresh = new Agent({ keepAlive: true });
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, fresh))[0], 200, 'the queue is open again');
+  assert.equal(
+    (await ask(port, 'POST', HEARTBEAT_PATH, fresh))[0],
+    200,
+    'the queue accepts connections again',
+  );
   for (const agent of [kept, fresh]) agent.destroy();
   assert.equal(heartbeats, 3);
 });
 
-test('a heartbeat that can not be handled gets 503 and harms nothing else; one that is too large, 400', async (context) => {
+test('a heartbeat whose handler throws gets 503, one that is too large gets 400, and the server goes on serving', async (context) => {
   const faulty = {
     handleHeartbeat: (body: unknown) => {
-      if (body !== null) throw new Error('a fault of our own');
+      if (body !== null) throw new Error('handler failed');
       return { status: 400, body: {} };
     },
     health: () => ({ kind: 'healthy' }),
@@ -144,7 +149,7 @@
   agent.destroy();
 });
 
-test('what is shared out stays within the limit, at every size of a process', () => {
+test('allocated sockets stay within the limit, for every limit', () => {
   for (const limit of [60, 400, 1000, 1308, 1923, 20_000]) {
     const shares = allocateSockets(limit);
     assert.ok(shares.maxInbound + shares.backlog + shares.maxToWorkers < limit, String(limit));
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -38,7 +38,7 @@
 sockets = 1000
 `;
 
-test('the platform file: unknown fields ignored, 0 is no limit, faults named', () => {
+test('platform settings: unknown fields are ignored, a maximum of 0 means no limit, and errors name the field', () => {
   const settings = readPlatformSettings(GOOD);
   assert.deepEqual([settings.teams[0].cpusMax, settings.teams[0].gpusMax], [Infinity, 2]);
   const fault = (from: string, to: string, name: RegExp): void => {
@@ -53,7 +53,7 @@
   fault('node_name = "n0"', 'node_name = ', /^not TOML/);
 });
 
-test('limits that the state service will have hold from the start, the stricter of each', () => {
+test('of the current and the next limits of the state service, the stricter ones apply from the start', () => {
   const limits = (next: string): number[] => {
     const settings = readPlatformSettings(
       GOOD.replace('[params.cloud]', `${next}\n[params.cloud]`),
@@ -74,14 +74,14 @@
   assert.throws(() => limits('[params.state.next]\ntxn_ops = "x"'), /params\.state\.next\.txn_ops/);
 });
 
-test("the operators' file: defaults, unknown fields refused, deployments by location", () => {
+test("operators' settings: defaults apply, unknown fields are rejected, and deployments are selected by location", () => {
   const plain = readOperatorSettings({ round_s: 5 });
   assert.ok(
     plain.kind === 'valid' && plain.settings.round_s === 5 && plain.settings.slowness_ratio === 1.5,
   );
   const refused = (input: unknown, location?: string): string => {
     const read = readOperatorSettings(input, location);
-    return read.kind === 'invalid' ? read.reason : 'taken';
+    return read.kind === 'invalid' ? read.reason : 'accepted';
   };
   assert.match(refused({ rounds: 5 }), /^rounds: unknown field/);
   assert.match(refused({ round_s: 0 }), /^round_s/);
@@ -97,7 +97,7 @@
   assert.match(refused(bad, 'b'), /^deployments\/0\/settings\/round: unknown field/);
 });
 
-test('money counts where objectives say so, or where nobody is guaranteed anything; operators have the last word', () => {
+test('cost is minimized if there is a price objective or no guarantee, and operators can override both', () => {
   const guaranteed = readPlatformSettings(GOOD);
   const open = readPlatformSettings(GOOD.replace('cpus = 4.0', 'cpus = 0.0'));
   const priced = readPlatformSettings(GOOD + '[[params.objectives]]\nkind = "price"\nmost = 2.0\n');
