--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -1,4 +1,4 @@
-/** The stored forms of finished task numbers. */
+/** Stored forms of finished task numbers. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -17,7 +17,7 @@
   ...[0, 1, 4, 5, 6].map((split) => ({ kind: 'segments' as const, split })),
 ];
 
-/** Stores all chunks of the job in a layout, and reads them into an empty one. */
+/** Packs all chunks of the job in the layout, and loads the records into a job without finished tasks. */
 function storeAndLoad(job: Job, layout: Layout, valueBytes = Infinity): Job {
   const loaded = new TrackedJob<TaskAttempt>(1, job.spec, 1, 0, true, 0);
   for (let chunk = 0; chunk * TASKS_PER_CHUNK < job.spec.tasks; chunk++) {
@@ -32,7 +32,7 @@
   return loaded;
 }
 
-test('finished task numbers survive packing, in any order, chunk by chunk, in every layout', () => {
+test('task numbers finished in any order are restored chunk by chunk from their records, in every layout', () => {
   fc.assert(
     fc.property(
       fc.integer({ min: 1, max: 3 * TASKS_PER_CHUNK }),
@@ -51,7 +51,7 @@
   );
 });
 
-test('the finest segments of random numbers fit into the least value size that settings allow', () => {
+test('segments of the finest split fit into the smallest value size that settings allow, even for random task numbers', () => {
   const random = fc.sample(fc.uint8Array({ minLength: 12_500, maxLength: 12_500 }), {
     seed: 3,
     numRuns: 1,
@@ -65,8 +65,8 @@
   assert.equal(coarse.kind, 'too-large');
 });
 
-// A build from before levels reads texts only, so that a segment must be anything but a text.
-test('a segment is no text, which a build without levels would take for a chunk', () => {
+// A build from before feature levels reads text only and would take a text for a chunk, so a segment must not be text.
+test('a segment is stored as an object, not as text', () => {
   const made = recordsOfChunk(
     new Uint8Array(2000).fill(255),
     16_000,
@@ -78,7 +78,7 @@
   for (const { value } of made.records) assert.equal(typeof value, 'object');
 });
 
-test('records that cannot be read tell of no finished task', () => {
+test('malformed records are unreadable', () => {
   const good = { from: 0, tasks: 4096, deflated: 'AAAA' };
   const wrong: [number, unknown][] = [
     [0, 17],
@@ -91,7 +91,7 @@
   ];
   for (const [number, value] of wrong)
     assert.equal(readFinishedRecord(number, value).kind, 'unreadable');
-  // Unpacks to more, and to less, than it claims to cover.
+  // Unpacks to more, or fewer, tasks than the record claims to cover.
   const made = recordsOfChunk(
     new Uint8Array(1024).fill(255),
     8192,
@@ -105,8 +105,8 @@
     assert.equal(readFinishedRecord(number, { ...(value as object), tasks }).kind, 'unreadable');
 });
 
-// A leader that ended while it replaced chunks by segments: each of both may tell what the other does not.
-test('records in two layouts are replaced only once all they tell was written again', () => {
+// After a leader ended while it replaced chunks with segments, either may contain tasks that the other does not.
+test('records in the old layout are superseded only after their content has been written in the new one', () => {
   const jobs = new JobTable();
   const job = jobs.add(spec({ tasks: 20_000 }), 1, 0, true, 0);
   const records = new ProgressRecords(jobs, 4096);
@@ -114,16 +114,16 @@
   for (const number of [0, 1000]) records.noteWritten(job, number);
   assert.deepEqual(records.supersededRecords(job, 5), []);
   assert.deepEqual([...job.finished.dirtyChunks.keys()], [0]);
-  assert.deepEqual(records.supersededRecords(job, 5), [], 'not before it is written');
+  assert.deepEqual(records.supersededRecords(job, 5), [], 'not before the chunk is written');
   records.noteDurable(job, [0], CHUNK_LAYOUT);
-  assert.deepEqual(records.supersededRecords(job, 5), [], 'nor by a write in the other layout');
+  assert.deepEqual(records.supersededRecords(job, 5), [], 'nor after a write in the other layout');
   records.noteDurable(job, [0], { kind: 'segments', split: 0 });
   assert.deepEqual(records.supersededRecords(job, 6), [0]);
-  // Lowered: the other way round.
+  // With a lowered level, segments are converted to chunks.
   records.chooseLayout(job, false, 7);
   assert.deepEqual(records.supersededRecords(job, 8), []);
   records.noteDurable(job, [0], CHUNK_LAYOUT);
-  // A task that ends meanwhile keeps nothing up: a busy job would never be converted.
+  // A task that finishes meanwhile does not delay the conversion: otherwise a busy job would never be converted.
   job.finish(9000, 8);
   assert.deepEqual(records.supersededRecords(job, 8), [1000]);
   assert.deepEqual(records.conversion(), { kind: 'running', remaining: 1 });
--- a/test/job-reads.test.ts
+++ b/test/job-reads.test.ts
@@ -1,4 +1,4 @@
-/** Questions of users: how fresh the answers are, and what they cost the state service. */
+/** Polls of users: freshness of the responses, and load on the state service. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -10,7 +10,7 @@
 import { StateStore } from '../src/state-store/client.js';
 import { JobCache } from '../src/jobs/job-cache.js';
 
-test('many questions cost few reads, and each answer is as fresh as its question', async () => {
+test('many polls cost few reads, and each response includes what was accepted before its poll', async () => {
   const cluster = new Cluster({ seed: 18 });
   cluster.network.lossRate = 0;
   await cluster.run(4);
@@ -20,7 +20,7 @@
     cluster.invariants.jobs.set(job.id, observedJob(job, cluster.clock.time));
     assert.equal((await requestFrom(cluster, 'n0', submitRequest(job))).status, 201);
     ids.push(job.id);
-    // Accepted through one node, known to the others at once.
+    // A job accepted by one node is known to the others at once.
     for (const name of ['n1', 'n2'])
       assert.equal((await requestFrom(cluster, name, pollRequest(job.id))).status, 200);
   }
@@ -40,11 +40,11 @@
   }
   await cluster.run(1);
   const cost = cluster.state.received.requests - before - without;
-  assert.ok(answers > 1190, `${answers} answers`);
-  assert.ok(cost < answers / 4, `${cost} requests for ${answers} answers`);
+  assert.ok(answers > 1190, `${answers} responses`);
+  assert.ok(cost < answers / 4, `${cost} requests for ${answers} responses`);
 });
 
-test('the job cache starts over when the changes since have been compacted', async () => {
+test('the job cache reloads all jobs when the changes since its last refresh have been compacted', async () => {
   const cluster = new Cluster({ seed: 20 });
   await cluster.run(3);
   const runtime = clientRuntime(cluster);
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -1,4 +1,4 @@
-/** Records of machines by themselves, before a state service whose requests can be held. */
+/** Machine records without a leader, with a state service whose requests can be delayed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -8,7 +8,7 @@
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 
-/** A registry of machines by itself, before a state service whose requests can be held. */
+/** A store of machine records without a leader, and a simulated state service whose requests can be delayed. */
 function machineRecordsFixture(): {
   cluster: Cluster;
   table: MachineTable;
@@ -60,9 +60,9 @@
   return { cluster, table, machineRecords, add, stored };
 }
 
-test('a page of machines that is written late loses no machine stored since', async () => {
+test('a page write that is applied late does not overwrite machines stored since', async () => {
   const { cluster, table, machineRecords, add, stored } = machineRecordsFixture();
-  // The first write is held on its way and given up; it arrives once the second has been applied.
+  // The first write is delayed in the network and times out; it arrives after the second has been applied.
   cluster.network.partitions.push({
     a: (host) => host === 'n9:80',
     b: () => true,
@@ -84,7 +84,7 @@
   );
 });
 
-test('a machine taken out of the stored ones counts as stored only once it is written again', async () => {
+test('a removed machine counts as stored only after it has been written again', async () => {
   const { cluster, machineRecords, add, stored } = machineRecordsFixture();
   const run = async (seconds: number): Promise<void> => {
     for (let second = 0; second < seconds * 5; second++) {
@@ -95,7 +95,7 @@
   add('i-1');
   await run(1);
   const machine = add('i-2');
-  // Taken out while the write that holds it is on its way.
+  // Removed while the write that contains it is in flight.
   machineRecords.removed(machine);
   machine.reported = false;
   await run(1);
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits of the state service that are lower than those under which records were written. */
+/** Limits of the state service that are lower than when records were written. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CompletionWriter } from '../src/jobs/completion-writer.js';
@@ -19,7 +19,7 @@
   stateWritesPerS: 25,
 } satisfies Partial<PlatformSettings>;
 
-test('pages stored under higher limits come apart, every machine in one of them at any time', async () => {
+test('machine pages larger than a lowered limit are split, and every machine is stored at any time', async () => {
   const cluster = new Cluster({ seed: 3, ordinaryUp: 45, capacity: 60, teamLimit: 2000 });
   cluster.network.lossRate = 0;
   await cluster.run(4);
@@ -37,7 +37,7 @@
   );
   assert.ok(
     known.size >= 45 && pagesNow().some((p) => JSON.stringify(p).length > 2000),
-    'stored larger',
+    'a page is larger than the new limit',
   );
   cluster.state.bounds = { valueBytes: 1024, txnOps: 4 };
   for (const name of cluster.nodeNames) {
@@ -45,7 +45,7 @@
     cluster.crash(name, 200);
   }
   await cluster.run(5);
-  // One machine of each page goes, so that its page is written.
+  // One machine of each page is preempted, so that the page is rewritten.
   const gone = new Set(pagesNow().map((p) => p[0].id));
   for (const id of gone) cluster.cloud.preempt(cluster.cloud.machines.get(id)!);
   for (let second = 0; second < 4000; second++) {
@@ -65,7 +65,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a job whose record was stored larger than values may be now can be cancelled, for all readers', async () => {
+test('a job whose stored record exceeds a lowered value limit can be cancelled, and its record stays readable', async () => {
   const cluster = new Cluster({ seed: 6 });
   await cluster.run(4);
   const spec = readLive(Object.entries(OLD.items).find(([key]) => key.startsWith('j/'))![1])!.spec;
@@ -92,7 +92,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** A writer of ends by itself, which leads all the time. */
+/** A completion writer without a controller, which is always the leader. */
 function completionWriterOf(cluster: Cluster, jobs: JobTable): CompletionWriter {
   const runtime = clientRuntime(cluster);
   const store = new StateStore(runtime, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
@@ -113,7 +113,7 @@
   });
 }
 
-test('the end of a job with many records of finished tasks fits into small transactions', async () => {
+test('the removal of a terminal job with many finished-task records fits into small transactions', async () => {
   const cluster = new Cluster({ seed: 4, ordinaryUp: 0 });
   for (const name of cluster.nodeNames) cluster.crash(name, 1e9);
   cluster.network.lossRate = 0;
@@ -149,7 +149,7 @@
   assert.equal(cluster.state.tooLarge, 0);
 });
 
-test('limits lower than any that were announced: a few refusals, then everything fits', async () => {
+test('after limits fall below the announced ones, a bounded number of writes is refused, and then none', async () => {
   const outcome = await runScenario(
     { seed: 5, ordinaryUp: 30, capacity: 12 },
     (cluster, second) => {
@@ -166,7 +166,7 @@
   assert.equal(outcome.cluster.state.tooLarge, before);
 });
 
-/** One node after the other is replaced by one with stricter limits. */
+/** Replaces one node after the other with one that has stricter limits. */
 function replaceByStricter(cluster: Cluster, second: number): void {
   const node = cluster.nodeNames[Math.floor(second / 5)];
   if (second % 5 !== 2 || !node) return;
@@ -196,18 +196,19 @@
 }
 
 for (const seed of [21, 23, 24])
-  test(`a roll amid a zone cut, late writes and the return of an old process that leads (${seed})`, async () => {
+  test(`limits are respected when an old process leads during an upgrade, a zone partition and late writes (${seed})`, async () => {
     let oldLed = false;
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        // The lease of the leader before may last until now; at 22 the old process is replaced.
+        // The lease of the previous leader may last until now; at second 22 the old process is replaced.
         if (second === 21 || second === 22) oldLed ||= cluster.leader() === cluster.nodeNames[4];
         replaceByStricter(cluster, second);
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
         if (second === 8) partitionMachinesOf(cluster, 'b', 9000);
-        // All but the last one, which is still old, are away for a moment: it leads and writes under the old limits.
+        // All nodes but the last one are down briefly. The last one still has the old limits: it leads and writes under
+        // them.
         if (second === 18)
           for (const name of cluster.nodeNames.slice(0, 4)) cluster.crash(name, 4000);
         cancelAndLowerBounds(cluster, second);
@@ -216,17 +217,17 @@
       },
     );
     assertInvariantsHeld(outcome);
-    assert.equal(outcome.cluster.state.tooLarge, 0, 'nobody writes what is too large');
+    assert.equal(outcome.cluster.state.tooLarge, 0, 'no node writes a value that is too large');
     assert.ok(oldLed, 'the old process led');
   });
 
 for (const seed of [11, 12, 13])
-  test(`a roll under load, then lower limits: gangs, cancellations, crashes, some back old (${seed})`, async () => {
+  test(`lowered limits are respected after an upgrade under load, with cancellations and returning old processes (${seed})`, async () => {
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
         replaceByStricter(cluster, second);
-        // One whose turn has not come dies and comes back old.
+        // A node that was not replaced yet crashes, and returns with the old limits.
         if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
         if (second === 14) cluster.state.beginOutage(6000);
         cancelAndLowerBounds(cluster, second);
@@ -238,5 +239,5 @@
       },
     );
     assertInvariantsHeld(outcome);
-    assert.equal(outcome.cluster.state.tooLarge, 0, 'nobody writes what is too large');
+    assert.equal(outcome.cluster.state.tooLarge, 0, 'no node writes a value that is too large');
   });
--- a/test/state-machine.test.ts
+++ b/test/state-machine.test.ts
@@ -1,4 +1,4 @@
-/** State machines: which transitions occur, and who hears of them. */
+/** State machines: allowed transitions, and calls of the listener. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { IllegalTransitionError, StateMachine, type Transitions } from '../src/state-machine.js';
@@ -17,7 +17,7 @@
   return { machine, events };
 }
 
-test('a listed transition changes the state, and the listener hears of it before and after', () => {
+test('a listed transition changes the state, and the listener is called before and after it', () => {
   const { machine, events } = recorded();
   machine.transitionTo('green', 'time');
   assert.equal(machine.state, 'green');
@@ -33,7 +33,7 @@
   assert.deepEqual(events, []);
 });
 
-test('the present state is no transition', () => {
+test('a transition to the current state is ignored', () => {
   const { machine, events } = recorded();
   machine.transitionTo('red', 'time');
   assert.deepEqual(events, []);
