--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -1,4 +1,4 @@
-/** The checker of the quota invariant, with planted breaches: what it does not see no run of the cluster can find. */
+/** The quota invariant with injected violations: no cluster run can find a violation that the checker misses. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -40,7 +40,7 @@
   spot: false,
 });
 
-test('a task beyond the limit is a breach at the moment it has its image', () => {
+test('a task that exceeds the limit violates the quota as soon as it has fetched its image', () => {
   const { invariants } = withJob();
   invariants.taskStarted('run-1/0', place('m1'));
   invariants.taskStarted('run-1/1', place('m1'));
@@ -49,7 +49,7 @@
   assert.deepEqual(invariants.violations, ['0 quota: t0 by run-1/2']);
 });
 
-test('a second copy of a task counts beside the first, and until it has left its own machine', () => {
+test('each copy of a task counts towards the quota until it has left its own machine', () => {
   const { invariants } = withJob();
   invariants.taskStarted('run-1/0', place('m1'));
   invariants.taskStarted('run-1/0', place('m2'));
@@ -61,7 +61,7 @@
   assert.ok(invariants.violations.some((broken) => broken.includes('quota')));
 });
 
-test('an end makes room once, however often it is told', () => {
+test('an exit that is reported twice frees CPUs once', () => {
   const { invariants } = withJob();
   invariants.taskStarted('run-1/0', place('m1'));
   invariants.taskStarted('run-1/1', place('m1'));
@@ -70,7 +70,7 @@
   assert.equal(invariants.usedCpus('t0'), 2);
 });
 
-test('a task that saves counts until it exits', async () => {
+test('a task that saves a checkpoint counts towards the quota until it exits', async () => {
   const cluster = new Cluster({ seed: 1, ordinaryUp: 4 });
   await cluster.run(4);
   const saving: Partial<JobSubmission> = {
@@ -91,13 +91,13 @@
     await cluster.run(0.1);
     if (!worker.tasks.isSaving(task)) continue;
     saved++;
-    assert.ok(cluster.invariants.usedCpus('t0') >= 2, 'it counts while it saves');
+    assert.ok(cluster.invariants.usedCpus('t0') >= 2, 'the task counts while it saves');
   }
-  assert.ok(saved >= 20, `${saved} looks while it saved`);
+  assert.ok(saved >= 20, `${saved} samples while it saved`);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a gang that does not fit under the limit as a whole does not wait in vain, one that fits does', () => {
+test('a waiting gang is a violation only if the whole gang fits under the limit of its team', () => {
   const rooms = [{ ...place('m1'), freeCpus: 64 }];
   for (const [tasks, waits] of [
     [3, false],
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,4 +1,4 @@
-/** The verdict over known failures: it must never hide another failure, nor a test that has come to pass. */
+/** The verdict on known failures: it must not hide another failure, nor a listed test that passes again. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type KnownRedEntry, MAX_ENTRIES, judge, readKnownRed } from './runner/known-red.js';
@@ -11,7 +11,7 @@
 };
 const line = (name: string): string => `test/${name}.test.ts > title | npm test | seen | issue 1`;
 
-test('a list is read, empty lines apart', () => {
+test('a list is read, and empty lines are ignored', () => {
   assert.deepEqual(readKnownRed(''), { kind: 'read', entries: [] });
   assert.deepEqual(
     readKnownRed('\ntest/a.test.ts > breaks | npm test, seed 7 | a task ran twice | issue 1\n'),
@@ -22,7 +22,7 @@
   );
 });
 
-test('a malformed line, a repeated one, and one too many are refused with their number', () => {
+test('malformed, repeated and excess lines are rejected with their line number', () => {
   for (const text of [
     'test/a.test.ts > t | npm test | seen',
     'test/a.test.ts > t | npm test | | issue 1',
@@ -38,7 +38,7 @@
   assert.equal(readKnownRed(names.slice(0, MAX_ENTRIES).join('\n')).kind, 'read');
 });
 
-test('a listed test that fails is passed over, any other failure is not', () => {
+test('the failure of a listed test is tolerated, and any other failure is not', () => {
   const ok = { test: 'test/a.test.ts > fine', passed: true };
   const red = { test: LISTED.test, passed: false };
   assert.deepEqual(judge([ok, red], [LISTED]), { knownRed: [LISTED], problems: [] });
@@ -47,7 +47,7 @@
   assert.deepEqual(judge([ok, red], []).problems, [`failed: ${LISTED.test}`]);
 });
 
-test('a listed test that passes or is gone fails the run, and so does a run without tests', () => {
+test('a listed test that passes or did not run fails the run, and so does a run without tests', () => {
   const passes = judge([{ test: LISTED.test, passed: true }], [LISTED]);
   assert.deepEqual(passes.problems, [`listed as known red, but passes: ${LISTED.test}`]);
   const gone = judge([{ test: 'test/a.test.ts > fine', passed: true }], [LISTED]);
--- a/test/sim-wire.test.ts
+++ b/test/sim-wire.test.ts
@@ -1,4 +1,4 @@
-/** The codec of the stand-ins: what the protocol does not know is a fault, so that no assertion rests on a guess. */
+/** Codecs of the simulated services: they reject messages outside the protocol, so no assertion rests on a guess. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeCloudRequest } from './sim/wire/cloud.js';
@@ -6,7 +6,7 @@
 import { decodeJobReply } from './sim/wire/users.js';
 import { decodeHeartbeatReply } from './sim/wire/workers.js';
 
-test('answers to users name the job and a state that users know', () => {
+test('a job response with a missing or invalid field is rejected, and a valid one is decoded', () => {
   const reply = (body: Record<string, unknown>) => () => decodeJobReply({ status: 200, body });
   assert.throws(reply({}));
   assert.throws(reply({ id: 'run-1' }));
@@ -16,7 +16,7 @@
   assert.equal(decodeJobReply({ status: 404, body: {} }).job, null);
 });
 
-test('commands and requests that the protocol does not know are faults of their sender', () => {
+test('worker commands and service requests outside the protocol are rejected', () => {
   assert.throws(() =>
     decodeHeartbeatReply({ orders: [{ order: 'halt', sack: 'run-1/0', try: 1 }] }),
   );
--- a/test/soak.test.ts
+++ b/test/soak.test.ts
@@ -1,4 +1,4 @@
-/** A short run of the soak test; `npm run soak` runs as many seeds as are wanted. */
+/** A short run of the soak test. `npm run soak` runs any number of seeds. */
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
 import { test } from 'node:test';
@@ -30,7 +30,7 @@
   assert.match(stdout, /soak: 2 passed, 0 failed\n$/);
 });
 
-test('wrong arguments end with exit code 2 and one line', async () => {
+test('invalid arguments lead to exit code 2 and one line on stderr', async () => {
   for (const args of [
     [],
     ['--seeds'],
