--- a/test/demo.ts
+++ b/test/demo.ts
@@ -1,6 +1,6 @@
 /**
- * Serves the stand-ins for the state service, the cloud and the workers on loopback in real time, submits one array
- * to a controller that was started with `docs/example/settings.toml`, and prints the answers until it is done.
+ * Serves the simulated state service, cloud and workers on loopback in real time, submits one array to a controller
+ * that was started with `docs/example/settings.toml`, and prints the responses until the job is done.
  */
 import { LoopbackStandIns } from './sim/loopback.js';
 import { observedJob } from './sim/observed-job.js';
@@ -51,14 +51,14 @@
   cloudPort: 8443,
 });
 
-/** What the answer tells of the job; null if the request was not accepted. */
+/** Sends a request and prints the response. Returns the job status in it, or null if the request was not accepted. */
 async function ask({ method, path, body }: UserRequest): Promise<JobStatus | null> {
   const reply = await standIns.ask(CONTROLLER.address, method, path, body);
   console.log(`${method} ${path} -> ${reply.status} ${JSON.stringify(reply.body)}`);
   return decodeJobReply(reply).job;
 }
 
-/** As PROTOCOL has it: a submission is repeated until it is accepted, then the user asks until the job is over. */
+/** As the protocol requires, repeats the submission until it is accepted, then polls until the job is done. */
 async function submitAndPoll(): Promise<void> {
   const accepted = await ask(submitRequest(JOB));
   const poll = async (): Promise<void> => {
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -1,4 +1,7 @@
-/** The duties of a fleet of 4,000 machines, beside the leader acting itself. Simulated; see docs/duties.md. */
+/**
+ * Compares duties performed by their holders with a leader that performs all actions itself, in a simulated fleet of
+ * 4,000 machines; see docs/duties.md.
+ */
 import { DUTIES } from '@millring/duties';
 import { CloudInvariants, ROLLOUT, SETTINGS, plantLevel } from './sim/cloud-invariants.js';
 import { Cluster } from './sim/cluster.js';
@@ -8,7 +11,7 @@
 const CPUS = 16;
 const ZONES = ['a', 'b', 'c', 'd'];
 
-/** The holder of a duty, or any node if there is none, crashes or freezes. */
+/** Crashes or freezes the holder of a duty, or another node if the duty has no holder. */
 function disturbHolder(cluster: Cluster, round: number): void {
   const duty = DUTIES[round % DUTIES.length];
   const holder = cluster.state.value(`duties/holders/${duty}`) as
@@ -34,7 +37,7 @@
   for (const line of cluster.invariants.violations.slice(0, 5)) console.log(line);
 }
 
-/** Work for half of the fleet, while holders die or freeze; then nothing, until all machines are given back. */
+/** Submits work for half of the fleet while holders crash or freeze, then waits until all machines are deleted. */
 async function measureFleet(mode: 'on' | 'off'): Promise<void> {
   const cluster = new Cluster({
     seed: 7,
--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -1,4 +1,7 @@
-/** Measures how long a duty is without a doer, and what the duties cost at rest. Prints a table; see docs/duties.md. */
+/**
+ * Measures for how long a duty is not performed after its holder failed, and the load of idle duties on the state
+ * service and the provider. Prints a table; see docs/duties.md.
+ */
 import { performance } from 'node:perf_hooks';
 import hdr from 'hdr-histogram-js';
 import { DutyGroup } from './sim/duty-group.js';
@@ -13,7 +16,7 @@
 
 type End = 'death' | 'freeze';
 
-/** From the end of the holder to the first action of another one that the provider accepts. */
+/** Returns the time in ms from the failure of the holder until the provider accepts an action of another one. */
 async function simulatedGapMs(seed: number, end: End): Promise<number> {
   const group = new DutyGroup({ seed, settings: { lease_s: LEASE_S } });
   await group.settled();
@@ -23,7 +26,7 @@
   else group.freeze(old.controller, FREEZE_MS);
   const from = group.clock.time;
   void group.delete('return', 'm-1');
-  await group.until('another acts', () =>
+  await group.until('another controller acts', () =>
     group.provider.executed(DUTY).some(({ token }) => token > old.token),
   );
   return group.clock.time - from;
@@ -37,7 +40,7 @@
     processes.signal(old.controller, end === 'death' ? 'SIGKILL' : 'SIGSTOP');
     const from = performance.now();
     processes.plantDeletion(`i-${run}`, 'm-1');
-    await processes.until('another acts', () =>
+    await processes.until('another controller acts', () =>
       processes.provider.executed(DUTY).some(({ token }) => token > old.token),
     );
     return performance.now() - from;
@@ -57,7 +60,7 @@
   console.log(`${name}: ${runs} runs, p50 ${p50} ms, p95 ${p95} ms, most ${histogram.maxValue} ms`);
 }
 
-/** What three controllers ask of the state service and the provider while nothing is decided. */
+/** Prints the requests of three controllers to the state service and the provider in an hour without intents. */
 async function atRest(): Promise<void> {
   const group = new DutyGroup({ seed: 1, settings: { lease_s: 3, settle_s: 10, rebalance_s: 60 } });
   await group.settled();
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -1,6 +1,7 @@
 /**
- * Measures a roll on this machine: three controller processes on loopback, replaced one at a time under steady
- * submissions, beside the same time without a roll; and the size of records of finished tasks. Not part of the tests.
+ * Measures a rolling upgrade on this machine: three controller processes on loopback are replaced one at a time under
+ * steady submissions, next to a period without an upgrade. Also measures the size of records of finished tasks. Not
+ * part of the tests.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { build as histogram } from 'hdr-histogram-js';
@@ -27,13 +28,13 @@
   refused: number;
   p50Ms: number;
   p99Ms: number;
-  /** Of the rollout's own records alone. */
+  /** Changes to records of the rollout only. */
   rolloutChangesPerS: number;
   requestsPerS: number;
   changesPerS: number;
 }
 
-/** What is submitted, refused and written while `during` runs. */
+/** Measures submissions, refusals, and the load on the state service while `during` runs. */
 async function measure(
   deployment: ControllerProcesses,
   during: () => Promise<void>,
@@ -92,7 +93,7 @@
   await deployment.stop();
 }
 
-/** All records of a job, in bytes of JSON, and how many they are. */
+/** Returns the number of records of a job, and their total size in bytes of JSON. */
 function stored(
   finished: Uint8Array,
   tasks: number,
@@ -110,7 +111,7 @@
   };
 }
 
-/** `isFinished` of each task number. */
+/** Returns a bitmap with the value of `isFinished` for each task number. */
 function bitsOf(tasks: number, isFinished: (task: number) => boolean): Uint8Array {
   const bits = new Uint8Array(Math.ceil(tasks / 8));
   for (let task = 0; task < tasks; task++) if (isFinished(task)) bits[task >> 3] |= 1 << (task & 7);
