--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -36,9 +36,9 @@
       clocks.c += ms;
     },
     exchange: ({ highestSeenEpoch = 7, isCandidate = false } = {}) => {
-      const asked = nodes.a.attest(7, false);
-      nodes.b.recordAttestation(asked);
-      nodes.c.recordAttestation(asked);
+      const attestationOfA = nodes.a.attest(7, false);
+      nodes.b.recordAttestation(attestationOfA);
+      nodes.c.recordAttestation(attestationOfA);
       nodes.advance(10);
       nodes.a.recordAttestation(nodes.b.attest(highestSeenEpoch, isCandidate));
       nodes.a.recordAttestation(nodes.c.attest(7, false));
@@ -50,61 +50,61 @@
 test('attestations of all peers cover the time up to the earliest echo, and no longer', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
-  const known = nodes.clocks.a;
+  const knownUntil = nodes.clocks.a;
   nodes.advance(1000);
-  const asked = nodes.clocks.a;
+  const exchangedAt = nodes.clocks.a;
   nodes.exchange();
-  assert.equal(nodes.a.completeUntil(known), asked);
+  assert.equal(nodes.a.completeUntil(knownUntil), exchangedAt);
   // From here on, a receives no attestations of b.
   nodes.advance(1000);
   nodes.c.recordAttestation(nodes.a.attest(7, false));
   nodes.a.recordAttestation(nodes.c.attest(7, false));
-  assert.equal(nodes.a.completeUntil(known), asked);
+  assert.equal(nodes.a.completeUntil(knownUntil), exchangedAt);
 });
 
 test('an attestation without an echo, or with the echo of an earlier process, covers nothing', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
-  const known = nodes.clocks.a - 100;
+  const knownUntil = nodes.clocks.a - 100;
   nodes.a.recordAttestation(nodes.b.attest(7, false));
   nodes.a.recordAttestation(nodes.c.attest(7, false));
-  assert.equal(nodes.a.completeUntil(known), known);
+  assert.equal(nodes.a.completeUntil(knownUntil), knownUntil);
   nodes.exchange();
-  const before = nodes.b.attest(7, false);
+  const beforeRestart = nodes.b.attest(7, false);
   // a restarts, and the clock of the new process happens to show the same time.
-  const again = new Attestations('a', 'a-2', ['b', 'c'], () => nodes.clocks.a);
+  const restartedA = new Attestations('a', 'a-2', ['b', 'c'], () => nodes.clocks.a);
   nodes.advance(500);
-  again.recordAttestation(before);
-  again.recordAttestation(nodes.c.attest(7, false));
-  assert.equal(again.completeUntil(known), known);
+  restartedA.recordAttestation(beforeRestart);
+  restartedA.recordAttestation(nodes.c.attest(7, false));
+  assert.equal(restartedA.completeUntil(knownUntil), knownUntil);
 });
 
 test('attestations of a restarted peer do not cover the time before its restart', () => {
   const nodes = threeNodes();
   nodes.advance(5000);
   nodes.exchange();
-  const known = nodes.clocks.a - 10;
+  const knownUntil = nodes.clocks.a - 10;
   nodes.advance(300);
   nodes.b.recordConfirmation('run-1');
-  const [second, startedAt] = [
+  const [restartedB, startedAt] = [
     new Attestations('b', 'b-2', ['a', 'c'], () => nodes.clocks.b),
     nodes.clocks.a,
   ];
   nodes.advance(200);
-  nodes.b = second;
+  nodes.b = restartedB;
   nodes.exchange();
   nodes.advance(400);
   nodes.exchange();
   assert.equal(
-    nodes.a.completeUntil(known),
-    known,
+    nodes.a.completeUntil(knownUntil),
+    knownUntil,
     'its previous process may have confirmed a cancellation that no other node knows',
   );
   // Once the time before its start is known from another source, its attestations extend the covered time again.
   const read = startedAt + 150;
-  const asked = nodes.clocks.a;
+  const exchangedAt = nodes.clocks.a;
   nodes.exchange();
-  assert.equal(nodes.a.completeUntil(read), asked);
+  assert.equal(nodes.a.completeUntil(read), exchangedAt);
 });
 
 test('an attestation contains each confirmed cancellation for as long as attestations cover its time', () => {
@@ -122,42 +122,46 @@
 test('a candidate does not extend the proven time without another leader, and a newer epoch resets it', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
-  const valid = nodes.clocks.a;
+  const leaseValidUntil = nodes.clocks.a;
   nodes.advance(500);
-  const asked = nodes.clocks.a;
+  const exchangedAt = nodes.clocks.a;
   nodes.exchange();
-  assert.equal(nodes.a.uncontestedUntil(7, valid), asked);
+  assert.equal(nodes.a.uncontestedUntil(7, leaseValidUntil), exchangedAt);
   nodes.advance(500);
   nodes.exchange({ isCandidate: true });
-  assert.equal(nodes.a.uncontestedUntil(7, valid), asked, 'the candidate may have been elected');
+  assert.equal(
+    nodes.a.uncontestedUntil(7, leaseValidUntil),
+    exchangedAt,
+    'the candidate may have been elected',
+  );
   nodes.advance(500);
   nodes.exchange({ highestSeenEpoch: 9 });
-  assert.equal(nodes.a.uncontestedUntil(7, valid), valid);
+  assert.equal(nodes.a.uncontestedUntil(7, leaseValidUntil), leaseValidUntil);
 });
 
 test('an attestation that arrives late covers only the time up to its own echo', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
-  const known = nodes.clocks.a - 50;
+  const knownUntil = nodes.clocks.a - 50;
   nodes.exchange();
-  const first = nodes.a.completeUntil(known);
+  const first = nodes.a.completeUntil(knownUntil);
   const late: AttestationMessage = nodes.b.attest(7, false);
   nodes.advance(500);
   nodes.exchange();
-  const second = nodes.a.completeUntil(known);
+  const second = nodes.a.completeUntil(knownUntil);
   assert.ok(second > first);
   nodes.advance(4000);
   nodes.c.recordAttestation(nodes.a.attest(7, false));
   nodes.a.recordAttestation(nodes.c.attest(7, false));
   nodes.a.recordAttestation(late);
-  assert.equal(nodes.a.completeUntil(known), second);
+  assert.equal(nodes.a.completeUntil(knownUntil), second);
 });
 
 test('a late attestation of an earlier process does not close the gap that a restart left', () => {
   const nodes = threeNodes();
   nodes.advance(20_000);
   nodes.exchange();
-  const known = nodes.clocks.a - 10;
+  const knownUntil = nodes.clocks.a - 10;
   const late = nodes.b.attest(7, false);
   nodes.advance(300);
   nodes.b.recordConfirmation('run-1');
@@ -166,5 +170,5 @@
   nodes.exchange();
   nodes.a.recordAttestation(late);
   nodes.exchange();
-  assert.equal(nodes.a.completeUntil(known), known);
+  assert.equal(nodes.a.completeUntil(knownUntil), knownUntil);
 });
