--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -18,14 +18,14 @@
 } from './sim/wire/users.js';
 import { heartbeatOfNameOnly } from './sim/wire/workers.js';
 
-function quiet(seed: number): Cluster {
+function losslessCluster(seed: number): Cluster {
   const cluster = new Cluster({ seed });
   cluster.network.lossRate = 0;
   return cluster;
 }
 
 test('submissions get 400 if malformed, 422 if the job can never run and 200 if repeated; unknown jobs get 404', async () => {
-  const cluster = quiet(5);
+  const cluster = losslessCluster(5);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
   const status = async (over: Partial<JobSubmission>): Promise<number> =>
@@ -99,7 +99,7 @@
 const NULLABLE: (keyof JobSubmission)[] = ['machineTypes', 'zone', 'deadlineS'];
 
 test('a submission with a missing or invalid field gets 400, from every node and when repeated', async () => {
-  const cluster = quiet(8);
+  const cluster = losslessCluster(8);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
   const bad: Body[] = [];
@@ -119,7 +119,7 @@
 });
 
 test('a job that can never run gets 422, from every node and when repeated', async () => {
-  const cluster = quiet(9);
+  const cluster = losslessCluster(9);
   await cluster.run(3);
   const never: Partial<JobSubmission>[] = [
     { team: 'nobody' },
@@ -151,17 +151,22 @@
   }
   const oneZone = new Cluster({ seed: 10, zones: ['a'] });
   await oneZone.run(3);
-  const apart = oneZone.users.newJob({ kind: 'service', spread: true, oneZone: false, tasks: 2 });
-  assert.equal((await requestFrom(oneZone, 'n0', submitRequest(apart))).status, 422);
+  const spreadService = oneZone.users.newJob({
+    kind: 'service',
+    spread: true,
+    oneZone: false,
+    tasks: 2,
+  });
+  assert.equal((await requestFrom(oneZone, 'n0', submitRequest(spreadService))).status, 422);
 });
 
 test('in an outage of the state service, submissions and polls get 503 within 1 s, and no poll gets 404', async () => {
-  const cluster = quiet(6);
+  const cluster = losslessCluster(6);
   await cluster.run(3);
   cluster.state.beginOutage(5000);
   const before = cluster.clock.time;
-  const reply = await requestFrom(cluster, 'n0', submitRequest(cluster.users.newJob()));
-  assert.equal(reply.status, 503);
+  const response = await requestFrom(cluster, 'n0', submitRequest(cluster.users.newJob()));
+  assert.equal(response.status, 503);
   assert.equal((await requestFrom(cluster, 'n0', pollRequest('run-000009'))).status, 503);
   assert.ok(cluster.clock.time - before < 1000);
 });
--- a/test/demo.ts
+++ b/test/demo.ts
@@ -39,7 +39,7 @@
   deadlineS: null,
 };
 
-const standIns = new LoopbackStandIns({
+const simulatedServices = new LoopbackStandIns({
   seed: 1,
   controllers: [CONTROLLER],
   machinesPerPool: 2,
@@ -52,24 +52,24 @@
 });
 
 /** Sends a request and prints the response. Returns the job status in it, or null if the request was not accepted. */
-async function ask({ method, path, body }: UserRequest): Promise<JobStatus | null> {
-  const reply = await standIns.ask(CONTROLLER.address, method, path, body);
-  console.log(`${method} ${path} -> ${reply.status} ${JSON.stringify(reply.body)}`);
-  return decodeJobReply(reply).job;
+async function sendRequest({ method, path, body }: UserRequest): Promise<JobStatus | null> {
+  const response = await simulatedServices.ask(CONTROLLER.address, method, path, body);
+  console.log(`${method} ${path} -> ${response.status} ${JSON.stringify(response.body)}`);
+  return decodeJobReply(response).job;
 }
 
 /** As the protocol requires, repeats the submission until it is accepted, then polls until the job is done. */
 async function submitAndPoll(): Promise<void> {
-  const accepted = await ask(submitRequest(JOB));
+  const accepted = await sendRequest(submitRequest(JOB));
   const poll = async (): Promise<void> => {
-    const job = await ask(pollRequest(JOB.id));
+    const job = await sendRequest(pollRequest(JOB.id));
     if (job?.state === 'done') process.exit(0);
     setTimeout(() => void poll(), POLL_MS);
   };
   setTimeout(() => void (accepted?.id === JOB.id ? poll() : submitAndPoll()), POLL_MS);
 }
 
-standIns.invariants.jobs.set(JOB.id, observedJob(JOB, 0));
-await standIns.start();
+simulatedServices.invariants.jobs.set(JOB.id, observedJob(JOB, 0));
+await simulatedServices.start();
 console.log('stand-ins are up; waiting for the controller');
 void submitAndPoll();
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -97,17 +97,17 @@
 const ON = { mode: 'on', lease_s: LEASE_S, settle_s: 2, retention_s: 10 } as const;
 const LEVEL = 3;
 
-interface StatusAnswer {
+interface StatusOutput {
   duties: { duty: Duty; holder: { controller: string } | null; token: number }[];
 }
 
 async function statusOf(
   deployment: ControllerProcesses,
   from: string,
-): Promise<StatusAnswer['duties']> {
-  const answer = await deployment.duties(from, 'status', '--json');
-  assert.equal(answer.code, 0, answer.stderr);
-  return (JSON.parse(answer.stdout) as StatusAnswer).duties;
+): Promise<StatusOutput['duties']> {
+  const output = await deployment.duties(from, 'status', '--json');
+  assert.equal(output.code, 0, output.stderr);
+  return (JSON.parse(output.stdout) as StatusOutput).duties;
 }
 
 test('under continuous submissions a suspended holder is replaced, and operators can hold and release duties', async (context) => {
@@ -116,7 +116,7 @@
   await deployment.start('latest', ROLLOUT, ON);
   void deployment.users.stream(300);
   await deployment.until('the level is raised', () => deployment.level.active === LEVEL);
-  const find = async (from: string): Promise<StatusAnswer['duties'][number]> =>
+  const find = async (from: string): Promise<StatusOutput['duties'][number]> =>
     (await statusOf(deployment, from)).find(({ duty }) => duty === 'rent') ?? assert.fail();
   await deployment.until('the duty is held', async () => (await find('n0')).holder !== null);
   const before = await find('n0');
--- a/test/http-client.test.ts
+++ b/test/http-client.test.ts
@@ -20,7 +20,7 @@
     const get = (timeoutMs: number, name: string): Promise<void> =>
       http
         .send(`127.0.0.1:${port}`, 'GET', '/', null, timeoutMs)
-        .then((reply) => void order.push(`${name} ${reply.status}`));
+        .then((response) => void order.push(`${name} ${response.status}`));
     await Promise.all([get(600, 'first'), get(60, 'second')]);
     assert.deepEqual(order, ['second 0', 'first 0']);
     for (const socket of sockets) socket.destroy();
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -14,14 +14,14 @@
 const LIMIT = 60;
 
 /** A node that responds to heartbeats with `status`: 200 as the leader, 421 as a follower. */
-function answering(status: number): ControllerNode {
+function nodeRespondingWith(status: number): ControllerNode {
   return {
     handleHeartbeat: () => ({ status, body: {} }),
     health: () => ({ kind: 'healthy' }),
   } satisfies Partial<ControllerNode> as Partial<ControllerNode> as ControllerNode;
 }
 
-function ask(
+function sendRequest(
   port: number,
   method: string,
   path: string,
@@ -57,12 +57,12 @@
 
 test('with more workers than sockets every heartbeat gets a response, and health checks still succeed', async (context) => {
   const shares = allocateSockets(LIMIT);
-  const port = await serve(context, answering(200));
+  const port = await serve(context, nodeRespondingWith(200));
   const agents: Agent[] = [];
   for (let i = 0; i < 2 * shares.maxInbound; i++) {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     agents.push(agent);
-    const [status, connection] = await ask(port, 'POST', HEARTBEAT_PATH, agent);
+    const [status, connection] = await sendRequest(port, 'POST', HEARTBEAT_PATH, agent);
     assert.equal(status, 200);
     assert.equal(
       connection,
@@ -70,20 +70,20 @@
       `worker ${i}`,
     );
   }
-  const health = await ask(port, 'GET', '/healthz', new Agent());
+  const health = await sendRequest(port, 'GET', '/healthz', new Agent());
   assert.equal(health[0], 200);
   for (const agent of agents) agent.destroy();
 });
 
 test('the connection of a worker that is redirected to the leader is closed', async (context) => {
-  const port = await serve(context, answering(421));
+  const port = await serve(context, nodeRespondingWith(421));
   const agent = new Agent({ keepAlive: true });
-  assert.deepEqual(await ask(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
+  assert.deepEqual(await sendRequest(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
   agent.destroy();
 });
 
 /** Connects, sends a heartbeat and disconnects before the response. */
-function giveUp(port: number): Promise<void> {
+function sendAndDisconnect(port: number): Promise<void> {
   return new Promise((done) => {
     const socket = connect({ port, host: '127.0.0.1' }, () => {
       socket.write(`POST ${HEARTBEAT_PATH} HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n`);
@@ -112,12 +112,12 @@
   const log = { ...quietLog, info: (_fields: object, text: string) => void lines.push(text) };
   const port = await serve(context, node, log);
   const kept = new Agent({ keepAlive: true, maxSockets: 1 });
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, kept))[0], 200);
+  assert.equal((await sendRequest(port, 'POST', HEARTBEAT_PATH, kept))[0], 200);
   for (let wave = 0; wave < 3; wave++)
-    await Promise.all(Array.from({ length: 20 }, () => giveUp(port)));
+    await Promise.all(Array.from({ length: 20 }, () => sendAndDisconnect(port)));
   assert.equal(heartbeats, 1);
   assert.equal(
-    (await ask(port, 'POST', HEARTBEAT_PATH, kept))[0],
+    (await sendRequest(port, 'POST', HEARTBEAT_PATH, kept))[0],
     200,
     'open connections are still served',
   );
@@ -125,7 +125,7 @@
   assert.ok(lines.some((line) => line.startsWith('dropped connections')));
   const fresh = new Agent({ keepAlive: true });
   assert.equal(
-    (await ask(port, 'POST', HEARTBEAT_PATH, fresh))[0],
+    (await sendRequest(port, 'POST', HEARTBEAT_PATH, fresh))[0],
     200,
     'the queue accepts connections again',
   );
@@ -143,9 +143,12 @@
   } satisfies Partial<ControllerNode> as Partial<ControllerNode> as ControllerNode;
   const port = await serve(context, faulty);
   const agent = new Agent({ keepAlive: true });
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent))[0], 503);
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent, { x: 'y'.repeat(70_000) }))[0], 400);
-  assert.equal((await ask(port, 'GET', '/healthz', agent))[0], 200);
+  assert.equal((await sendRequest(port, 'POST', HEARTBEAT_PATH, agent))[0], 503);
+  assert.equal(
+    (await sendRequest(port, 'POST', HEARTBEAT_PATH, agent, { x: 'y'.repeat(70_000) }))[0],
+    400,
+  );
+  assert.equal((await sendRequest(port, 'GET', '/healthz', agent))[0], 200);
   agent.destroy();
 });
 
--- a/test/job-reads.test.ts
+++ b/test/job-reads.test.ts
@@ -25,23 +25,23 @@
       assert.equal((await requestFrom(cluster, name, pollRequest(job.id))).status, 200);
   }
   await cluster.run(3);
-  const before = cluster.state.received.requests;
-  const idle = cluster.state.received.requests;
+  const requestsBefore = cluster.state.received.requests;
+  const requestsBeforeIdle = cluster.state.received.requests;
   await cluster.run(4);
-  const without = cluster.state.received.requests - idle;
-  let answers = 0;
+  const idleRequests = cluster.state.received.requests - requestsBeforeIdle;
+  let responses = 0;
   for (let second = 0; second < 40; second++) {
     for (const { method, path, body } of ids.map(pollRequest))
       for (const name of cluster.nodeNames)
         void cluster.network
           .send('user', `${name}:80`, method, path, body, 2000)
-          .then((r) => (answers += Number(r.status === 200)));
+          .then((r) => (responses += Number(r.status === 200)));
     await cluster.run(0.1);
   }
   await cluster.run(1);
-  const cost = cluster.state.received.requests - before - without;
-  assert.ok(answers > 1190, `${answers} responses`);
-  assert.ok(cost < answers / 4, `${cost} requests for ${answers} responses`);
+  const cost = cluster.state.received.requests - requestsBefore - idleRequests;
+  assert.ok(responses > 1190, `${responses} responses`);
+  assert.ok(cost < responses / 4, `${cost} requests for ${responses} responses`);
 });
 
 test('the job cache reloads all jobs when the changes since its last refresh have been compacted', async () => {
@@ -51,17 +51,17 @@
   cluster.network.lossRate = 0;
   const store = new StateStore(runtime, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
   const cache = new JobCache(runtime, store, 50);
-  const fresh = async (): Promise<boolean | null> => {
+  const refreshCache = async (): Promise<boolean | null> => {
     let refreshed: boolean | null = null;
     void cache.refresh().then((ok) => (refreshed = ok));
     await cluster.run(1);
     return refreshed;
   };
-  assert.equal(await fresh(), true);
+  assert.equal(await refreshCache(), true);
   for (let i = 0; i < 10_050; i++) cluster.state.putDirectly(i === 5 ? 'j/run-1' : 'x/1', {});
-  assert.equal(await fresh(), true);
+  assert.equal(await refreshCache(), true);
   assert.equal(cache.get('run-1')?.record, null);
   assert.equal(cache.get('run-2'), undefined);
   cluster.state.beginOutage(3000);
-  assert.equal(await fresh(), false);
+  assert.equal(await refreshCache(), false);
 });
