--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -15,7 +15,7 @@
   config: Partial<ClusterConfig> = {},
 ): void {
   test(`${name} (${seed})`, async () => {
-    let watch: CloudInvariants | null = null;
+    let cloudInvariants: CloudInvariants | null = null;
     const before = (cluster: Cluster, second: number): void => {
       if (second > 0) faults(cluster, second);
     };
@@ -24,18 +24,21 @@
       before,
       (cluster) => {
         plantLevel(cluster);
-        watch = new CloudInvariants(cluster);
+        cloudInvariants = new CloudInvariants(cluster);
       },
     );
     assertInvariantsHeld(outcome);
-    const seen = watch as CloudInvariants | null;
-    assert.ok(seen && seen.rentals + seen.deletions > 0, 'machines were rented or deleted');
-    assert.ok([...seen.intents.values()].some(({ outcome: end }) => end !== null));
+    const observed = cloudInvariants as CloudInvariants | null;
+    assert.ok(
+      observed && observed.rentals + observed.deletions > 0,
+      'machines were rented or deleted',
+    );
+    assert.ok([...observed.intents.values()].some(({ outcome: end }) => end !== null));
   });
 }
 
 /** Ids of the machines with at least one task. */
-function withTasks(cluster: Cluster): Set<string> {
+function machinesWithTasks(cluster: Cluster): Set<string> {
   return new Set(
     [...cluster.invariants.placesByTask.values()].flat().map(({ machine }) => machine),
   );
@@ -53,14 +56,14 @@
   plantLevel(cluster);
   cluster.state.putDirectly('duties/holds/return', { by: 'operator', sinceMs: 0 });
   await cluster.run(45);
-  const named = (): string[] =>
+  const machinesToDelete = (): string[] =>
     [...cluster.state.items].flatMap(([key, { value }]) => {
       const intent = key.startsWith(INTENTS_PREFIX) ? (value as Intent) : null;
       return intent?.duty === 'return' && intent.action.kind === 'delete'
         ? intent.action.machines
         : [];
     });
-  const machines = named();
+  const machines = machinesToDelete();
   assert.ok(machines.length > 0, 'deletions of idle machines are intended');
   for (let round = 0; round < 2; round++) {
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
@@ -69,12 +72,12 @@
     for (let second = 0; second < 20; second++) {
       await cluster.run(1);
       assert.deepEqual(
-        [...withTasks(cluster)].filter((id) => machines.includes(id)),
+        [...machinesWithTasks(cluster)].filter((id) => machines.includes(id)),
         [],
       );
     }
   }
-  assert.ok(withTasks(cluster).size > 0, 'other machines are rented and take the work');
+  assert.ok(machinesWithTasks(cluster).size > 0, 'other machines are rented and take the work');
   await cluster.state.deleteAsOperator('duties/holds/return');
   await cluster.run(15);
   assert.ok(
@@ -94,7 +97,7 @@
     duties: SETTINGS,
   });
   plantLevel(cluster);
-  const watch = new CloudInvariants(cluster);
+  const cloudInvariants = new CloudInvariants(cluster);
   cluster.state.putDirectly('duties/holds/rent', { by: 'operator', sinceMs: 0 });
   await cluster.run(3);
   for (let i = 0; i < 4; i++)
@@ -104,7 +107,7 @@
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
     await cluster.run(8);
   }
-  const open = [...watch.intents.values()].filter(({ outcome }) => outcome === null);
+  const open = [...cloudInvariants.intents.values()].filter(({ outcome }) => outcome === null);
   assert.ok(open.length > 0);
   assert.deepEqual(cluster.invariants.violations, []);
   await cluster.state.deleteAsOperator('duties/holds/rent');
--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -27,10 +27,10 @@
     'duties/holders/dance',
   ]) {
     assert.ok(group.state.items.has(key), key);
-    const told = group.lines.filter(
+    const logged = group.lines.filter(
       ({ name, fields }) => name === 'n0' && (fields as { key?: string }).key === key,
     );
-    assert.equal(told.length, 1, key);
+    assert.equal(logged.length, 1, key);
   }
 });
 
@@ -40,7 +40,7 @@
   group.state.putDirectly('duties/holders/rent', { who: 'knows' });
   await group.run(10);
   assert.equal(group.holder('rent'), undefined);
-  assert.equal((await ask(group, (operator) => operator.release('rent'))).kind, 'done');
+  assert.equal((await runCommand(group, (operator) => operator.release('rent'))).kind, 'done');
   await group.until('the duty is held again', () => group.holder('rent') !== undefined);
   assert.deepEqual(
     group.invariants.violations.filter((line) => !line.includes('holder_token')),
@@ -59,9 +59,9 @@
   };
 }
 
-async function ask<T>(
+async function runCommand<T>(
   group: DutyGroup,
-  question: (operator: DutyOperator) => Promise<T>,
+  command: (operator: DutyOperator) => Promise<T>,
 ): Promise<T> {
   group.invariants.operatorActed = true;
   const store = new StateStore(clientRuntime(group), {
@@ -76,7 +76,7 @@
     wallMs: () => 1e12 + group.clock.time,
   });
   let result: T | null = null;
-  void question(operator).then((r) => (result = r));
+  void command(operator).then((r) => (result = r));
   await group.until('the command of the operator ends', () => result !== null);
   return result ?? assert.fail();
 }
@@ -84,18 +84,21 @@
 test('a duty that an operator put on hold has no holder, and its intents are executed after its release', async () => {
   const group = await settledGroup(19);
   const machines = await withMachines(group, 1);
-  assert.equal((await ask(group, (operator) => operator.hold('return'))).kind, 'done');
-  assert.equal((await ask(group, (operator) => operator.hold('return'))).kind, 'refused');
+  assert.equal((await runCommand(group, (operator) => operator.hold('return'))).kind, 'done');
+  assert.equal((await runCommand(group, (operator) => operator.hold('return'))).kind, 'refused');
   const opened = group.delete('return', machines[0]);
   // Longer than a lost response of a watch can keep the holder from seeing the hold.
   await group.run(12);
   assert.equal(group.holder('return'), undefined);
   assert.equal(group.provider.machines.size, 1);
-  const status = await ask(group, (operator) => operator.status());
+  const status = await runCommand(group, (operator) => operator.status());
   assert.ok(status.kind === 'status');
-  const of = status.duties.find(({ duty }) => duty === 'return');
-  assert.deepEqual([of?.holder, of?.hold?.by, of?.openIntents], [null, 'operator-1', 1]);
-  assert.equal((await ask(group, (operator) => operator.release('return'))).kind, 'done');
+  const returnStatus = status.duties.find(({ duty }) => duty === 'return');
+  assert.deepEqual(
+    [returnStatus?.holder, returnStatus?.hold?.by, returnStatus?.openIntents],
+    [null, 'operator-1', 1],
+  );
+  assert.equal((await runCommand(group, (operator) => operator.release('return'))).kind, 'done');
   assert.equal((await resolved(group, opened)).kind, 'resolved');
   assert.equal(group.provider.machines.size, 0);
 });
@@ -104,7 +107,7 @@
   const group = await settledGroup(20);
   await group.run(5);
   const old = group.holder('reclaim') ?? assert.fail();
-  assert.equal((await ask(group, (operator) => operator.release('reclaim'))).kind, 'done');
+  assert.equal((await runCommand(group, (operator) => operator.release('reclaim'))).kind, 'done');
   await group.until(
     'another controller holds the duty',
     () => (group.holder('reclaim') ?? old) !== old,
@@ -116,11 +119,11 @@
 test('resolved intents are removed by the holder of the clean-up duty only', async () => {
   const group = await settledGroup(21);
   await withMachines(group, 1);
-  assert.equal((await ask(group, (operator) => operator.hold('clean-up'))).kind, 'done');
+  assert.equal((await runCommand(group, (operator) => operator.hold('clean-up'))).kind, 'done');
   await group.run(20);
   assert.equal(group.state.history('duties/intents/i-1').length > 0, true);
   assert.ok([...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')));
-  assert.equal((await ask(group, (operator) => operator.release('clean-up'))).kind, 'done');
+  assert.equal((await runCommand(group, (operator) => operator.release('clean-up'))).kind, 'done');
   await group.until(
     'the intent is removed',
     () => ![...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')),
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -25,14 +25,14 @@
   mode: string,
   cluster: Cluster,
   seconds: number,
-  watch: CloudInvariants | null,
+  cloudInvariants: CloudInvariants | null,
 ): void {
   const { received } = cluster.state;
   console.log(
     `${mode}: ${cluster.invariants.violations.length} invariants violated, ${cluster.cloud.machines.size} machines left after ${seconds} s, ` +
       `cloud: ${cluster.cloud.received.calls} calls, ${cluster.cloud.received.tooMany} over the rate; ` +
       `state: ${received.requests} requests, ${received.changes} changes, ${received.tooMany} over the limits; ` +
-      `deletions ${watch?.deletions ?? '-'}, intents ${watch?.intents.size ?? '-'}`,
+      `deletions ${cloudInvariants?.deletions ?? '-'}, intents ${cloudInvariants?.intents.size ?? '-'}`,
   );
   for (const line of cluster.invariants.violations.slice(0, 5)) console.log(line);
 }
@@ -56,7 +56,7 @@
     duties: { ...SETTINGS, mode },
   });
   plantLevel(cluster);
-  const watch = mode === 'on' ? new CloudInvariants(cluster) : null;
+  const cloudInvariants = mode === 'on' ? new CloudInvariants(cluster) : null;
   await cluster.run(14);
   for (let i = 0; i < 16; i++)
     void cluster.users.run(
@@ -72,7 +72,7 @@
     await cluster.run(5);
     seconds += 5;
   }
-  print(mode, cluster, seconds, watch);
+  print(mode, cluster, seconds, cloudInvariants);
 }
 
 await measureFleet('off');
--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -12,17 +12,17 @@
 const LOOPBACK_RUNS = 10;
 const HOUR_S = 3600;
 const FREEZE_MS = 60_000;
-const DEATH_MS = 60_000;
+const DOWNTIME_MS = 60_000;
 
-type End = 'death' | 'freeze';
+type HolderFailure = 'death' | 'freeze';
 
 /** Returns the time in ms from the failure of the holder until the provider accepts an action of another one. */
-async function simulatedGapMs(seed: number, end: End): Promise<number> {
+async function simulatedGapMs(seed: number, end: HolderFailure): Promise<number> {
   const group = new DutyGroup({ seed, settings: { lease_s: LEASE_S } });
   await group.settled();
   await group.run(5 + group.random.unit());
   const old = group.recorded(DUTY)!;
-  if (end === 'death') group.crash(old.controller, DEATH_MS);
+  if (end === 'death') group.crash(old.controller, DOWNTIME_MS);
   else group.freeze(old.controller, FREEZE_MS);
   const from = group.clock.time;
   void group.delete('return', 'm-1');
@@ -32,7 +32,7 @@
   return group.clock.time - from;
 }
 
-async function loopbackGapMs(run: number, end: End): Promise<number> {
+async function loopbackGapMs(run: number, end: HolderFailure): Promise<number> {
   const processes = new DutyProcesses();
   try {
     await processes.start(0, LEASE_S);
@@ -49,7 +49,7 @@
   }
 }
 
-async function gaps(
+async function printGaps(
   name: string,
   runs: number,
   gap: (run: number) => Promise<number>,
@@ -61,23 +61,23 @@
 }
 
 /** Prints the requests of three controllers to the state service and the provider in an hour without intents. */
-async function atRest(): Promise<void> {
+async function printIdleLoad(): Promise<void> {
   const group = new DutyGroup({ seed: 1, settings: { lease_s: 3, settle_s: 10, rebalance_s: 60 } });
   await group.settled();
   await group.run(60);
   const { requests, changes } = group.state.received;
   const calls = group.provider.calls.length;
   await group.run(HOUR_S);
-  const asked = group.state.received;
+  const received = group.state.received;
   console.log(
-    `at rest, an hour: ${asked.requests - requests} requests and ${asked.changes - changes} changes to the state service, ` +
+    `at rest, an hour: ${received.requests - requests} requests and ${received.changes - changes} changes to the state service, ` +
       `${group.provider.calls.length - calls} calls of the provider`,
   );
 }
 
 console.log(`lease of ${LEASE_S} s`);
 for (const end of ['death', 'freeze'] as const) {
-  await gaps(`simulated, ${end}`, SEEDS, (run) => simulatedGapMs(run, end));
-  await gaps(`loopback, ${end}`, LOOPBACK_RUNS, (run) => loopbackGapMs(run, end));
+  await printGaps(`simulated, ${end}`, SEEDS, (run) => simulatedGapMs(run, end));
+  await printGaps(`loopback, ${end}`, LOOPBACK_RUNS, (run) => loopbackGapMs(run, end));
 }
-await atRest();
+await printIdleLoad();
