--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -18,9 +18,9 @@
 const NAMES = ['n0', 'n1', 'n2'];
 const ROLLOUT = { mode: 'automatic', soak_s: 2, stall_s: 60, announcement_lease_s: 15 } as const;
 const REPETITIONS = 3;
-const EVERY_MS = 100;
-const QUIET_MS = 20_000;
-const BETWEEN_MS = 4000;
+const SUBMISSION_INTERVAL_MS = 100;
+const BASELINE_MS = 20_000;
+const PAUSE_MS = 4000;
 const VALUE_BYTES = 4096;
 
 interface Figures {
@@ -44,9 +44,9 @@
   const { refused } = deployment.users;
   const { requests, changes } = state.received;
   const rolloutChanges = state.changesUnder('rollout/');
-  const began = performance.now();
+  const startedAt = performance.now();
   await during();
-  const seconds = (performance.now() - began) / 1000;
+  const seconds = (performance.now() - startedAt) / 1000;
   const latencies = histogram({ lowestDiscernibleValue: 1, highestTrackableValue: 600_000 });
   for (const ms of deployment.users.latenciesMs.slice(accepted))
     latencies.recordValue(Math.max(1, Math.round(ms)));
@@ -61,26 +61,26 @@
   };
 }
 
-function print(what: string, figures: object): void {
+function print(label: string, figures: object): void {
   const rounded = Object.entries(figures).map(([name, value]) => [
     name,
     Math.round(Number(value) * 100) / 100,
   ]);
-  console.log(what, JSON.stringify(Object.fromEntries(rounded)));
+  console.log(label, JSON.stringify(Object.fromEntries(rounded)));
 }
 
-async function roll(): Promise<void> {
+async function measureUpgrade(): Promise<void> {
   const deployment = new ControllerProcesses();
   await deployment.start('old', ROLLOUT);
-  void deployment.users.stream(EVERY_MS);
-  await delay(BETWEEN_MS);
-  print('no roll', await measure(deployment, () => delay(QUIET_MS)));
+  void deployment.users.stream(SUBMISSION_INTERVAL_MS);
+  await delay(PAUSE_MS);
+  print('no roll', await measure(deployment, () => delay(BASELINE_MS)));
   let activationMs = 0;
   const figures = await measure(deployment, async () => {
     for (const name of NAMES) {
       await deployment.replace(name, 'new');
       await deployment.untilHealthy(name);
-      if (name !== NAMES.at(-1)) await delay(BETWEEN_MS);
+      if (name !== NAMES.at(-1)) await delay(PAUSE_MS);
     }
     const healthy = performance.now();
     await deployment.until('the level is raised', () => deployment.level.active === 2);
@@ -94,7 +94,7 @@
 }
 
 /** Returns the number of records of a job, and their total size in bytes of JSON. */
-function stored(
+function storedSize(
   finished: Uint8Array,
   tasks: number,
   layout: Layout,
@@ -102,7 +102,7 @@
   const values = new Map<number, number>();
   for (let chunk = 0; chunk * TASKS_PER_CHUNK < tasks; chunk++) {
     const made = recordsOfChunk(finished, tasks, chunk, layout, VALUE_BYTES);
-    if (made.kind === 'too-large') return stored(finished, tasks, finerLayout(layout));
+    if (made.kind === 'too-large') return storedSize(finished, tasks, finerLayout(layout));
     for (const { number, value } of made.records) values.set(number, JSON.stringify(value).length);
   }
   return {
@@ -112,13 +112,13 @@
 }
 
 /** Returns a bitmap with the value of `isFinished` for each task number. */
-function bitsOf(tasks: number, isFinished: (task: number) => boolean): Uint8Array {
+function bitmapOf(tasks: number, isFinished: (task: number) => boolean): Uint8Array {
   const bits = new Uint8Array(Math.ceil(tasks / 8));
   for (let task = 0; task < tasks; task++) if (isFinished(task)) bits[task >> 3] |= 1 << (task & 7);
   return bits;
 }
 
-function recordSizes(): void {
+function printRecordSizes(): void {
   const random = new SeededRandom(1);
   const patterns: [string, (task: number, tasks: number) => boolean][] = [
     ['first half, in order', (task, tasks) => task < tasks / 2],
@@ -127,12 +127,12 @@
   ];
   for (const tasks of [2048, 6144, 20_000, 100_000])
     for (const [name, isFinished] of patterns) {
-      const bits = bitsOf(tasks, (task) => isFinished(task, tasks));
-      const chunks = stored(bits, tasks, CHUNK_LAYOUT);
-      const segments = stored(bits, tasks, { kind: 'segments', split: 0 });
+      const bits = bitmapOf(tasks, (task) => isFinished(task, tasks));
+      const chunks = storedSize(bits, tasks, CHUNK_LAYOUT);
+      const segments = storedSize(bits, tasks, { kind: 'segments', split: 0 });
       console.log(`${tasks} tasks, ${name}:`, JSON.stringify({ chunks, segments }));
     }
 }
 
-recordSizes();
-for (let i = 0; i < REPETITIONS; i++) await roll();
+printRecordSizes();
+for (let i = 0; i < REPETITIONS; i++) await measureUpgrade();
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -69,14 +69,14 @@
 test('a change without progress is aborted, and not retried until an operator activates it', async () => {
   const roll = new RollingUpgrade(10, NEW);
   await roll.reaches('preparing', 1);
-  const gone = roll.follower();
-  roll.cluster.crash(gone, 25_000);
+  const crashedFollower = roll.follower();
+  roll.cluster.crash(crashedFollower, 25_000);
   await roll.until('the change is aborted', () => roll.level.held !== null);
-  assert.match(roll.level.held!.reason, new RegExp(`no progress for 15 s: ${gone}`));
+  assert.match(roll.level.held!.reason, new RegExp(`no progress for 15 s: ${crashedFollower}`));
   await roll.reaches('stable', 1);
   // It returns with the same build.
   await roll.staysAt(1, 30);
-  assert.ok(roll.cluster.isUp(gone));
+  assert.ok(roll.cluster.isUp(crashedFollower));
   assert.equal((await roll.ask('activate')).kind, 'done');
   await roll.reaches('stable', 2);
   await roll.finish();
@@ -85,13 +85,13 @@
 test('a change is aborted when a controller restarts repeatedly', async () => {
   const roll = new RollingUpgrade(11, NEW);
   await roll.reaches('preparing', 1);
-  const ending = roll.follower();
+  const restartingFollower = roll.follower();
   for (let i = 0; i < 5; i++) {
-    roll.cluster.crash(ending, 50);
+    roll.cluster.crash(restartingFollower, 50);
     await roll.cluster.run(0.4);
   }
   await roll.until('the change is aborted', () => roll.level.held !== null);
-  assert.match(roll.level.held!.reason, new RegExp(`${ending} has started`));
+  assert.match(roll.level.held!.reason, new RegExp(`${restartingFollower} has started`));
   await roll.staysAt(1, 20);
 });
 
@@ -194,7 +194,7 @@
   cluster.crash(name, cluster.random.between(50, 3000));
 }
 
-function bringFaults(cluster: Cluster, second: number, name: string): void {
+function injectFaults(cluster: Cluster, second: number, name: string): void {
   const { random, state } = cluster;
   if (second % 17 === 9) state.rejectHost(`${name}:80`, random.between(1000, 6000));
   if (second === 23) state.beginOutage(5000);
@@ -204,7 +204,7 @@
 }
 
 /** Finally replaces all controllers with the new build. */
-function replaceAllByNew(cluster: Cluster, second: number): void {
+function replaceAllWithNewBuild(cluster: Cluster, second: number): void {
   if (second === 50) for (const name of NAMES) cluster.builds.set(name, NEW);
   if (second === 52)
     for (const name of NAMES) cluster.crash(name, cluster.random.between(50, 2000));
@@ -226,8 +226,8 @@
         if (second === 0) skewWallClocks(cluster);
         const name = cluster.random.pick(NAMES);
         replaceAtRandom(cluster, second, name);
-        bringFaults(cluster, second, name);
-        replaceAllByNew(cluster, second);
+        injectFaults(cluster, second, name);
+        replaceAllWithNewBuild(cluster, second);
       },
     );
     assertInvariantsHeld(outcome);
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -12,7 +12,7 @@
   stall_s: 600,
   announcement_lease_s: 60,
 } as const;
-const EVERY_MS = 200;
+const SUBMISSION_INTERVAL_MS = 200;
 
 let deployment: ControllerProcesses;
 
@@ -36,7 +36,7 @@
 
 test('the level rises after the last upgrade, and a rolled-back controller is unhealthy until the level is lowered', async () => {
   await deployment.start('old', AUTOMATIC);
-  void deployment.users.stream(EVERY_MS);
+  void deployment.users.stream(SUBMISSION_INTERVAL_MS);
   for (const name of NAMES) {
     assert.equal(deployment.level.active, 1);
     await replaceUnderLoad(name, 'new');
@@ -81,7 +81,7 @@
 
 test('in an abandoned upgrade the level stays, commands are refused with a reason, and controllers can be rolled back', async () => {
   await deployment.start('old', { ...AUTOMATIC, mode: 'manual' });
-  void deployment.users.stream(EVERY_MS);
+  void deployment.users.stream(SUBMISSION_INTERVAL_MS);
   for (const name of ['n0', 'n1']) await replaceUnderLoad(name, 'new');
   const refused = await deployment.rollout('n0', 'activate');
   assert.deepEqual([refused.code, refused.stdout], [3, '']);
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -46,8 +46,8 @@
   }
   await cluster.run(5);
   // One machine of each page is preempted, so that the page is rewritten.
-  const gone = new Set(pagesNow().map((p) => p[0].id));
-  for (const id of gone) cluster.cloud.preempt(cluster.cloud.machines.get(id)!);
+  const preemptedIds = new Set(pagesNow().map((p) => p[0].id));
+  for (const id of preemptedIds) cluster.cloud.preempt(cluster.cloud.machines.get(id)!);
   for (let second = 0; second < 4000; second++) {
     await cluster.run(0.004);
     const now = new Set(
@@ -167,7 +167,7 @@
 });
 
 /** Replaces one node after the other with one that has stricter limits. */
-function replaceByStricter(cluster: Cluster, second: number): void {
+function replaceWithStricter(cluster: Cluster, second: number): void {
   const node = cluster.nodeNames[Math.floor(second / 5)];
   if (second % 5 !== 2 || !node) return;
   cluster.overrides.set(node, STRICT);
@@ -203,7 +203,7 @@
       (cluster, second) => {
         // The lease of the previous leader may last until now; at second 22 the old process is replaced.
         if (second === 21 || second === 22) oldLed ||= cluster.leader() === cluster.nodeNames[4];
-        replaceByStricter(cluster, second);
+        replaceWithStricter(cluster, second);
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
         if (second === 8) partitionMachinesOf(cluster, 'b', 9000);
@@ -226,7 +226,7 @@
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        replaceByStricter(cluster, second);
+        replaceWithStricter(cluster, second);
         // A node that was not replaced yet crashes, and returns with the old limits.
         if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
         if (second === 14) cluster.state.beginOutage(6000);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -104,10 +104,10 @@
   assert.equal(readPeerMessage({ t: 'attest', from: 'n1', life: 'x' }), null);
   assert.equal(readPeerMessage({ t: 'served', from: 'n1', served: true, more: 1 })?.t, 'served');
   const odd = encodeFrame({ t: 'served', from: 'n1', served: true });
-  const deframer = new FrameDecoder();
+  const decoder = new FrameDecoder();
   const future = encodeFrame({ t: 'future', from: 'n1' } as never);
   assert.deepEqual(
-    deframer.push(Buffer.concat([future, odd]))?.map((m) => m.t),
+    decoder.push(Buffer.concat([future, odd]))?.map((m) => m.t),
     ['served'],
   );
 });
@@ -124,10 +124,13 @@
     const { spec, cancelled } = readLive(value)!;
     const id = key.slice(2);
     const job = cluster.users.newJob(kinds[spec.kind]);
-    const facts = observedJob({ ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 }, 0);
-    facts.reportedAccepted = true;
-    facts.cancelRequested = cancelled;
-    cluster.invariants.jobs.set(id, facts);
+    const observed = observedJob(
+      { ...job, id, tasks: spec.tasks, team: spec.team, durationS: 2 },
+      0,
+    );
+    observed.reportedAccepted = true;
+    observed.cancelRequested = cancelled;
+    cluster.invariants.jobs.set(id, observed);
     if (!cancelled) waiting.add(id);
   }
   return waiting;
