--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -11,7 +11,7 @@
 const CANCEL_MS = 20_000;
 const WAITING_LIMIT_MS = 90_000;
 
-interface Planted {
+interface Fixture {
   invariants: Invariants;
   clock: { now: number };
 }
@@ -25,11 +25,11 @@
   imageGb: 0,
 };
 
-function withJob(over: Partial<JobSubmission> = {}): Planted {
+function withJob(over: Partial<JobSubmission> = {}): Fixture {
   const clock = { now: 0 };
   const invariants = new Invariants(() => clock.now, CANCEL_MS, new Map([['t0', LIMIT]]));
-  const facts = observedJob({ ...JOB, ...over }, 0);
-  invariants.jobs.set(JOB.id, { ...facts, reportedAccepted: true });
+  const observed = observedJob({ ...JOB, ...over }, 0);
+  invariants.jobs.set(JOB.id, { ...observed, reportedAccepted: true });
   return { invariants, clock };
 }
 
@@ -58,7 +58,7 @@
   assert.equal(invariants.usedCpus('t0'), 2);
   invariants.taskStarted('run-1/1', place('m1'));
   invariants.taskStarted('run-1/2', place('m1'));
-  assert.ok(invariants.violations.some((broken) => broken.includes('quota')));
+  assert.ok(invariants.violations.some((violation) => violation.includes('quota')));
 });
 
 test('an exit that is reported twice frees CPUs once', () => {
@@ -86,14 +86,14 @@
   const [[task, [{ machine }]]] = [...cluster.invariants.placesByTask];
   const worker = cluster.cloud.machines.get(machine)!.worker!;
   worker.preemptionDeadline = cluster.clock.time + 15_000;
-  let saved = 0;
+  let samplesWhileSaving = 0;
   for (let i = 0; i < 100; i++) {
     await cluster.run(0.1);
     if (!worker.tasks.isSaving(task)) continue;
-    saved++;
+    samplesWhileSaving++;
     assert.ok(cluster.invariants.usedCpus('t0') >= 2, 'the task counts while it saves');
   }
-  assert.ok(saved >= 20, `${saved} samples while it saved`);
+  assert.ok(samplesWhileSaving >= 20, `${samplesWhileSaving} samples while it saved`);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -50,7 +50,7 @@
 test('a listed test that passes or did not run fails the run, and so does a run without tests', () => {
   const passes = judge([{ test: LISTED.test, passed: true }], [LISTED]);
   assert.deepEqual(passes.problems, [`listed as known red, but passes: ${LISTED.test}`]);
-  const gone = judge([{ test: 'test/a.test.ts > fine', passed: true }], [LISTED]);
-  assert.deepEqual(gone.problems, [`listed as known red, but did not run: ${LISTED.test}`]);
+  const missing = judge([{ test: 'test/a.test.ts > fine', passed: true }], [LISTED]);
+  assert.deepEqual(missing.problems, [`listed as known red, but did not run: ${LISTED.test}`]);
   assert.deepEqual(judge([], []).problems, ['no test ran']);
 });
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -41,16 +41,16 @@
 test('platform settings: unknown fields are ignored, a maximum of 0 means no limit, and errors name the field', () => {
   const settings = readPlatformSettings(GOOD);
   assert.deepEqual([settings.teams[0].cpusMax, settings.teams[0].gpusMax], [Infinity, 2]);
-  const fault = (from: string, to: string, name: RegExp): void => {
+  const assertRejected = (from: string, to: string, name: RegExp): void => {
     assert.throws(
       () => readPlatformSettings(GOOD.replace(from, to)),
       (e) => e instanceof SettingsError && name.test(e.message),
     );
   };
-  fault('listen = "127.0.0.1:8080"', '', /^listen/);
-  fault('lease_s = 10.0', 'lease_s = "x"', /^params\.workers\.lease_s/);
-  fault('cloud = "127.0.0.1:1"', 'cloud = "nowhere"', /^outside\.cloud/);
-  fault('node_name = "n0"', 'node_name = ', /^not TOML/);
+  assertRejected('listen = "127.0.0.1:8080"', '', /^listen/);
+  assertRejected('lease_s = 10.0', 'lease_s = "x"', /^params\.workers\.lease_s/);
+  assertRejected('cloud = "127.0.0.1:1"', 'cloud = "nowhere"', /^outside\.cloud/);
+  assertRejected('node_name = "n0"', 'node_name = ', /^not TOML/);
 });
 
 test('of the current and the next limits of the state service, the stricter ones apply from the start', () => {
@@ -79,14 +79,14 @@
   assert.ok(
     plain.kind === 'valid' && plain.settings.round_s === 5 && plain.settings.slowness_ratio === 1.5,
   );
-  const refused = (input: unknown, location?: string): string => {
+  const rejectionReason = (input: unknown, location?: string): string => {
     const read = readOperatorSettings(input, location);
     return read.kind === 'invalid' ? read.reason : 'accepted';
   };
-  assert.match(refused({ rounds: 5 }), /^rounds: unknown field/);
-  assert.match(refused({ round_s: 0 }), /^round_s/);
-  assert.match(refused({ duties: { mode: 'sometimes' } }), /^duties\/mode: /);
-  assert.match(refused({ duties: { held_here: ['dance'] } }), /^duties\/held_here\/0: /);
+  assert.match(rejectionReason({ rounds: 5 }), /^rounds: unknown field/);
+  assert.match(rejectionReason({ round_s: 0 }), /^round_s/);
+  assert.match(rejectionReason({ duties: { mode: 'sometimes' } }), /^duties\/mode: /);
+  assert.match(rejectionReason({ duties: { held_here: ['dance'] } }), /^duties\/held_here\/0: /);
   const file = { deployments: [{ locations: ['a'], settings: { money: 'counts' } }] };
   const money = (location: string): unknown => {
     const read = readOperatorSettings(file, location);
@@ -94,7 +94,7 @@
   };
   assert.deepEqual([money('a'), money('b')], ['counts', 'objectives']);
   const bad = { deployments: [{ locations: ['a'], settings: { round: 1 } }] };
-  assert.match(refused(bad, 'b'), /^deployments\/0\/settings\/round: unknown field/);
+  assert.match(rejectionReason(bad, 'b'), /^deployments\/0\/settings\/round: unknown field/);
 });
 
 test('cost is minimized if there is a price objective or no guarantee, and operators can override both', () => {
--- a/test/state-machine.test.ts
+++ b/test/state-machine.test.ts
@@ -7,7 +7,7 @@
 
 const TRANSITIONS: Transitions<Light> = { red: ['green'], green: ['red', 'off'], off: [] };
 
-function recorded(): { machine: StateMachine<Light>; events: string[] } {
+function recordingMachine(): { machine: StateMachine<Light>; events: string[] } {
   const events: string[] = [];
   const machine: StateMachine<Light> = new StateMachine(`light`, TRANSITIONS, 'red', {
     beforeTransition: (from, to, reason) =>
@@ -18,14 +18,14 @@
 }
 
 test('a listed transition changes the state, and the listener is called before and after it', () => {
-  const { machine, events } = recorded();
+  const { machine, events } = recordingMachine();
   machine.transitionTo('green', 'time');
   assert.equal(machine.state, 'green');
   assert.deepEqual(events, ['before red green (time): red', 'after red green: green']);
 });
 
 test('a transition that is not listed throws and changes nothing', () => {
-  const { machine, events } = recorded();
+  const { machine, events } = recordingMachine();
   assert.throws(() => {
     machine.transitionTo('off', 'time');
   }, IllegalTransitionError);
@@ -34,7 +34,7 @@
 });
 
 test('a transition to the current state is ignored', () => {
-  const { machine, events } = recorded();
+  const { machine, events } = recordingMachine();
   machine.transitionTo('red', 'time');
   assert.deepEqual(events, []);
 });
