--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -101,10 +101,10 @@
     'its previous process may have confirmed a cancellation that no other node knows',
   );
   // Once the time before its start is known from another source, its attestations extend the covered time again.
-  const read = startedAt + 150;
+  const laterKnownUntil = startedAt + 150;
   const exchangedAt = nodes.clocks.a;
   nodes.exchange();
-  assert.equal(nodes.a.completeUntil(read), exchangedAt);
+  assert.equal(nodes.a.completeUntil(laterKnownUntil), exchangedAt);
 });
 
 test('an attestation contains each confirmed cancellation for as long as attestations cover its time', () => {
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -78,15 +78,15 @@
 test('a provider that refuses is called with backoff, and the intent is resolved once it accepts requests', async () => {
   const group = await settledGroup(13);
   const machines = await withMachines(group, 1);
-  let asked = 0;
+  let attempts = 0;
   group.provider.delay = () => {
-    asked++;
+    attempts++;
     return Promise.resolve();
   };
   group.provider.failure = { refuses: true, silent: false };
   const opened = group.delete('reclaim', machines[0]);
   await group.run(30);
-  assert.ok(asked >= 3 && asked <= 12, String(asked));
+  assert.ok(attempts >= 3 && attempts <= 12, String(attempts));
   group.provider.failure = { refuses: false, silent: false };
   assert.deepEqual(await resolved(group, opened), {
     kind: 'resolved',
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -58,11 +58,11 @@
   const group = await settledGroup(35);
   const machines = await withMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
-  let asked = 0;
+  let requests = 0;
   group.provider.delay = () =>
-    new Promise((done) => group.clock.after(asked++ === 0 ? 4500 : 0, done));
+    new Promise((done) => group.clock.after(requests++ === 0 ? 4500 : 0, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the request is in flight', () => asked > 0);
+  await group.until('the request is in flight', () => requests > 0);
   group.refuse(old, 10_000);
   await resolved(group, opened);
   await group.until('the request is refused', () => group.provider.refused().length > 0);
--- a/test/sim-wire.test.ts
+++ b/test/sim-wire.test.ts
@@ -7,12 +7,15 @@
 import { decodeHeartbeatReply } from './sim/wire/workers.js';
 
 test('a job response with a missing or invalid field is rejected, and a valid one is decoded', () => {
-  const reply = (body: Record<string, unknown>) => () => decodeJobReply({ status: 200, body });
-  assert.throws(reply({}));
-  assert.throws(reply({ id: 'run-1' }));
-  assert.throws(reply({ id: 'run-1', condition: 'finished' }));
-  assert.throws(reply({ id: 'run-1', condition: 'running', done: '3', running: 1 }));
-  assert.deepEqual(reply({ id: 'run-1', condition: 'done' })().job, { id: 'run-1', state: 'done' });
+  const decode = (body: Record<string, unknown>) => () => decodeJobReply({ status: 200, body });
+  assert.throws(decode({}));
+  assert.throws(decode({ id: 'run-1' }));
+  assert.throws(decode({ id: 'run-1', condition: 'finished' }));
+  assert.throws(decode({ id: 'run-1', condition: 'running', done: '3', running: 1 }));
+  assert.deepEqual(decode({ id: 'run-1', condition: 'done' })().job, {
+    id: 'run-1',
+    state: 'done',
+  });
   assert.equal(decodeJobReply({ status: 404, body: {} }).job, null);
 });
 
