--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -11,7 +11,7 @@
 const CPUS = 16;
 const ZONES = ['a', 'b', 'c', 'd'];
 
-/** Crashes or freezes the holder of a duty, or another node if the duty has no holder. */
+/** Crashes or freezes the holder of a duty, or any node if the duty has no holder. */
 function disturbHolder(cluster: Cluster, round: number): void {
   const duty = DUTIES[round % DUTIES.length];
   const holder = cluster.state.value(`duties/holders/${duty}`) as
