--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -1,4 +1,4 @@
-/** Duties in whole simulated clusters: what the leader decides is done by other controllers, whatever fails. */
+/** Duties in whole simulated clusters: other controllers execute what the leader decides, under all kinds of faults. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Intent, INTENTS_PREFIX } from '@millring/duties';
@@ -20,7 +20,7 @@
   config: Partial<ClusterConfig> = {},
 ): void {
   test(`${name} (${seed})`, async () => {
-    let watch: CloudInvariants | null = null;
+    let cloudInvariants: CloudInvariants | null = null;
     const before = (cluster: Cluster, second: number): void => {
       if (second > 0) faults(cluster, second);
     };
@@ -36,25 +36,28 @@
       before,
       (cluster) => {
         putFeatureLevel(cluster);
-        watch = new CloudInvariants(cluster);
+        cloudInvariants = new CloudInvariants(cluster);
       },
     );
     assertInvariantsHeld(outcome);
-    const seen = watch as CloudInvariants | null;
-    assert.ok(seen && seen.rentals + seen.deletions > 0, 'the cloud was asked');
-    assert.ok([...seen.intents.values()].some(({ outcome: end }) => end !== null));
+    const observed = cloudInvariants as CloudInvariants | null;
+    assert.ok(
+      observed && observed.rentals + observed.deletions > 0,
+      'machines were rented or deleted',
+    );
+    assert.ok([...observed.intents.values()].some(({ outcome: end }) => end !== null));
   });
 }
 
-/** Machines that some task runs on. */
-function withTasks(cluster: Cluster): Set<string> {
+/** Ids of the machines with at least one task. */
+function machinesWithTasks(cluster: Cluster): Set<string> {
   return new Set(
     [...cluster.invariants.placesByTask.values()].flat().map(({ machine }) => machine),
   );
 }
 
-// Guards: a new leader reads all intents before it places anything.
-test('machines that a former leader wanted to give back take no work, whoever leads', async () => {
+// A new leader must read all intents before it places tasks.
+test('machines with an open intent of a former leader to delete them take no work under any later leader', async () => {
   const cluster = new Cluster({
     seed: 51,
     ordinaryUp: 4,
@@ -65,15 +68,15 @@
   putFeatureLevel(cluster);
   cluster.state.putDirectly('duties/holds/return', { by: 'operator', sinceMs: 0 });
   await cluster.run(45);
-  const named = (): string[] =>
+  const machinesToDelete = (): string[] =>
     [...cluster.state.items].flatMap(([key, { value }]) => {
       const intent = key.startsWith(INTENTS_PREFIX) ? (value as Intent) : null;
       return intent?.duty === 'return' && intent.action.kind === 'delete'
         ? intent.action.machines
         : [];
     });
-  const machines = named();
-  assert.ok(machines.length > 0, 'machines without work are to be given back');
+  const machines = machinesToDelete();
+  assert.ok(machines.length > 0, 'deletions of idle machines are intended');
   for (let round = 0; round < 2; round++) {
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
     await cluster.run(6);
@@ -81,23 +84,23 @@
     for (let second = 0; second < 20; second++) {
       await cluster.run(1);
       assert.deepEqual(
-        [...withTasks(cluster)].filter((id) => machines.includes(id)),
+        [...machinesWithTasks(cluster)].filter((id) => machines.includes(id)),
         [],
       );
     }
   }
-  assert.ok(withTasks(cluster).size > 0, 'others are rented and take the work');
+  assert.ok(machinesWithTasks(cluster).size > 0, 'other machines are rented and take the work');
   await cluster.state.deleteAsOperator('duties/holds/return');
   await cluster.run(15);
   assert.ok(
     machines.every((id) => !cluster.cloud.machines.has(id)),
-    'they are given back',
+    'the machines are deleted',
   );
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-// Guards: a new leader does not rent for what its predecessor is renting for.
-test('an open rental of a former leader is waited for', async () => {
+// A new leader must not rent for demand that an open rental of its predecessor already covers.
+test('a new leader waits for an open rental of its predecessor and rents nothing more for the same demand', async () => {
   const cluster = new Cluster({
     seed: 52,
     ordinaryUp: 0,
@@ -106,7 +109,7 @@
     duties: DUTY_SETTINGS,
   });
   putFeatureLevel(cluster);
-  const watch = new CloudInvariants(cluster);
+  const cloudInvariants = new CloudInvariants(cluster);
   cluster.state.putDirectly('duties/holds/rent', { by: 'operator', sinceMs: 0 });
   await cluster.run(3);
   for (let i = 0; i < 4; i++)
@@ -116,7 +119,7 @@
     cluster.crash(cluster.leader() ?? assert.fail(), 1000);
     await cluster.run(8);
   }
-  const open = [...watch.intents.values()].filter(({ outcome }) => outcome === null);
+  const open = [...cloudInvariants.intents.values()].filter(({ outcome }) => outcome === null);
   assert.ok(open.length > 0);
   assert.deepEqual(cluster.invariants.violations, []);
   await cluster.state.deleteAsOperator('duties/holds/rent');
@@ -128,11 +131,11 @@
 });
 
 for (const seed of [41, 42])
-  testDuties('a run without faults: everything goes through intents', seed, () => undefined);
+  testDuties('without faults all rentals and deletions go through intents', seed, () => undefined);
 
 for (const seed of [43, 44, 45])
   testDuties(
-    'holders and leaders die, freeze and lose the state service',
+    'invariants hold while holders and leaders crash, freeze and lose the state service',
     seed,
     (cluster, second) => {
       const { random } = cluster;
@@ -148,12 +151,16 @@
     },
   );
 
-testDuties('all controllers end at once, in the middle of actions', 48, (cluster, second) => {
-  if (second % 20 === 10) for (const name of cluster.nodeNames) cluster.crash(name, 2000);
-});
+testDuties(
+  'invariants hold when all controllers crash at once during actions',
+  48,
+  (cluster, second) => {
+    if (second % 20 === 10) for (const name of cluster.nodeNames) cluster.crash(name, 2000);
+  },
+);
 
 testDuties(
-  'several hundred machines, while holders and machines die',
+  'invariants hold with several hundred machines while controllers and machines crash',
   49,
   (cluster, second) => {
     for (let i = 0; i < 3; i++)
@@ -177,7 +184,7 @@
 
 for (const seed of [46, 47])
   testDuties(
-    'machines die and controllers are cut off while writes come late',
+    'invariants hold while machines crash, controllers are isolated and writes are applied late',
     seed,
     (cluster, second) => {
       const { random } = cluster;
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -1,4 +1,4 @@
-/** Real sockets on loopback: what happens when more workers want connections than there are sockets. */
+/** The HTTP server on real loopback sockets, with more workers than it has sockets. */
 import assert from 'node:assert/strict';
 import { Agent, request } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
@@ -13,15 +13,15 @@
 
 const LIMIT = 60;
 
-/** A node that answers heartbeats as the leader, or as a follower, does. */
-function answering(status: number): ControllerNode {
+/** A node that responds to heartbeats with `status`: 200 as the leader, 421 as a follower. */
+function nodeRespondingWith(status: number): ControllerNode {
   return {
     handleHeartbeat: () => ({ status, body: {} }),
     health: () => ({ kind: 'healthy' }),
   } satisfies Partial<ControllerNode> as Partial<ControllerNode> as ControllerNode;
 }
 
-function ask(
+function sendRequest(
   port: number,
   method: string,
   path: string,
@@ -40,7 +40,7 @@
   });
 }
 
-/** Serves until the test is over; returns the port. */
+/** Starts a server that is closed when the test ends. Returns its port. */
 async function serve(
   context: TestContext,
   node: ControllerNode,
@@ -55,14 +55,14 @@
   return (server.address() as AddressInfo).port;
 }
 
-test('with more workers than sockets each is answered, and health checks still get through', async (context) => {
+test('with more workers than sockets every heartbeat gets a response, and health checks still succeed', async (context) => {
   const shares = allocateSockets(LIMIT);
-  const port = await serve(context, answering(200));
+  const port = await serve(context, nodeRespondingWith(200));
   const agents: Agent[] = [];
   for (let i = 0; i < 2 * shares.maxInbound; i++) {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
     agents.push(agent);
-    const [status, connection] = await ask(port, 'POST', HEARTBEAT_PATH, agent);
+    const [status, connection] = await sendRequest(port, 'POST', HEARTBEAT_PATH, agent);
     assert.equal(status, 200);
     assert.equal(
       connection,
@@ -70,20 +70,20 @@
       `worker ${i}`,
     );
   }
-  const health = await ask(port, 'GET', '/healthz', new Agent());
+  const health = await sendRequest(port, 'GET', '/healthz', new Agent());
   assert.equal(health[0], 200);
   for (const agent of agents) agent.destroy();
 });
 
-test('a worker that is sent elsewhere leaves no connection behind', async (context) => {
-  const port = await serve(context, answering(421));
+test('the connection of a worker that is redirected to the leader is closed', async (context) => {
+  const port = await serve(context, nodeRespondingWith(421));
   const agent = new Agent({ keepAlive: true });
-  assert.deepEqual(await ask(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
+  assert.deepEqual(await sendRequest(port, 'POST', HEARTBEAT_PATH, agent), [421, 'close']);
   agent.destroy();
 });
 
-/** Connects, sends a heartbeat and gives up before it can be answered. */
-function giveUp(port: number): Promise<void> {
+/** Connects, sends a heartbeat and disconnects before the response. */
+function sendAndDisconnect(port: number): Promise<void> {
   return new Promise((done) => {
     const socket = connect({ port, host: '127.0.0.1' }, () => {
       socket.write(`POST ${HEARTBEAT_PATH} HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n`);
@@ -97,8 +97,9 @@
   });
 }
 
-// After a restart of all controllers of anketsis-pazar the leader answered 3000 heartbeats in 16 s, and none of them in time.
-test('workers that gave up while they waited are not answered, and those that still wait are', async (context) => {
+// After a restart of all controllers of anketsis-pazar the leader responded to 3000 heartbeats in 16 s, all of them too
+// late.
+test('heartbeats of workers that disconnected while waiting are dropped, and those of waiting workers are handled', async (context) => {
   let heartbeats = 0;
   const lines: string[] = [];
   const node = {
@@ -111,40 +112,47 @@
   const log = { ...quietLog, info: (_fields: object, text: string) => void lines.push(text) };
   const port = await serve(context, node, log);
   const kept = new Agent({ keepAlive: true, maxSockets: 1 });
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, kept))[0], 200);
+  assert.equal((await sendRequest(port, 'POST', HEARTBEAT_PATH, kept))[0], 200);
   for (let wave = 0; wave < 3; wave++)
-    await Promise.all(Array.from({ length: 20 }, () => giveUp(port)));
+    await Promise.all(Array.from({ length: 20 }, () => sendAndDisconnect(port)));
   assert.equal(heartbeats, 1);
   assert.equal(
-    (await ask(port, 'POST', HEARTBEAT_PATH, kept))[0],
+    (await sendRequest(port, 'POST', HEARTBEAT_PATH, kept))[0],
     200,
-    'open connections are served on',
+    'open connections are still served',
   );
   await new Promise((done) => setTimeout(done, 200));
   assert.ok(lines.some((line) => line.startsWith('dropped connections')));
   const fresh = new Agent({ keepAlive: true });
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, fresh))[0], 200, 'the queue is open again');
+  assert.equal(
+    (await sendRequest(port, 'POST', HEARTBEAT_PATH, fresh))[0],
+    200,
+    'the queue accepts connections again',
+  );
   for (const agent of [kept, fresh]) agent.destroy();
   assert.equal(heartbeats, 3);
 });
 
-test('a heartbeat that can not be handled gets 503 and harms nothing else; one that is too large, 400', async (context) => {
+test('a heartbeat whose handler throws gets 503, one that is too large gets 400, and the server goes on serving', async (context) => {
   const faulty = {
     handleHeartbeat: (body: unknown) => {
-      if (body !== null) throw new Error('a fault of our own');
+      if (body !== null) throw new Error('handler failed');
       return { status: 400, body: {} };
     },
     health: () => ({ kind: 'healthy' }),
   } satisfies Partial<ControllerNode> as Partial<ControllerNode> as ControllerNode;
   const port = await serve(context, faulty);
   const agent = new Agent({ keepAlive: true });
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent))[0], 503);
-  assert.equal((await ask(port, 'POST', HEARTBEAT_PATH, agent, { x: 'y'.repeat(70_000) }))[0], 400);
-  assert.equal((await ask(port, 'GET', '/healthz', agent))[0], 200);
+  assert.equal((await sendRequest(port, 'POST', HEARTBEAT_PATH, agent))[0], 503);
+  assert.equal(
+    (await sendRequest(port, 'POST', HEARTBEAT_PATH, agent, { x: 'y'.repeat(70_000) }))[0],
+    400,
+  );
+  assert.equal((await sendRequest(port, 'GET', '/healthz', agent))[0], 200);
   agent.destroy();
 });
 
-test('what is shared out stays within the limit, at every size of a process', () => {
+test('allocated sockets stay within the limit, for every limit', () => {
   for (const limit of [60, 400, 1000, 1308, 1923, 20_000]) {
     const shares = allocateSockets(limit);
     assert.ok(shares.maxInbound + shares.backlog + shares.maxToWorkers < limit, String(limit));
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -1,4 +1,4 @@
-/** The checker of the quota invariant, with planted breaches: what it does not see no run of the cluster can find. */
+/** The quota invariant with injected violations: no cluster run can find a violation that the checker misses. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -11,7 +11,7 @@
 const CANCEL_MS = 20_000;
 const WAITING_LIMIT_MS = 90_000;
 
-interface Planted {
+interface Fixture {
   invariants: Invariants;
   clock: { now: number };
 }
@@ -25,11 +25,11 @@
   imageGb: 0,
 };
 
-function withJob(over: Partial<JobSubmission> = {}): Planted {
+function withJob(over: Partial<JobSubmission> = {}): Fixture {
   const clock = { now: 0 };
   const invariants = new Invariants(() => clock.now, CANCEL_MS, new Map([['t0', LIMIT]]));
-  const facts = observedJob({ ...JOB, ...over }, 0);
-  invariants.jobs.set(JOB.id, { ...facts, reportedAccepted: true });
+  const observed = observedJob({ ...JOB, ...over }, 0);
+  invariants.jobs.set(JOB.id, { ...observed, reportedAccepted: true });
   return { invariants, clock };
 }
 
@@ -40,7 +40,7 @@
   spot: false,
 });
 
-test('a task beyond the limit is a breach at the moment it has its image', () => {
+test('a task that exceeds the limit violates the quota as soon as it has fetched its image', () => {
   const { invariants } = withJob();
   invariants.taskStarted('run-1/0', place('m1'));
   invariants.taskStarted('run-1/1', place('m1'));
@@ -49,7 +49,7 @@
   assert.deepEqual(invariants.violations, ['0 quota: t0 by run-1/2']);
 });
 
-test('a second copy of a task counts beside the first, and until it has left its own machine', () => {
+test('each copy of a task counts towards the quota until it has left its own machine', () => {
   const { invariants } = withJob();
   invariants.taskStarted('run-1/0', place('m1'));
   invariants.taskStarted('run-1/0', place('m2'));
@@ -58,10 +58,10 @@
   assert.equal(invariants.usedCpus('t0'), 2);
   invariants.taskStarted('run-1/1', place('m1'));
   invariants.taskStarted('run-1/2', place('m1'));
-  assert.ok(invariants.violations.some((broken) => broken.includes('quota')));
+  assert.ok(invariants.violations.some((violation) => violation.includes('quota')));
 });
 
-test('an end makes room once, however often it is told', () => {
+test('an exit that is reported twice frees CPUs once', () => {
   const { invariants } = withJob();
   invariants.taskStarted('run-1/0', place('m1'));
   invariants.taskStarted('run-1/1', place('m1'));
@@ -70,7 +70,7 @@
   assert.equal(invariants.usedCpus('t0'), 2);
 });
 
-test('a task that saves counts until it exits', async () => {
+test('a task that saves a checkpoint counts towards the quota until it exits', async () => {
   const cluster = new Cluster({ seed: 1, ordinaryUp: 4 });
   await cluster.run(4);
   const saving: Partial<JobSubmission> = {
@@ -86,18 +86,18 @@
   const [[task, [{ machine }]]] = [...cluster.invariants.placesByTask];
   const worker = cluster.cloud.machines.get(machine)!.worker!;
   worker.preemptionDeadline = cluster.clock.time + 15_000;
-  let saved = 0;
+  let samplesWhileSaving = 0;
   for (let i = 0; i < 100; i++) {
     await cluster.run(0.1);
     if (!worker.tasks.isSaving(task)) continue;
-    saved++;
-    assert.ok(cluster.invariants.usedCpus('t0') >= 2, 'it counts while it saves');
+    samplesWhileSaving++;
+    assert.ok(cluster.invariants.usedCpus('t0') >= 2, 'the task counts while it saves');
   }
-  assert.ok(saved >= 20, `${saved} looks while it saved`);
+  assert.ok(samplesWhileSaving >= 20, `${samplesWhileSaving} samples while it saved`);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a gang that does not fit under the limit as a whole does not wait in vain, one that fits does', () => {
+test('a waiting gang is a violation only if the whole gang fits under the limit of its team', () => {
   const rooms = [{ ...place('m1'), freeCpus: 64 }];
   for (const [tasks, waits] of [
     [3, false],
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -1,4 +1,7 @@
-/** The duties of a fleet of 4,000 machines, beside the leader acting itself. Simulated; see docs/duties.md. */
+/**
+ * Compares duties performed by their holders with a leader that performs all actions itself, in a simulated fleet of
+ * 4,000 machines; see docs/duties.md.
+ */
 import { DUTIES } from '@millring/duties';
 import {
   CloudInvariants,
@@ -13,7 +16,7 @@
 const CPUS = 16;
 const ZONES = ['a', 'b', 'c', 'd'];
 
-/** The holder of a duty, or any node if there is none, crashes or freezes. */
+/** Crashes or freezes the holder of a duty, or any node if the duty has no holder. */
 function disturbHolder(cluster: Cluster, round: number): void {
   const duty = DUTIES[round % DUTIES.length];
   const holder = cluster.state.value(`duties/holders/${duty}`) as
@@ -27,19 +30,19 @@
   mode: string,
   cluster: Cluster,
   seconds: number,
-  watch: CloudInvariants | null,
+  cloudInvariants: CloudInvariants | null,
 ): void {
   const { received } = cluster.state;
   console.log(
     `${mode}: ${cluster.invariants.violations.length} invariants violated, ${cluster.cloud.machines.size} machines left after ${seconds} s, ` +
       `cloud: ${cluster.cloud.received.calls} calls, ${cluster.cloud.received.tooMany} over the rate; ` +
       `state: ${received.requests} requests, ${received.changes} changes, ${received.tooMany} over the limits; ` +
-      `deletions ${watch?.deletions ?? '-'}, intents ${watch?.intents.size ?? '-'}`,
+      `deletions ${cloudInvariants?.deletions ?? '-'}, intents ${cloudInvariants?.intents.size ?? '-'}`,
   );
   for (const line of cluster.invariants.violations.slice(0, 5)) console.log(line);
 }
 
-/** Work for half of the fleet, while holders die or freeze; then nothing, until all machines are given back. */
+/** Submits work for half of the fleet while holders crash or freeze, then waits until all machines are deleted. */
 async function measureFleet(mode: 'on' | 'off'): Promise<void> {
   const cluster = new Cluster({
     seed: 7,
@@ -58,7 +61,7 @@
     duties: { ...DUTY_SETTINGS, mode },
   });
   putFeatureLevel(cluster);
-  const watch = mode === 'on' ? new CloudInvariants(cluster) : null;
+  const cloudInvariants = mode === 'on' ? new CloudInvariants(cluster) : null;
   await cluster.run(14);
   for (let i = 0; i < 16; i++)
     void cluster.users.run(
@@ -74,7 +77,7 @@
     await cluster.run(5);
     seconds += 5;
   }
-  print(mode, cluster, seconds, watch);
+  print(mode, cluster, seconds, cloudInvariants);
 }
 
 await measureFleet('off');
--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -1,4 +1,7 @@
-/** Measures how long a duty is without a doer, and what the duties cost at rest. Prints a table; see docs/duties.md. */
+/**
+ * Measures for how long a duty is not performed after its holder failed, and the load of idle duties on the state
+ * service and the provider. Prints a table; see docs/duties.md.
+ */
 import { performance } from 'node:perf_hooks';
 import hdr from 'hdr-histogram-js';
 import { DutyGroup } from './sim/duty-group.js';
@@ -9,27 +12,27 @@
 const LOOPBACK_RUNS = 10;
 const HOUR_S = 3600;
 const FREEZE_MS = 60_000;
-const DEATH_MS = 60_000;
+const DOWNTIME_MS = 60_000;
 
-type End = 'death' | 'freeze';
+type HolderFailure = 'death' | 'freeze';
 
-/** From the end of the holder to the first action of another one that the provider accepts. */
-async function simulatedGapMs(seed: number, end: End): Promise<number> {
+/** Returns the time in ms from the failure of the holder until the provider accepts an action of another one. */
+async function simulatedGapMs(seed: number, end: HolderFailure): Promise<number> {
   const group = new DutyGroup({ seed, settings: { lease_s: LEASE_S } });
   await group.settled();
   await group.run(5 + group.random.unit());
   const old = group.recorded(DUTY)!;
-  if (end === 'death') group.crash(old.controller, DEATH_MS);
+  if (end === 'death') group.crash(old.controller, DOWNTIME_MS);
   else group.freeze(old.controller, FREEZE_MS);
   const from = group.clock.time;
   void group.delete('return', 'm-1');
-  await group.until('another acts', () =>
+  await group.until('another controller acts', () =>
     group.provider.executed(DUTY).some(({ token }) => token > old.token),
   );
   return group.clock.time - from;
 }
 
-async function loopbackGapMs(run: number, end: End): Promise<number> {
+async function loopbackGapMs(run: number, end: HolderFailure): Promise<number> {
   const processes = new DutyProcesses();
   try {
     await processes.start(0, LEASE_S);
@@ -37,7 +40,7 @@
     processes.signal(old.controller, end === 'death' ? 'SIGKILL' : 'SIGSTOP');
     const from = performance.now();
     processes.plantDeletion(`i-${run}`, 'm-1');
-    await processes.until('another acts', () =>
+    await processes.until('another controller acts', () =>
       processes.provider.executed(DUTY).some(({ token }) => token > old.token),
     );
     return performance.now() - from;
@@ -46,7 +49,7 @@
   }
 }
 
-async function gaps(
+async function printGaps(
   name: string,
   runs: number,
   gap: (run: number) => Promise<number>,
@@ -57,24 +60,24 @@
   console.log(`${name}: ${runs} runs, p50 ${p50} ms, p95 ${p95} ms, most ${histogram.maxValue} ms`);
 }
 
-/** What three controllers ask of the state service and the provider while nothing is decided. */
-async function atRest(): Promise<void> {
+/** Prints the requests of three controllers to the state service and the provider in an hour without intents. */
+async function printIdleLoad(): Promise<void> {
   const group = new DutyGroup({ seed: 1, settings: { lease_s: 3, settle_s: 10, rebalance_s: 60 } });
   await group.settled();
   await group.run(60);
   const { requests, changes } = group.state.received;
   const calls = group.provider.calls.length;
   await group.run(HOUR_S);
-  const asked = group.state.received;
+  const received = group.state.received;
   console.log(
-    `at rest, an hour: ${asked.requests - requests} requests and ${asked.changes - changes} changes to the state service, ` +
+    `at rest, an hour: ${received.requests - requests} requests and ${received.changes - changes} changes to the state service, ` +
       `${group.provider.calls.length - calls} calls of the provider`,
   );
 }
 
 console.log(`lease of ${LEASE_S} s`);
 for (const end of ['death', 'freeze'] as const) {
-  await gaps(`simulated, ${end}`, SEEDS, (run) => simulatedGapMs(run, end));
-  await gaps(`loopback, ${end}`, LOOPBACK_RUNS, (run) => loopbackGapMs(run, end));
+  await printGaps(`simulated, ${end}`, SEEDS, (run) => simulatedGapMs(run, end));
+  await printGaps(`loopback, ${end}`, LOOPBACK_RUNS, (run) => loopbackGapMs(run, end));
 }
-await atRest();
+await printIdleLoad();
--- a/test/state-machine.test.ts
+++ b/test/state-machine.test.ts
@@ -1,4 +1,4 @@
-/** State machines: which transitions occur, and who hears of them. */
+/** State machines: allowed transitions, and calls of the listener. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { IllegalTransitionError, StateMachine, type Transitions } from '../src/state-machine.js';
@@ -7,7 +7,7 @@
 
 const TRANSITIONS: Transitions<Light> = { red: ['green'], green: ['red', 'off'], off: [] };
 
-function recorded(): { machine: StateMachine<Light>; events: string[] } {
+function recordingMachine(): { machine: StateMachine<Light>; events: string[] } {
   const events: string[] = [];
   const machine: StateMachine<Light> = new StateMachine(`light`, TRANSITIONS, 'red', {
     beforeTransition: (from, to, reason) =>
@@ -17,15 +17,15 @@
   return { machine, events };
 }
 
-test('a listed transition changes the state, and the listener hears of it before and after', () => {
-  const { machine, events } = recorded();
+test('a listed transition changes the state, and the listener is called before and after it', () => {
+  const { machine, events } = recordingMachine();
   machine.transitionTo('green', 'time');
   assert.equal(machine.state, 'green');
   assert.deepEqual(events, ['before red green (time): red', 'after red green: green']);
 });
 
 test('a transition that is not listed throws and changes nothing', () => {
-  const { machine, events } = recorded();
+  const { machine, events } = recordingMachine();
   assert.throws(() => {
     machine.transitionTo('off', 'time');
   }, IllegalTransitionError);
@@ -33,8 +33,8 @@
   assert.deepEqual(events, []);
 });
 
-test('the present state is no transition', () => {
-  const { machine, events } = recorded();
+test('a transition to the current state is ignored', () => {
+  const { machine, events } = recordingMachine();
   machine.transitionTo('red', 'time');
   assert.deepEqual(events, []);
 });
