--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -38,7 +38,7 @@
   deployment: ControllerProcesses,
   during: () => Promise<void>,
 ): Promise<Figures> {
-  const { state } = deployment.standIns;
+  const { state } = deployment.services;
   const accepted = deployment.users.latenciesMs.length;
   const { refused } = deployment.users;
   const { requests, changes } = state.received;
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -57,7 +57,7 @@
   );
   await deployment.until(
     'segments are stored',
-    () => segmentsIn(deployment.standIns.state).length > 0,
+    () => segmentsIn(deployment.services.state).length > 0,
   );
   await deployment.replace('n1', 'old');
   // A process that hasn't read the level yet refuses for that reason first; it is never healthy in between.
@@ -72,7 +72,7 @@
     [0, 'level 2, lowering -> 1: the leader goes on with it\n'],
   );
   await deployment.until('the level is lowered', () => deployment.level.active === 1);
-  assert.deepEqual(segmentsIn(deployment.standIns.state), []);
+  assert.deepEqual(segmentsIn(deployment.services.state), []);
   await deployment.untilHealthy('n1');
   await large;
   await deployment.users.endStream();
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -9,7 +9,7 @@
 import { type BuildName, bundleBuilds } from './controller-builds.js';
 import { killAndWait } from './child-process.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
-import { LoopbackStandIns } from './loopback.js';
+import { LoopbackServices } from './loopback.js';
 import { freePort } from './loopback-server.js';
 import { type ControllerAddresses, settingsFile } from './platform-settings.js';
 import { ProcessUsers } from './process-users.js';
@@ -38,7 +38,7 @@
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-'));
   private bundles = new Map<BuildName, string>();
   private readonly controllers: Controller[] = [];
-  standIns!: LoopbackStandIns;
+  services!: LoopbackServices;
   users!: ProcessUsers;
 
   /** `rollout` and `duties`: as in the operators' file. */
@@ -56,7 +56,7 @@
         peerAddress: `127.0.0.1:${await freePort()}`,
         process: null,
       });
-    this.standIns = new LoopbackStandIns({
+    this.services = new LoopbackServices({
       seed: 1,
       controllers: this.controllers,
       machinesPerPool: 3,
@@ -65,8 +65,8 @@
       cancelMs: CANCEL_S * 1000,
       limits: new Map([[TEAM, TEAM_LIMIT]]),
     });
-    await this.standIns.start();
-    this.users = new ProcessUsers(this.standIns, this.controllers, TEAM);
+    await this.services.start();
+    this.users = new ProcessUsers(this.services, this.controllers, TEAM);
     writeFileSync(join(this.directory, 'operator.json'), JSON.stringify({ rollout, duties }));
     for (const controller of this.controllers) {
       writeFileSync(this.configOf(controller.name), this.settingsOf(controller));
@@ -83,8 +83,8 @@
     return settingsFile({
       self: controller,
       others: this.controllers.filter((other) => other !== controller),
-      stateAddress: this.standIns.stateAddress,
-      cloudAddress: this.standIns.cloudAddress,
+      stateAddress: this.services.stateAddress,
+      cloudAddress: this.services.cloudAddress,
       teams: [{ name: TEAM, cpus: 16, cpusMax: TEAM_LIMIT }],
       reportS: REPORT_S,
       leaseS: LEASE_S,
@@ -126,7 +126,7 @@
   async stop(): Promise<void> {
     this.users.stop();
     for (const { process: child } of this.controllers) if (child) await killAndWait(child);
-    this.standIns.stop();
+    this.services.stop();
     rmSync(this.directory, { recursive: true });
   }
 
@@ -174,7 +174,7 @@
 
   /** What is stored of the cluster level. */
   get level(): { state: string; active: number } {
-    const stored = this.standIns.state.value('rollout/level') as
+    const stored = this.services.state.value('rollout/level') as
       { state: string; active: number } | undefined;
     return stored ?? { state: 'stable', active: 1 };
   }
--- a/test/sim/loopback.ts
+++ b/test/sim/loopback.ts
@@ -42,7 +42,7 @@
 }
 
 /** State service, cloud and machines on ports of their own, in real time until `stop`. */
-export class LoopbackStandIns {
+export class LoopbackServices {
   readonly clock = new VirtualClock();
   readonly invariants: Invariants;
   readonly state: StateService;
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 import { PLAIN_ARRAY, jobId } from './jobs.js';
-import type { LoopbackStandIns } from './loopback.js';
+import type { LoopbackServices } from './loopback.js';
 import { observedJob } from './observed-job.js';
 import { waitUntil } from './wait-until.js';
 import {
@@ -24,7 +24,7 @@
   refused = 0;
 
   constructor(
-    private readonly standIns: LoopbackStandIns,
+    private readonly services: LoopbackServices,
     private readonly controllers: { address: string }[],
     private readonly team: string,
   ) {}
@@ -49,7 +49,7 @@
   async run(job: JobSubmission): Promise<void> {
     this.openUsers++;
     const { id } = job;
-    const { invariants, clock } = this.standIns;
+    const { invariants, clock } = this.services;
     invariants.jobs.set(id, observedJob(job, clock.time));
     const began = performance.now();
     while (!(await this.request(id, submitRequest(job)))) this.refused++;
@@ -64,12 +64,12 @@
 
   /** Asks any controller that accepts connections; false if the request has to be repeated. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { invariants, clock } = this.standIns;
+    const { invariants, clock } = this.services;
     const asked = clock.time;
     const start = Math.floor(Math.random() * this.controllers.length);
     for (let i = 0; i < this.controllers.length; i++) {
       const { address } = this.controllers[(start + i) % this.controllers.length];
-      const reply = await this.standIns.ask(address, method, path, body);
+      const reply = await this.services.ask(address, method, path, body);
       if (reply.status === 0) continue;
       const decoded = decodeJobReply(reply);
       invariants.recordAnswer(id, decoded, asked);
@@ -97,7 +97,7 @@
 
   /** Each accepted job ended once; no task ran in two places, or again after it was done. */
   checkHistory(): void {
-    const { invariants } = this.standIns;
+    const { invariants } = this.services;
     assert.deepEqual(invariants.violations, []);
     assert.deepEqual(invariants.startsAfterFinish, []);
     for (const [id, job] of invariants.jobs)
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -6,7 +6,7 @@
 import type { LinkMode } from './fault-schedule.js';
 import { killAndWait } from '../sim/child-process.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from '../sim/gang-coordinator.js';
-import { LoopbackStandIns } from '../sim/loopback.js';
+import { LoopbackServices } from '../sim/loopback.js';
 import { freePort } from '../sim/loopback-server.js';
 import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
@@ -42,7 +42,7 @@
     private readonly program: string,
     private readonly size: SoakSize,
     private readonly controllers: Controller[],
-    readonly standIns: LoopbackStandIns,
+    readonly standIns: LoopbackServices,
   ) {}
 
   static async start(program: string, seed: number, size: SoakSize): Promise<SoakDeployment> {
@@ -55,7 +55,7 @@
         peerAddress: `127.0.0.1:${await freePort()}`,
         process: null,
       });
-    const standIns = new LoopbackStandIns({
+    const standIns = new LoopbackServices({
       seed,
       controllers,
       machinesPerPool: size.machinesPerPool,
