--- a/test/demo.ts
+++ b/test/demo.ts
@@ -2,7 +2,7 @@
  * Serves the stand-ins for the state service, the cloud and the workers on loopback in real time, submits one array
  * to a controller that was started with `docs/example/settings.toml`, and prints the answers until it is done.
  */
-import { LoopbackServices } from './sim/loopback.js';
+import { LoopbackServices } from './sim/loopback-services.js';
 import { observedJob } from './sim/observed-job.js';
 import {
   type JobStatus,
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -9,7 +9,7 @@
 import { type BuildName, bundleBuilds } from './controller-builds.js';
 import { killAndWait } from './child-process.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
-import { LoopbackServices } from './loopback.js';
+import { LoopbackServices } from './loopback-services.js';
 import { freePort } from './loopback-server.js';
 import { type ControllerAddresses, settingsFile } from './platform-settings.js';
 import { ProcessUsers } from './process-users.js';
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 import { PLAIN_ARRAY, jobId } from './jobs.js';
-import type { LoopbackServices } from './loopback.js';
+import type { LoopbackServices } from './loopback-services.js';
 import { observedJob } from './observed-job.js';
 import { waitUntil } from './wait-until.js';
 import {
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -6,7 +6,7 @@
 import type { LinkMode } from './fault-schedule.js';
 import { killAndWait } from '../sim/child-process.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from '../sim/gang-coordinator.js';
-import { LoopbackServices } from '../sim/loopback.js';
+import { LoopbackServices } from '../sim/loopback-services.js';
 import { freePort } from '../sim/loopback-server.js';
 import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
