--- a/test/demo.ts
+++ b/test/demo.ts
@@ -8,7 +8,7 @@
   type JobStatus,
   type JobSubmission,
   type UserRequest,
-  decodeJobReply,
+  decodeJobResponse,
   pollRequest,
   submitRequest,
 } from './sim/wire/users.js';
@@ -55,7 +55,7 @@
 async function ask({ method, path, body }: UserRequest): Promise<JobStatus | null> {
   const reply = await standIns.ask(CONTROLLER.address, method, path, body);
   console.log(`${method} ${path} -> ${reply.status} ${JSON.stringify(reply.body)}`);
-  return decodeJobReply(reply).job;
+  return decodeJobResponse(reply).job;
 }
 
 /** As PROTOCOL has it: a submission is repeated until it is accepted, then the user asks until the job is over. */
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -99,7 +99,7 @@
   const group = await settledGroup(36);
   const holder = group.holder('return') ?? assert.fail();
   const before = group.recorded('return');
-  group.holdAnswers(holder, 5000);
+  group.holdResponses(holder, 5000);
   await group.run(4);
   assert.equal(group.holder('return'), undefined);
   assert.equal(group.member(holder).holder('return').state(), 'suspended');
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
-import { type JobSubmission, cancelRequest, decodeJobReply } from './sim/wire/users.js';
+import { type JobSubmission, cancelRequest, decodeJobResponse } from './sim/wire/users.js';
 
 /** A long array fills its team's limit on machines that the next leader can't reach at first. */
 async function unreachable(seed: number): Promise<Cluster> {
@@ -69,7 +69,7 @@
     const asked = cluster.clock.time;
     const { method, path, body } = cancelRequest(id);
     const reply = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
-    cluster.invariants.recordAnswer(id, decodeJobReply(reply), asked);
+    cluster.invariants.recordAnswer(id, decodeJobResponse(reply), asked);
     if (reply.status !== 200) cluster.clock.after(500, () => void cancel());
   };
   cluster.clock.after(3800, () => void cancel());
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -6,7 +6,7 @@
 import { LEASE_MS } from './sim/cluster-config.js';
 import { BATCH } from './sim/jobs.js';
 import { requestFrom } from './sim/user-request.js';
-import { type JobReply, cancelRequest, pollRequest } from './sim/wire/users.js';
+import { type JobResponse, cancelRequest, pollRequest } from './sim/wire/users.js';
 import { HEARTBEAT_PATH, reportingMachine } from './sim/wire/workers.js';
 import type { Body } from '../src/wire/cbor.js';
 
@@ -59,7 +59,8 @@
 test('a node that the state service alone refuses sends users elsewhere; in an outage for all nobody does', async () => {
   const cluster = new Cluster({ seed: 15 });
   await cluster.run(5);
-  const poll = (n: string): Promise<JobReply> => requestFrom(cluster, n, pollRequest('run-123456'));
+  const poll = (n: string): Promise<JobResponse> =>
+    requestFrom(cluster, n, pollRequest('run-123456'));
   cluster.state.rejectHost('n1:80', 8000);
   await poll('n1');
   await cluster.run(2.5);
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -216,7 +216,7 @@
   }
 
   /** What the state service answers this process is held; what it asks is executed. */
-  holdAnswers(name: string, ms: number): void {
+  holdResponses(name: string, ms: number): void {
     this.network.partitions.push({
       a: (host) => host === STATE,
       b: (host) => host === `${name}:80`,
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -70,7 +70,7 @@
       http: runtime.http,
       address: providerAddress,
       beforeSending,
-      onReply: ({ status }) => {
+      onResponse: ({ status }) => {
         tell({ kind: 'answered', at: performance.now(), status });
       },
     }),
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -94,7 +94,7 @@
   address: string;
   /** Between the check of the holder and the request. */
   beforeSending?: () => Promise<void>;
-  onReply?: (reply: HttpResponse) => void;
+  onResponse?: (reply: HttpResponse) => void;
 }
 
 /** Fails with `StaleTokenError` when its token is refused. */
@@ -121,7 +121,7 @@
     await this.options.beforeSending?.();
     const { http, address } = this.options;
     const reply = await http.send(address, 'POST', path, { ...body, duty, token }, TIMEOUT_MS);
-    this.options.onReply?.(reply);
+    this.options.onResponse?.(reply);
     if (reply.status === PRECONDITION_FAILED)
       throw new StaleTokenError(duty, token, toNumber(reply.body.newest)!);
     return reply.status === 200 ? reply.body : null;
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -2,7 +2,7 @@
 import type { ObservedJob } from './observed-job.js';
 import { type MachineRoom, type Place, fits, mismatches } from './places.js';
 import { unservedJobs } from './service-level.js';
-import type { JobReply, JobState } from './wire/users.js';
+import type { JobResponse, JobState } from './wire/users.js';
 
 /** Once all faults are over, no accepted job may go without an answer for longer. */
 const FORGOTTEN_MS = 75_000;
@@ -98,7 +98,7 @@
   }
 
   /** An answer to a request that was sent at `asked`: what was told before then must stand. */
-  recordAnswer(id: string, { status, job: answered }: JobReply, asked: number): void {
+  recordAnswer(id: string, { status, job: answered }: JobResponse, asked: number): void {
     const job = this.jobs.get(id);
     if (status === 404 && job?.reportedAccepted) this.recordViolation('forgotten', id);
     if (!answered) return;
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -8,7 +8,7 @@
 import {
   type JobSubmission,
   type UserRequest,
-  decodeJobReply,
+  decodeJobResponse,
   pollRequest,
   submitRequest,
 } from './wire/users.js';
@@ -71,7 +71,7 @@
       const { address } = this.controllers[(start + i) % this.controllers.length];
       const reply = await this.services.ask(address, method, path, body);
       if (reply.status === 0) continue;
-      const decoded = decodeJobReply(reply);
+      const decoded = decodeJobResponse(reply);
       invariants.recordAnswer(id, decoded, asked);
       if (decoded.job) return true;
       break;
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -6,11 +6,11 @@
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
 import {
-  type JobReply,
+  type JobResponse,
   type JobSubmission,
   type UserRequest,
   cancelRequest,
-  decodeJobReply,
+  decodeJobResponse,
   pollRequest,
   submitRequest,
 } from './wire/users.js';
@@ -40,9 +40,9 @@
     return { ...randomJob(this.nextJob++, this.deps.random), ...over };
   }
 
-  private async send({ method, path, body }: UserRequest, via?: string): Promise<JobReply> {
+  private async send({ method, path, body }: UserRequest, via?: string): Promise<JobResponse> {
     const node = via ?? this.deps.random.pick(this.deps.nodeNames);
-    return decodeJobReply(
+    return decodeJobResponse(
       await this.deps.network.send('user', `${node}:80`, method, path, body, TIMEOUT_MS),
     );
   }
@@ -52,7 +52,7 @@
     id: string,
     request: UserRequest,
     via?: string,
-  ): Promise<JobReply> {
+  ): Promise<JobResponse> {
     for (let i = 0; ; i++) {
       const asked = this.deps.clock.time;
       const reply = await this.send(request, via);
@@ -75,7 +75,7 @@
     return new Promise((done) => this.deps.clock.after(ms, done));
   }
 
-  async poll(id: string): Promise<JobReply> {
+  async poll(id: string): Promise<JobResponse> {
     const asked = this.deps.clock.time;
     const reply = await this.send(pollRequest(id));
     this.deps.invariants.recordAnswer(id, reply, asked);
@@ -83,7 +83,7 @@
   }
 
   /** The same submission once more. */
-  async resubmit(id: string): Promise<JobReply> {
+  async resubmit(id: string): Promise<JobResponse> {
     const asked = this.deps.clock.time;
     const reply = await this.send(submitRequest(this.deps.invariants.jobs.get(id)!.spec));
     this.deps.invariants.recordAnswer(id, reply, asked);
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -57,7 +57,7 @@
 }
 
 /** `job` is null unless the request was accepted. */
-export interface JobReply {
+export interface JobResponse {
   status: number;
   job: JobStatus | null;
 }
@@ -153,7 +153,7 @@
 }
 
 /** An accepted request has to name the job and a state that users know. */
-export function decodeJobReply({ status, body }: HttpResponse): JobReply {
+export function decodeJobResponse({ status, body }: HttpResponse): JobResponse {
   const isAccepted = status === 200 || status === 201;
   return { status, job: isAccepted ? decodeJobStatus(body) : null };
 }
--- a/test/sim/wire/workers.ts
+++ b/test/sim/wire/workers.ts
@@ -46,13 +46,13 @@
   | { kind: 'stop'; task: string; attempt: number; graceS: number };
 
 /** What a controller answers to a heartbeat. */
-export interface HeartbeatReply {
+export interface HeartbeatResponse {
   token: number | undefined;
   commands: TaskCommand[];
 }
 
 /** Commands sent straight to a worker. */
-export interface CommandRequest extends HeartbeatReply {
+export interface CommandRequest extends HeartbeatResponse {
   incarnation: number | undefined;
 }
 
@@ -116,7 +116,7 @@
   return textField(heartbeat, 'stone');
 }
 
-export function decodeHeartbeatReply(body: Body): HeartbeatReply {
+export function decodeHeartbeatResponse(body: Body): HeartbeatResponse {
   return { token: toNumber(body.warrant), commands: mapsField(body, 'orders').map(decodeCommand) };
 }
 
@@ -126,12 +126,12 @@
 }
 
 export function decodeCommandRequest(body: Body): CommandRequest {
-  return { ...decodeHeartbeatReply(body), incarnation: toNumber(body.turning) };
+  return { ...decodeHeartbeatResponse(body), incarnation: toNumber(body.turning) };
 }
 
 /** Does a request to a worker start any task? */
 export function startsTasks(body: Body): boolean {
-  return decodeHeartbeatReply(body).commands.some(({ kind }) => kind === 'start');
+  return decodeHeartbeatResponse(body).commands.some(({ kind }) => kind === 'start');
 }
 
 function decodeCommand(body: Body): TaskCommand {
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -9,7 +9,7 @@
   COMMANDS_PATH,
   HEARTBEAT_PATH,
   decodeCommandRequest,
-  decodeHeartbeatReply,
+  decodeHeartbeatResponse,
   encodeHeartbeat,
   redirectTarget,
 } from './wire/workers.js';
@@ -203,7 +203,7 @@
   private accept(body: Body, sent: number, incarnation: number): void {
     this.isAwaitingReply = false;
     this.checkLease();
-    const { token, commands } = decodeHeartbeatReply(body);
+    const { token, commands } = decodeHeartbeatResponse(body);
     if (incarnation !== this.incarnation || token === undefined || token < this.token) return;
     this.lastAnsweredSent = sent;
     this.observeToken(token);
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -12,7 +12,7 @@
   type JobSubmission,
   type UserRequest,
   cancelRequest,
-  decodeJobReply,
+  decodeJobResponse,
   pollRequest,
   submitRequest,
 } from '../sim/wire/users.js';
@@ -177,7 +177,7 @@
     const reply = await this.standIns.ask(address, method, path, body);
     const refused = reply.status === 400 || reply.status === 422;
     if (refused) invariants.recordViolation('forgotten', `${id} got ${reply.status}`);
-    else if (reply.status !== 0) invariants.recordAnswer(id, decodeJobReply(reply), asked);
+    else if (reply.status !== 0) invariants.recordAnswer(id, decodeJobResponse(reply), asked);
     return reply.status === 200 || reply.status === 201;
   }
 
