--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -8,7 +8,7 @@
 import type { DutyProcessMessage, DutyProcessOptions } from './duty-process.js';
 import { FencedProvider } from './fenced-provider.js';
 import { closeServer, serveOnLoopback } from './loopback-server.js';
-import { followSteadyClock } from './steady-clock.js';
+import { runInRealTime } from './real-time.js';
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
 import { waitUntil } from './wait-until.js';
@@ -39,7 +39,7 @@
     const state = await serveOnLoopback((...request) => this.state.handle(...request));
     const provider = await serveOnLoopback(this.provider.handle);
     this.servers.push(state.server, provider.server);
-    void followSteadyClock(this.clock, () => this.stopped);
+    void runInRealTime(this.clock, () => this.stopped);
     for (const name of NAMES)
       this.fork({
         name,
--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -5,7 +5,7 @@
 import { type Body, isMap } from '../../src/wire/cbor.js';
 import { type CloudMachine, CloudService } from './cloud.js';
 import { VirtualClock } from './clock.js';
-import { followSteadyClock } from './steady-clock.js';
+import { runInRealTime } from './real-time.js';
 import { GangCoordinator } from './gang-coordinator.js';
 import { type Handler, Network } from './network.js';
 import { SeededRandom } from './random.js';
@@ -120,7 +120,7 @@
     }
     const isStopped = (): boolean => this.stopped;
     this.startedAt = performance.now();
-    void followSteadyClock(this.clock, isStopped, () => {
+    void runInRealTime(this.clock, isStopped, () => {
       this.invariants.check();
     });
   }
--- a/test/sim/steady-clock.ts
+++ b/test/sim/real-time.ts
@@ -5,7 +5,7 @@
 const STEP_MS = 10;
 
 /** Virtual time follows the steady clock until `stopped`. */
-export async function followSteadyClock(
+export async function runInRealTime(
   clock: VirtualClock,
   stopped: () => boolean,
   check: () => void = () => undefined,
