--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -28,7 +28,7 @@
 import { Users } from './users.js';
 import { Worker } from './worker.js';
 import { quietLog } from './quiet-log.js';
-import { withoutGate } from './without-gate.js';
+import { responseToUngatedBuild } from './ungated-build.js';
 
 interface NodeProcess extends SimulatedProcess {
   node: ControllerNode;
@@ -169,7 +169,7 @@
       random: this.random,
       own: this.clock.host(this.random.between(1, 1.0005), () => process.alive),
       log: this.logOf(name),
-      seen: this.ungated.has(name) ? withoutGate : undefined,
+      seen: this.ungated.has(name) ? responseToUngatedBuild : undefined,
     });
     const tell = (message: PeerMessage): void => {
       this.peerMessageListener(message);
--- a/test/sim/without-gate.ts
+++ b/test/sim/ungated-build.ts
@@ -9,7 +9,7 @@
  * What a build from before levels sees of the state service: it never asks for the rollout's records, and takes a
  * record of finished tasks that is no text for one that tells of no task.
  */
-export function withoutGate(path: string, reply: HttpResponse): HttpResponse {
+export function responseToUngatedBuild(path: string, reply: HttpResponse): HttpResponse {
   const read = decodeReadRequest(path);
   if (read?.kind === 'get' && read.key.startsWith(ROLLOUT_RECORDS))
     return { status: 404, body: encodeRevision(1) };
