--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -51,7 +51,7 @@
   nextMachineSlowness = 1;
   /** Further checks after each step. */
   readonly checks: (() => void)[] = [];
-  /** Nodes that run, from their next start on, as a build from before levels would: see `withoutGate`. */
+  /** Nodes that run, from their next start on, as a build from before levels would: see `responseToUngatedBuild`. */
   readonly ungated = new Set<string>();
   /** When the last fault was over. */
   faultsEndedAt: number | null = null;
