--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -1,6 +1,6 @@
 /** Faults of machines, controllers, network and services, for the digest's scenarios. */
 import { BUILD } from '../../src/build.js';
-import { OLD, operatorOf } from '../sim/rolling-upgrade.js';
+import { OLD_BUILD, operatorOf } from '../sim/rolling-upgrade.js';
 import { type Cluster } from '../sim/cluster.js';
 import { LEASE_MS } from '../sim/cluster-config.js';
 import type { CloudMachine } from '../sim/cloud.js';
@@ -118,7 +118,7 @@
   const name = cluster.random.pick(cluster.nodeNames);
   if (second >= 20 && second < 20 + cluster.nodeNames.length)
     cluster.builds.set(cluster.nodeNames[second - 20], BUILD);
-  else if (second < 20) cluster.builds.set(name, cluster.random.chance(0.7) ? BUILD : OLD);
+  else if (second < 20) cluster.builds.set(name, cluster.random.chance(0.7) ? BUILD : OLD_BUILD);
   if (second % 4 === 1) cluster.crash(name, cluster.random.between(50, 2000));
   if (second === 26) crashAll(cluster);
 }
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,7 +1,7 @@
 /** The scenarios by seed: seeds that are `SCENARIOS.length` apart run the same one with other random numbers. */
 import { type Cluster } from '../sim/cluster.js';
 import { SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
-import { OLD, SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
+import { OLD_BUILD, ROLLOUT_SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
 import { duplicateHeartbeats } from '../sim/faults.js';
 import { THREE_ZONES, largeFleet, unevenMachines, wide, withDuties } from './deployments.js';
 import * as faults from './faults.js';
@@ -114,7 +114,7 @@
     config: {
       ...wide,
       rollout: AUTOMATIC_ROLLOUT,
-      builds: { n0: OLD, n1: OLD, n2: OLD },
+      builds: { n0: OLD_BUILD, n1: OLD_BUILD, n2: OLD_BUILD },
     },
     eachSecond: combine(
       mixedJobs,
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -3,13 +3,18 @@
 import { test } from 'node:test';
 import { BUILD } from '../src/build.js';
 import { BATCH } from './sim/jobs.js';
-import { LARGE, RollingUpgrade, SETTINGS, withJobs } from './sim/rolling-upgrade.js';
+import {
+  LARGE_CLUSTER,
+  RollingUpgrade,
+  ROLLOUT_SETTINGS,
+  withJobs,
+} from './sim/rolling-upgrade.js';
 
 // Guards: a leader that can't follow intents must not lead while a machine may be deleted because of one.
 test('lowering from the level of the duties waits for open intents, and the leader then acts itself', async () => {
   const roll = new RollingUpgrade(19, BUILD, {
     ordinaryUp: 0,
-    rollout: { ...SETTINGS, ungated_builds_retired: true },
+    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
     duties: { mode: 'on', lease_s: 2, settle_s: 3, rebalance_s: 15, retention_s: 10 },
   });
   const { state } = roll.cluster;
@@ -48,8 +53,8 @@
 // Guards: what the lower level still uses is not converted.
 test('lowering from the level of the duties leaves segments as they are', async () => {
   const roll = new RollingUpgrade(20, BUILD, {
-    ...LARGE,
-    rollout: { ...SETTINGS, ungated_builds_retired: true },
+    ...LARGE_CLUSTER,
+    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
   });
   await roll.reaches('stable', 3);
   roll.submitLarge(8);
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -5,19 +5,19 @@
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
 import { RolloutInvariants } from './sim/rollout-invariants.js';
 import {
-  LARGE,
+  LARGE_CLUSTER,
   NAMES,
-  NEW,
-  OLD,
-  ROLL_S,
+  NEW_BUILD,
+  OLD_BUILD,
+  LEVEL_CHANGE_S,
   RollingUpgrade,
-  SETTINGS,
+  ROLLOUT_SETTINGS,
   withJobs,
 } from './sim/rolling-upgrade.js';
 
 test('a frozen leader wakes amid a change, with a late transaction on its way', async () => {
   for (const seed of [6, 7, 8]) {
-    const roll = new RollingUpgrade(seed, NEW);
+    const roll = new RollingUpgrade(seed, NEW_BUILD);
     withJobs(roll);
     await roll.reaches('preparing', 1);
     // Whatever is written now is carried out seconds later and never answered.
@@ -55,7 +55,7 @@
 for (const phase of ['preparing', 'activating', 'lowering'] as const)
   for (const [who, refuse] of OUTAGES)
     test(`the state service refuses ${who} while ${phase}: the change goes on afterwards`, async () => {
-      const roll = new RollingUpgrade(9, NEW);
+      const roll = new RollingUpgrade(9, NEW_BUILD);
       withJobs(roll);
       if (phase === 'lowering') {
         await roll.reaches('stable', 2);
@@ -67,7 +67,7 @@
     });
 
 test('a change without progress is given up, and waits for an operator', async () => {
-  const roll = new RollingUpgrade(10, NEW);
+  const roll = new RollingUpgrade(10, NEW_BUILD);
   await roll.reaches('preparing', 1);
   const gone = roll.follower();
   roll.cluster.crash(gone, 25_000);
@@ -83,7 +83,7 @@
 });
 
 test('a change is given up when processes of a controller keep ending', async () => {
-  const roll = new RollingUpgrade(11, NEW);
+  const roll = new RollingUpgrade(11, NEW_BUILD);
   await roll.reaches('preparing', 1);
   const ending = roll.follower();
   for (let i = 0; i < 5; i++) {
@@ -97,7 +97,7 @@
 
 // Without the guard on the level a segment would land after the last one was converted.
 test('a segment on its way while the level is lowered changes nothing', async () => {
-  const roll = new RollingUpgrade(16, NEW, LARGE);
+  const roll = new RollingUpgrade(16, NEW_BUILD, LARGE_CLUSTER);
   await roll.reaches('stable', 2);
   // It outlives the write that is on its way.
   const id = roll.submitLarge(5);
@@ -117,7 +117,7 @@
 
 // Without the guards of its writes the process that has ended would seem to be there, with its build.
 test('what a replaced process has on its way does not count for its successor', async () => {
-  const roll = new RollingUpgrade(19, NEW);
+  const roll = new RollingUpgrade(19, NEW_BUILD);
   const { state, clock } = roll.cluster;
   await roll.until('all have announced', () =>
     NAMES.every((name) => state.value(`rollout/controllers/${name}`)),
@@ -129,46 +129,46 @@
   await roll.cluster.run(0.3);
   state.lateWrites = null;
   assert.ok(clock.time < 20_000);
-  roll.replace(name, OLD, 250);
+  roll.replace(name, OLD_BUILD, 250);
   await roll.staysAt(1, 30);
   assert.deepEqual(roll.cluster.invariants.violations, []);
 });
 
 // Without the guards on all announcements the level would rise over a build that can't follow.
 test('the last confirmation counts only while every announcement stands as it was read', async () => {
-  const roll = new RollingUpgrade(22, NEW);
+  const roll = new RollingUpgrade(22, NEW_BUILD);
   await roll.reaches('activating', 1);
   const { state, clock, invariants } = roll.cluster;
   state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, keys: 'rollout/level' };
   await roll.cluster.run(0.6);
-  roll.replace(roll.follower(), OLD, 50);
-  await roll.staysAt(1, ROLL_S);
+  roll.replace(roll.follower(), OLD_BUILD, 50);
+  await roll.staysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
 // Without the guard on the record's version the late one would undo what came after it.
 test("a leader's change without an answer, made again, and then carried out late, changes nothing", async () => {
-  const roll = new RollingUpgrade(20, NEW);
+  const roll = new RollingUpgrade(20, NEW_BUILD);
   await roll.reaches('preparing', 1);
   const { state, clock, invariants } = roll.cluster;
   state.lateWrites = { share: 1, until: clock.time + 2000, byMs: 12_000, keys: 'rollout/level' };
-  roll.replace(roll.follower(), OLD, 100);
+  roll.replace(roll.follower(), OLD_BUILD, 100);
   await roll.cluster.run(2);
   assert.equal(roll.level.state, 'preparing');
   await roll.until('given up', () => roll.level.held !== null && roll.level.state === 'stable', 10);
-  await roll.staysAt(1, ROLL_S);
+  await roll.staysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
 test('a malformed announcement is ignored, logged once, and replaced by its controller', async () => {
   const lines: string[] = [];
-  const roll = new RollingUpgrade(15, OLD, {
+  const roll = new RollingUpgrade(15, OLD_BUILD, {
     log: (_node, text, fields) => {
       if (text === 'announcement ignored') lines.push((fields as { reason: string }).reason);
     },
   });
   await roll.cluster.run(6);
-  for (const name of NAMES) roll.replace(name, NEW, 50);
+  for (const name of NAMES) roll.replace(name, NEW_BUILD, 50);
   await roll.cluster.run(1);
   const planted = roll.cluster.state.value('rollout/controllers/n2') as object;
   roll.cluster.state.putDirectly('rollout/controllers/n2', { ...planted, build: { reads: 'all' } });
@@ -186,7 +186,7 @@
 
 function replaceAtRandom(cluster: Cluster, second: number, name: string): void {
   if (second >= 50 || !cluster.random.chance(0.12)) return;
-  cluster.builds.set(name, cluster.random.chance(0.75) ? NEW : OLD);
+  cluster.builds.set(name, cluster.random.chance(0.75) ? NEW_BUILD : OLD_BUILD);
   cluster.crash(name, cluster.random.between(50, 3000));
 }
 
@@ -201,7 +201,7 @@
 
 /** All end up with the new build. */
 function replaceAllByNew(cluster: Cluster, second: number): void {
-  if (second === 50) for (const name of NAMES) cluster.builds.set(name, NEW);
+  if (second === 50) for (const name of NAMES) cluster.builds.set(name, NEW_BUILD);
   if (second === 52)
     for (const name of NAMES) cluster.crash(name, cluster.random.between(50, 2000));
 }
@@ -214,8 +214,8 @@
         seed,
         ordinaryUp: 20,
         capacity: 12,
-        rollout: { ...SETTINGS, stall_s: 8 },
-        builds: Object.fromEntries(NAMES.map((name) => [name, OLD])),
+        rollout: { ...ROLLOUT_SETTINGS, stall_s: 8 },
+        builds: Object.fromEntries(NAMES.map((name) => [name, OLD_BUILD])),
       },
       (cluster, second) => {
         invariants ??= new RolloutInvariants(cluster);
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -4,23 +4,23 @@
 import { BATCH } from './sim/jobs.js';
 import { encodeSubmission } from './sim/wire/users.js';
 import {
-  LARGE,
+  LARGE_CLUSTER,
   NAMES,
-  NEW,
-  OLD,
-  ROLL_S,
+  NEW_BUILD,
+  OLD_BUILD,
+  LEVEL_CHANGE_S,
   RollingUpgrade,
-  SETTINGS,
+  ROLLOUT_SETTINGS,
   withJobs,
 } from './sim/rolling-upgrade.js';
 
 test('the level is raised by itself once every controller has the new build, and not before', async () => {
-  const roll = new RollingUpgrade(1, OLD);
+  const roll = new RollingUpgrade(1, OLD_BUILD);
   await roll.cluster.run(6);
   withJobs(roll);
   for (const name of NAMES) {
     await roll.staysAt(1, 6);
-    roll.replace(name, NEW);
+    roll.replace(name, NEW_BUILD);
   }
   await roll.reaches('stable', 2);
   await roll.finish();
@@ -30,32 +30,32 @@
 for (const phase of ['preparing', 'activating'] as const)
   for (const role of ['follower', 'leader'] as const)
     test(`a ${role} that is rolled back while ${phase} ends the change, which begins again with the next build`, async () => {
-      const roll = new RollingUpgrade(2, NEW);
+      const roll = new RollingUpgrade(2, NEW_BUILD);
       withJobs(roll);
       await roll.reaches(phase, 1);
       const name = roll[role]();
-      roll.replace(name, OLD, 100);
+      roll.replace(name, OLD_BUILD, 100);
       await roll.until('given up', () => roll.level.held !== null);
       assert.match(roll.level.held!.reason, new RegExp(`${name} runs build 0.0.9`));
       await roll.reaches('stable', 1);
-      await roll.staysAt(1, ROLL_S);
+      await roll.staysAt(1, LEVEL_CHANGE_S);
       assert.ok(
         roll.cluster.node(name).rollout.mayServe(),
         'nothing was written that it cannot read',
       );
-      roll.replace(name, NEW);
+      roll.replace(name, NEW_BUILD);
       await roll.reaches('stable', 2);
       await roll.finish();
     });
 
 for (const role of ['follower', 'leader'] as const)
   test(`a ${role} that is rolled back after the level was raised serves nothing until it is lowered`, async () => {
-    const roll = new RollingUpgrade(3, NEW, LARGE);
+    const roll = new RollingUpgrade(3, NEW_BUILD, LARGE_CLUSTER);
     await roll.reaches('stable', 2);
     roll.submitLarge();
     await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
     const name = roll[role]();
-    roll.replace(name, OLD, 100);
+    roll.replace(name, OLD_BUILD, 100);
     await roll.cluster.run(6);
     const node = roll.cluster.node(name);
     const health = node.health();
@@ -82,24 +82,24 @@
   });
 
 test('a straggler that was away all the time: nothing is raised without it, whatever build it comes back with', async () => {
-  const roll = new RollingUpgrade(4, OLD);
+  const roll = new RollingUpgrade(4, OLD_BUILD);
   await roll.cluster.run(6);
   roll.cluster.crash('n2', 60_000);
-  for (const name of ['n0', 'n1']) roll.replace(name, NEW);
+  for (const name of ['n0', 'n1']) roll.replace(name, NEW_BUILD);
   withJobs(roll);
   await roll.staysAt(1, 55);
   assert.equal(roll.invariants.history.length, 0, 'nothing was even proposed');
   await roll.cluster.run(8);
   assert.ok(roll.cluster.node('n2').rollout.mayServe());
-  await roll.staysAt(1, ROLL_S);
-  roll.replace('n2', NEW);
+  await roll.staysAt(1, LEVEL_CHANGE_S);
+  roll.replace('n2', NEW_BUILD);
   await roll.reaches('stable', 2);
   await roll.finish();
 });
 
 // docs/safety.md: it can't refuse by itself, so the form must be one that it takes for missing knowledge.
 test('a straggler without any gate comes back, leads and goes on with what is stored in the new form', async () => {
-  const roll = new RollingUpgrade(5, NEW, LARGE);
+  const roll = new RollingUpgrade(5, NEW_BUILD, LARGE_CLUSTER);
   await roll.reaches('stable', 2);
   roll.submitLarge();
   withJobs(roll, 2);
@@ -114,7 +114,7 @@
 });
 
 test('lowering converts what is stored, across a crash of the leader, and is not undone by itself', async () => {
-  const roll = new RollingUpgrade(12, NEW, LARGE);
+  const roll = new RollingUpgrade(12, NEW_BUILD, LARGE_CLUSTER);
   await roll.reaches('stable', 2);
   roll.submitLarge();
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
@@ -122,12 +122,12 @@
   await roll.reaches('lowering', 2);
   roll.cluster.crash(roll.leader(), 300);
   await roll.reaches('stable', 1);
-  await roll.staysAt(1, ROLL_S);
+  await roll.staysAt(1, LEVEL_CHANGE_S);
   await roll.finish();
 });
 
 test('lowering is refused by name where the older form does not fit, and the level stays', async () => {
-  const roll = new RollingUpgrade(13, NEW, LARGE);
+  const roll = new RollingUpgrade(13, NEW_BUILD, LARGE_CLUSTER);
   for (const name of NAMES) roll.cluster.overrides.set(name, { maxValueKb: 0.5 });
   for (const name of NAMES) roll.cluster.crash(name, 50);
   roll.cluster.state.bounds = { valueBytes: 512, txnOps: 12 };
@@ -144,7 +144,9 @@
 });
 
 test("operators' commands work while nobody leads, and are refused with a reason", async () => {
-  const roll = new RollingUpgrade(14, NEW, { rollout: { ...SETTINGS, mode: 'manual' } });
+  const roll = new RollingUpgrade(14, NEW_BUILD, {
+    rollout: { ...ROLLOUT_SETTINGS, mode: 'manual' },
+  });
   await roll.cluster.run(6);
   assert.deepEqual(await roll.ask('abort'), {
     kind: 'refused',
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -16,12 +16,12 @@
 import { RolloutInvariants } from './rollout-invariants.js';
 
 /** What ran before: it has the gate, and knows the base level only. */
-export const OLD: Build = { version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 };
+export const OLD_BUILD: Build = { version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 };
 /** The levels of the first feature alone, so that a raised level stays where these tests look for it. */
-export const NEW: Build = { ...BUILD, reads: { from: 1, to: 2 }, writes: 2 };
+export const NEW_BUILD: Build = { ...BUILD, reads: { from: 1, to: 2 }, writes: 2 };
 export const NAMES = ['n0', 'n1', 'n2'];
 
-export const SETTINGS: RolloutSettings = {
+export const ROLLOUT_SETTINGS: RolloutSettings = {
   mode: 'automatic',
   soak_s: 2,
   stall_s: 15,
@@ -32,7 +32,7 @@
 
 const STEP_S = 0.05;
 /** Longer than a change of level takes with nobody away. */
-export const ROLL_S = 15;
+export const LEVEL_CHANGE_S = 15;
 
 /** What an operator's command works with, beside the controllers. */
 export function operatorOf(cluster: Cluster): RolloutOperator {
@@ -46,7 +46,7 @@
     store,
     controllers: NAMES,
     registry: FEATURES,
-    settings: SETTINGS,
+    settings: ROLLOUT_SETTINGS,
     by: `operator-${cluster.clock.time}`,
     wallMs: () => 1e12 + cluster.clock.time,
   });
@@ -59,7 +59,13 @@
 
   constructor(seed: number, build: Build, config: Partial<ClusterConfig> = {}) {
     const builds = Object.fromEntries(NAMES.map((name) => [name, build]));
-    this.cluster = new Cluster({ seed, ordinaryUp: 8, rollout: SETTINGS, builds, ...config });
+    this.cluster = new Cluster({
+      seed,
+      ordinaryUp: 8,
+      rollout: ROLLOUT_SETTINGS,
+      builds,
+      ...config,
+    });
     this.invariants = new RolloutInvariants(this.cluster);
   }
 
@@ -133,7 +139,11 @@
 }
 
 /** Room for arrays of thousands of tasks. */
-export const LARGE: Partial<ClusterConfig> = { ordinaryUp: 24, capacity: 24, teamLimit: 400 };
+export const LARGE_CLUSTER: Partial<ClusterConfig> = {
+  ordinaryUp: 24,
+  capacity: 24,
+  teamLimit: 400,
+};
 
 /** Submits some arrays. */
 export function withJobs(roll: RollingUpgrade, count = 4): void {
