--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -1,6 +1,6 @@
 /** Faults of machines, controllers, network and services, for the digest's scenarios. */
 import { BUILD } from '../../src/build.js';
-import { OLD_BUILD, operatorOf } from '../sim/rolling-upgrade.js';
+import { OLD_BUILD, createOperator } from '../sim/rolling-upgrade.js';
 import { type Cluster } from '../sim/cluster.js';
 import { LEASE_MS } from '../sim/cluster-config.js';
 import type { CloudMachine } from '../sim/cloud.js';
@@ -125,7 +125,7 @@
 
 /** An operator lowers the level again. */
 export function lowerLevel(cluster: Cluster): void {
-  void operatorOf(cluster).downgrade();
+  void createOperator(cluster).downgrade();
 }
 
 export function slowStateService(cluster: Cluster): void {
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -7,7 +7,7 @@
   LARGE_CLUSTER,
   RollingUpgrade,
   ROLLOUT_SETTINGS,
-  withJobs,
+  submitArrays,
 } from './sim/rolling-upgrade.js';
 
 // Guards: a leader that can't follow intents must not lead while a machine may be deleted because of one.
@@ -22,11 +22,11 @@
   await roll.until('the duty is held', () => state.items.has('duties/holders/rent'));
   await state.deleteAsOperator('duties/holders/rent');
   state.putDirectly('duties/holds/rent', { by: 'operator', sinceMs: 0 });
-  withJobs(roll);
+  submitArrays(roll);
   const open = (): number =>
     [...state.items].filter(([key, { value }]) => isOpenIntent(key, value)).length;
   await roll.until('an intent is open', () => open() > 0);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.staysAt(3, 10);
   assert.equal(roll.level.state, 'lowering');
   const before = open();
@@ -57,9 +57,9 @@
     rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
   });
   await roll.reaches('stable', 3);
-  roll.submitLarge(8);
+  roll.submitLargeArray(8);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.reaches('stable', 2);
   assert.ok(roll.invariants.segments().length > 0);
   await roll.finish();
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -12,13 +12,13 @@
   LEVEL_CHANGE_S,
   RollingUpgrade,
   ROLLOUT_SETTINGS,
-  withJobs,
+  submitArrays,
 } from './sim/rolling-upgrade.js';
 
 test('a frozen leader wakes amid a change, with a late transaction on its way', async () => {
   for (const seed of [6, 7, 8]) {
     const roll = new RollingUpgrade(seed, NEW_BUILD);
-    withJobs(roll);
+    submitArrays(roll);
     await roll.reaches('preparing', 1);
     // Whatever is written now is carried out seconds later and never answered.
     roll.cluster.state.lateWrites = { share: 1, until: roll.cluster.clock.time + 700 };
@@ -56,10 +56,10 @@
   for (const [who, refuse] of OUTAGES)
     test(`the state service refuses ${who} while ${phase}: the change goes on afterwards`, async () => {
       const roll = new RollingUpgrade(9, NEW_BUILD);
-      withJobs(roll);
+      submitArrays(roll);
       if (phase === 'lowering') {
         await roll.reaches('stable', 2);
-        assert.equal((await roll.ask('downgrade')).kind, 'done');
+        assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
       } else await roll.reaches(phase, 1);
       refuse(roll);
       await roll.reaches('stable', phase === 'lowering' ? 1 : 2);
@@ -77,7 +77,7 @@
   // It comes back with the build that it had.
   await roll.staysAt(1, 30);
   assert.ok(roll.cluster.isUp(gone));
-  assert.equal((await roll.ask('activate')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('activate')).kind, 'done');
   await roll.reaches('stable', 2);
   await roll.finish();
 });
@@ -100,12 +100,12 @@
   const roll = new RollingUpgrade(16, NEW_BUILD, LARGE_CLUSTER);
   await roll.reaches('stable', 2);
   // It outlives the write that is on its way.
-  const id = roll.submitLarge(5);
+  const id = roll.submitLargeArray(5);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
   const { state, clock } = roll.cluster;
   state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, keys: `d/${id}/` };
   await roll.cluster.run(6);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.reaches('stable', 1);
   for (let second = 0; second < 25; second++) {
     await roll.cluster.run(1);
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -11,13 +11,13 @@
   LEVEL_CHANGE_S,
   RollingUpgrade,
   ROLLOUT_SETTINGS,
-  withJobs,
+  submitArrays,
 } from './sim/rolling-upgrade.js';
 
 test('the level is raised by itself once every controller has the new build, and not before', async () => {
   const roll = new RollingUpgrade(1, OLD_BUILD);
   await roll.cluster.run(6);
-  withJobs(roll);
+  submitArrays(roll);
   for (const name of NAMES) {
     await roll.staysAt(1, 6);
     roll.replace(name, NEW_BUILD);
@@ -31,7 +31,7 @@
   for (const role of ['follower', 'leader'] as const)
     test(`a ${role} that is rolled back while ${phase} ends the change, which begins again with the next build`, async () => {
       const roll = new RollingUpgrade(2, NEW_BUILD);
-      withJobs(roll);
+      submitArrays(roll);
       await roll.reaches(phase, 1);
       const name = roll[role]();
       roll.replace(name, OLD_BUILD, 100);
@@ -52,7 +52,7 @@
   test(`a ${role} that is rolled back after the level was raised serves nothing until it is lowered`, async () => {
     const roll = new RollingUpgrade(3, NEW_BUILD, LARGE_CLUSTER);
     await roll.reaches('stable', 2);
-    roll.submitLarge();
+    roll.submitLargeArray();
     await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
     const name = roll[role]();
     roll.replace(name, OLD_BUILD, 100);
@@ -75,7 +75,7 @@
       assert.notEqual(roll.cluster.leader(), name);
     }
     await roll.until('another leads', () => roll.cluster.leader() !== undefined);
-    assert.equal((await roll.ask('downgrade')).kind, 'done');
+    assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
     await roll.reaches('stable', 1);
     await roll.until('it serves again', () => node.health().kind === 'healthy');
     await roll.finish();
@@ -86,7 +86,7 @@
   await roll.cluster.run(6);
   roll.cluster.crash('n2', 60_000);
   for (const name of ['n0', 'n1']) roll.replace(name, NEW_BUILD);
-  withJobs(roll);
+  submitArrays(roll);
   await roll.staysAt(1, 55);
   assert.equal(roll.invariants.history.length, 0, 'nothing was even proposed');
   await roll.cluster.run(8);
@@ -101,8 +101,8 @@
 test('a straggler without any gate comes back, leads and goes on with what is stored in the new form', async () => {
   const roll = new RollingUpgrade(5, NEW_BUILD, LARGE_CLUSTER);
   await roll.reaches('stable', 2);
-  roll.submitLarge();
-  withJobs(roll, 2);
+  roll.submitLargeArray();
+  submitArrays(roll, 2);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
   roll.cluster.ungated.add('n1');
   roll.cluster.crash('n1', 100);
@@ -116,9 +116,9 @@
 test('lowering converts what is stored, across a crash of the leader, and is not undone by itself', async () => {
   const roll = new RollingUpgrade(12, NEW_BUILD, LARGE_CLUSTER);
   await roll.reaches('stable', 2);
-  roll.submitLarge();
+  roll.submitLargeArray();
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.reaches('lowering', 2);
   roll.cluster.crash(roll.leader(), 300);
   await roll.reaches('stable', 1);
@@ -135,7 +135,7 @@
   const job = roll.cluster.users.newJob({ ...BATCH, tasks: 9000, durationS: 0.5, team: 't0' });
   void roll.cluster.users.run(job, null);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.until('kept', () => roll.level.state === 'stable');
   assert.equal(roll.level.active, 2);
   assert.match(roll.level.reason ?? '', new RegExp(`finished tasks of ${job.id} don't fit`));
@@ -148,20 +148,20 @@
     rollout: { ...ROLLOUT_SETTINGS, mode: 'manual' },
   });
   await roll.cluster.run(6);
-  assert.deepEqual(await roll.ask('abort'), {
+  assert.deepEqual(await roll.runOperatorCommand('abort'), {
     kind: 'refused',
     reason: 'nothing is being raised: the level is stable',
   });
-  assert.equal((await roll.ask('downgrade')).kind, 'refused');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'refused');
   roll.cluster.crash(roll.leader(), 8000);
   // The announcement of the process that has just ended still stands: the change waits for its successor.
-  assert.equal((await roll.ask('activate')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('activate')).kind, 'done');
   assert.equal(roll.cluster.leader(), undefined);
-  assert.equal((await roll.ask('abort')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('abort')).kind, 'done');
   await roll.reaches('stable', 1);
   await roll.until('all are back', () => NAMES.every((name) => roll.cluster.isUp(name)));
   await roll.cluster.run(3);
-  assert.equal((await roll.ask('activate')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('activate')).kind, 'done');
   await roll.reaches('stable', 2);
   assert.deepEqual(roll.cluster.invariants.violations, []);
 });
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -35,7 +35,7 @@
 export const LEVEL_CHANGE_S = 15;
 
 /** What an operator's command works with, beside the controllers. */
-export function operatorOf(cluster: Cluster): RolloutOperator {
+export function createOperator(cluster: Cluster): RolloutOperator {
   const store = new StateStore(clientRuntime(cluster), {
     address: 'state:1',
     nodes: 1,
@@ -110,9 +110,9 @@
     return NAMES.find((name) => name !== this.cluster.leader()) ?? assert.fail('nobody follows');
   }
 
-  async ask(action: 'activate' | 'abort' | 'downgrade'): Promise<OperatorResult> {
+  async runOperatorCommand(action: 'activate' | 'abort' | 'downgrade'): Promise<OperatorResult> {
     const { cluster } = this;
-    const operator = operatorOf(cluster);
+    const operator = createOperator(cluster);
     let result: OperatorResult | null = null;
     void operator[action]().then((r) => (result = r));
     await this.until('the command has ended', () => result !== null);
@@ -120,7 +120,7 @@
   }
 
   /** An array so large that its finished tasks are stored in segments under the new level. */
-  submitLarge(durationS = 0.5): string {
+  submitLargeArray(durationS = 0.5): string {
     const job = this.cluster.users.newJob({ ...BATCH, tasks: 2400, durationS, team: 't0' });
     void this.cluster.users.run(job, null);
     return job.id;
@@ -146,7 +146,7 @@
 };
 
 /** Submits some arrays. */
-export function withJobs(roll: RollingUpgrade, count = 4): void {
+export function submitArrays(roll: RollingUpgrade, count = 4): void {
   for (let i = 0; i < count; i++)
     void roll.cluster.users.run(roll.cluster.users.newJob({ ...BATCH, tasks: 6 }), null);
 }
--- a/test/sim/rollout-invariants.ts
+++ b/test/sim/rollout-invariants.ts
@@ -7,7 +7,7 @@
 const LEVEL_KEY = 'rollout/level';
 const FIRST_SEGMENT = 1000;
 
-const NEXT: Record<ClusterLevel['state'], ClusterLevel['state'][]> = {
+const NEXT_STATES: Record<ClusterLevel['state'], ClusterLevel['state'][]> = {
   stable: ['preparing', 'lowering', 'stable'],
   preparing: ['activating', 'aborting'],
   activating: ['stable', 'aborting'],
@@ -46,7 +46,7 @@
     const item = this.cluster.state.items.get(LEVEL_KEY);
     if (item && item.version !== this.seenVersion) {
       this.seenVersion = item.version;
-      this.stored(item.value as ClusterLevel);
+      this.recordLevel(item.value as ClusterLevel);
     }
     this.checkAnnouncements();
     this.checkModes();
@@ -58,31 +58,31 @@
     for (const name of nodeNames) {
       const announcement = state.value(`rollout/controllers/${name}`) as
         { incarnation?: number } | undefined;
-      const present = state.value(`rollout/incarnations/${name}`) as
+      const current = state.value(`rollout/incarnations/${name}`) as
         { incarnation: number } | undefined;
       if (
         announcement?.incarnation !== undefined &&
-        announcement.incarnation !== present?.incarnation
+        announcement.incarnation !== current?.incarnation
       )
         invariants.recordViolation('rollout_incarnation', name);
     }
   }
 
-  private stored(next: ClusterLevel): void {
+  private recordLevel(next: ClusterLevel): void {
     const last = this.level;
     this.history.push(next);
     const { invariants } = this.cluster;
     if (last && next.change !== last.change + 1)
       invariants.recordViolation('rollout_history', `${last.change} -> ${next.change}`);
-    if (last && !NEXT[last.state].includes(next.state))
+    if (last && !NEXT_STATES[last.state].includes(next.state))
       invariants.recordViolation('rollout_history', `${last.state} -> ${next.state}`);
-    if (last && next.active > last.active) this.checkAllCan(next.active);
+    if (last && next.active > last.active) this.checkAllSupport(next.active);
     if (next.active === 1 && next.state === 'stable' && this.segments().length > 0)
       invariants.recordViolation('rollout_lowered', this.segments()[0]);
   }
 
   /** A controller that is up when the level is raised runs a build that can follow. */
-  private checkAllCan(active: number): void {
+  private checkAllSupport(active: number): void {
     const { cluster } = this;
     for (const name of cluster.nodeNames)
       if (cluster.isUp(name) && this.buildOf(name).reads.to < active)
