--- a/test/sim/older-versions.ts
+++ b/test/sim/older-versions.ts
@@ -11,9 +11,9 @@
  * Records and messages as each older version wrote them when it was run in a simulated cluster. `e9643d1` does not
  * know gangs yet; `b746609` is the first version that does.
  */
-export const OLDER = ['e9643d1', 'b746609'].map((version) => ({
+export const OLDER_VERSIONS = ['e9643d1', 'b746609'].map((version) => ({
   version,
   ...(JSON.parse(readFileSync(`test/fixtures/${version}.json`, 'utf8')) as Fixture),
 }));
 /** The first of them. */
-export const OLD = OLDER[0];
+export const OLDEST_VERSION = OLDER_VERSIONS[0];
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -6,7 +6,7 @@
 import { terminalKey, finishedKey, liveKey, readLive } from '../src/jobs/records.js';
 import type { PlatformSettings } from '../src/settings/platform.js';
 import { StateStore } from '../src/state-store/client.js';
-import { OLD } from './sim/older-versions.js';
+import { OLDEST_VERSION } from './sim/older-versions.js';
 import { Cluster } from './sim/cluster.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
@@ -68,7 +68,9 @@
 test('a job whose record was stored larger than values may be now can be cancelled, for all readers', async () => {
   const cluster = new Cluster({ seed: 6 });
   await cluster.run(4);
-  const spec = readLive(Object.entries(OLD.items).find(([key]) => key.startsWith('j/'))![1])!.spec;
+  const spec = readLive(
+    Object.entries(OLDEST_VERSION.items).find(([key]) => key.startsWith('j/'))![1],
+  )!.spec;
   const id = 'run-000901';
   const types = Array.from({ length: 40 }, (_, i) => `${'kind-'.repeat(8)}${i}`);
   cluster.state.putDirectly(liveKey(id), {
@@ -120,7 +122,9 @@
   cluster.network.repeatRate = 0;
   cluster.state.putDirectly('boss', {});
   cluster.state.bounds = { valueBytes: 2048, txnOps: 4 };
-  const spec = readLive(Object.entries(OLD.items).find(([key]) => key.startsWith('j/'))![1])!.spec;
+  const spec = readLive(
+    Object.entries(OLDEST_VERSION.items).find(([key]) => key.startsWith('j/'))![1],
+  )!.spec;
   const jobs = new JobTable();
   cluster.state.putDirectly(liveKey('run-1'), {});
   const version = cluster.state.items.get(liveKey('run-1'))!.version;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -6,14 +6,14 @@
 import { readPeerMessage } from '../src/peers/peer-messages.js';
 import { readMachinePage } from '../src/workers/machine-records.js';
 import type { JobSpec } from '../src/wire/model.js';
-import { OLD, OLDER } from './sim/older-versions.js';
+import { OLDEST_VERSION, OLDER_VERSIONS } from './sim/older-versions.js';
 import { Cluster } from './sim/cluster.js';
 import { LEASE_MS } from './sim/cluster-config.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 import type { JobSubmission, SubmittedKind } from './sim/wire/users.js';
 import { observedJob } from './sim/observed-job.js';
 
-for (const older of OLDER)
+for (const older of OLDER_VERSIONS)
   test(`records and messages of ${older.version} are read`, () => {
     const kinds = new Set<string>();
     for (const [key, value] of Object.entries(older.items)) {
@@ -83,11 +83,11 @@
   await cluster.run(20);
   const items = [...cluster.state.items].map(([key, item]): [string, unknown] => [key, item.value]);
   const written = shapesByKind(items);
-  for (const older of OLDER)
+  for (const older of OLDER_VERSIONS)
     for (const [kind, shapes] of shapesByKind(Object.entries(older.items)))
       for (const shape of shapes)
         assert.ok(written.get(kind)?.has(shape), `${older.version}: ${kind} ${shape}`);
-  for (const older of OLDER)
+  for (const older of OLDER_VERSIONS)
     for (const [kind, bytes] of Object.entries(older.frames)) {
       const message = new FrameDecoder().push(Buffer.from(bytes, 'base64'))![0];
       assert.deepEqual(
@@ -133,7 +133,7 @@
   return waiting;
 }
 
-for (const older of OLDER)
+for (const older of OLDER_VERSIONS)
   test(`a cluster goes on from the records of ${older.version}: live, cancelled and half finished jobs`, async () => {
     const cluster = new Cluster({ seed: 1, ordinaryUp: 0 });
     // The cloud never gives a name again: a new spot machine must not be taken for a stored ordinary one.
@@ -167,7 +167,7 @@
 
 /** Stores a live job as a later version would, with fields that this one does not know. */
 function putRecordOfLaterVersion(cluster: Cluster, id: string): JobSpec {
-  const [, old] = Object.entries(OLD.items).find(
+  const [, old] = Object.entries(OLDEST_VERSION.items).find(
     ([key, value]) => key.startsWith('j/') && !readLive(value)!.cancelled,
   )!;
   const spec = (old as { spec: JobSpec }).spec;
