--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -28,7 +28,7 @@
     'duties/holders/dance',
   ]) {
     assert.ok(group.state.items.has(key), key);
-    const told = group.lines.filter(
+    const told = group.logLines.filter(
       ({ name, fields }) => name === 'n0' && (fields as { key?: string }).key === key,
     );
     assert.equal(told.length, 1, key);
@@ -107,7 +107,7 @@
   const old = group.holder('reclaim') ?? assert.fail();
   assert.equal((await ask(group, (operator) => operator.release('reclaim'))).kind, 'done');
   await group.until('another holds it', () => (group.holder('reclaim') ?? old) !== old);
-  assert.notEqual(group.recorded('reclaim')?.controller, old);
+  assert.notEqual(group.storedHolder('reclaim')?.controller, old);
   assert.deepEqual(group.invariants.violations, []);
 });
 
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -19,7 +19,7 @@
   const processes = new DutyProcesses();
   context.after(() => processes.stop());
   await processes.start(beforeSendingMs, LEASE_S);
-  const { controller, token } = processes.recorded()!;
+  const { controller, token } = processes.storedHolder()!;
   return { processes, old: controller, token };
 }
 
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -7,17 +7,17 @@
 
 test('each duty has one holder, spread over the controllers; actions are done under its token', async () => {
   const group = await settledGroup(1);
-  const holders = DUTIES.map((duty) => group.recorded(duty)?.controller);
+  const holders = DUTIES.map((duty) => group.storedHolder(duty)?.controller);
   assert.equal(new Set(holders).size, 3);
   assert.ok(
-    DUTIES.every((duty) => group.recorded(duty)?.token === 1),
+    DUTIES.every((duty) => group.storedHolder(duty)?.token === 1),
     'spread from the start, without a move',
   );
   const [machine] = await withMachines(group, 2);
   const opened = await resolved(group, group.delete('return', machine));
   assert.deepEqual(opened, { kind: 'resolved', outcome: { kind: 'deleted' } });
   assert.equal(group.provider.machines.size, 1);
-  const token = group.recorded('return')?.token;
+  const token = group.storedHolder('return')?.token;
   assert.ok(group.provider.executed('return').every((call) => call.token === token));
   assert.deepEqual(group.invariants.violations, []);
 });
@@ -25,7 +25,7 @@
 test('the leader holds fewer duties than others', async () => {
   const group = await settledGroup(2, { leader: 'n1' });
   await group.run(60);
-  assert.ok(DUTIES.every((duty) => group.recorded(duty)?.controller !== 'n1'));
+  assert.ok(DUTIES.every((duty) => group.storedHolder(duty)?.controller !== 'n1'));
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -98,7 +98,7 @@
 test('a controller that comes and goes each second moves no duties each second', async () => {
   const group = await settledGroup(14);
   const flapping = 'n2';
-  const held = (duty: Duty): number => group.recorded(duty)?.token ?? 0;
+  const held = (duty: Duty): number => group.storedHolder(duty)?.token ?? 0;
   for (let second = 0; second < 40; second++) {
     group.crash(flapping, 500);
     await group.run(1);
@@ -106,7 +106,7 @@
   const sum = DUTIES.reduce((total, duty) => total + held(duty), 0);
   // Each duty once at the start, and those of the flapping controller once more.
   assert.ok(sum <= 2 * DUTIES.length + 2, `tokens in all: ${sum}`);
-  assert.ok(DUTIES.every((duty) => group.recorded(duty)?.controller !== flapping));
+  assert.ok(DUTIES.every((duty) => group.storedHolder(duty)?.controller !== flapping));
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -123,7 +123,7 @@
   );
   // The others return, and get their share.
   await group.run(60);
-  assert.equal(new Set(DUTIES.map((duty) => group.recorded(duty)?.controller)).size, 3);
+  assert.equal(new Set(DUTIES.map((duty) => group.storedHolder(duty)?.controller)).size, 3);
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -159,7 +159,7 @@
       group.holdRequests(name, ms);
     },
     () => {
-      group.refuse(name, ms);
+      group.rejectStateRequests(name, ms);
     },
     () => {
       group.state.beginOutage(ms);
@@ -194,8 +194,8 @@
     }
     group.provider.failure = { refuses: false, silent: false };
     await group.run(30);
-    await group.settled();
-    await group.until('nothing is open', () => group.openIntents() === 0);
+    await group.untilAllHeld();
+    await group.until('nothing is open', () => group.openIntentCount() === 0);
     assert.equal(followed, opened, 'whoever decides learned of each end');
     assert.deepEqual(group.invariants.unaccounted(), []);
     assert.deepEqual(group.invariants.violations, []);
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -9,12 +9,12 @@
     const group = await settledGroup(seed);
     const machines = await withMachines(group, 4);
     const old = group.holder('return') ?? assert.fail();
-    const before = group.recorded('return')?.token ?? 0;
+    const before = group.storedHolder('return')?.token ?? 0;
     group.freeze(old, 8000);
     await group.run(0.1);
     await resolved(group, group.delete('return', machines[0]));
-    assert.notEqual(group.recorded('return')?.controller, old);
-    assert.ok((group.recorded('return')?.token ?? 0) > before);
+    assert.notEqual(group.storedHolder('return')?.controller, old);
+    assert.ok((group.storedHolder('return')?.token ?? 0) > before);
     await group.run(8);
     // It wakes up, with an intent to act on.
     await resolved(group, group.delete('return', machines[1]));
@@ -47,7 +47,7 @@
     group.network.delayFactor = 60;
     for (let round = 0; round < 6; round++) {
       await group.run(4);
-      group.refuse(group.holder(group.random.pick([...DUTIES])) ?? 'n0', 5000);
+      group.rejectStateRequests(group.holder(group.random.pick([...DUTIES])) ?? 'n0', 5000);
     }
     assert.deepEqual(group.invariants.violations, []);
   }
@@ -63,7 +63,7 @@
     new Promise((done) => group.clock.after(asked++ === 0 ? 4500 : 0, done));
   const opened = group.delete('return', machines[0]);
   await group.until('the request is on its way', () => asked > 0);
-  group.refuse(old, 10_000);
+  group.rejectStateRequests(old, 10_000);
   await resolved(group, opened);
   await group.until('the request is refused', () => group.provider.refused().length > 0);
   await group.run(0.3);
@@ -78,14 +78,14 @@
     const group = await settledGroup(seed);
     const machines = await withMachines(group, 4);
     const old = group.holder('return') ?? assert.fail();
-    const before = group.recorded('return')?.token ?? 0;
+    const before = group.storedHolder('return')?.token ?? 0;
     group.holdRequests(old, 9000);
     const opened = group.delete('return', machines[0]);
     await group.run(0.3);
     // The request is on its way; now its sender stands still, too.
     group.freeze(old, 7000);
     await resolved(group, opened);
-    assert.ok((group.recorded('return')?.token ?? 0) > before);
+    assert.ok((group.storedHolder('return')?.token ?? 0) > before);
     await group.run(12);
     const refused = group.provider.refused();
     assert.ok(refused.length > 0 && refused.every((call) => call.token === before));
@@ -98,27 +98,27 @@
 test('renewals that are executed and not answered: nothing is done, nobody takes over, and the holder goes on', async () => {
   const group = await settledGroup(36);
   const holder = group.holder('return') ?? assert.fail();
-  const before = group.recorded('return');
+  const before = group.storedHolder('return');
   group.holdResponses(holder, 5000);
   await group.run(4);
   assert.equal(group.holder('return'), undefined);
   assert.equal(group.member(holder).holder('return').state(), 'suspended');
   await group.run(4);
-  assert.deepEqual([group.holder('return'), group.recorded('return')], [holder, before]);
+  assert.deepEqual([group.holder('return'), group.storedHolder('return')], [holder, before]);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 test('an outage for all: nothing is done in it, and holders go on after it where their leases live', async () => {
   const group = await settledGroup(10);
   const machines = await withMachines(group, 2);
-  const before = DUTIES.map((duty) => group.recorded(duty)?.token);
+  const before = DUTIES.map((duty) => group.storedHolder(duty)?.token);
   group.state.beginOutage(8000);
   await group.run(4);
   assert.ok(DUTIES.every((duty) => group.holder(duty) === undefined));
   await group.run(6);
   await resolved(group, group.delete('return', machines[0]));
   assert.deepEqual(
-    DUTIES.map((duty) => group.recorded(duty)?.token),
+    DUTIES.map((duty) => group.storedHolder(duty)?.token),
     before,
   );
   assert.deepEqual(group.invariants.violations, []);
@@ -127,7 +127,7 @@
 test('an outage for the holder alone: another takes over, and the old one finds out', async () => {
   const group = await settledGroup(11);
   const old = group.holder('rent') ?? assert.fail();
-  group.refuse(old, 8000);
+  group.rejectStateRequests(old, 8000);
   await group.until('another holds it', () => (group.holder('rent') ?? old) !== old);
   assert.deepEqual(await resolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
   await group.run(10);
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -9,7 +9,7 @@
   const group = new DutyGroup({ seed: 28 });
   group.state.lateWrites = { share: 1, until: 1500, byMs: 2500, keys: 'duties/tokens/' };
   await group.run(3);
-  await group.settled();
+  await group.untilAllHeld();
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -18,10 +18,10 @@
   const group = await settledGroup(9);
   const machines = await withMachines(group, 2);
   const old = group.holder('return') ?? assert.fail();
-  const before = group.recorded('return')?.token ?? 0;
+  const before = group.storedHolder('return')?.token ?? 0;
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
+  await group.until('the intent is stored', () => group.openIntentCount() > 0);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 1000,
@@ -70,7 +70,7 @@
   assert.equal((await resolved(group, group.delete('return', machines[0]))).kind, 'resolved');
   await group.run(20);
   assert.equal(group.provider.machines.size, 0);
-  assert.equal(group.openIntents(), 0);
+  assert.equal(group.openIntentCount(), 0);
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -81,7 +81,7 @@
   const old = group.holder('return') ?? assert.fail();
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
+  await group.until('the intent is stored', () => group.openIntentCount() > 0);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 1000,
@@ -92,7 +92,7 @@
   group.freeze(old, 20_000);
   group.provider.failure = { refuses: true, silent: false };
   await group.run(10);
-  assert.equal(group.openIntents(), 1);
+  assert.equal(group.openIntentCount(), 1);
   group.provider.failure = { refuses: false, silent: false };
   await resolved(group, opened);
   assert.deepEqual(group.invariants.violations, []);
@@ -104,7 +104,7 @@
   const machines = await withMachines(group, 1);
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
+  await group.until('the intent is stored', () => group.openIntentCount() > 0);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 600,
@@ -129,8 +129,8 @@
   };
   void group.member(old).holder('return').release('by the test');
   await group.until('another holds it', () => (group.holder('return') ?? old) !== old);
-  const next = group.recorded('return');
+  const next = group.storedHolder('return');
   await group.run(12);
-  assert.deepEqual(group.recorded('return'), next);
+  assert.deepEqual(group.storedHolder('return'), next);
   assert.deepEqual(group.invariants.violations, []);
 });
--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -16,9 +16,9 @@
 /** From the end of the holder to the first action of another one that the provider accepts. */
 async function simulatedGapMs(seed: number, end: End): Promise<number> {
   const group = new DutyGroup({ seed, settings: { lease_s: LEASE_S } });
-  await group.settled();
+  await group.untilAllHeld();
   await group.run(5 + group.random.unit());
-  const old = group.recorded(DUTY)!;
+  const old = group.storedHolder(DUTY)!;
   if (end === 'death') group.crash(old.controller, DEATH_MS);
   else group.freeze(old.controller, FREEZE_MS);
   const from = group.clock.time;
@@ -33,7 +33,7 @@
   const processes = new DutyProcesses();
   try {
     await processes.start(0, LEASE_S);
-    const old = processes.recorded()!;
+    const old = processes.storedHolder()!;
     processes.signal(old.controller, end === 'death' ? 'SIGKILL' : 'SIGSTOP');
     const from = performance.now();
     processes.plantDeletion(`i-${run}`, 'm-1');
@@ -60,7 +60,7 @@
 /** What three controllers ask of the state service and the provider while nothing is decided. */
 async function atRest(): Promise<void> {
   const group = new DutyGroup({ seed: 1, settings: { lease_s: 3, settle_s: 10, rebalance_s: 60 } });
-  await group.settled();
+  await group.untilAllHeld();
   await group.run(60);
   const { requests, changes } = group.state.received;
   const calls = group.provider.calls.length;
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -21,7 +21,7 @@
 import { StateService } from './state-service.js';
 
 /** As in the operators' file. */
-export const SETTINGS: DutySettings = {
+export const DUTY_SETTINGS: DutySettings = {
   mode: 'on',
   held_here: [...DUTIES],
   lease_s: 2,
@@ -33,7 +33,7 @@
 
 const STATE = 'state:1';
 const PROVIDER = 'provider:1';
-const DRIFT_AT_MOST = 1.001;
+const MAX_CLOCK_RATE = 1.001;
 const DAY_MS = 24 * 3600 * 1000;
 const STEP_S = 0.05;
 /** Stands for the claim of whoever decides. */
@@ -62,7 +62,7 @@
   readonly invariants: DutyInvariants;
   readonly names: string[];
   /** Lines of the log, by controller. */
-  readonly lines: { name: string; text: string; fields: object }[] = [];
+  readonly logLines: { name: string; text: string; fields: object }[] = [];
   private readonly processes = new Map<string, MemberProcess>();
   /** Controllers whose duties are off at the moment. */
   readonly turnedOff = new Set<string>();
@@ -86,19 +86,19 @@
   }
 
   private settings(): DutySettings {
-    return { ...SETTINGS, ...this.config.settings };
+    return { ...DUTY_SETTINGS, ...this.config.settings };
   }
 
   private runtime(name: string, process: SimulatedProcess, rate: number): Runtime {
-    const note = (fields: object, text: string): void => {
-      this.lines.push({ name, text, fields });
+    const recordLine = (fields: object, text: string): void => {
+      this.logLines.push({ name, text, fields });
     };
     return simulatedRuntime(`${name}:80`, process, {
       clock: this.clock,
       network: this.network,
       random: this.random,
       own: this.clock.host(rate, () => process.alive),
-      log: { ...quietLog, info: note, error: note },
+      log: { ...quietLog, info: recordLine, error: recordLine },
     });
   }
 
@@ -115,15 +115,15 @@
     process: SimulatedProcess,
     settings: DutySettings,
   ): DutyMember {
-    const runtime = this.runtime(name, process, this.random.between(1, DRIFT_AT_MOST));
+    const runtime = this.runtime(name, process, this.random.between(1, MAX_CLOCK_RATE));
     // Wall clocks differ by days.
-    const offMs = this.random.between(-DAY_MS, DAY_MS);
+    const wallOffsetMs = this.random.between(-DAY_MS, DAY_MS);
     return new DutyMember({
       environment: {
         clock: runtime.clock,
         log: runtime.log,
         random: () => runtime.random(),
-        wallMs: () => 1e12 + this.clock.time + offMs,
+        wallMs: () => 1e12 + this.clock.time + wallOffsetMs,
       },
       store: this.storeOf(runtime),
       self: name,
@@ -167,17 +167,17 @@
     this.state.putDirectly(DECIDER_KEY, {});
   }
 
-  open(duty: Duty, action: IntentAction): Promise<IntentResult> {
+  openIntent(duty: Duty, action: IntentAction): Promise<IntentResult> {
     return this.log.open(duty, action);
   }
 
   /** Some machines of the provider are given back. */
   delete(duty: 'return' | 'reclaim', ...machines: string[]): Promise<IntentResult> {
-    return this.open(duty, { kind: 'delete', machines });
+    return this.openIntent(duty, { kind: 'delete', machines });
   }
 
   rent(count: number): Promise<IntentResult> {
-    return this.open('rent', { kind: 'rent', type: 't16', zone: 'a', spot: false, count });
+    return this.openIntent('rent', { kind: 'rent', type: 't16', zone: 'a', spot: false, count });
   }
 
   member(name: string): DutyMember {
@@ -227,7 +227,7 @@
   }
 
   /** The state service refuses this process alone. */
-  refuse(name: string, ms: number): void {
+  rejectStateRequests(name: string, ms: number): void {
     this.state.rejectHost(`${name}:80`, ms);
   }
 
@@ -245,12 +245,12 @@
   }
 
   /** What the records say. */
-  recorded(duty: Duty): { controller: string; token: number } | undefined {
+  storedHolder(duty: Duty): { controller: string; token: number } | undefined {
     return this.state.value(`duties/holders/${duty}`) as
       { controller: string; token: number } | undefined;
   }
 
-  openIntents(): number {
+  openIntentCount(): number {
     const intents = [...this.state.items].filter(([key]) => key.startsWith('duties/intents/'));
     return intents.filter(([, { value }]) => (value as { outcome: unknown }).outcome === null)
       .length;
@@ -271,7 +271,7 @@
   }
 
   /** Every duty has a holder. */
-  async settled(): Promise<void> {
+  async untilAllHeld(): Promise<void> {
     await this.until('all duties are held', () =>
       DUTIES.every((duty) => this.holder(duty) !== undefined),
     );
--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -14,7 +14,7 @@
   /** Controllers that run and believe to hold the duty now. */
   holders(duty: Duty): string[];
   /** What the records say. */
-  recorded(duty: Duty): { controller: string; token: number } | undefined;
+  storedHolder(duty: Duty): { controller: string; token: number } | undefined;
 }
 
 /** Checked after each step of a duty group; `violations` has what was broken, with times. */
@@ -47,7 +47,7 @@
     for (const duty of DUTIES) {
       const holders = group.holders(duty);
       if (holders.length > 1) this.recordViolation('two_holders', `${duty}: ${holders.join(', ')}`);
-      const recorded = group.recorded(duty)?.controller;
+      const recorded = group.storedHolder(duty)?.controller;
       if (holders.length === 1 && holders[0] !== recorded && !this.operatorActed)
         this.recordViolation('holder_without_record', `${duty}: ${holders[0]}, ${recorded}`);
     }
@@ -68,7 +68,7 @@
     const before = this.tokens.get(duty) ?? 0;
     if ((stored?.token ?? 0) < before) this.recordViolation('token_fell', `${duty}: ${before}`);
     this.tokens.set(duty, stored?.token ?? before);
-    const holder = this.group.recorded(duty);
+    const holder = this.group.storedHolder(duty);
     if (holder && holder.token !== stored?.token)
       this.recordViolation('holder_token', `${duty}: ${holder.token}`);
   }
@@ -84,7 +84,7 @@
   }
 
   private checkResolvedByHolder({ id, duty, token }: Intent): void {
-    if (token !== this.group.recorded(duty)?.token)
+    if (token !== this.group.storedHolder(duty)?.token)
       this.recordViolation('resolved_by_replaced', id);
   }
 
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -48,7 +48,7 @@
         leaseS,
         beforeSendingMs,
       });
-    await this.until('somebody holds the duty', () => this.recorded() !== undefined);
+    await this.until('somebody holds the duty', () => this.storedHolder() !== undefined);
   }
 
   private fork(options: DutyProcessOptions): void {
@@ -63,7 +63,7 @@
     this.children.get(name)!.kill(signal);
   }
 
-  recorded(): { controller: string; token: number } | undefined {
+  storedHolder(): { controller: string; token: number } | undefined {
     return this.state.value(`duties/holders/${DUTY}`) as
       { controller: string; token: number } | undefined;
   }
@@ -119,7 +119,7 @@
   /** Another process has taken the duty; its name. */
   async untilReplaced(old: string, token: number): Promise<void> {
     await this.until('a successor holds the duty', () => {
-      const now = this.recorded();
+      const now = this.storedHolder();
       return now !== undefined && now.controller !== old && now.token > token;
     });
   }
--- a/test/sim/duty-scenarios.ts
+++ b/test/sim/duty-scenarios.ts
@@ -9,7 +9,7 @@
   config: Partial<DutyGroupConfig> = {},
 ): Promise<DutyGroup> {
   const group = new DutyGroup({ seed, ...config });
-  await group.settled();
+  await group.untilAllHeld();
   return group;
 }
 
@@ -34,7 +34,7 @@
 
 /** The old holder noticed that it lost the duty, and counts as any other since. */
 export function assertLossNoticed(group: DutyGroup, old: string, duty: Duty): void {
-  const states = group.lines
+  const states = group.logLines
     .filter(
       ({ name, text, fields }) =>
         name === old && text === 'duty state changed' && 'duty' in fields && fields.duty === duty,
