--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -5,7 +5,7 @@
 import { clientRuntime } from './sim/client-runtime.js';
 import { StateStore } from '../src/state-store/client.js';
 import type { DutyGroup } from './sim/duty-group.js';
-import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import { untilResolved, settledGroup, rentMachines } from './sim/duty-scenarios.js';
 
 // Guards: records that can't be read are neither acted on nor replaced.
 test('malformed and unknown records are left alone, and logged once', async () => {
@@ -84,7 +84,7 @@
 
 test('operators: a duty on hold has no holder, its intents wait, and release lets them be done', async () => {
   const group = await settledGroup(19);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   assert.equal((await ask(group, (operator) => operator.hold('return'))).kind, 'done');
   assert.equal((await ask(group, (operator) => operator.hold('return'))).kind, 'refused');
   const opened = group.delete('return', machines[0]);
@@ -97,7 +97,7 @@
   const of = status.duties.find(({ duty }) => duty === 'return');
   assert.deepEqual([of?.holder, of?.hold?.by, of?.openIntents], [null, 'operator-1', 1]);
   assert.equal((await ask(group, (operator) => operator.release('return'))).kind, 'done');
-  assert.equal((await resolved(group, opened)).kind, 'resolved');
+  assert.equal((await untilResolved(group, opened)).kind, 'resolved');
   assert.equal(group.provider.machines.size, 0);
 });
 
@@ -113,7 +113,7 @@
 
 test('finished intents are removed by the holder of clean-up, and by nobody else', async () => {
   const group = await settledGroup(21);
-  await withMachines(group, 1);
+  await rentMachines(group, 1);
   assert.equal((await ask(group, (operator) => operator.hold('clean-up'))).kind, 'done');
   await group.run(20);
   assert.equal(group.state.history('duties/intents/i-1').length > 0, true);
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -38,20 +38,20 @@
 test('suspended before the check: the successor acts, and the old holder begins nothing', async (context) => {
   const { processes, old, token } = await startProcesses(context, 0);
   processes.signal(old, 'SIGSTOP');
-  processes.plantDeletion('i-1', 'm-1');
+  processes.storeDeletionIntent('i-1', 'm-1');
   await processes.untilReplaced(old, token);
   await processes.until('the intent is done', () => processes.isDone('i-1'));
   processes.signal(old, 'SIGCONT');
-  processes.plantDeletion('i-2', 'm-2');
+  processes.storeDeletionIntent('i-2', 'm-2');
   await processes.until('the next intent is done', () => processes.isDone('i-2'));
   await expectFenced(processes, old, token);
-  assert.equal(processes.checks(old), 0);
+  assert.equal(processes.checkCount(old), 0);
 });
 
 test('suspended between check and send: the request that it sends on waking is refused', async (context) => {
   const { processes, old, token } = await startProcesses(context, BEFORE_SENDING_MS);
-  processes.plantDeletion('i-1', 'm-1');
-  await processes.until('the check is passed', () => processes.checks(old) > 0);
+  processes.storeDeletionIntent('i-1', 'm-1');
+  await processes.until('the check is passed', () => processes.checkCount(old) > 0);
   processes.signal(old, 'SIGSTOP');
   assert.equal(processes.provider.calls.length, 0);
   await processes.untilReplaced(old, token);
@@ -68,7 +68,7 @@
   const held = new Promise<void>((done) => (release = done));
   let arrived = 0;
   processes.provider.delay = () => (arrived++ === 0 ? held : Promise.resolve());
-  processes.plantDeletion('i-1', 'm-1');
+  processes.storeDeletionIntent('i-1', 'm-1');
   await processes.until('the request has arrived', () => arrived > 0);
   processes.signal(old, 'SIGSTOP');
   await processes.untilReplaced(old, token);
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { DUTIES, type Duty, type IntentResult } from '@millring/duties';
 import { DutyGroup } from './sim/duty-group.js';
-import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import { untilResolved, settledGroup, rentMachines } from './sim/duty-scenarios.js';
 
 test('each duty has one holder, spread over the controllers; actions are done under its token', async () => {
   const group = await settledGroup(1);
@@ -13,8 +13,8 @@
     DUTIES.every((duty) => group.storedHolder(duty)?.token === 1),
     'spread from the start, without a move',
   );
-  const [machine] = await withMachines(group, 2);
-  const opened = await resolved(group, group.delete('return', machine));
+  const [machine] = await rentMachines(group, 2);
+  const opened = await untilResolved(group, group.delete('return', machine));
   assert.deepEqual(opened, { kind: 'resolved', outcome: { kind: 'deleted' } });
   assert.equal(group.provider.machines.size, 1);
   const token = group.storedHolder('return')?.token;
@@ -65,7 +65,7 @@
     group.crash(group.holder('rent') ?? assert.fail(), 1000);
   }
   group.provider.failure = { refuses: false, silent: false };
-  const result = await resolved(group, opened);
+  const result = await untilResolved(group, opened);
   assert.deepEqual(result, {
     kind: 'resolved',
     outcome: { kind: 'rented', machines: [...group.provider.machines] },
@@ -77,7 +77,7 @@
 
 test('a provider that refuses is asked ever more seldom, and the intent is done once it serves', async () => {
   const group = await settledGroup(13);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   let asked = 0;
   group.provider.delay = () => {
     asked++;
@@ -88,7 +88,7 @@
   await group.run(30);
   assert.ok(asked >= 3 && asked <= 12, String(asked));
   group.provider.failure = { refuses: false, silent: false };
-  assert.deepEqual(await resolved(group, opened), {
+  assert.deepEqual(await untilResolved(group, opened), {
     kind: 'resolved',
     outcome: { kind: 'deleted' },
   });
@@ -115,7 +115,7 @@
   for (const name of ['n0', 'n1']) group.crash(name, 30_000);
   await group.until('n2 holds all', () => DUTIES.every((duty) => group.holder(duty) === 'n2'));
   const opened = group.rent(2);
-  assert.equal((await resolved(group, opened)).kind, 'resolved');
+  assert.equal((await untilResolved(group, opened)).kind, 'resolved');
   group.crash('n2', 1000);
   await group.run(5);
   await group.until('n2 holds all again', () =>
@@ -129,7 +129,7 @@
 
 test('a hand-over lets requests on their way end, and is not taken back at once', async () => {
   const group = await settledGroup(16);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
   group.provider.delay = () => new Promise((done) => group.clock.after(1500, done));
   const opened = group.delete('return', machines[0]);
@@ -137,7 +137,7 @@
   void group.member(old).holder('return').release('by the test');
   await group.run(0.2);
   assert.equal(group.member(old).holder('return').state(), 'releasing');
-  assert.equal((await resolved(group, opened)).kind, 'resolved');
+  assert.equal((await untilResolved(group, opened)).kind, 'resolved');
   await group.until('another holds it', () => (group.holder('return') ?? old) !== old);
   assert.equal(group.provider.calls.filter((call) => call.duty === 'return').length, 1);
   assert.deepEqual(group.invariants.violations, []);
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -2,22 +2,27 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES } from '@millring/duties';
-import { assertLossNoticed, resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import {
+  assertLossNoticed,
+  untilResolved,
+  settledGroup,
+  rentMachines,
+} from './sim/duty-scenarios.js';
 
 test('suspended before the check: the successor acts, and the old holder begins nothing', async () => {
   for (const seed of [3, 4, 5]) {
     const group = await settledGroup(seed);
-    const machines = await withMachines(group, 4);
+    const machines = await rentMachines(group, 4);
     const old = group.holder('return') ?? assert.fail();
     const before = group.storedHolder('return')?.token ?? 0;
     group.freeze(old, 8000);
     await group.run(0.1);
-    await resolved(group, group.delete('return', machines[0]));
+    await untilResolved(group, group.delete('return', machines[0]));
     assert.notEqual(group.storedHolder('return')?.controller, old);
     assert.ok((group.storedHolder('return')?.token ?? 0) > before);
     await group.run(8);
     // It wakes up, with an intent to act on.
-    await resolved(group, group.delete('return', machines[1]));
+    await untilResolved(group, group.delete('return', machines[1]));
     await group.run(2);
     assertLossNoticed(group, old, 'return');
     assert.ok(group.provider.executed('return').every((call) => call.token > before));
@@ -56,7 +61,7 @@
 // Guards: what follows from a refusal of the other side.
 test('a holder that is told that its token is stale gives up at once, and counts it', async () => {
   const group = await settledGroup(35);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
   let asked = 0;
   group.provider.delay = () =>
@@ -64,7 +69,7 @@
   const opened = group.delete('return', machines[0]);
   await group.until('the request is on its way', () => asked > 0);
   group.rejectStateRequests(old, 10_000);
-  await resolved(group, opened);
+  await untilResolved(group, opened);
   await group.until('the request is refused', () => group.provider.refused().length > 0);
   await group.run(0.3);
   assert.equal(group.member(old).counters().refused, 1);
@@ -76,7 +81,7 @@
 test('requests held on their way until a successor has acted are refused by the provider', async () => {
   for (const seed of [6, 7, 8]) {
     const group = await settledGroup(seed);
-    const machines = await withMachines(group, 4);
+    const machines = await rentMachines(group, 4);
     const old = group.holder('return') ?? assert.fail();
     const before = group.storedHolder('return')?.token ?? 0;
     group.holdRequests(old, 9000);
@@ -84,7 +89,7 @@
     await group.run(0.3);
     // The request is on its way; now its sender stands still, too.
     group.freeze(old, 7000);
-    await resolved(group, opened);
+    await untilResolved(group, opened);
     assert.ok((group.storedHolder('return')?.token ?? 0) > before);
     await group.run(12);
     const refused = group.provider.refused();
@@ -110,13 +115,13 @@
 
 test('an outage for all: nothing is done in it, and holders go on after it where their leases live', async () => {
   const group = await settledGroup(10);
-  const machines = await withMachines(group, 2);
+  const machines = await rentMachines(group, 2);
   const before = DUTIES.map((duty) => group.storedHolder(duty)?.token);
   group.state.beginOutage(8000);
   await group.run(4);
   assert.ok(DUTIES.every((duty) => group.holder(duty) === undefined));
   await group.run(6);
-  await resolved(group, group.delete('return', machines[0]));
+  await untilResolved(group, group.delete('return', machines[0]));
   assert.deepEqual(
     DUTIES.map((duty) => group.storedHolder(duty)?.token),
     before,
@@ -129,7 +134,7 @@
   const old = group.holder('rent') ?? assert.fail();
   group.rejectStateRequests(old, 8000);
   await group.until('another holds it', () => (group.holder('rent') ?? old) !== old);
-  assert.deepEqual(await resolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
+  assert.deepEqual(await untilResolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
   await group.run(10);
   assertLossNoticed(group, old, 'rent');
   assert.deepEqual(group.invariants.violations, []);
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyGroup } from './sim/duty-group.js';
-import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import { untilResolved, settledGroup, rentMachines } from './sim/duty-scenarios.js';
 
 // Guards: the removal of a claim whose answer was lost.
 test('claims that are carried out late and without an answer keep no duty from being held', async () => {
@@ -16,7 +16,7 @@
 // Guards: the duty's record among the conditions of the write that resolves an intent.
 test('a write of the old holder that arrives late changes nothing', async () => {
   const group = await settledGroup(9);
-  const machines = await withMachines(group, 2);
+  const machines = await rentMachines(group, 2);
   const old = group.holder('return') ?? assert.fail();
   const before = group.storedHolder('return')?.token ?? 0;
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
@@ -30,7 +30,7 @@
   };
   await group.run(0.8);
   group.freeze(old, 8000);
-  await resolved(group, opened);
+  await untilResolved(group, opened);
   await group.run(12);
   const intent = [...group.invariants.intents.values()].find(({ duty }) => duty === 'return');
   assert.ok((intent?.token ?? 0) > before, 'resolved by the successor');
@@ -40,7 +40,7 @@
 // Guards: the claim of whoever decides among the conditions of an intent.
 test('an intent of a former decider that is carried out late is never stored', async () => {
   const group = await settledGroup(22);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 500,
@@ -51,7 +51,7 @@
   await group.run(0.4);
   group.replaceDecider();
   await group.run(0.2);
-  assert.deepEqual(await resolved(group, opened), { kind: 'not-stored' });
+  assert.deepEqual(await untilResolved(group, opened), { kind: 'not-stored' });
   await group.run(10);
   assert.equal(group.provider.executed('return').length, 0);
   assert.equal(group.state.history('duties/intents/i-2').length, 0);
@@ -60,14 +60,14 @@
 // Guards: an intent without an answer is stored again as it was, and followed to its end.
 test('an intent whose answer is lost is stored once, and whoever decides learns of its end', async () => {
   const group = await settledGroup(23);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 500,
     byMs: 3000,
     keys: 'duties/intents/',
   };
-  assert.equal((await resolved(group, group.delete('return', machines[0]))).kind, 'resolved');
+  assert.equal((await untilResolved(group, group.delete('return', machines[0]))).kind, 'resolved');
   await group.run(20);
   assert.equal(group.provider.machines.size, 0);
   assert.equal(group.openIntentCount(), 0);
@@ -77,7 +77,7 @@
 // Guards: the duty's record among the conditions, where the intent itself is still as it was.
 test('a late write of the old holder does not resolve an intent that its successor has not done yet', async () => {
   const group = await settledGroup(29);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
@@ -94,14 +94,14 @@
   await group.run(10);
   assert.equal(group.openIntentCount(), 1);
   group.provider.failure = { refuses: false, silent: false };
-  await resolved(group, opened);
+  await untilResolved(group, opened);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 // Guards: the version of the intent among the conditions of the write that resolves it.
 test('a late copy of the resolving write does not bring back a record that was cleaned up', async () => {
   const group = await settledGroup(30);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
   await group.until('the intent is stored', () => group.openIntentCount() > 0);
@@ -111,7 +111,7 @@
     byMs: 25_000,
     keys: 'duties/intents/',
   };
-  await resolved(group, opened);
+  await untilResolved(group, opened);
   await group.run(40);
   assert.equal(group.state.history('duties/intents/i-2').length, 2, 'opened and resolved');
   assert.ok(![...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')));
--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -36,7 +36,7 @@
     const old = processes.storedHolder()!;
     processes.signal(old.controller, end === 'death' ? 'SIGKILL' : 'SIGSTOP');
     const from = performance.now();
-    processes.plantDeletion(`i-${run}`, 'm-1');
+    processes.storeDeletionIntent(`i-${run}`, 'm-1');
     await processes.until('another acts', () =>
       processes.provider.executed(DUTY).some(({ token }) => token > old.token),
     );
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -15,7 +15,7 @@
   providerAddress: string;
   leaseS: number;
   /** Between the check of the holder and the request. */
-  beforeSendingMs: number;
+  sendDelayMs: number;
 }
 
 /** What the process tells its parent. */
@@ -27,14 +27,14 @@
 
 const SOCKETS = 16;
 
-function tell(message: DutyProcessMessage): void {
+function sendToParent(message: DutyProcessMessage): void {
   process.send?.(message);
 }
 
-function noteState(fields: object, text: string): void {
+function reportStateChange(fields: object, text: string): void {
   if (text !== 'duty state changed') return;
   const { duty, to, token } = fields as { duty: string; to: string; token?: number };
-  tell({ kind: 'state', duty, to, token: token ?? null });
+  sendToParent({ kind: 'state', duty, to, token: token ?? null });
 }
 
 function run(options: DutyProcessOptions): void {
@@ -53,12 +53,12 @@
       services: [stateAddress, providerAddress],
       maxConnectionsToWorkers: SOCKETS,
     }),
-    log: { ...quietLog, info: noteState },
+    log: { ...quietLog, info: reportStateChange },
     random: () => Math.random(),
   };
   const beforeSending = async (): Promise<void> => {
-    tell({ kind: 'checked', at: performance.now() });
-    await new Promise((done) => setTimeout(done, options.beforeSendingMs));
+    sendToParent({ kind: 'checked', at: performance.now() });
+    await new Promise((done) => setTimeout(done, options.sendDelayMs));
   };
   const member = new DutyMember({
     environment: { ...runtime, wallMs: () => Date.now() },
@@ -71,7 +71,7 @@
       address: providerAddress,
       beforeSending,
       onResponse: ({ status }) => {
-        tell({ kind: 'answered', at: performance.now(), status });
+        sendToParent({ kind: 'answered', at: performance.now(), status });
       },
     }),
     maxTransactionOps: 12,
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -35,7 +35,7 @@
   }
 
   /** `beforeSendingMs`: between the check of the holder and each request. */
-  async start(beforeSendingMs: number, leaseS: number): Promise<void> {
+  async start(sendDelayMs: number, leaseS: number): Promise<void> {
     const state = await serveOnLoopback((...request) => this.state.handle(...request));
     const provider = await serveOnLoopback(this.provider.handle);
     this.servers.push(state.server, provider.server);
@@ -46,7 +46,7 @@
         stateAddress: state.address,
         providerAddress: provider.address,
         leaseS,
-        beforeSendingMs,
+        sendDelayMs,
       });
     await this.until('somebody holds the duty', () => this.storedHolder() !== undefined);
   }
@@ -69,7 +69,7 @@
   }
 
   /** As a leader stores it. */
-  plantDeletion(id: string, machine: string): void {
+  storeDeletionIntent(id: string, machine: string): void {
     const intent: Intent = {
       id,
       duty: DUTY,
@@ -98,7 +98,7 @@
   }
 
   /** How often the process has passed the check of the holder. */
-  checks(name: string): number {
+  checkCount(name: string): number {
     return this.messages.filter(
       ({ name: from, message }) => from === name && message.kind === 'checked',
     ).length;
--- a/test/sim/duty-scenarios.ts
+++ b/test/sim/duty-scenarios.ts
@@ -14,7 +14,7 @@
 }
 
 /** Rents some machines, to be given back. */
-export async function withMachines(group: DutyGroup, count: number): Promise<string[]> {
+export async function rentMachines(group: DutyGroup, count: number): Promise<string[]> {
   let opened: IntentResult | null = null;
   void group.rent(count).then((result) => (opened = result));
   await group.until('machines are rented', () => opened !== null);
@@ -22,7 +22,7 @@
 }
 
 /** What the intent came to. */
-export async function resolved(
+export async function untilResolved(
   group: DutyGroup,
   opened: Promise<IntentResult>,
 ): Promise<IntentResult> {
