--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -130,8 +130,8 @@
     rmSync(this.directory, { recursive: true });
   }
 
-  until(what: string, holds: () => Promise<boolean> | boolean): Promise<void> {
-    return waitUntil(what, holds);
+  until(description: string, condition: () => Promise<boolean> | boolean): Promise<void> {
+    return waitUntil(description, condition);
   }
 
   async health(name: string): Promise<{ status: number; text: string }> {
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -262,12 +262,12 @@
     });
   }
 
-  async until(what: string, holds: () => boolean, withinS = 40): Promise<void> {
+  async until(description: string, condition: () => boolean, withinS = 40): Promise<void> {
     for (let waited = 0; waited < withinS; waited += STEP_S) {
-      if (holds()) return;
+      if (condition()) return;
       await this.run(STEP_S);
     }
-    assert.fail(`not within ${withinS} s: ${what}`);
+    assert.fail(`not within ${withinS} s: ${description}`);
   }
 
   /** Every duty has a holder. */
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -16,7 +16,7 @@
 const MAIN = fileURLToPath(new URL('./duty-process.js', import.meta.url));
 const NAMES = ['n0', 'n1', 'n2'];
 /** No test asks how fast anything is: whoever waits for longer than this has a fault, not a slow machine. */
-const PATIENCE_MS = 120_000;
+const TIMEOUT_MS = 120_000;
 /** The duty that is looked at. */
 export const DUTY: Duty = 'return';
 
@@ -105,9 +105,9 @@
   }
 
   /** A failure tells what the processes and the provider did. */
-  async until(what: string, holds: () => boolean): Promise<void> {
+  async until(description: string, condition: () => boolean): Promise<void> {
     try {
-      await waitUntil(what, holds, { everyMs: 20, patienceMs: PATIENCE_MS });
+      await waitUntil(description, condition, { intervalMs: 20, timeoutMs: TIMEOUT_MS });
     } catch (error) {
       const running = [...this.children].map(([name, child]) => [name, child.exitCode]);
       const history = { running, messages: this.messages, calls: this.provider.calls };
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -79,12 +79,12 @@
     this.cluster.crash(name, downMs);
   }
 
-  async until(what: string, holds: () => boolean, withinS = 40): Promise<void> {
+  async until(description: string, condition: () => boolean, withinS = 40): Promise<void> {
     for (let waited = 0; waited < withinS; waited += STEP_S) {
-      if (holds()) return;
+      if (condition()) return;
       await this.cluster.run(STEP_S);
     }
-    assert.fail(`not within ${withinS} s: ${what}; ${JSON.stringify(this.level)}`);
+    assert.fail(`not within ${withinS} s: ${description}; ${JSON.stringify(this.level)}`);
   }
 
   reaches(state: ClusterLevel['state'], active: number): Promise<void> {
