--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -56,7 +56,7 @@
   const group = await settledGroup(12);
   const opened = group.rent(3);
   for (let deaths = 0; deaths < 5; deaths++) {
-    group.provider.failure = { refuses: false, silent: true };
+    group.provider.failure = { unavailable: false, dropsResponses: true };
     const calls = group.provider.executed('rent').length;
     await group.until(
       'the request is executed',
@@ -64,7 +64,7 @@
     );
     group.crash(group.holder('rent') ?? assert.fail(), 1000);
   }
-  group.provider.failure = { refuses: false, silent: false };
+  group.provider.failure = { unavailable: false, dropsResponses: false };
   const result = await untilResolved(group, opened);
   assert.deepEqual(result, {
     kind: 'resolved',
@@ -83,11 +83,11 @@
     asked++;
     return Promise.resolve();
   };
-  group.provider.failure = { refuses: true, silent: false };
+  group.provider.failure = { unavailable: true, dropsResponses: false };
   const opened = group.delete('reclaim', machines[0]);
   await group.run(30);
   assert.ok(asked >= 3 && asked <= 12, String(asked));
-  group.provider.failure = { refuses: false, silent: false };
+  group.provider.failure = { unavailable: false, dropsResponses: false };
   assert.deepEqual(await untilResolved(group, opened), {
     kind: 'resolved',
     outcome: { kind: 'deleted' },
@@ -168,7 +168,10 @@
       group.state.lateWrites = { share: 0.3, until: group.clock.time + ms };
     },
     () => {
-      group.provider.failure = { refuses: random.chance(0.5), silent: random.chance(0.5) };
+      group.provider.failure = {
+        unavailable: random.chance(0.5),
+        dropsResponses: random.chance(0.5),
+      };
     },
   ];
   random.pick(kinds)();
@@ -192,7 +195,7 @@
       if (random.chance(0.4)) randomFault(group);
       await group.run(1);
     }
-    group.provider.failure = { refuses: false, silent: false };
+    group.provider.failure = { unavailable: false, dropsResponses: false };
     await group.run(30);
     await group.untilAllHeld();
     await group.until('nothing is open', () => group.openIntentCount() === 0);
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -90,10 +90,10 @@
   };
   await group.run(0.8);
   group.freeze(old, 20_000);
-  group.provider.failure = { refuses: true, silent: false };
+  group.provider.failure = { unavailable: true, dropsResponses: false };
   await group.run(10);
   assert.equal(group.openIntentCount(), 1);
-  group.provider.failure = { refuses: false, silent: false };
+  group.provider.failure = { unavailable: false, dropsResponses: false };
   await untilResolved(group, opened);
   assert.deepEqual(group.invariants.violations, []);
 });
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -28,16 +28,16 @@
 /** How a provider fails for a while. */
 export interface ProviderFailure {
   /** Executes nothing. */
-  refuses: boolean;
+  unavailable: boolean;
   /** Executes, but does not answer. */
-  silent: boolean;
+  dropsResponses: boolean;
 }
 
 /** Refuses a token that is lower than another that it has seen for the same duty. */
 export class FencedProvider {
   readonly calls: ProviderCall[] = [];
   readonly machines = new Set<string>();
-  failure: ProviderFailure = { refuses: false, silent: false };
+  failure: ProviderFailure = { unavailable: false, dropsResponses: false };
   /** Between the arrival of a request and its execution. */
   delay: () => Promise<void> = () => Promise.resolve();
   private readonly newest = new Map<Duty, number>();
@@ -46,9 +46,9 @@
 
   readonly handle: Handler = async (_method, path, body) => {
     await this.delay();
-    if (this.failure.refuses) return { status: 503, body: {} };
+    if (this.failure.unavailable) return { status: 503, body: {} };
     const reply = this.execute(path, body);
-    return this.failure.silent ? new Promise<HttpResponse>(() => undefined) : reply;
+    return this.failure.dropsResponses ? new Promise<HttpResponse>(() => undefined) : reply;
   };
 
   executed(duty: Duty): ProviderCall[] {
