--- a/test/sim/ungated-build.ts
+++ b/test/sim/ungated-build.ts
@@ -9,10 +9,10 @@
  * What a build from before levels sees of the state service: it never asks for the rollout's records, and takes a
  * record of finished tasks that is no text for one that tells of no task.
  */
-export function responseToUngatedBuild(path: string, reply: HttpResponse): HttpResponse {
+export function responseToUngatedBuild(path: string, response: HttpResponse): HttpResponse {
   const read = decodeReadRequest(path);
   if (read?.kind === 'get' && read.key.startsWith(ROLLOUT_RECORDS))
     return { status: 404, body: encodeRevision(1) };
-  if (read?.kind !== 'scan' || !read.prefix.startsWith(FINISHED_RECORDS)) return reply;
-  return mapPageValues(reply, (value) => (typeof value === 'string' ? value : ''));
+  if (read?.kind !== 'scan' || !read.prefix.startsWith(FINISHED_RECORDS)) return response;
+  return mapPageValues(response, (value) => (typeof value === 'string' ? value : ''));
 }
--- a/test/sim/wire/cloud.ts
+++ b/test/sim/wire/cloud.ts
@@ -1,6 +1,6 @@
 /** The cloud's side of the protocol as the stand-in speaks it: catalog, machine list, rentals and deletions. */
 import type { Body } from '../../../src/wire/cbor.js';
-import { flagField, integerField, textField, textsField } from './fields.js';
+import { booleanField, integerField, textField, textListField } from './fields.js';
 
 export type MachineState = 'starting' | 'running' | 'failed';
 
@@ -58,7 +58,7 @@
     case '/catalog':
       return { kind: 'catalog' };
     case '/machines/delete':
-      return { kind: 'delete', machines: textsField(body, 'stones') };
+      return { kind: 'delete', machines: textListField(body, 'stones') };
     case '/machines':
       return path.includes('?') ? listRequest(url.searchParams) : rentalRequest(body);
     default:
@@ -81,7 +81,7 @@
     request: textField(body, 'hire'),
     type: textField(body, 'stone_kind'),
     zone: textField(body, 'yard'),
-    spot: flagField(body, 'loaned_stones'),
+    spot: booleanField(body, 'loaned_stones'),
     count: integerField(body, 'number'),
   };
 }
--- a/test/sim/wire/fields.ts
+++ b/test/sim/wire/fields.ts
@@ -13,19 +13,19 @@
   return value;
 }
 
-export function amountField(body: Body, field: string): number {
+export function numberField(body: Body, field: string): number {
   const value = body[field];
   if (typeof value !== 'number') throw malformed(body, field);
   return value;
 }
 
-export function flagField(body: Body, field: string): boolean {
+export function booleanField(body: Body, field: string): boolean {
   const value = body[field];
   if (typeof value !== 'boolean') throw malformed(body, field);
   return value;
 }
 
-export function textsField(body: Body, field: string): string[] {
+export function textListField(body: Body, field: string): string[] {
   const value = body[field];
   if (!Array.isArray(value) || !value.every((item) => typeof item === 'string'))
     throw malformed(body, field);
@@ -40,12 +40,13 @@
 }
 
 /** The inner word for a word of the wire. */
-export function wordField<Word extends string>(
+export function enumField<Name extends string>(
   body: Body,
   field: string,
-  words: Readonly<Record<Word, string>>,
-): Word {
-  for (const word of Object.keys(words) as Word[]) if (words[word] === body[field]) return word;
+  wireNames: Readonly<Record<Name, string>>,
+): Name {
+  for (const name of Object.keys(wireNames) as Name[])
+    if (wireNames[name] === body[field]) return name;
   throw malformed(body, field);
 }
 
--- a/test/sim/wire/state.ts
+++ b/test/sim/wire/state.ts
@@ -138,15 +138,15 @@
 
 /** A page of records as a reader sees it that takes some of their values for others. */
 export function mapPageValues(
-  reply: HttpResponse,
+  response: HttpResponse,
   change: (value: unknown) => unknown,
 ): HttpResponse {
-  if (reply.status !== 200) return reply;
-  const pairs = mapsField(reply.body, 'pairs').map((pair) => ({
+  if (response.status !== 200) return response;
+  const pairs = mapsField(response.body, 'pairs').map((pair) => ({
     ...pair,
     data: change(pair.data),
   }));
-  return { ...reply, body: { ...reply.body, pairs } };
+  return { ...response, body: { ...response.body, pairs } };
 }
 
 export function encodeConflict(failed: string[], revision: number): Body {
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -1,7 +1,7 @@
 /** The users' side of the protocol as tests speak it: submissions, polls, cancellations and their answers. */
 import type { HttpResponse } from '../../../src/runtime.js';
 import type { Body } from '../../../src/wire/cbor.js';
-import { integerField, textField, wordField } from './fields.js';
+import { integerField, textField, enumField } from './fields.js';
 
 export type SubmittedKind = 'array' | 'service' | 'gang';
 type SubmittedPriority = 'production' | 'high' | 'normal' | 'idle';
@@ -161,7 +161,7 @@
 function decodeJobStatus(body: Body): JobStatus {
   const job: JobStatus = {
     id: textField(body, 'id'),
-    state: wordField(body, 'condition', WIRE_STATES),
+    state: enumField(body, 'condition', WIRE_STATES),
   };
   if (body.done === undefined) return job;
   return { ...job, done: integerField(body, 'done'), running: integerField(body, 'running') };
--- a/test/sim/wire/workers.ts
+++ b/test/sim/wire/workers.ts
@@ -1,7 +1,7 @@
 /** The workers' side of the protocol as the stand-ins speak it: heartbeats, their answers, and commands. */
 import type { HttpResponse } from '../../../src/runtime.js';
 import { type Body, toNumber } from '../../../src/wire/cbor.js';
-import { amountField, integerField, mapsField, textField, wordField } from './fields.js';
+import { numberField, integerField, mapsField, textField, enumField } from './fields.js';
 
 export type ReportedTaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 export type ReportedExitCause =
@@ -135,8 +135,8 @@
 }
 
 function decodeCommand(body: Body): TaskCommand {
-  const kind = wordField(body, 'order', WIRE_COMMANDS);
+  const kind = enumField(body, 'order', WIRE_COMMANDS);
   const target = { task: textField(body, 'sack'), attempt: integerField(body, 'try') };
   if (kind !== 'stop') return { kind, ...target };
-  return { kind, ...target, graceS: amountField(body, 'wind_down_s') };
+  return { kind, ...target, graceS: numberField(body, 'wind_down_s') };
 }
