--- a/test/digest/trace-digest.ts
+++ b/test/digest/trace-digest.ts
@@ -3,7 +3,7 @@
  * A refactoring that keeps behaviour keeps the hashes.
  */
 import { Command, CommanderError } from 'commander';
-import { type SeedRange, readSeeds } from '../sim/seed-range.js';
+import { type SeedRange, parseSeedRange } from '../sim/seed-range.js';
 import { type SeedDigest, compareDigests, readDigests, writeDigests } from './recorded-digests.js';
 import { clusterFor, runScenario } from './scenario.js';
 import { scenarioOf } from './scenarios.js';
@@ -20,7 +20,7 @@
 
 function readOptions(args: string[]): DigestOptions | null {
   const command = new Command('trace-digest')
-    .requiredOption('--seeds <A-B>', 'seeds to run, for example 1-20', readSeeds)
+    .requiredOption('--seeds <A-B>', 'seeds to run, for example 1-20', parseSeedRange)
     .option('--record <FILE>', 'write the digests there')
     .option('--expect <FILE>', 'compare with the digests recorded there')
     .exitOverride();
--- a/test/sim/seed-range.ts
+++ b/test/sim/seed-range.ts
@@ -8,7 +8,7 @@
 }
 
 /** For commander: `7` or `1-50`. */
-export function readSeeds(text: string): SeedRange {
+export function parseSeedRange(text: string): SeedRange {
   const match = /^(\d+)(?:-(\d+))?$/.exec(text);
   const from = Number(match?.[1]);
   const to = Number(match?.[2] ?? from);
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path';
 import { Command, CommanderError, InvalidArgumentError } from 'commander';
 import { bundleController } from '../sim/controller-program.js';
-import { type SeedRange, readSeeds } from '../sim/seed-range.js';
+import { type SeedRange, parseSeedRange } from '../sim/seed-range.js';
 import { type SoakResult, runSoak } from './soak-run.js';
 
 const USAGE_ERROR = 2;
@@ -22,7 +22,7 @@
 
 function readOptions(args: string[]): SoakOptions | null {
   const command = new Command('soak')
-    .requiredOption('--seeds <A-B>', 'seeds to run, for example 1-50', readSeeds)
+    .requiredOption('--seeds <A-B>', 'seeds to run, for example 1-50', parseSeedRange)
     .option('--jobs <N>', 'runs at once', readJobs, 1)
     .exitOverride()
     .configureOutput({
