--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -95,8 +95,8 @@
   /** The provider executes only what an intent asked for before, and tokens never fall. */
   private checkCall(call: ProviderCall): void {
     if (!call.executed) return;
-    const asked = [...this.intents.values()].some((intent) => isFor(intent, call));
-    if (!asked) this.recordViolation('without_intent', JSON.stringify(call));
+    const isRequested = [...this.intents.values()].some((intent) => matchesCall(intent, call));
+    if (!isRequested) this.recordViolation('without_intent', JSON.stringify(call));
   }
 
   /** Machines that were rented and are not known to any intent; to be asked once all is quiet. */
@@ -113,7 +113,7 @@
   return now === null || JSON.stringify(before) === JSON.stringify(now);
 }
 
-function isFor({ id, duty, action }: Intent, call: ProviderCall): boolean {
+function matchesCall({ id, duty, action }: Intent, call: ProviderCall): boolean {
   if (duty !== call.duty) return false;
   if (action.kind === 'rent') return id === call.request;
   return (
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -47,8 +47,8 @@
   readonly handle: Handler = async (_method, path, body) => {
     await this.delay();
     if (this.failure.unavailable) return { status: 503, body: {} };
-    const reply = this.execute(path, body);
-    return this.failure.dropsResponses ? new Promise<HttpResponse>(() => undefined) : reply;
+    const response = this.execute(path, body);
+    return this.failure.dropsResponses ? new Promise<HttpResponse>(() => undefined) : response;
   };
 
   executed(duty: Duty): ProviderCall[] {
@@ -94,7 +94,7 @@
   address: string;
   /** Between the check of the holder and the request. */
   beforeSending?: () => Promise<void>;
-  onResponse?: (reply: HttpResponse) => void;
+  onResponse?: (response: HttpResponse) => void;
 }
 
 /** Fails with `StaleTokenError` when its token is refused. */
@@ -106,24 +106,24 @@
   }
 
   async rent(permit: Permit, request: string, action: RentAction): Promise<RentResult> {
-    const reply = await this.send(permit, '/rent', { request, count: action.count });
-    return reply
-      ? { kind: 'rented', machines: reply.machines as string[] }
+    const response = await this.send(permit, '/rent', { request, count: action.count });
+    return response
+      ? { kind: 'rented', machines: response.machines as string[] }
       : { kind: 'unavailable' };
   }
 
   async delete(permit: Permit, machines: readonly string[]): Promise<DeleteResult> {
-    const reply = await this.send(permit, '/delete', { machines: [...machines] });
-    return { kind: reply ? 'deleted' : 'unavailable' };
+    const response = await this.send(permit, '/delete', { machines: [...machines] });
+    return { kind: response ? 'deleted' : 'unavailable' };
   }
 
   private async send({ duty, token }: Permit, path: string, body: Body): Promise<Body | null> {
     await this.options.beforeSending?.();
     const { http, address } = this.options;
-    const reply = await http.send(address, 'POST', path, { ...body, duty, token }, TIMEOUT_MS);
-    this.options.onResponse?.(reply);
-    if (reply.status === PRECONDITION_FAILED)
-      throw new StaleTokenError(duty, token, toNumber(reply.body.newest)!);
-    return reply.status === 200 ? reply.body : null;
+    const response = await http.send(address, 'POST', path, { ...body, duty, token }, TIMEOUT_MS);
+    this.options.onResponse?.(response);
+    if (response.status === PRECONDITION_FAILED)
+      throw new StaleTokenError(duty, token, toNumber(response.body.newest)!);
+    return response.status === 200 ? response.body : null;
   }
 }
--- a/test/sim/loopback-server.ts
+++ b/test/sim/loopback-server.ts
@@ -32,10 +32,10 @@
 }
 
 function listening(server: Server, port: number): Promise<number> {
-  return new Promise((done, failed) => {
-    server.on('error', failed);
+  return new Promise((resolve, reject) => {
+    server.on('error', reject);
     server.listen(port, HOST, () => {
-      done((server.address() as AddressInfo).port);
+      resolve((server.address() as AddressInfo).port);
     });
   });
 }
@@ -46,18 +46,20 @@
   port = 0,
 ): Promise<{ server: Server; address: string }> {
   const server = createServer((request, response) => {
-    const parts: Buffer[] = [];
-    request.on('data', (part: Buffer) => parts.push(part));
+    const chunks: Buffer[] = [];
+    request.on('data', (chunk: Buffer) => chunks.push(chunk));
     request.on('end', () => {
-      const body = decodeMap(Buffer.concat(parts)) ?? {};
-      const reply = handler(request.method ?? 'GET', request.url ?? '/', body, 'controller');
-      void Promise.resolve(reply).then(({ status, body: answer }) => {
+      const body = decodeMap(Buffer.concat(chunks)) ?? {};
+      const result = handler(request.method ?? 'GET', request.url ?? '/', body, 'controller');
+      void Promise.resolve(result).then(({ status, body: responseBody }) => {
         // Status 0: the simulated network brought no answer.
         if (status === 0) {
           request.destroy();
           return;
         }
-        response.writeHead(status, { 'content-type': 'application/cbor' }).end(encode(answer));
+        response
+          .writeHead(status, { 'content-type': 'application/cbor' })
+          .end(encode(responseBody));
       });
     });
   });
