--- a/test/demo.ts
+++ b/test/demo.ts
@@ -53,7 +53,7 @@
 
 /** What the answer tells of the job; null if the request was not accepted. */
 async function ask({ method, path, body }: UserRequest): Promise<JobStatus | null> {
-  const reply = await standIns.ask(CONTROLLER.address, method, path, body);
+  const reply = await standIns.sendToController(CONTROLLER.address, method, path, body);
   console.log(`${method} ${path} -> ${reply.status} ${JSON.stringify(reply.body)}`);
   return decodeJobResponse(reply).job;
 }
--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -76,7 +76,7 @@
     const addresses = config.controllers.map(({ address }) => address);
     this.http = new HttpClient({ services: addresses, maxConnectionsToWorkers: CPUS });
     for (const address of addresses)
-      this.network.hosts.set(address, { handler: this.controller(address), hangsUntil: 0 });
+      this.network.hosts.set(address, { handler: this.controllerHandler(address), hangsUntil: 0 });
     const pools = ['a', 'b'].map((zone) => ({ type: 't16', zone, count: config.machinesPerPool }));
     this.cloud = new CloudService(
       this.clock,
@@ -88,11 +88,12 @@
   }
 
   /** What a controller answers to a user, or to a worker's heartbeat. */
-  private controller(address: string): Handler {
-    return (method, path, body) => this.ask(address, method as 'GET' | 'POST', path, body);
+  private controllerHandler(address: string): Handler {
+    return (method, path, body) =>
+      this.sendToController(address, method as 'GET' | 'POST', path, body);
   }
 
-  ask(
+  sendToController(
     address: string,
     method: 'GET' | 'POST',
     path: string,
@@ -102,7 +103,7 @@
   }
 
   /** More than are ever up at once: names are not given twice. */
-  private machinesAtMost(): number {
+  private maxMachines(): number {
     return this.config.machinesPerPool * 16;
   }
 
@@ -113,7 +114,7 @@
       this.cloud.handle(path, body),
     );
     if (this.config.throughNetwork) await this.serveEachController();
-    for (let i = 0; i < this.machinesAtMost(); i++) {
+    for (let i = 0; i < this.maxMachines(); i++) {
       const index = i;
       const toMachine: Handler = (...request) => this.toMachine(this.endpoints[index], request);
       this.endpoints.push(await this.serve(0, toMachine));
@@ -173,7 +174,7 @@
             .then(done, () => {
               done({ status: 0, body: {} });
             });
-          this.noteClaim();
+          this.recordClaim();
         });
       });
   }
@@ -187,7 +188,7 @@
     );
   }
 
-  private noteClaim(): void {
+  private recordClaim(): void {
     const claim = this.state.items.get('leader');
     if (claim && isMap(claim.value)) this.claims.set(claim.version, String(claim.value.node));
   }
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -16,7 +16,7 @@
 /** Submits jobs, and waits for their ends; each answer is checked by the invariants of the stand-ins. */
 export class ProcessUsers {
   private nextJob = 1;
-  private openUsers = 0;
+  private unfinishedJobs = 0;
   private streaming = false;
   /** Of each accepted submission, from its first attempt on, in milliseconds. */
   readonly latenciesMs: number[] = [];
@@ -33,7 +33,7 @@
     this.streaming = false;
   }
 
-  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
+  newJob(overrides: Partial<JobSubmission> = {}): JobSubmission {
     return {
       ...PLAIN_ARRAY,
       id: jobId(this.nextJob++),
@@ -41,38 +41,38 @@
       tasks: 4,
       memoryGb: 2,
       imageGb: 0.2,
-      ...over,
+      ...overrides,
     };
   }
 
   /** As PROTOCOL has it: a submission is repeated until it is accepted, then its user asks until the job is over. */
   async run(job: JobSubmission): Promise<void> {
-    this.openUsers++;
+    this.unfinishedJobs++;
     const { id } = job;
     const { invariants, clock } = this.services;
     invariants.jobs.set(id, observedJob(job, clock.time));
-    const began = performance.now();
+    const startedAt = performance.now();
     while (!(await this.request(id, submitRequest(job)))) this.refused++;
-    this.latenciesMs.push(performance.now() - began);
+    this.latenciesMs.push(performance.now() - startedAt);
     await waitUntil(`${id} is done`, async () => {
       await this.request(id, pollRequest(id));
       await delay(300);
       return invariants.jobs.get(id)!.reportedDoneAt !== null;
     });
-    this.openUsers--;
+    this.unfinishedJobs--;
   }
 
   /** Asks any controller that accepts connections; false if the request has to be repeated. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
     const { invariants, clock } = this.services;
-    const asked = clock.time;
+    const sentAt = clock.time;
     const start = Math.floor(Math.random() * this.controllers.length);
     for (let i = 0; i < this.controllers.length; i++) {
       const { address } = this.controllers[(start + i) % this.controllers.length];
-      const reply = await this.services.ask(address, method, path, body);
-      if (reply.status === 0) continue;
-      const decoded = decodeJobResponse(reply);
-      invariants.recordAnswer(id, decoded, asked);
+      const response = await this.services.sendToController(address, method, path, body);
+      if (response.status === 0) continue;
+      const decoded = decodeJobResponse(response);
+      invariants.recordAnswer(id, decoded, sentAt);
       if (decoded.job) return true;
       break;
     }
@@ -81,18 +81,18 @@
   }
 
   /** Jobs keep coming until `endStream`. */
-  async stream(everyMs: number): Promise<void> {
+  async stream(intervalMs: number): Promise<void> {
     this.streaming = true;
     while (this.streaming) {
       void this.run(this.newJob({ tasks: 1 + (this.nextJob % 6) }));
-      await delay(everyMs);
+      await delay(intervalMs);
     }
   }
 
   /** Every job that was begun has ended, as its user was told. */
   async endStream(): Promise<void> {
     this.streaming = false;
-    await waitUntil('all jobs are done', () => this.openUsers === 0);
+    await waitUntil('all jobs are done', () => this.unfinishedJobs === 0);
   }
 
   /** Each accepted job ended once; no task ran in two places, or again after it was done. */
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -174,7 +174,7 @@
     const { invariants, clock } = this.standIns;
     const asked = clock.time - STEP_MARGIN_MS;
     const address = this.deployment.addressOf(this.random.pick(NAMES));
-    const reply = await this.standIns.ask(address, method, path, body);
+    const reply = await this.standIns.sendToController(address, method, path, body);
     const refused = reply.status === 400 || reply.status === 422;
     if (refused) invariants.recordViolation('forgotten', `${id} got ${reply.status}`);
     else if (reply.status !== 0) invariants.recordAnswer(id, decodeJobResponse(reply), asked);
