--- a/test/sim/controller-builds.ts
+++ b/test/sim/controller-builds.ts
@@ -17,7 +17,7 @@
 };
 
 /** The program as a single file that declares the levels of the named build. */
-async function bundleAs(name: BuildName, directory: string): Promise<string> {
+async function bundleBuild(name: BuildName, directory: string): Promise<string> {
   const outfile = join(directory, `${name}.cjs`);
   const source = readFileSync('src/build.ts', 'utf8');
   assert.ok(source.includes(DECLARED));
@@ -40,6 +40,6 @@
 export async function bundleBuilds(directory: string): Promise<Map<BuildName, string>> {
   const bundles = new Map<BuildName, string>();
   for (const name of ['old', 'new', 'latest'] as const)
-    bundles.set(name, await bundleAs(name, directory));
+    bundles.set(name, await bundleBuild(name, directory));
   return bundles;
 }
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -95,7 +95,7 @@
     });
   }
 
-  private named(name: string): Controller {
+  private controllerNamed(name: string): Controller {
     return this.controllers.find((controller) => controller.name === name) ?? assert.fail(name);
   }
 
@@ -113,12 +113,12 @@
 
   /** Stops or continues the process, which does not notice. */
   signal(name: string, signal: 'SIGSTOP' | 'SIGCONT'): void {
-    this.named(name).process?.kill(signal);
+    this.controllerNamed(name).process?.kill(signal);
   }
 
   /** Ends the process without a signal that it could answer, and starts the other build. */
   async replace(name: string, build: BuildName): Promise<void> {
-    const controller = this.named(name);
+    const controller = this.controllerNamed(name);
     if (controller.process) await killAndWait(controller.process);
     this.spawn(controller, build);
   }
@@ -136,7 +136,7 @@
 
   async health(name: string): Promise<{ status: number; text: string }> {
     try {
-      const response = await fetch(`http://${this.named(name).address}/healthz`);
+      const response = await fetch(`http://${this.controllerNamed(name).address}/healthz`);
       return { status: response.status, text: await response.text() };
     } catch {
       return { status: 0, text: '' };
