--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -1,4 +1,4 @@
-/** Controllers that share the duties, without anything else that controllers do: in virtual time, with all faults. */
+/** Simulated controllers that share the duties and do nothing else, in virtual time and under all faults. */
 import assert from 'node:assert/strict';
 import {
   DUTIES,
@@ -20,7 +20,7 @@
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
 
-/** As in the operators' file. */
+/** Settings of the members, as in the operators' file. */
 export const DUTY_SETTINGS: DutySettings = {
   mode: 'on',
   held_here: [...DUTIES],
@@ -36,23 +36,26 @@
 const MAX_CLOCK_RATE = 1.001;
 const DAY_MS = 24 * 3600 * 1000;
 const STEP_S = 0.05;
-/** Stands for the claim of whoever decides. */
+/** Key of the record that represents the decider's claim, which is a precondition of every intent. */
 const DECIDER_KEY = 'decider';
 
 interface MemberProcess extends SimulatedProcess {
   member: DutyMember;
 }
 
-/** How many controllers there are, and how they share the duties. */
+/** The number of controllers, and how they share the duties. */
 export interface DutyGroupConfig {
   seed: number;
   size?: number;
   settings?: Partial<DutySettings>;
-  /** The controller that leads, and so has other work. */
+  /** Name of the leading controller, which has other work to do. */
   leader?: string;
 }
 
-/** Composes the members, the state service and the provider. `run` lets time go on; the invariants are checked after each step. */
+/**
+ * Composes the members, the state service and the provider. `run` advances virtual time and checks the invariants after
+ * each step.
+ */
 export class DutyGroup implements ObservedDutyGroup {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
@@ -61,10 +64,10 @@
   readonly provider = new FencedProvider();
   readonly invariants: DutyInvariants;
   readonly names: string[];
-  /** Lines of the log, by controller. */
+  /** Log lines of all controllers, with the controller's name. */
   readonly logLines: { name: string; text: string; fields: object }[] = [];
   private readonly processes = new Map<string, MemberProcess>();
-  /** Controllers whose duties are off at the moment. */
+  /** Names of controllers whose duties are currently turned off. */
   readonly turnedOff = new Set<string>();
   private nextIntent = 1;
   private readonly log: IntentLog;
@@ -116,7 +119,7 @@
     settings: DutySettings,
   ): DutyMember {
     const runtime = this.runtime(name, process, this.random.between(1, MAX_CLOCK_RATE));
-    // Wall clocks differ by days.
+    // The wall clocks of controllers may differ by days.
     const wallOffsetMs = this.random.between(-DAY_MS, DAY_MS);
     return new DutyMember({
       environment: {
@@ -162,7 +165,7 @@
     });
   }
 
-  /** Another one decides from now on. */
+  /** Replaces the decider's claim, as a new decider does: transactions that require the previous claim fail. */
   replaceDecider(): void {
     this.state.putDirectly(DECIDER_KEY, {});
   }
@@ -171,7 +174,7 @@
     return this.log.open(duty, action);
   }
 
-  /** Some machines of the provider are given back. */
+  /** Opens an intent to delete machines of the provider. */
   delete(duty: 'return' | 'reclaim', ...machines: string[]): Promise<IntentResult> {
     return this.openIntent(duty, { kind: 'delete', machines });
   }
@@ -205,7 +208,7 @@
     this.processes.get(name)!.frozenUntil = this.clock.time + ms;
   }
 
-  /** What the process asks of the provider is held, and arrives afterwards. */
+  /** Holds the process's requests to the provider for `ms`; they arrive afterwards. */
   holdRequests(name: string, ms: number): void {
     this.network.partitions.push({
       a: (host) => host === `${name}:80`,
@@ -215,7 +218,7 @@
     });
   }
 
-  /** What the state service answers this process is held; what it asks is executed. */
+  /** Holds the state service's responses to the process for `ms`; the process's requests are executed. */
   holdResponses(name: string, ms: number): void {
     this.network.partitions.push({
       a: (host) => host === STATE,
@@ -226,7 +229,7 @@
     });
   }
 
-  /** The state service refuses this process alone. */
+  /** Makes the state service reject requests of this process only, for `ms`. */
   rejectStateRequests(name: string, ms: number): void {
     this.state.rejectHost(`${name}:80`, ms);
   }
@@ -235,7 +238,7 @@
     return this.isUp(name) && !this.isFrozen(name) && this.member(name).holder(duty).isHeld();
   }
 
-  /** Controllers that run and believe to hold the duty now. */
+  /** Names of the running controllers that consider themselves holders of the duty now. */
   holders(duty: Duty): string[] {
     return this.names.filter((name) => this.isHolder(name, duty));
   }
@@ -244,7 +247,7 @@
     return this.names.find((name) => this.isHolder(name, duty));
   }
 
-  /** What the records say. */
+  /** The stored holder record of the duty, or undefined if there is none. */
   storedHolder(duty: Duty): { controller: string; token: number } | undefined {
     return this.state.value(`duties/holders/${duty}`) as
       { controller: string; token: number } | undefined;
@@ -267,10 +270,10 @@
       if (condition()) return;
       await this.run(STEP_S);
     }
-    assert.fail(`not within ${withinS} s: ${description}`);
+    assert.fail(`condition not met within ${withinS} s: ${description}`);
   }
 
-  /** Every duty has a holder. */
+  /** Waits until every duty has a holder. */
   async untilAllHeld(): Promise<void> {
     await this.until('all duties are held', () =>
       DUTIES.every((duty) => this.holder(duty) !== undefined),
--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -1,4 +1,4 @@
-/** What must hold of the duties after each step, whatever fails: looked at from outside the controllers. */
+/** Invariants of the duties that must hold after each step under any fault, checked from outside the controllers. */
 import { DUTIES, type Duty, type Intent, type Outcome } from '@millring/duties';
 import type { VirtualClock } from './clock.js';
 import type { FencedProvider, ProviderCall } from './fenced-provider.js';
@@ -6,25 +6,25 @@
 
 const INTENTS_PREFIX = 'duties/intents/';
 
-/** What the invariants look at. */
+/** What the invariants inspect. */
 export interface ObservedDutyGroup {
   readonly clock: VirtualClock;
   readonly state: StateService;
   readonly provider: FencedProvider;
-  /** Controllers that run and believe to hold the duty now. */
+  /** Names of the running controllers that consider themselves holders of the duty now. */
   holders(duty: Duty): string[];
-  /** What the records say. */
+  /** The stored holder record of the duty, or undefined if there is none. */
   storedHolder(duty: Duty): { controller: string; token: number } | undefined;
 }
 
-/** Checked after each step of a duty group; `violations` has what was broken, with times. */
+/** Checked after each step of a duty group. `violations` contains each violated invariant with its time. */
 export class DutyInvariants {
   readonly violations: string[] = [];
   private readonly tokens = new Map<Duty, number>();
-  /** All intents that were ever stored, as last seen. */
+  /** All intents that were ever stored, by id, in the form last seen. */
   readonly intents = new Map<string, Intent>();
   private callsSeen = 0;
-  /** Records may be taken from under holders. */
+  /** Whether an operator has acted, who may remove the record of a duty while it is held. */
   operatorActed = false;
   private revisionSeen = 0;
 
@@ -41,7 +41,7 @@
     for (; this.callsSeen < calls.length; this.callsSeen++) this.checkCall(calls[this.callsSeen]);
   }
 
-  /** Whoever is entitled to act stands in the record at that very moment, unless an operator took it out. */
+  /** At most one controller may act, and the record names it at that moment, unless an operator removed the record. */
   private checkHolders(): void {
     const { group } = this;
     for (const duty of DUTIES) {
@@ -62,7 +62,7 @@
       if (key.startsWith(INTENTS_PREFIX)) this.checkIntent(value as Intent);
   }
 
-  /** Tokens only rise, also when nobody holds the duty. */
+  /** Tokens only increase, even while no controller holds the duty. */
   private checkToken(duty: Duty): void {
     const stored = this.group.state.value(`duties/tokens/${duty}`) as { token: number } | undefined;
     const before = this.tokens.get(duty) ?? 0;
@@ -73,7 +73,7 @@
       this.recordViolation('holder_token', `${duty}: ${holder.token}`);
   }
 
-  /** Once resolved, an intent stays as it is; it is resolved under a token that was given. */
+  /** The outcome of a resolved intent does not change, and an intent is resolved under a token that was issued. */
   private checkIntent(intent: Intent): void {
     const before = this.intents.get(intent.id)?.outcome ?? null;
     if (before !== null) this.checkOutcomeKept(intent, before);
@@ -92,14 +92,14 @@
     if (!isSameOutcome(before, outcome)) this.recordViolation('outcome_changed', id);
   }
 
-  /** The provider executes only what an intent asked for before, and tokens never fall. */
+  /** The provider executes only what an intent requested before; it rejects tokens that decrease by itself. */
   private checkCall(call: ProviderCall): void {
     if (!call.executed) return;
     const isRequested = [...this.intents.values()].some((intent) => matchesCall(intent, call));
     if (!isRequested) this.recordViolation('without_intent', JSON.stringify(call));
   }
 
-  /** Machines that were rented and are not known to any intent; to be asked once all is quiet. */
+  /** Returns machines that were rented but appear in no intent's outcome. To be called once no intent is open. */
   unaccounted(): string[] {
     const known = new Set<string>();
     for (const { outcome } of this.intents.values())
@@ -109,7 +109,7 @@
 }
 
 function isSameOutcome(before: Outcome, now: Outcome | null): boolean {
-  // A late copy of the first write may open the intent once more; doing it again changes nothing.
+  // A late copy of the first write may open the intent again; performing it again changes nothing.
   return now === null || JSON.stringify(before) === JSON.stringify(now);
 }
 
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -1,4 +1,4 @@
-/** The main module of a process that shares the duties with others; tests suspend and continue it by signals. */
+/** Main module of a process that shares the duties with other processes. Tests suspend and continue it with signals. */
 import { performance } from 'node:perf_hooks';
 import { DutyMember } from '@millring/duties';
 import { HttpClient } from '../../src/http/http-client.js';
@@ -8,21 +8,21 @@
 import { FencedProviderClient } from './fenced-provider.js';
 import { quietLog } from './quiet-log.js';
 
-/** Handed over as JSON in the first argument. */
+/** Options of the process, passed as JSON in the first argument. */
 export interface DutyProcessOptions {
   name: string;
   stateAddress: string;
   providerAddress: string;
   leaseS: number;
-  /** Between the check of the holder and the request. */
+  /** Delay between the check of the holder and each request, in milliseconds. */
   sendDelayMs: number;
 }
 
-/** What the process tells its parent. */
+/** A message from the process to its parent. */
 export type DutyProcessMessage =
   | { kind: 'state'; duty: string; to: string; token: number | null }
   | { kind: 'checked'; at: number }
-  /** The provider's answer to what was sent after a check; a status of 0 stands for none. */
+  /** The provider's response to the request sent after a check; status 0 means that there was no response. */
   | { kind: 'answered'; at: number; status: number };
 
 const SOCKETS = 16;
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -1,4 +1,4 @@
-/** Processes that share the duties, on loopback with their stand-ins. */
+/** Processes that share the duties, with a simulated state service and provider on loopback. */
 import { type ChildProcess, fork } from 'node:child_process';
 import type { Server } from 'node:http';
 import { fileURLToPath } from 'node:url';
@@ -15,12 +15,12 @@
 
 const MAIN = fileURLToPath(new URL('./duty-process.js', import.meta.url));
 const NAMES = ['n0', 'n1', 'n2'];
-/** No test asks how fast anything is: whoever waits for longer than this has a fault, not a slow machine. */
+/** No test measures speed: a wait longer than this is caused by a fault, not by a slow machine. */
 const TIMEOUT_MS = 120_000;
-/** The duty that is looked at. */
+/** The duty that the tests observe. */
 export const DUTY: Duty = 'return';
 
-/** Three processes, with a state service and a provider on loopback; `stop` ends them all. */
+/** Three processes, with a state service and a provider on loopback. `stop` stops them all. */
 export class DutyProcesses {
   readonly provider = new FencedProvider();
   readonly state: StateService;
@@ -34,7 +34,7 @@
     this.state = new StateService(this.clock, new SeededRandom(1));
   }
 
-  /** `beforeSendingMs`: between the check of the holder and each request. */
+  /** `sendDelayMs` is the delay between the check of the holder and each request. */
   async start(sendDelayMs: number, leaseS: number): Promise<void> {
     const state = await serveOnLoopback((...request) => this.state.handle(...request));
     const provider = await serveOnLoopback(this.provider.handle);
@@ -48,7 +48,7 @@
         leaseS,
         sendDelayMs,
       });
-    await this.until('somebody holds the duty', () => this.storedHolder() !== undefined);
+    await this.until('a process holds the duty', () => this.storedHolder() !== undefined);
   }
 
   private fork(options: DutyProcessOptions): void {
@@ -68,7 +68,7 @@
       { controller: string; token: number } | undefined;
   }
 
-  /** As a leader stores it. */
+  /** Adds a machine to the provider and stores an intent to delete it, as a leader stores it. */
   storeDeletionIntent(id: string, machine: string): void {
     const intent: Intent = {
       id,
@@ -90,21 +90,21 @@
     return (this.intent(id)?.outcome ?? null) !== null;
   }
 
-  /** States of the duty at the process, in order. */
+  /** States of the duty that the process reported, in order. */
   states(name: string): string[] {
     return this.messages.flatMap(({ name: from, message }) =>
       from === name && message.kind === 'state' && message.duty === DUTY ? [message.to] : [],
     );
   }
 
-  /** How often the process has passed the check of the holder. */
+  /** Number of times that the process has passed the check of the holder. */
   checkCount(name: string): number {
     return this.messages.filter(
       ({ name: from, message }) => from === name && message.kind === 'checked',
     ).length;
   }
 
-  /** A failure tells what the processes and the provider did. */
+  /** Waits for a condition. On failure, prints what the processes and the provider did. */
   async until(description: string, condition: () => boolean): Promise<void> {
     try {
       await waitUntil(description, condition, { intervalMs: 20, timeoutMs: TIMEOUT_MS });
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Another process has taken the duty; its name. */
+  /** Waits until another process holds the duty, under a higher token. */
   async untilReplaced(old: string, token: number): Promise<void> {
     await this.until('a successor holds the duty', () => {
       const now = this.storedHolder();
--- a/test/sim/duty-scenarios.ts
+++ b/test/sim/duty-scenarios.ts
@@ -1,9 +1,9 @@
-/** Duty groups to begin with, and steps that several tests take with them. */
+/** Initial duty groups, and steps that several tests share. */
 import assert from 'node:assert/strict';
 import type { Duty, IntentResult } from '@millring/duties';
 import { DutyGroup, type DutyGroupConfig } from './duty-group.js';
 
-/** All duties are held. */
+/** Returns a group in which all duties are held. */
 export async function settledGroup(
   seed: number,
   config: Partial<DutyGroupConfig> = {},
@@ -13,7 +13,7 @@
   return group;
 }
 
-/** Rents some machines, to be given back. */
+/** Rents machines for tests to delete. Returns the names of all the provider's machines. */
 export async function rentMachines(group: DutyGroup, count: number): Promise<string[]> {
   let opened: IntentResult | null = null;
   void group.rent(count).then((result) => (opened = result));
@@ -21,18 +21,18 @@
   return [...group.provider.machines];
 }
 
-/** What the intent came to. */
+/** Waits for the result of an intent. */
 export async function untilResolved(
   group: DutyGroup,
   opened: Promise<IntentResult>,
 ): Promise<IntentResult> {
   let result: IntentResult | null = null;
   void opened.then((r) => (result = r));
-  await group.until('the intent is followed to its end', () => result !== null);
+  await group.until('the intent has a result', () => result !== null);
   return result ?? assert.fail();
 }
 
-/** The old holder noticed that it lost the duty, and counts as any other since. */
+/** Asserts that the old holder noticed the loss of the duty, and has been treated like any other controller since. */
 export function assertLossNoticed(group: DutyGroup, old: string, duty: Duty): void {
   const states = group.logLines
     .filter(
@@ -45,4 +45,4 @@
   assert.equal(states[lost + 1], 'vacant');
 }
 
-// Guards: the check of the holder by its own steady clock, and the loss of the duty once the record names another.
+// Tests the holder's check by its own monotonic clock, and the loss of the duty once the record names another holder.
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -1,4 +1,4 @@
-/** A machine provider that checks fencing tokens, and the client that duties reach it by. */
+/** A machine provider that checks fencing tokens, and the client through which duties use it. */
 import {
   type DeleteResult,
   type Duty,
@@ -15,30 +15,30 @@
 const PRECONDITION_FAILED = 412;
 const TIMEOUT_MS = 5000;
 
-/** A request as it was executed, or refused for its token. */
+/** A request that was executed, or rejected because of its token. */
 export interface ProviderCall {
   duty: Duty;
   token: number;
-  /** Of a rental. */
+  /** Id of a rental request, null for a deletion. */
   request: string | null;
   machines: string[];
   executed: boolean;
 }
 
-/** How a provider fails for a while. */
+/** The provider's current faults. */
 export interface ProviderFailure {
-  /** Executes nothing. */
+  /** Rejects every request with status 503 and executes nothing. */
   unavailable: boolean;
-  /** Executes, but does not answer. */
+  /** Executes requests, but does not respond. */
   dropsResponses: boolean;
 }
 
-/** Refuses a token that is lower than another that it has seen for the same duty. */
+/** Rejects a token that is lower than the highest that it has seen for the same duty. */
 export class FencedProvider {
   readonly calls: ProviderCall[] = [];
   readonly machines = new Set<string>();
   failure: ProviderFailure = { unavailable: false, dropsResponses: false };
-  /** Between the arrival of a request and its execution. */
+  /** Awaited between the arrival of a request and its execution. */
   delay: () => Promise<void> = () => Promise.resolve();
   private readonly newest = new Map<Duty, number>();
   private readonly rented = new Map<string, string[]>();
@@ -88,16 +88,16 @@
   }
 }
 
-/** How the client reaches the provider. */
+/** How the client connects to the provider, and hooks around each request. */
 export interface FencedProviderClientOptions {
   http: Http;
   address: string;
-  /** Between the check of the holder and the request. */
+  /** Awaited between the check of the holder and the request. */
   beforeSending?: () => Promise<void>;
   onResponse?: (response: HttpResponse) => void;
 }
 
-/** Fails with `StaleTokenError` when its token is refused. */
+/** Throws `StaleTokenError` when the provider rejects its token. */
 export class FencedProviderClient implements MachineProvider {
   constructor(private readonly options: FencedProviderClientOptions) {}
 
