--- a/test/sim/client-runtime.ts
+++ b/test/sim/client-runtime.ts
@@ -1,10 +1,10 @@
-/** The runtime of programs beside the controllers, such as operators' commands. */
+/** The runtime of programs other than controllers, such as operators' commands. */
 import type { Runtime } from '../../src/runtime.js';
 import type { VirtualClock } from './clock.js';
 import type { Network } from './network.js';
 import { quietLog } from './quiet-log.js';
 
-/** Sends from a host that no controller has. */
+/** Returns a runtime that sends requests from a host on which no controller runs. */
 export function clientRuntime({
   clock,
   network,
--- a/test/sim/controller-builds.ts
+++ b/test/sim/controller-builds.ts
@@ -1,4 +1,4 @@
-/** The controller's program as builds that differ in the levels that they declare. */
+/** Bundles of the controller's program as builds that declare different feature levels. */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -6,17 +6,17 @@
 
 const DECLARED = 'export const BUILD: Build =';
 
-/** `old` has the base level only, `new` one level more, `latest` two. */
+/** `old` supports only the base level, `new` one level more, `latest` two more. */
 export type BuildName = 'old' | 'new' | 'latest';
 
-/** What the builds declare of themselves, whatever this program declares. */
+/** The declaration of each build, which replaces this program's own declaration. */
 const DECLARATIONS: Record<BuildName, string> = {
   old: "{ version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 }",
   new: '{ version: manifest.version, reads: { from: 1, to: 2 }, writes: 2 }',
   latest: '{ version: manifest.version, reads: { from: 1, to: 3 }, writes: 3 }',
 };
 
-/** The program as a single file that declares the levels of the named build. */
+/** Bundles the program into a single file that declares the levels of the named build. Returns the file's path. */
 async function bundleBuild(name: BuildName, directory: string): Promise<string> {
   const outfile = join(directory, `${name}.cjs`);
   const source = readFileSync('src/build.ts', 'utf8');
@@ -36,7 +36,7 @@
   return outfile;
 }
 
-/** The paths of all builds, as files in the directory. */
+/** Bundles all builds into files in the directory. Returns the path of each. */
 export async function bundleBuilds(directory: string): Promise<Map<BuildName, string>> {
   const bundles = new Map<BuildName, string>();
   for (const name of ['old', 'new', 'latest'] as const)
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -1,4 +1,4 @@
-/** Controllers as real processes on loopback, of builds that differ in the levels that they declare. */
+/** Controllers as real processes on loopback, running builds that declare different feature levels. */
 import assert from 'node:assert/strict';
 import { type ChildProcess, execFile, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -19,10 +19,10 @@
 const TEAM = 'research';
 const TEAM_LIMIT = 200;
 const REPORT_S = 0.5;
-/** Longer than a busy machine may stand still, so that no worker loses its lease for that. */
+/** Longer than a busy machine may stall, so that no worker loses its lease because of a stall. */
 const LEASE_S = 30;
 const CANCEL_S = 60;
-/** How a command line ended. */
+/** Exit code and output of a command. */
 export interface CommandResult {
   code: number;
   stdout: string;
@@ -33,7 +33,7 @@
   process: ChildProcess | null;
 }
 
-/** Three controllers, their stand-ins and their users; `stop` ends them all. */
+/** Three controllers, the simulated services that they use, and their users. `stop` stops them all. */
 export class ControllerProcesses {
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-'));
   private bundles = new Map<BuildName, string>();
@@ -41,7 +41,7 @@
   services!: LoopbackServices;
   users!: ProcessUsers;
 
-  /** `rollout` and `duties`: as in the operators' file. */
+  /** Starts everything with one build. `rollout` and `duties` are settings as in the operators' file. */
   async start(
     build: BuildName,
     rollout: Partial<RolloutSettings>,
@@ -111,12 +111,12 @@
     );
   }
 
-  /** Stops or continues the process, which does not notice. */
+  /** Suspends or continues the process, which is not notified. */
   signal(name: string, signal: 'SIGSTOP' | 'SIGCONT'): void {
     this.controllerNamed(name).process?.kill(signal);
   }
 
-  /** Ends the process without a signal that it could answer, and starts the other build. */
+  /** Kills the process with SIGKILL, which it can't handle, and starts the given build. */
   async replace(name: string, build: BuildName): Promise<void> {
     const controller = this.controllerNamed(name);
     if (controller.process) await killAndWait(controller.process);
@@ -147,12 +147,12 @@
     return this.until(`${name} is healthy`, async () => (await this.health(name)).status === 200);
   }
 
-  /** `millring rollout ...`, with the settings of a controller. */
+  /** Runs `millring rollout ...` with the settings of a controller. */
   rollout(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('new', name, ['rollout', ...args]);
   }
 
-  /** `millring duties ...`, with the settings of a controller. */
+  /** Runs `millring duties ...` with the settings of a controller. */
   duties(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('latest', name, ['duties', ...args]);
   }
@@ -172,7 +172,7 @@
     });
   }
 
-  /** What is stored of the cluster level. */
+  /** The stored cluster level, or the initial level if none is stored. */
   get level(): { state: string; active: number } {
     const stored = this.services.state.value('rollout/level') as
       { state: string; active: number } | undefined;
--- a/test/sim/controller-program.ts
+++ b/test/sim/controller-program.ts
@@ -1,4 +1,4 @@
-/** The controller's program as one file, as it is deployed. */
+/** Bundles the controller's program into a single file, the form in which it is deployed. */
 import { type Plugin, build as bundle } from 'esbuild';
 
 /** Writes the bundle to `outfile`. */
--- a/test/sim/platform-settings.ts
+++ b/test/sim/platform-settings.ts
@@ -1,6 +1,6 @@
 /** The settings file of a controller process in tests, as the platform would write it. */
 
-/** Where a controller is reached by users and workers, and by other controllers. */
+/** The addresses at which users and workers (`address`) and other controllers (`peerAddress`) reach a controller. */
 export interface ControllerAddresses {
   name: string;
   zone: string;
@@ -8,10 +8,10 @@
   peerAddress: string;
 }
 
-/** What differs between the settings files of tests. */
+/** The values that differ between the settings files of tests. */
 export interface TestSettings {
   self: ControllerAddresses;
-  /** The other controllers, with the addresses under which this one reaches them. */
+  /** The other controllers, with the addresses at which this one reaches them. */
   others: ControllerAddresses[];
   stateAddress: string;
   cloudAddress: string;
@@ -24,7 +24,7 @@
   listLagS: number;
 }
 
-/** The settings file as TOML. */
+/** Returns the settings file as TOML. */
 export function settingsFile(settings: TestSettings): string {
   const { self, others, teams } = settings;
   const other = ({ name, zone, peerAddress }: ControllerAddresses): string =>
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -1,4 +1,4 @@
-/** Users of controllers that are real processes. */
+/** Simulated users of controllers that run as real processes. */
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 import { PLAIN_ARRAY, jobId } from './jobs.js';
@@ -13,14 +13,14 @@
   submitRequest,
 } from './wire/users.js';
 
-/** Submits jobs, and waits for their ends; each answer is checked by the invariants of the stand-ins. */
+/** Submits jobs and waits until they are done. The invariants of the simulated services check each response. */
 export class ProcessUsers {
   private nextJob = 1;
   private unfinishedJobs = 0;
   private streaming = false;
-  /** Of each accepted submission, from its first attempt on, in milliseconds. */
+  /** Time from the first attempt to acceptance for each accepted submission, in milliseconds. */
   readonly latenciesMs: number[] = [];
-  /** Attempts that were not accepted. */
+  /** Number of attempts that were not accepted. */
   refused = 0;
 
   constructor(
@@ -45,7 +45,7 @@
     };
   }
 
-  /** As PROTOCOL has it: a submission is repeated until it is accepted, then its user asks until the job is over. */
+  /** As PROTOCOL specifies, repeats a submission until it is accepted, then polls until the job is done. */
   async run(job: JobSubmission): Promise<void> {
     this.unfinishedJobs++;
     const { id } = job;
@@ -62,7 +62,7 @@
     this.unfinishedJobs--;
   }
 
-  /** Asks any controller that accepts connections; false if the request has to be repeated. */
+  /** Sends a request to any controller that accepts connections. Returns false if the request has to be repeated. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
     const { invariants, clock } = this.services;
     const sentAt = clock.time;
@@ -80,7 +80,7 @@
     return false;
   }
 
-  /** Jobs keep coming until `endStream`. */
+  /** Submits a job every `intervalMs` until `endStream` is called. */
   async stream(intervalMs: number): Promise<void> {
     this.streaming = true;
     while (this.streaming) {
@@ -89,13 +89,13 @@
     }
   }
 
-  /** Every job that was begun has ended, as its user was told. */
+  /** Stops submitting jobs, and waits until each submitted job has been reported to its user as done. */
   async endStream(): Promise<void> {
     this.streaming = false;
     await waitUntil('all jobs are done', () => this.unfinishedJobs === 0);
   }
 
-  /** Each accepted job ended once; no task ran in two places, or again after it was done. */
+  /** Asserts that each accepted job completed once, and that no task ran in two places or again after it was done. */
   checkHistory(): void {
     const { invariants } = this.services;
     assert.deepEqual(invariants.violations, []);
