--- a/test/sim/loopback-server.ts
+++ b/test/sim/loopback-server.ts
@@ -1,16 +1,19 @@
-/** HTTP servers of stand-ins on loopback, and ports for them. */
+/** HTTP servers of simulated services on loopback, and ports for them. */
 import { type Server, createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { decodeMap, encode } from '../../src/wire/cbor.js';
 import type { Handler } from './network.js';
 
 const HOST = '127.0.0.1';
-/** Below the ports that systems give to connections: those could take the port of a controller while it is replaced. */
+/**
+ * Below the ephemeral ports, which the system assigns to outgoing connections: a connection could take the port of a
+ * controller while the controller is being replaced.
+ */
 const FIRST_PORT = 20_000;
 const PORTS = 10_000;
 const usedPorts = new Set<number>();
 
-/** A port that nobody uses at the moment, never the same twice. */
+/** Returns a port that is not in use at the moment. Never returns the same port twice. */
 export async function freePort(): Promise<number> {
   for (;;) {
     const port = FIRST_PORT + Math.floor(Math.random() * PORTS);
@@ -40,7 +43,7 @@
   });
 }
 
-/** Serves a stand-in at a port, 0 for any that is free. */
+/** Serves a simulated service on a port; port 0 selects any free one. */
 export async function serveOnLoopback(
   handler: Handler,
   port = 0,
@@ -52,7 +55,7 @@
       const body = decodeMap(Buffer.concat(chunks)) ?? {};
       const result = handler(request.method ?? 'GET', request.url ?? '/', body, 'controller');
       void Promise.resolve(result).then(({ status, body: responseBody }) => {
-        // Status 0: the simulated network brought no answer.
+        // Status 0: the simulated network delivered no response.
         if (status === 0) {
           request.destroy();
           return;
@@ -66,7 +69,7 @@
   return { server, address: `${HOST}:${await listening(server, port)}` };
 }
 
-/** Ends a server and its connections. */
+/** Closes a server and its connections. */
 export function closeServer(server: Server): void {
   server.close();
   server.closeAllConnections();
--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -1,4 +1,4 @@
-/** The stand-ins of the simulated cluster, served on loopback in real time to controllers that are real processes. */
+/** The simulated state service, cloud and workers, served on loopback in real time to controllers in real processes. */
 import type { Server } from 'node:http';
 import { HttpClient } from '../../src/http/http-client.js';
 import { TOKENS_PER_EPOCH } from '../../src/leadership/leader-record.js';
@@ -17,31 +17,31 @@
 
 const CPUS = 16;
 const TIMEOUT_MS = 5000;
-/** Hosts of the simulated network. */
+/** Host names in the simulated network. */
 const STATE = 'state:1';
 const CLOUD = 'cloud:1';
-/** Longer than any controller waits: watches of the state service last longest. */
+/** Longer than any controller waits for a response: watches of the state service take longest. */
 const LONGEST_REQUEST_MS = 30_000;
 
-/** Which controllers there are, and how many machines. Times are in milliseconds. */
+/** The controllers and the number of machines. Times are in milliseconds. */
 export interface LoopbackConfig {
   seed: number;
   controllers: { name: string; address: string }[];
-  /** Machines in each of the zones `a` and `b`, of each kind. */
+  /** Number of machines of each kind in each of the zones `a` and `b`. */
   machinesPerPool: number;
   reportMs: number;
   leaseMs: number;
   cancelMs: number;
-  /** By team, the CPUs that its tasks may use. */
+  /** Maximum number of CPUs that the tasks of each team may use. */
   limits: Map<string, number>;
-  /** Requests of controllers pass the simulated network, with its cuts, delays, losses and repeats. */
+  /** Whether controllers' requests pass the simulated network, with its partitions, delays, losses and repeats. */
   throughNetwork?: boolean;
-  /** Port 0: any that is free. */
+  /** Port 0 selects any free port. */
   statePort?: number;
   cloudPort?: number;
 }
 
-/** State service, cloud and machines on ports of their own, in real time until `stop`. */
+/** Serves the state service, the cloud and each machine on a port of its own, in real time until `stop`. */
 export class LoopbackServices {
   readonly clock = new VirtualClock();
   readonly invariants: Invariants;
@@ -52,12 +52,12 @@
   readonly cloud: CloudService;
   private readonly random: SeededRandom;
   private readonly gangs: GangCoordinator;
-  /** Who claimed the leadership at which revision: their commands carry it in the token. */
+  /** The node that claimed leadership, by the revision of its claim, which the tokens of its commands contain. */
   private readonly claims = new Map<number, string>();
   private readonly stateAddresses = new Map<string, string>();
   private readonly cloudAddresses = new Map<string, string>();
   private startedAt = 0;
-  /** Until then, commands with starts reach the machines so much later. */
+  /** Until `until`, commands that start tasks reach the machines `byMs` later. */
   lateStarts: { byMs: number; until: number } | null = null;
   private readonly http: HttpClient;
   private readonly servers: Server[] = [];
@@ -87,7 +87,7 @@
     );
   }
 
-  /** What a controller answers to a user, or to a worker's heartbeat. */
+  /** Forwards requests of users and heartbeats of workers to a controller. */
   private controllerHandler(address: string): Handler {
     return (method, path, body) =>
       this.sendToController(address, method as 'GET' | 'POST', path, body);
@@ -102,7 +102,7 @@
     return this.http.send(address, method, path, method === 'GET' ? null : body, TIMEOUT_MS);
   }
 
-  /** More than are ever up at once: names are not given twice. */
+  /** Exceeds the number of machines that are ever up at once, since machine names are never reused. */
   private maxMachines(): number {
     return this.config.machinesPerPool * 16;
   }
@@ -126,12 +126,12 @@
     });
   }
 
-  /** The state service as this controller reaches it. */
+  /** The address at which this controller reaches the state service. */
   stateAddressOf(name: string): string {
     return this.stateAddresses.get(name) ?? this.stateAddress;
   }
 
-  /** The cloud as this controller reaches it. */
+  /** The address at which this controller reaches the cloud. */
   cloudAddressOf(name: string): string {
     return this.cloudAddresses.get(name) ?? this.cloudAddress;
   }
@@ -163,7 +163,7 @@
     }
   }
 
-  /** A request enters the simulation at the moment it came, after everything that was due before. */
+  /** Returns a handler that passes a request to the network at its time of arrival, after all events due before. */
   private viaNetwork(from: (body: Body) => string, to: string): Handler {
     return (method, path, body) =>
       new Promise((done) => {
@@ -179,7 +179,7 @@
       });
   }
 
-  /** The address of the controller that claimed under the token of a command. */
+  /** The address of the controller whose leadership claim has the revision in the command's token. */
   private senderOf(body: Body): string {
     const revision = Math.floor((decodeCommandRequest(body).token ?? 0) / TOKENS_PER_EPOCH);
     const name = this.claims.get(revision);
@@ -197,7 +197,7 @@
     return this.endpoints.includes(host);
   }
 
-  /** The node whose claim stands. */
+  /** The node whose leadership claim is stored, or null if there is none. */
   leader(): string | null {
     const claim = this.state.items.get('leader');
     return claim && isMap(claim.value) ? String(claim.value.node) : null;
--- a/test/sim/real-time.ts
+++ b/test/sim/real-time.ts
@@ -1,10 +1,10 @@
-/** Runs the stand-ins in real time. */
+/** Runs simulated services in real time. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { VirtualClock } from './clock.js';
 
 const STEP_MS = 10;
 
-/** Virtual time follows the steady clock until `stopped`. */
+/** Advances virtual time with the monotonic clock until `stopped` returns true, and calls `check` after each event. */
 export async function runInRealTime(
   clock: VirtualClock,
   stopped: () => boolean,
--- a/test/sim/seed-range.ts
+++ b/test/sim/seed-range.ts
@@ -1,4 +1,4 @@
-/** Seeds as the test commands take them: one, or a range. */
+/** Seeds in the arguments of test commands: a single seed or a range. */
 import { InvalidArgumentError } from 'commander';
 
 /** Seeds from `from` to `to`, both included. */
@@ -7,7 +7,7 @@
   to: number;
 }
 
-/** For commander: `7` or `1-50`. */
+/** Parses an argument for commander, such as `7` or `1-50`. */
 export function parseSeedRange(text: string): SeedRange {
   const match = /^(\d+)(?:-(\d+))?$/.exec(text);
   const from = Number(match?.[1]);
--- a/test/sim/wait-until.ts
+++ b/test/sim/wait-until.ts
@@ -2,17 +2,17 @@
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 
-/** How often to look, and when to give up. */
+/** Polling interval and timeout, in milliseconds. */
 export interface WaitOptions {
   intervalMs: number;
   timeoutMs: number;
 }
 
-/** No test asks how fast anything is: whoever waits for longer than this has a fault, not a slow machine. */
+/** No test measures speed: a wait longer than this is caused by a fault, not by a slow machine. */
 const TIMEOUT_MS = 180_000;
 const POLL_INTERVAL_MS = 50;
 
-/** Fails, naming `what`, if it does not hold after a long while. */
+/** Polls until the condition is true. Fails with the description if it is not true within the timeout. */
 export async function waitUntil(
   description: string,
   condition: () => Promise<boolean> | boolean,
@@ -23,5 +23,5 @@
     if (await condition()) return;
     await delay(intervalMs);
   }
-  assert.fail(`in vain: ${description}`);
+  assert.fail(`timed out waiting for: ${description}`);
 }
