--- a/test/sim/older-versions.ts
+++ b/test/sim/older-versions.ts
@@ -1,4 +1,4 @@
-/** What older versions stored and sent. */
+/** Records that older versions stored, and messages that they sent. */
 import { readFileSync } from 'node:fs';
 
 interface Fixture {
@@ -8,12 +8,12 @@
 }
 
 /**
- * Records and messages as each older version wrote them when it was run in a simulated cluster. `e9643d1` does not
- * know gangs yet; `b746609` is the first version that does.
+ * Records and messages that each older version wrote when it was run in a simulated cluster. `e9643d1` does not support
+ * gangs yet; `b746609` is the first version that does.
  */
 export const OLDER_VERSIONS = ['e9643d1', 'b746609'].map((version) => ({
   version,
   ...(JSON.parse(readFileSync(`test/fixtures/${version}.json`, 'utf8')) as Fixture),
 }));
-/** The first of them. */
+/** The first of these versions. */
 export const OLDEST_VERSION = OLDER_VERSIONS[0];
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -15,9 +15,9 @@
 import { clientRuntime } from './client-runtime.js';
 import { RolloutInvariants } from './rollout-invariants.js';
 
-/** What ran before: it has the gate, and knows the base level only. */
+/** The build that ran before. It has the gate for feature levels, and supports the base level only. */
 export const OLD_BUILD: Build = { version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 };
-/** The levels of the first feature alone, so that a raised level stays where these tests look for it. */
+/** A build that supports no level above the first feature's, so that a raised level stays where the tests expect it. */
 export const NEW_BUILD: Build = { ...BUILD, reads: { from: 1, to: 2 }, writes: 2 };
 export const NAMES = ['n0', 'n1', 'n2'];
 
@@ -31,10 +31,10 @@
 };
 
 const STEP_S = 0.05;
-/** Longer than a change of level takes with nobody away. */
+/** Longer than a change of level takes while all controllers are up, in seconds. */
 export const LEVEL_CHANGE_S = 15;
 
-/** What an operator's command works with, beside the controllers. */
+/** Returns the client that an operator's command uses, apart from the controllers. */
 export function createOperator(cluster: Cluster): RolloutOperator {
   const store = new StateStore(clientRuntime(cluster), {
     address: 'state:1',
@@ -52,7 +52,7 @@
   });
 }
 
-/** A cluster whose controllers tests replace, and the cluster level that follows. */
+/** A cluster whose controllers are replaced by tests, and its feature level, which follows. */
 export class RollingUpgrade {
   readonly cluster: Cluster;
   readonly invariants: RolloutInvariants;
@@ -69,7 +69,7 @@
     this.invariants = new RolloutInvariants(this.cluster);
   }
 
-  /** What is stored, or the beginning. */
+  /** The stored cluster level, or the initial level if none is stored. */
   get level(): Pick<ClusterLevel, 'state' | 'active' | 'reason' | 'held'> {
     return this.invariants.level ?? { state: 'stable', active: 1, reason: null, held: null };
   }
@@ -84,7 +84,9 @@
       if (condition()) return;
       await this.cluster.run(STEP_S);
     }
-    assert.fail(`not within ${withinS} s: ${description}; ${JSON.stringify(this.level)}`);
+    assert.fail(
+      `condition not met within ${withinS} s: ${description}; ${JSON.stringify(this.level)}`,
+    );
   }
 
   reaches(state: ClusterLevel['state'], active: number): Promise<void> {
@@ -94,7 +96,7 @@
     );
   }
 
-  /** For so long the active level stays. */
+  /** Asserts that the active level does not change for `seconds`. */
   async staysAt(active: number, seconds: number): Promise<void> {
     for (let waited = 0; waited < seconds; waited += 1) {
       await this.cluster.run(1);
@@ -103,11 +105,14 @@
   }
 
   leader(): string {
-    return this.cluster.leader() ?? assert.fail('nobody leads');
+    return this.cluster.leader() ?? assert.fail('no controller leads');
   }
 
   follower(): string {
-    return NAMES.find((name) => name !== this.cluster.leader()) ?? assert.fail('nobody follows');
+    return (
+      NAMES.find((name) => name !== this.cluster.leader()) ??
+      assert.fail('no controller is a follower')
+    );
   }
 
   async runOperatorCommand(action: 'activate' | 'abort' | 'downgrade'): Promise<OperatorResult> {
@@ -119,14 +124,14 @@
     return result ?? assert.fail();
   }
 
-  /** An array so large that its finished tasks are stored in segments under the new level. */
+  /** Submits an array so large that its finished tasks are stored in segments under the new level. Returns its id. */
   submitLargeArray(durationS = 0.5): string {
     const job = this.cluster.users.newJob({ ...BATCH, tasks: 2400, durationS, team: 't0' });
     void this.cluster.users.run(job, null);
     return job.id;
   }
 
-  /** Nothing was broken, and all arrays end. */
+  /** Waits until all arrays are done, and asserts that no invariant was violated. */
   async finish(): Promise<void> {
     const { invariants } = this.cluster;
     const open = (): boolean =>
@@ -138,14 +143,14 @@
   }
 }
 
-/** Room for arrays of thousands of tasks. */
+/** A cluster with enough capacity for arrays of thousands of tasks. */
 export const LARGE_CLUSTER: Partial<ClusterConfig> = {
   ordinaryUp: 24,
   capacity: 24,
   teamLimit: 400,
 };
 
-/** Submits some arrays. */
+/** Submits `count` arrays. */
 export function submitArrays(roll: RollingUpgrade, count = 4): void {
   for (let i = 0; i < count; i++)
     void roll.cluster.users.run(roll.cluster.users.newJob({ ...BATCH, tasks: 6 }), null);
--- a/test/sim/rollout-invariants.ts
+++ b/test/sim/rollout-invariants.ts
@@ -1,4 +1,4 @@
-/** What must hold of the cluster level after each step, whatever fails: looked at from outside the controllers. */
+/** Invariants of the cluster level after each step, under any fault, checked from outside the controllers. */
 import type { ClusterLevel } from '@millring/rollout';
 import { BUILD, COMPACT_FINISHED_TASKS } from '../../src/build.js';
 import type { Cluster } from './cluster.js';
@@ -15,14 +15,14 @@
   lowering: ['stable'],
 };
 
-/** Keys of the segments of finished tasks that are stored. */
+/** Returns the keys of the stored segments of finished tasks. */
 export function segmentsIn(state: StateService): string[] {
   return [...state.items.keys()].filter(
     (key) => key.startsWith('d/') && Number(key.slice(key.lastIndexOf('/') + 1)) >= FIRST_SEGMENT,
   );
 }
 
-/** Looks at the stored cluster level and at each controller after each step of the cluster. */
+/** Checks the stored cluster level and each controller after each step of the cluster. */
 export class RolloutInvariants {
   /** All levels that were ever stored, in order. */
   readonly history: ClusterLevel[] = [];
@@ -52,7 +52,7 @@
     this.checkModes();
   }
 
-  /** Nothing that an earlier process had on its way takes the place of what a later one announced. */
+  /** A delayed write of an earlier process never replaces the announcement of a later process. */
   private checkAnnouncements(): void {
     const { state, invariants, nodeNames } = this.cluster;
     for (const name of nodeNames) {
@@ -81,7 +81,7 @@
       invariants.recordViolation('rollout_lowered', this.segments()[0]);
   }
 
-  /** A controller that is up when the level is raised runs a build that can follow. */
+  /** Every controller that is up when the level is raised runs a build that can read the new level. */
   private checkAllSupport(active: number): void {
     const { cluster } = this;
     for (const name of cluster.nodeNames)
@@ -93,7 +93,7 @@
     return this.cluster.startedWith.get(name) ?? BUILD;
   }
 
-  /** Whoever serves can read the active level, and no two are two steps apart. */
+  /** Every serving controller can read the active level, and no two of them are two steps apart (`on` and `off`). */
   private checkModes(): void {
     const { cluster } = this;
     const modes = new Set<string>();
--- a/test/sim/ungated-build.ts
+++ b/test/sim/ungated-build.ts
@@ -1,4 +1,4 @@
-/** How builds from before cluster levels see the stored records. */
+/** How builds from before feature levels interpret the stored records. */
 import type { HttpResponse } from '../../src/runtime.js';
 import { decodeReadRequest, encodeRevision, mapPageValues } from './wire/state.js';
 
@@ -6,8 +6,8 @@
 const FINISHED_RECORDS = 'd/';
 
 /**
- * What a build from before levels sees of the state service: it never asks for the rollout's records, and takes a
- * record of finished tasks that is no text for one that tells of no task.
+ * Returns the state service's response as a build from before feature levels interprets it: such a build never requests
+ * the rollout's records, and reads a record of finished tasks that is not text as a record without tasks.
  */
 export function responseToUngatedBuild(path: string, response: HttpResponse): HttpResponse {
   const read = decodeReadRequest(path);
