--- a/test/sim/wire/cloud.ts
+++ b/test/sim/wire/cloud.ts
@@ -1,10 +1,10 @@
-/** The cloud's side of the protocol as the stand-in speaks it: catalog, machine list, rentals and deletions. */
+/** The cloud's side of the protocol for the simulated cloud: catalog, machine list, rentals and deletions. */
 import type { Body } from '../../../src/wire/cbor.js';
 import { booleanField, integerField, textField, textListField } from './fields.js';
 
 export type MachineState = 'starting' | 'running' | 'failed';
 
-/** A machine type as the catalog tells of it, apart from its zones. */
+/** A machine type as described in the catalog, without its zones. */
 export interface CloudType {
   name: string;
   cpus: number;
@@ -32,7 +32,7 @@
 
 export interface RentalRequest {
   kind: 'rent';
-  /** Names the request: a repetition rents nothing more. */
+  /** Id of the request: repeating the request rents no further machines. */
   request: string;
   type: string;
   zone: string;
@@ -117,7 +117,7 @@
   };
 }
 
-/** The machines that a rental brought. */
+/** Encodes the machines rented by a request. */
 export function encodeRental(machines: string[]): Body {
   return { stones: machines };
 }
--- a/test/sim/wire/fields.ts
+++ b/test/sim/wire/fields.ts
@@ -1,4 +1,4 @@
-/** Strict access to the fields of decoded bodies: what is missing or of another type is a fault, not a default. */
+/** Strict access to the fields of decoded bodies: throws for a missing or mistyped field instead of using a default. */
 import { type Body, isMap, toNumber } from '../../../src/wire/cbor.js';
 
 export function textField(body: Body, field: string): string {
@@ -32,14 +32,14 @@
   return value;
 }
 
-/** A list of maps; a field that is missing stands for an empty one. */
+/** Returns a list of maps; a missing field counts as an empty list. */
 export function mapsField(body: Body, field: string): Body[] {
   const value = body[field] ?? [];
   if (!Array.isArray(value) || !value.every(isMap)) throw malformed(body, field);
   return value;
 }
 
-/** The inner word for a word of the wire. */
+/** Returns the internal name of a value from its name on the wire. */
 export function enumField<Name extends string>(
   body: Body,
   field: string,
@@ -51,7 +51,7 @@
 }
 
 function malformed(body: Body, field: string): Error {
-  return new Error(`field ${field} of ${JSON.stringify(body, jsonValue)}`);
+  return new Error(`missing or malformed field ${field} in ${JSON.stringify(body, jsonValue)}`);
 }
 
 function jsonValue(_key: string, value: unknown): unknown {
--- a/test/sim/wire/state.ts
+++ b/test/sim/wire/state.ts
@@ -1,4 +1,4 @@
-/** The state service's side of the protocol as the stand-in speaks it: records, transactions, leases and watches. */
+/** The state service's side of the protocol for simulations: records, transactions, leases and watches. */
 import type { HttpResponse } from '../../../src/runtime.js';
 import type { Body } from '../../../src/wire/cbor.js';
 import { integerField, mapsField, textField } from './fields.js';
@@ -9,7 +9,7 @@
   version: number;
 }
 
-/** Holds if the key has this version; 0: the key does not exist. */
+/** Met if the key has this version; version 0 means that the key does not exist. */
 interface VersionPrecondition {
   key: string;
   version: number;
@@ -62,7 +62,7 @@
   throw new Error(`unknown request to the state service: ${method} ${path}`);
 }
 
-/** Null if the path reads no records. */
+/** Returns null if the path does not read records. */
 export function decodeReadRequest(path: string): ReadRequest | null {
   const { pathname, searchParams } = new URL(path, 'http://state');
   if (pathname.startsWith(`${RECORDS_PATH}/`))
@@ -90,7 +90,7 @@
   const lease = Number(id);
   if (method === 'DELETE') return { kind: 'revoke-lease', lease };
   if (verb === 'extend') return { kind: 'renew-lease', lease };
-  throw new Error(`unknown request for a lease: ${method} ${pathname}`);
+  throw new Error(`unknown lease request: ${method} ${pathname}`);
 }
 
 function parameter(query: URLSearchParams, name: string): string {
@@ -115,7 +115,7 @@
   return { kind: 'put', key: textField(body, 'put'), value: body.data, lease };
 }
 
-/** A request that deletes a record, whatever its version. */
+/** Returns a request that deletes a record regardless of its version. */
 export function deleteRequest(key: string): { method: string; path: string; body: Body } {
   return { method: 'POST', path: TRANSACTION_PATH, body: { then: [{ remove: key }] } };
 }
@@ -136,7 +136,7 @@
   };
 }
 
-/** A page of records as a reader sees it that takes some of their values for others. */
+/** Replaces the value of each record in a page by `change(value)`. Responses without a page are returned unchanged. */
 export function mapPageValues(
   response: HttpResponse,
   change: (value: unknown) => unknown,
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -1,4 +1,4 @@
-/** The users' side of the protocol as tests speak it: submissions, polls, cancellations and their answers. */
+/** The users' side of the protocol for tests: submissions, polls, cancellations and their responses. */
 import type { HttpResponse } from '../../../src/runtime.js';
 import type { Body } from '../../../src/wire/cbor.js';
 import { integerField, textField, enumField } from './fields.js';
@@ -7,7 +7,7 @@
 type SubmittedPriority = 'production' | 'high' | 'normal' | 'idle';
 export type JobState = 'pending' | 'running' | 'done' | 'cancelled';
 
-/** A job as its user asks for it. */
+/** A job as submitted by its user. */
 export interface JobSubmission {
   id: string;
   jobClass: string;
@@ -15,13 +15,13 @@
   kind: SubmittedKind;
   priority: SubmittedPriority;
   tasks: number;
-  /** What each task takes of its machine. */
+  /** CPUs, GPUs and memory that each task uses on its machine. */
   cpus: number;
   gpus: number;
   memoryGb: number;
   image: string;
   imageGb: number;
-  /** Null: any. */
+  /** Null allows any machine type. */
   machineTypes: string[] | null;
   zone: string | null;
   /** All tasks in the same zone. */
@@ -29,11 +29,11 @@
   /** At most half of the tasks in one zone. */
   spread: boolean;
   spot: boolean;
-  /** The owner's estimate of a task's run time. */
+  /** The owner's estimate of a task's run time, in seconds. */
   durationS: number;
-  /** 0: the tasks never save. */
+  /** Interval at which a task saves a checkpoint, in seconds; 0 if the tasks never save. */
   checkpointEveryS: number;
-  /** How long a task saves when it is stopped. */
+  /** Time that a task takes to save when it is stopped, in seconds. */
   checkpointS: number;
   deadlineS: number | null;
 }
@@ -44,14 +44,14 @@
   body: Body | null;
 }
 
-/** What a controller is asked for on the users' paths. */
+/** An operation that a user can request from a controller. */
 export type UserOperation =
   { kind: 'submit' } | { kind: 'poll'; id: string } | { kind: 'cancel'; id: string };
 
 export interface JobStatus {
   id: string;
   state: JobState;
-  /** Task counts, which answers to polls carry. */
+  /** Task counts, contained in responses to polls. */
   done?: number;
   running?: number;
 }
@@ -99,12 +99,12 @@
   cancelled: 'cancelled',
 };
 
-/** Fields keep the order of the submission. */
+/** The fields keep the order of the submission. */
 export function encodeSubmission(job: JobSubmission): Body {
   return encodeFields({ ...job, kind: WIRE_KINDS[job.kind] });
 }
 
-/** A body whose named fields hold these values as they are, whether or not a submission may hold them. */
+/** Returns a submission in which the given fields contain raw values, which need not be valid. */
 export function submissionWithRawFields(
   job: JobSubmission,
   rawFields: Partial<Record<keyof JobSubmission, unknown>>,
@@ -112,7 +112,7 @@
   return encodeFields({ ...job, kind: WIRE_KINDS[job.kind], ...rawFields });
 }
 
-/** A body that lacks a field. */
+/** Returns a submission that lacks one field. */
 export function submissionWithout(job: JobSubmission, missing: keyof JobSubmission): Body {
   const fields = Object.entries(encodeSubmission(job));
   return Object.fromEntries(fields.filter(([field]) => field !== WIRE_FIELDS[missing]));
@@ -121,7 +121,8 @@
 function encodeFields(fields: Record<keyof JobSubmission, unknown>): Body {
   return Object.fromEntries(
     Object.entries(fields).map(([field, value]) => {
-      if (!Object.hasOwn(WIRE_FIELDS, field)) throw new Error(`no field ${field} on the wire`);
+      if (!Object.hasOwn(WIRE_FIELDS, field))
+        throw new Error(`submission field ${field} has no wire name`);
       return [WIRE_FIELDS[field as keyof JobSubmission], value];
     }),
   );
@@ -131,7 +132,7 @@
   return rawSubmitRequest(encodeSubmission(job));
 }
 
-/** A submission with any body. */
+/** Returns a submission request with any body. */
 export function rawSubmitRequest(body: Body): UserRequest {
   return { method: 'POST', path: JOBS_PATH, body };
 }
@@ -144,7 +145,7 @@
   return { method: 'POST', path: `${JOBS_PATH}/${id}/${CANCEL}`, body: null };
 }
 
-/** What a request to a controller asks for, null if it is no user's. */
+/** Returns the operation that a request to a controller asks for, or null if it is not a user's request. */
 export function userOperation(method: string, path: string): UserOperation | null {
   if (path !== JOBS_PATH && !path.startsWith(`${JOBS_PATH}/`)) return null;
   const [id, verb] = path.slice(JOBS_PATH.length + 1).split('/');
@@ -152,7 +153,7 @@
   return verb === CANCEL ? { kind: 'cancel', id } : { kind: 'submit' };
 }
 
-/** An accepted request has to name the job and a state that users know. */
+/** Throws if the response to an accepted request lacks the job's id or a state that is known to users. */
 export function decodeJobResponse({ status, body }: HttpResponse): JobResponse {
   const isAccepted = status === 200 || status === 201;
   return { status, job: isAccepted ? decodeJobStatus(body) : null };
--- a/test/sim/wire/workers.ts
+++ b/test/sim/wire/workers.ts
@@ -1,4 +1,4 @@
-/** The workers' side of the protocol as the stand-ins speak it: heartbeats, their answers, and commands. */
+/** The workers' side of the protocol for simulated workers: heartbeats, their responses, and commands. */
 import type { HttpResponse } from '../../../src/runtime.js';
 import { type Body, toNumber } from '../../../src/wire/cbor.js';
 import { numberField, integerField, mapsField, textField, enumField } from './fields.js';
@@ -14,11 +14,11 @@
   | 'already_present'
   | 'unknown_task';
 
-/** A bigint takes eight bytes on the wire, however small it is. */
+/** A bigint takes eight bytes on the wire, even if its value is small. */
 type WireInteger = number | bigint;
 
 export interface ReportedTask {
-  /** Such as `run-000412/3`. */
+  /** For example `run-000412/3`. */
   task: string;
   attempt: WireInteger;
   state: ReportedTaskState;
@@ -33,7 +33,7 @@
   spot: boolean;
   /** Increases each time the worker's lease expires. */
   incarnation: number;
-  /** Increases with every report. */
+  /** Increases with every heartbeat. */
   sequence: number;
   /** The highest fencing token seen. */
   token: WireInteger;
@@ -45,13 +45,13 @@
   | { kind: 'start' | 'remove'; task: string; attempt: number }
   | { kind: 'stop'; task: string; attempt: number; graceS: number };
 
-/** What a controller answers to a heartbeat. */
+/** A controller's response to a heartbeat. */
 export interface HeartbeatResponse {
   token: number | undefined;
   commands: TaskCommand[];
 }
 
-/** Commands sent straight to a worker. */
+/** Commands sent directly to a worker. */
 export interface CommandRequest extends HeartbeatResponse {
   incarnation: number | undefined;
 }
@@ -106,12 +106,12 @@
   };
 }
 
-/** A malformed heartbeat: it names its machine and nothing else. */
+/** Returns a malformed heartbeat, which contains only the name of its machine. */
 export function heartbeatOfNameOnly(machine: string): Body {
   return { stone: machine };
 }
 
-/** The machine that sent the heartbeat. */
+/** Returns the name of the machine that sent the heartbeat. */
 export function reportingMachine(heartbeat: Body): string {
   return textField(heartbeat, 'stone');
 }
@@ -120,7 +120,7 @@
   return { token: toNumber(body.warrant), commands: mapsField(body, 'orders').map(decodeCommand) };
 }
 
-/** The controller that a heartbeat is referred to, if the answer names one. */
+/** Returns the controller to which the response redirects a heartbeat, or undefined if it names none. */
 export function redirectTarget({ body }: HttpResponse): string | undefined {
   return body.overseer === undefined ? undefined : textField(body, 'overseer');
 }
@@ -129,7 +129,7 @@
   return { ...decodeHeartbeatResponse(body), incarnation: toNumber(body.turning) };
 }
 
-/** Does a request to a worker start any task? */
+/** Whether a request to a worker starts any task. */
 export function startsTasks(body: Body): boolean {
   return decodeHeartbeatResponse(body).commands.some(({ kind }) => kind === 'start');
 }
