--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -109,10 +109,7 @@
   }
 
   follower(): string {
-    return (
-      NAMES.find((name) => name !== this.cluster.leader()) ??
-      assert.fail('no controller is a follower')
-    );
+    return NAMES.find((name) => name !== this.cluster.leader()) ?? assert.fail('no follower');
   }
 
   async runOperatorCommand(action: 'activate' | 'abort' | 'downgrade'): Promise<OperatorResult> {
