--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -92,7 +92,7 @@
     if (!isSameOutcome(before, outcome)) this.recordViolation('outcome_changed', id);
   }
 
-  /** The provider executes only what an intent requested before; it rejects tokens that decrease by itself. */
+  /** The provider executes only what an intent requested before; it rejects decreasing tokens itself. */
   private checkCall(call: ProviderCall): void {
     if (!call.executed) return;
     const isRequested = [...this.intents.values()].some((intent) => matchesCall(intent, call));
--- a/test/sim/duty-scenarios.ts
+++ b/test/sim/duty-scenarios.ts
@@ -32,7 +32,7 @@
   return result ?? assert.fail();
 }
 
-/** Asserts that the old holder noticed the loss of the duty, and has been treated like any other controller since. */
+/** Asserts that the old holder noticed the loss of the duty and became `vacant`, like any other controller. */
 export function assertLossNoticed(group: DutyGroup, old: string, duty: Duty): void {
   const states = group.logLines
     .filter(
--- a/test/sim/wait-until.ts
+++ b/test/sim/wait-until.ts
@@ -1,4 +1,4 @@
-/** Waiting in real time. */
+/** Waits for conditions in real time. */
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -24,9 +24,9 @@
   /** Null allows any machine type. */
   machineTypes: string[] | null;
   zone: string | null;
-  /** All tasks in the same zone. */
+  /** Whether all tasks must run in the same zone. */
   oneZone: boolean;
-  /** At most half of the tasks in one zone. */
+  /** Whether at most half of the tasks may run in one zone. */
   spread: boolean;
   spot: boolean;
   /** The owner's estimate of a task's run time, in seconds. */
