--- a/test/demo.ts
+++ b/test/demo.ts
@@ -2,13 +2,13 @@
  * Serves the simulated state service, cloud and workers on loopback in real time, submits one array to a controller
  * that was started with `docs/example/settings.toml`, and prints the responses until the job is done.
  */
-import { LoopbackStandIns } from './sim/loopback.js';
+import { LoopbackServices } from './sim/loopback-services.js';
 import { observedJob } from './sim/observed-job.js';
 import {
   type JobStatus,
   type JobSubmission,
   type UserRequest,
-  decodeJobReply,
+  decodeJobResponse,
   pollRequest,
   submitRequest,
 } from './sim/wire/users.js';
@@ -39,7 +39,7 @@
   deadlineS: null,
 };
 
-const simulatedServices = new LoopbackStandIns({
+const simulatedServices = new LoopbackServices({
   seed: 1,
   controllers: [CONTROLLER],
   machinesPerPool: 2,
@@ -53,9 +53,9 @@
 
 /** Sends a request and prints the response. Returns the job status in it, or null if the request was not accepted. */
 async function sendRequest({ method, path, body }: UserRequest): Promise<JobStatus | null> {
-  const response = await simulatedServices.ask(CONTROLLER.address, method, path, body);
+  const response = await simulatedServices.sendToController(CONTROLLER.address, method, path, body);
   console.log(`${method} ${path} -> ${response.status} ${JSON.stringify(response.body)}`);
-  return decodeJobReply(response).job;
+  return decodeJobResponse(response).job;
 }
 
 /** As the protocol requires, repeats the submission until it is accepted, then polls until the job is done. */
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -3,13 +3,18 @@
 import { test } from 'node:test';
 import { BUILD } from '../src/build.js';
 import { BATCH } from './sim/jobs.js';
-import { LARGE, RollingUpgrade, SETTINGS, withJobs } from './sim/rolling-upgrade.js';
+import {
+  LARGE_CLUSTER,
+  RollingUpgrade,
+  ROLLOUT_SETTINGS,
+  submitArrays,
+} from './sim/rolling-upgrade.js';
 
 // A leader of a build without intents must not lead while an open intent may still delete a machine.
 test('lowering the level below that of the duties waits for open intents, and the leader then rents without intents', async () => {
   const roll = new RollingUpgrade(19, BUILD, {
     ordinaryUp: 0,
-    rollout: { ...SETTINGS, ungated_builds_retired: true },
+    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
     duties: { mode: 'on', lease_s: 2, settle_s: 3, rebalance_s: 15, retention_s: 10 },
   });
   const { state } = roll.cluster;
@@ -17,11 +22,11 @@
   await roll.until('the duty is held', () => state.items.has('duties/holders/rent'));
   await state.deleteAsOperator('duties/holders/rent');
   state.putDirectly('duties/holds/rent', { by: 'operator', sinceMs: 0 });
-  withJobs(roll);
+  submitArrays(roll);
   const open = (): number =>
     [...state.items].filter(([key, { value }]) => isOpenIntent(key, value)).length;
   await roll.until('an intent is open', () => open() > 0);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.staysAt(3, 10);
   assert.equal(roll.level.state, 'lowering');
   const before = open();
@@ -48,13 +53,13 @@
 // Records in a form that the lower level still uses must not be converted.
 test('lowering the level below that of the duties leaves segments unchanged', async () => {
   const roll = new RollingUpgrade(20, BUILD, {
-    ...LARGE,
-    rollout: { ...SETTINGS, ungated_builds_retired: true },
+    ...LARGE_CLUSTER,
+    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
   });
   await roll.reaches('stable', 3);
-  roll.submitLarge(8);
+  roll.submitLargeArray(8);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.reaches('stable', 2);
   assert.ok(roll.invariants.segments().length > 0);
   await roll.finish();
--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -5,7 +5,7 @@
 import { clientRuntime } from './sim/client-runtime.js';
 import { StateStore } from '../src/state-store/client.js';
 import type { DutyGroup } from './sim/duty-group.js';
-import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import { untilResolved, settledGroup, rentMachines } from './sim/duty-scenarios.js';
 
 test('malformed and unknown records are neither acted on nor replaced, and logged once', async () => {
   const group = await settledGroup(17);
@@ -27,7 +27,7 @@
     'duties/holders/dance',
   ]) {
     assert.ok(group.state.items.has(key), key);
-    const logged = group.lines.filter(
+    const logged = group.logLines.filter(
       ({ name, fields }) => name === 'n0' && (fields as { key?: string }).key === key,
     );
     assert.equal(logged.length, 1, key);
@@ -83,7 +83,7 @@
 
 test('a duty that an operator put on hold has no holder, and its intents are executed after its release', async () => {
   const group = await settledGroup(19);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   assert.equal((await runCommand(group, (operator) => operator.hold('return'))).kind, 'done');
   assert.equal((await runCommand(group, (operator) => operator.hold('return'))).kind, 'refused');
   const opened = group.delete('return', machines[0]);
@@ -99,7 +99,7 @@
     [null, 'operator-1', 1],
   );
   assert.equal((await runCommand(group, (operator) => operator.release('return'))).kind, 'done');
-  assert.equal((await resolved(group, opened)).kind, 'resolved');
+  assert.equal((await untilResolved(group, opened)).kind, 'resolved');
   assert.equal(group.provider.machines.size, 0);
 });
 
@@ -112,13 +112,13 @@
     'another controller holds the duty',
     () => (group.holder('reclaim') ?? old) !== old,
   );
-  assert.notEqual(group.recorded('reclaim')?.controller, old);
+  assert.notEqual(group.storedHolder('reclaim')?.controller, old);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 test('resolved intents are removed by the holder of the clean-up duty only', async () => {
   const group = await settledGroup(21);
-  await withMachines(group, 1);
+  await rentMachines(group, 1);
   assert.equal((await runCommand(group, (operator) => operator.hold('clean-up'))).kind, 'done');
   await group.run(20);
   assert.equal(group.state.history('duties/intents/i-1').length > 0, true);
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -19,7 +19,7 @@
   const processes = new DutyProcesses();
   context.after(() => processes.stop());
   await processes.start(beforeSendingMs, LEASE_S);
-  const { controller, token } = processes.recorded()!;
+  const { controller, token } = processes.storedHolder()!;
   return { processes, old: controller, token };
 }
 
@@ -38,20 +38,20 @@
 test('a holder process suspended before the check starts no action after its successor has acted', async (context) => {
   const { processes, old, token } = await startProcesses(context, 0);
   processes.signal(old, 'SIGSTOP');
-  processes.plantDeletion('i-1', 'm-1');
+  processes.storeDeletionIntent('i-1', 'm-1');
   await processes.untilReplaced(old, token);
   await processes.until('the intent is done', () => processes.isDone('i-1'));
   processes.signal(old, 'SIGCONT');
-  processes.plantDeletion('i-2', 'm-2');
+  processes.storeDeletionIntent('i-2', 'm-2');
   await processes.until('the next intent is done', () => processes.isDone('i-2'));
   await expectFenced(processes, old, token);
-  assert.equal(processes.checks(old), 0);
+  assert.equal(processes.checkCount(old), 0);
 });
 
 test('a holder process suspended between check and send has its request refused once it continues', async (context) => {
   const { processes, old, token } = await startProcesses(context, BEFORE_SENDING_MS);
-  processes.plantDeletion('i-1', 'm-1');
-  await processes.until('the check is passed', () => processes.checks(old) > 0);
+  processes.storeDeletionIntent('i-1', 'm-1');
+  await processes.until('the check is passed', () => processes.checkCount(old) > 0);
   processes.signal(old, 'SIGSTOP');
   assert.equal(processes.provider.calls.length, 0);
   await processes.untilReplaced(old, token);
@@ -71,7 +71,7 @@
   const held = new Promise<void>((done) => (release = done));
   let arrived = 0;
   processes.provider.delay = () => (arrived++ === 0 ? held : Promise.resolve());
-  processes.plantDeletion('i-1', 'm-1');
+  processes.storeDeletionIntent('i-1', 'm-1');
   await processes.until('the request has arrived', () => arrived > 0);
   processes.signal(old, 'SIGSTOP');
   await processes.untilReplaced(old, token);
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -3,21 +3,21 @@
 import { test } from 'node:test';
 import { DUTIES, type Duty, type IntentResult } from '@millring/duties';
 import { DutyGroup } from './sim/duty-group.js';
-import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import { untilResolved, settledGroup, rentMachines } from './sim/duty-scenarios.js';
 
 test('each duty has one holder, holders are spread over the controllers, and actions carry the token of the holder', async () => {
   const group = await settledGroup(1);
-  const holders = DUTIES.map((duty) => group.recorded(duty)?.controller);
+  const holders = DUTIES.map((duty) => group.storedHolder(duty)?.controller);
   assert.equal(new Set(holders).size, 3);
   assert.ok(
-    DUTIES.every((duty) => group.recorded(duty)?.token === 1),
+    DUTIES.every((duty) => group.storedHolder(duty)?.token === 1),
     'duties are spread at the start, without a move',
   );
-  const [machine] = await withMachines(group, 2);
-  const opened = await resolved(group, group.delete('return', machine));
+  const [machine] = await rentMachines(group, 2);
+  const opened = await untilResolved(group, group.delete('return', machine));
   assert.deepEqual(opened, { kind: 'resolved', outcome: { kind: 'deleted' } });
   assert.equal(group.provider.machines.size, 1);
-  const token = group.recorded('return')?.token;
+  const token = group.storedHolder('return')?.token;
   assert.ok(group.provider.executed('return').every((call) => call.token === token));
   assert.deepEqual(group.invariants.violations, []);
 });
@@ -25,7 +25,7 @@
 test('in a group of three controllers the leader holds no duty', async () => {
   const group = await settledGroup(2, { leader: 'n1' });
   await group.run(60);
-  assert.ok(DUTIES.every((duty) => group.recorded(duty)?.controller !== 'n1'));
+  assert.ok(DUTIES.every((duty) => group.storedHolder(duty)?.controller !== 'n1'));
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -56,7 +56,7 @@
   const group = await settledGroup(12);
   const opened = group.rent(3);
   for (let deaths = 0; deaths < 5; deaths++) {
-    group.provider.failure = { refuses: false, silent: true };
+    group.provider.failure = { unavailable: false, dropsResponses: true };
     const calls = group.provider.executed('rent').length;
     await group.until(
       'the request is executed',
@@ -64,8 +64,8 @@
     );
     group.crash(group.holder('rent') ?? assert.fail(), 1000);
   }
-  group.provider.failure = { refuses: false, silent: false };
-  const result = await resolved(group, opened);
+  group.provider.failure = { unavailable: false, dropsResponses: false };
+  const result = await untilResolved(group, opened);
   assert.deepEqual(result, {
     kind: 'resolved',
     outcome: { kind: 'rented', machines: [...group.provider.machines] },
@@ -77,18 +77,18 @@
 
 test('a provider that refuses is called with backoff, and the intent is resolved once it accepts requests', async () => {
   const group = await settledGroup(13);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   let attempts = 0;
   group.provider.delay = () => {
     attempts++;
     return Promise.resolve();
   };
-  group.provider.failure = { refuses: true, silent: false };
+  group.provider.failure = { unavailable: true, dropsResponses: false };
   const opened = group.delete('reclaim', machines[0]);
   await group.run(30);
   assert.ok(attempts >= 3 && attempts <= 12, String(attempts));
-  group.provider.failure = { refuses: false, silent: false };
-  assert.deepEqual(await resolved(group, opened), {
+  group.provider.failure = { unavailable: false, dropsResponses: false };
+  assert.deepEqual(await untilResolved(group, opened), {
     kind: 'resolved',
     outcome: { kind: 'deleted' },
   });
@@ -98,7 +98,7 @@
 test('a controller that restarts every second does not cause a move of duties every second', async () => {
   const group = await settledGroup(14);
   const flapping = 'n2';
-  const held = (duty: Duty): number => group.recorded(duty)?.token ?? 0;
+  const held = (duty: Duty): number => group.storedHolder(duty)?.token ?? 0;
   for (let second = 0; second < 40; second++) {
     group.crash(flapping, 500);
     await group.run(1);
@@ -106,7 +106,7 @@
   const sum = DUTIES.reduce((total, duty) => total + held(duty), 0);
   // Each duty is acquired once at the start, and those of the flapping controller once more.
   assert.ok(sum <= 2 * DUTIES.length + 2, `sum of the tokens: ${sum}`);
-  assert.ok(DUTIES.every((duty) => group.recorded(duty)?.controller !== flapping));
+  assert.ok(DUTIES.every((duty) => group.storedHolder(duty)?.controller !== flapping));
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -117,7 +117,7 @@
     DUTIES.every((duty) => group.holder(duty) === 'n2'),
   );
   const opened = group.rent(2);
-  assert.equal((await resolved(group, opened)).kind, 'resolved');
+  assert.equal((await untilResolved(group, opened)).kind, 'resolved');
   group.crash('n2', 1000);
   await group.run(5);
   await group.until('n2 holds all duties again', () =>
@@ -125,13 +125,13 @@
   );
   // The other controllers return and acquire their share.
   await group.run(60);
-  assert.equal(new Set(DUTIES.map((duty) => group.recorded(duty)?.controller)).size, 3);
+  assert.equal(new Set(DUTIES.map((duty) => group.storedHolder(duty)?.controller)).size, 3);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 test('a release waits for requests in flight, and the former holder does not acquire the duty again at once', async () => {
   const group = await settledGroup(16);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
   group.provider.delay = () => new Promise((done) => group.clock.after(1500, done));
   const opened = group.delete('return', machines[0]);
@@ -139,7 +139,7 @@
   void group.member(old).holder('return').release('by the test');
   await group.run(0.2);
   assert.equal(group.member(old).holder('return').state(), 'releasing');
-  assert.equal((await resolved(group, opened)).kind, 'resolved');
+  assert.equal((await untilResolved(group, opened)).kind, 'resolved');
   await group.until(
     'another controller holds the duty',
     () => (group.holder('return') ?? old) !== old,
@@ -164,7 +164,7 @@
       group.holdRequests(name, ms);
     },
     () => {
-      group.refuse(name, ms);
+      group.rejectStateRequests(name, ms);
     },
     () => {
       group.state.beginOutage(ms);
@@ -173,7 +173,10 @@
       group.state.lateWrites = { share: 0.3, until: group.clock.time + ms };
     },
     () => {
-      group.provider.failure = { refuses: random.chance(0.5), silent: random.chance(0.5) };
+      group.provider.failure = {
+        unavailable: random.chance(0.5),
+        dropsResponses: random.chance(0.5),
+      };
     },
   ];
   random.pick(kinds)();
@@ -197,10 +200,10 @@
       if (random.chance(0.4)) randomFault(group);
       await group.run(1);
     }
-    group.provider.failure = { refuses: false, silent: false };
+    group.provider.failure = { unavailable: false, dropsResponses: false };
     await group.run(30);
-    await group.settled();
-    await group.until('no intent is open', () => group.openIntents() === 0);
+    await group.untilAllHeld();
+    await group.until('no intent is open', () => group.openIntentCount() === 0);
     assert.equal(followed, opened, 'the decider learned the outcome of each intent');
     assert.deepEqual(group.invariants.unaccounted(), []);
     assert.deepEqual(group.invariants.violations, []);
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -2,22 +2,27 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES } from '@millring/duties';
-import { assertLossNoticed, resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import {
+  assertLossNoticed,
+  untilResolved,
+  settledGroup,
+  rentMachines,
+} from './sim/duty-scenarios.js';
 
 test('a holder suspended before the check starts no action after its successor has acted', async () => {
   for (const seed of [3, 4, 5]) {
     const group = await settledGroup(seed);
-    const machines = await withMachines(group, 4);
+    const machines = await rentMachines(group, 4);
     const old = group.holder('return') ?? assert.fail();
-    const before = group.recorded('return')?.token ?? 0;
+    const before = group.storedHolder('return')?.token ?? 0;
     group.freeze(old, 8000);
     await group.run(0.1);
-    await resolved(group, group.delete('return', machines[0]));
-    assert.notEqual(group.recorded('return')?.controller, old);
-    assert.ok((group.recorded('return')?.token ?? 0) > before);
+    await untilResolved(group, group.delete('return', machines[0]));
+    assert.notEqual(group.storedHolder('return')?.controller, old);
+    assert.ok((group.storedHolder('return')?.token ?? 0) > before);
     await group.run(8);
     // The old holder continues, and there is an intent that it could execute.
-    await resolved(group, group.delete('return', machines[1]));
+    await untilResolved(group, group.delete('return', machines[1]));
     await group.run(2);
     assertLossNoticed(group, old, 'return');
     assert.ok(group.provider.executed('return').every((call) => call.token > before));
@@ -47,7 +52,7 @@
     group.network.delayFactor = 60;
     for (let round = 0; round < 6; round++) {
       await group.run(4);
-      group.refuse(group.holder(group.random.pick([...DUTIES])) ?? 'n0', 5000);
+      group.rejectStateRequests(group.holder(group.random.pick([...DUTIES])) ?? 'n0', 5000);
     }
     assert.deepEqual(group.invariants.violations, []);
   }
@@ -56,15 +61,15 @@
 // A refusal by the provider must end the holding of the duty.
 test('a holder whose token is rejected as stale gives up the duty at once and counts the rejection', async () => {
   const group = await settledGroup(35);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
   let requests = 0;
   group.provider.delay = () =>
     new Promise((done) => group.clock.after(requests++ === 0 ? 4500 : 0, done));
   const opened = group.delete('return', machines[0]);
   await group.until('the request is in flight', () => requests > 0);
-  group.refuse(old, 10_000);
-  await resolved(group, opened);
+  group.rejectStateRequests(old, 10_000);
+  await untilResolved(group, opened);
   await group.until('the request is refused', () => group.provider.refused().length > 0);
   await group.run(0.3);
   assert.equal(group.member(old).counters().refused, 1);
@@ -76,16 +81,16 @@
 test('requests delayed until a successor has acted are refused by the provider', async () => {
   for (const seed of [6, 7, 8]) {
     const group = await settledGroup(seed);
-    const machines = await withMachines(group, 4);
+    const machines = await rentMachines(group, 4);
     const old = group.holder('return') ?? assert.fail();
-    const before = group.recorded('return')?.token ?? 0;
+    const before = group.storedHolder('return')?.token ?? 0;
     group.holdRequests(old, 9000);
     const opened = group.delete('return', machines[0]);
     await group.run(0.3);
     // The request is in flight; now its sender is suspended, too.
     group.freeze(old, 7000);
-    await resolved(group, opened);
-    assert.ok((group.recorded('return')?.token ?? 0) > before);
+    await untilResolved(group, opened);
+    assert.ok((group.storedHolder('return')?.token ?? 0) > before);
     await group.run(12);
     const refused = group.provider.refused();
     assert.ok(refused.length > 0 && refused.every((call) => call.token === before));
@@ -99,27 +104,27 @@
 test('a holder whose renewals are executed without a response is suspended, keeps the duty and resumes', async () => {
   const group = await settledGroup(36);
   const holder = group.holder('return') ?? assert.fail();
-  const before = group.recorded('return');
-  group.holdAnswers(holder, 5000);
+  const before = group.storedHolder('return');
+  group.holdResponses(holder, 5000);
   await group.run(4);
   assert.equal(group.holder('return'), undefined);
   assert.equal(group.member(holder).holder('return').state(), 'suspended');
   await group.run(4);
-  assert.deepEqual([group.holder('return'), group.recorded('return')], [holder, before]);
+  assert.deepEqual([group.holder('return'), group.storedHolder('return')], [holder, before]);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 test('in an outage of the state service no duty is held, and holders with valid leases resume after it', async () => {
   const group = await settledGroup(10);
-  const machines = await withMachines(group, 2);
-  const before = DUTIES.map((duty) => group.recorded(duty)?.token);
+  const machines = await rentMachines(group, 2);
+  const before = DUTIES.map((duty) => group.storedHolder(duty)?.token);
   group.state.beginOutage(8000);
   await group.run(4);
   assert.ok(DUTIES.every((duty) => group.holder(duty) === undefined));
   await group.run(6);
-  await resolved(group, group.delete('return', machines[0]));
+  await untilResolved(group, group.delete('return', machines[0]));
   assert.deepEqual(
-    DUTIES.map((duty) => group.recorded(duty)?.token),
+    DUTIES.map((duty) => group.storedHolder(duty)?.token),
     before,
   );
   assert.deepEqual(group.invariants.violations, []);
@@ -128,12 +133,12 @@
 test('when the state service refuses the holder only, another controller takes over and the old holder notices the loss', async () => {
   const group = await settledGroup(11);
   const old = group.holder('rent') ?? assert.fail();
-  group.refuse(old, 8000);
+  group.rejectStateRequests(old, 8000);
   await group.until(
     'another controller holds the duty',
     () => (group.holder('rent') ?? old) !== old,
   );
-  assert.deepEqual(await resolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
+  assert.deepEqual(await untilResolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
   await group.run(10);
   assertLossNoticed(group, old, 'rent');
   assert.deepEqual(group.invariants.violations, []);
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -2,26 +2,26 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyGroup } from './sim/duty-group.js';
-import { resolved, settledGroup, withMachines } from './sim/duty-scenarios.js';
+import { untilResolved, settledGroup, rentMachines } from './sim/duty-scenarios.js';
 
 // A claim whose response was lost must be removed.
 test('claims that are applied late and without a response do not prevent a duty from being held', async () => {
   const group = new DutyGroup({ seed: 28 });
   group.state.lateWrites = { share: 1, until: 1500, byMs: 2500, keys: 'duties/tokens/' };
   await group.run(3);
-  await group.settled();
+  await group.untilAllHeld();
   assert.deepEqual(group.invariants.violations, []);
 });
 
 // The write that resolves an intent must have the holder record of the duty as a precondition.
 test('a write of the old holder that arrives after the intent was resolved changes nothing', async () => {
   const group = await settledGroup(9);
-  const machines = await withMachines(group, 2);
+  const machines = await rentMachines(group, 2);
   const old = group.holder('return') ?? assert.fail();
-  const before = group.recorded('return')?.token ?? 0;
+  const before = group.storedHolder('return')?.token ?? 0;
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
+  await group.until('the intent is stored', () => group.openIntentCount() > 0);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 1000,
@@ -30,7 +30,7 @@
   };
   await group.run(0.8);
   group.freeze(old, 8000);
-  await resolved(group, opened);
+  await untilResolved(group, opened);
   await group.run(12);
   const intent = [...group.invariants.intents.values()].find(({ duty }) => duty === 'return');
   assert.ok((intent?.token ?? 0) > before, 'resolved by the successor');
@@ -40,7 +40,7 @@
 // The write of an intent must have the claim of the decider as a precondition.
 test('an intent of a former decider that is applied late is not stored', async () => {
   const group = await settledGroup(22);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 500,
@@ -51,7 +51,7 @@
   await group.run(0.4);
   group.replaceDecider();
   await group.run(0.2);
-  assert.deepEqual(await resolved(group, opened), { kind: 'not-stored' });
+  assert.deepEqual(await untilResolved(group, opened), { kind: 'not-stored' });
   await group.run(10);
   assert.equal(group.provider.executed('return').length, 0);
   assert.equal(group.state.history('duties/intents/i-2').length, 0);
@@ -60,28 +60,28 @@
 // An intent whose write got no response must be written again unchanged, and followed until it is resolved.
 test('an intent whose write gets no response is stored once, and the decider learns its outcome', async () => {
   const group = await settledGroup(23);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 500,
     byMs: 3000,
     keys: 'duties/intents/',
   };
-  assert.equal((await resolved(group, group.delete('return', machines[0]))).kind, 'resolved');
+  assert.equal((await untilResolved(group, group.delete('return', machines[0]))).kind, 'resolved');
   await group.run(20);
   assert.equal(group.provider.machines.size, 0);
-  assert.equal(group.openIntents(), 0);
+  assert.equal(group.openIntentCount(), 0);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 // The holder record must be a precondition also where the intent itself is unchanged.
 test('a late write of the old holder does not resolve an intent that its successor has not executed yet', async () => {
   const group = await settledGroup(29);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   const old = group.holder('return') ?? assert.fail();
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
+  await group.until('the intent is stored', () => group.openIntentCount() > 0);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 1000,
@@ -90,28 +90,28 @@
   };
   await group.run(0.8);
   group.freeze(old, 20_000);
-  group.provider.failure = { refuses: true, silent: false };
+  group.provider.failure = { unavailable: true, dropsResponses: false };
   await group.run(10);
-  assert.equal(group.openIntents(), 1);
-  group.provider.failure = { refuses: false, silent: false };
-  await resolved(group, opened);
+  assert.equal(group.openIntentCount(), 1);
+  group.provider.failure = { unavailable: false, dropsResponses: false };
+  await untilResolved(group, opened);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 // The write that resolves an intent must have the version of the intent as a precondition.
 test('a late copy of the resolving write does not restore an intent that was cleaned up', async () => {
   const group = await settledGroup(30);
-  const machines = await withMachines(group, 1);
+  const machines = await rentMachines(group, 1);
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
-  await group.until('the intent is stored', () => group.openIntents() > 0);
+  await group.until('the intent is stored', () => group.openIntentCount() > 0);
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 600,
     byMs: 25_000,
     keys: 'duties/intents/',
   };
-  await resolved(group, opened);
+  await untilResolved(group, opened);
   await group.run(40);
   assert.equal(group.state.history('duties/intents/i-2').length, 2, 'opened and resolved');
   assert.ok(![...group.state.items.keys()].some((key) => key.startsWith('duties/intents/')));
@@ -132,8 +132,8 @@
     'another controller holds the duty',
     () => (group.holder('return') ?? old) !== old,
   );
-  const next = group.recorded('return');
+  const next = group.storedHolder('return');
   await group.run(12);
-  assert.deepEqual(group.recorded('return'), next);
+  assert.deepEqual(group.storedHolder('return'), next);
   assert.deepEqual(group.invariants.violations, []);
 });
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
-import { type JobSubmission, cancelRequest, decodeJobReply } from './sim/wire/users.js';
+import { type JobSubmission, cancelRequest, decodeJobResponse } from './sim/wire/users.js';
 
 /**
  * Returns a cluster whose leader has just crashed. A long array fills its team's limit, on machines that the next
@@ -73,7 +73,7 @@
     const requestedAt = cluster.clock.time;
     const { method, path, body } = cancelRequest(id);
     const reply = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
-    cluster.invariants.recordResponse(id, decodeJobReply(reply), requestedAt);
+    cluster.invariants.recordResponse(id, decodeJobResponse(reply), requestedAt);
     if (reply.status !== 200) cluster.clock.after(500, () => void cancel());
   };
   cluster.clock.after(3800, () => void cancel());
--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -19,9 +19,9 @@
 /** Returns the time in ms from the failure of the holder until the provider accepts an action of another one. */
 async function simulatedGapMs(seed: number, end: HolderFailure): Promise<number> {
   const group = new DutyGroup({ seed, settings: { lease_s: LEASE_S } });
-  await group.settled();
+  await group.untilAllHeld();
   await group.run(5 + group.random.unit());
-  const old = group.recorded(DUTY)!;
+  const old = group.storedHolder(DUTY)!;
   if (end === 'death') group.crash(old.controller, DOWNTIME_MS);
   else group.freeze(old.controller, FREEZE_MS);
   const from = group.clock.time;
@@ -36,10 +36,10 @@
   const processes = new DutyProcesses();
   try {
     await processes.start(0, LEASE_S);
-    const old = processes.recorded()!;
+    const old = processes.storedHolder()!;
     processes.signal(old.controller, end === 'death' ? 'SIGKILL' : 'SIGSTOP');
     const from = performance.now();
-    processes.plantDeletion(`i-${run}`, 'm-1');
+    processes.storeDeletionIntent(`i-${run}`, 'm-1');
     await processes.until('another controller acts', () =>
       processes.provider.executed(DUTY).some(({ token }) => token > old.token),
     );
@@ -63,7 +63,7 @@
 /** Prints the requests of three controllers to the state service and the provider in an hour without intents. */
 async function printIdleLoad(): Promise<void> {
   const group = new DutyGroup({ seed: 1, settings: { lease_s: 3, settle_s: 10, rebalance_s: 60 } });
-  await group.settled();
+  await group.untilAllHeld();
   await group.run(60);
   const { requests, changes } = group.state.received;
   const calls = group.provider.calls.length;
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -5,20 +5,20 @@
 import { assertInvariantsHeld, runScenario } from './sim/run-scenario.js';
 import { RolloutInvariants } from './sim/rollout-invariants.js';
 import {
-  LARGE,
+  LARGE_CLUSTER,
   NAMES,
-  NEW,
-  OLD,
-  ROLL_S,
+  NEW_BUILD,
+  OLD_BUILD,
+  LEVEL_CHANGE_S,
   RollingUpgrade,
-  SETTINGS,
-  withJobs,
+  ROLLOUT_SETTINGS,
+  submitArrays,
 } from './sim/rolling-upgrade.js';
 
 test('a change of level completes when its leader freezes with a late transaction in flight and later resumes', async () => {
   for (const seed of [6, 7, 8]) {
-    const roll = new RollingUpgrade(seed, NEW);
-    withJobs(roll);
+    const roll = new RollingUpgrade(seed, NEW_BUILD);
+    submitArrays(roll);
     await roll.reaches('preparing', 1);
     // Writes from now on are applied seconds later, and get no response.
     roll.cluster.state.lateWrites = { share: 1, until: roll.cluster.clock.time + 700 };
@@ -55,11 +55,11 @@
 for (const phase of ['preparing', 'activating', 'lowering'] as const)
   for (const [who, refuse] of OUTAGES)
     test(`a change of level completes after the state service refused ${who} while ${phase}`, async () => {
-      const roll = new RollingUpgrade(9, NEW);
-      withJobs(roll);
+      const roll = new RollingUpgrade(9, NEW_BUILD);
+      submitArrays(roll);
       if (phase === 'lowering') {
         await roll.reaches('stable', 2);
-        assert.equal((await roll.ask('downgrade')).kind, 'done');
+        assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
       } else await roll.reaches(phase, 1);
       refuse(roll);
       await roll.reaches('stable', phase === 'lowering' ? 1 : 2);
@@ -67,7 +67,7 @@
     });
 
 test('a change without progress is aborted, and not retried until an operator activates it', async () => {
-  const roll = new RollingUpgrade(10, NEW);
+  const roll = new RollingUpgrade(10, NEW_BUILD);
   await roll.reaches('preparing', 1);
   const crashedFollower = roll.follower();
   roll.cluster.crash(crashedFollower, 25_000);
@@ -77,13 +77,13 @@
   // It returns with the same build.
   await roll.staysAt(1, 30);
   assert.ok(roll.cluster.isUp(crashedFollower));
-  assert.equal((await roll.ask('activate')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('activate')).kind, 'done');
   await roll.reaches('stable', 2);
   await roll.finish();
 });
 
 test('a change is aborted when a controller restarts repeatedly', async () => {
-  const roll = new RollingUpgrade(11, NEW);
+  const roll = new RollingUpgrade(11, NEW_BUILD);
   await roll.reaches('preparing', 1);
   const restartingFollower = roll.follower();
   for (let i = 0; i < 5; i++) {
@@ -97,15 +97,15 @@
 
 // Without the precondition on the level, the segment would be stored after the last one was converted.
 test('a segment write in flight while the level is lowered is not applied', async () => {
-  const roll = new RollingUpgrade(16, NEW, LARGE);
+  const roll = new RollingUpgrade(16, NEW_BUILD, LARGE_CLUSTER);
   await roll.reaches('stable', 2);
   // The job runs for longer than the write is in flight.
-  const id = roll.submitLarge(5);
+  const id = roll.submitLargeArray(5);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
   const { state, clock } = roll.cluster;
   state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, keys: `d/${id}/` };
   await roll.cluster.run(6);
-  assert.equal((await roll.ask('downgrade')).kind, 'done');
+  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.reaches('stable', 1);
   for (let second = 0; second < 25; second++) {
     await roll.cluster.run(1);
@@ -117,7 +117,7 @@
 
 // Without the preconditions of its writes, the ended process would appear to be running, with its build.
 test('writes in flight from a replaced process are not attributed to its successor', async () => {
-  const roll = new RollingUpgrade(19, NEW);
+  const roll = new RollingUpgrade(19, NEW_BUILD);
   const { state, clock } = roll.cluster;
   await roll.until('all controllers have announced themselves', () =>
     NAMES.every((name) => state.value(`rollout/controllers/${name}`)),
@@ -129,30 +129,30 @@
   await roll.cluster.run(0.3);
   state.lateWrites = null;
   assert.ok(clock.time < 20_000);
-  roll.replace(name, OLD, 250);
+  roll.replace(name, OLD_BUILD, 250);
   await roll.staysAt(1, 30);
   assert.deepEqual(roll.cluster.invariants.violations, []);
 });
 
 // Without preconditions on all announcements, the level would rise above what the old build supports.
 test('the level is raised only if no announcement has changed since the leader read it', async () => {
-  const roll = new RollingUpgrade(22, NEW);
+  const roll = new RollingUpgrade(22, NEW_BUILD);
   await roll.reaches('activating', 1);
   const { state, clock, invariants } = roll.cluster;
   state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, keys: 'rollout/level' };
   await roll.cluster.run(0.6);
-  roll.replace(roll.follower(), OLD, 50);
-  await roll.staysAt(1, ROLL_S);
+  roll.replace(roll.follower(), OLD_BUILD, 50);
+  await roll.staysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
 // Without the precondition on the version of the record, the late write would undo later changes.
 test('a level write without a response that is retried and later applied late changes nothing', async () => {
-  const roll = new RollingUpgrade(20, NEW);
+  const roll = new RollingUpgrade(20, NEW_BUILD);
   await roll.reaches('preparing', 1);
   const { state, clock, invariants } = roll.cluster;
   state.lateWrites = { share: 1, until: clock.time + 2000, byMs: 12_000, keys: 'rollout/level' };
-  roll.replace(roll.follower(), OLD, 100);
+  roll.replace(roll.follower(), OLD_BUILD, 100);
   await roll.cluster.run(2);
   assert.equal(roll.level.state, 'preparing');
   await roll.until(
@@ -160,19 +160,19 @@
     () => roll.level.held !== null && roll.level.state === 'stable',
     10,
   );
-  await roll.staysAt(1, ROLL_S);
+  await roll.staysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
 test('a malformed announcement is ignored, logged once, and replaced by the next process of its controller', async () => {
   const lines: string[] = [];
-  const roll = new RollingUpgrade(15, OLD, {
+  const roll = new RollingUpgrade(15, OLD_BUILD, {
     log: (_node, text, fields) => {
       if (text === 'announcement ignored') lines.push((fields as { reason: string }).reason);
     },
   });
   await roll.cluster.run(6);
-  for (const name of NAMES) roll.replace(name, NEW, 50);
+  for (const name of NAMES) roll.replace(name, NEW_BUILD, 50);
   await roll.cluster.run(1);
   const planted = roll.cluster.state.value('rollout/controllers/n2') as object;
   roll.cluster.state.putDirectly('rollout/controllers/n2', { ...planted, build: { reads: 'all' } });
@@ -190,7 +190,7 @@
 
 function replaceAtRandom(cluster: Cluster, second: number, name: string): void {
   if (second >= 50 || !cluster.random.chance(0.12)) return;
-  cluster.builds.set(name, cluster.random.chance(0.75) ? NEW : OLD);
+  cluster.builds.set(name, cluster.random.chance(0.75) ? NEW_BUILD : OLD_BUILD);
   cluster.crash(name, cluster.random.between(50, 3000));
 }
 
@@ -205,7 +205,7 @@
 
 /** Finally replaces all controllers with the new build. */
 function replaceAllWithNewBuild(cluster: Cluster, second: number): void {
-  if (second === 50) for (const name of NAMES) cluster.builds.set(name, NEW);
+  if (second === 50) for (const name of NAMES) cluster.builds.set(name, NEW_BUILD);
   if (second === 52)
     for (const name of NAMES) cluster.crash(name, cluster.random.between(50, 2000));
 }
@@ -218,8 +218,8 @@
         seed,
         ordinaryUp: 20,
         capacity: 12,
-        rollout: { ...SETTINGS, stall_s: 8 },
-        builds: Object.fromEntries(NAMES.map((name) => [name, OLD])),
+        rollout: { ...ROLLOUT_SETTINGS, stall_s: 8 },
+        builds: Object.fromEntries(NAMES.map((name) => [name, OLD_BUILD])),
       },
       (cluster, second) => {
         invariants ??= new RolloutInvariants(cluster);
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -57,7 +57,7 @@
   );
   await deployment.until(
     'segments are stored',
-    () => segmentsIn(deployment.standIns.state).length > 0,
+    () => segmentsIn(deployment.services.state).length > 0,
   );
   await deployment.replace('n1', 'old');
   // A process that has not read the level yet is unhealthy for that reason first. It must not be healthy in between.
@@ -72,7 +72,7 @@
     [0, 'level 2, lowering -> 1: the leader goes on with it\n'],
   );
   await deployment.until('the level is lowered', () => deployment.level.active === 1);
-  assert.deepEqual(segmentsIn(deployment.standIns.state), []);
+  assert.deepEqual(segmentsIn(deployment.services.state), []);
   await deployment.untilHealthy('n1');
   await large;
   await deployment.users.endStream();
--- a/test/sim-wire.test.ts
+++ b/test/sim-wire.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'node:test';
 import { decodeCloudRequest } from './sim/wire/cloud.js';
 import { decodeStateRequest } from './sim/wire/state.js';
-import { decodeJobReply } from './sim/wire/users.js';
-import { decodeHeartbeatReply } from './sim/wire/workers.js';
+import { decodeJobResponse } from './sim/wire/users.js';
+import { decodeHeartbeatResponse } from './sim/wire/workers.js';
 
 test('a job response with a missing or invalid field is rejected, and a valid one is decoded', () => {
-  const decode = (body: Record<string, unknown>) => () => decodeJobReply({ status: 200, body });
+  const decode = (body: Record<string, unknown>) => () => decodeJobResponse({ status: 200, body });
   assert.throws(decode({}));
   assert.throws(decode({ id: 'run-1' }));
   assert.throws(decode({ id: 'run-1', condition: 'finished' }));
@@ -16,15 +16,15 @@
     id: 'run-1',
     state: 'done',
   });
-  assert.equal(decodeJobReply({ status: 404, body: {} }).job, null);
+  assert.equal(decodeJobResponse({ status: 404, body: {} }).job, null);
 });
 
 test('worker commands and service requests outside the protocol are rejected', () => {
   assert.throws(() =>
-    decodeHeartbeatReply({ orders: [{ order: 'halt', sack: 'run-1/0', try: 1 }] }),
+    decodeHeartbeatResponse({ orders: [{ order: 'halt', sack: 'run-1/0', try: 1 }] }),
   );
   assert.throws(() =>
-    decodeHeartbeatReply({ orders: [{ order: 'stop', sack: 'run-1/0', try: 1 }] }),
+    decodeHeartbeatResponse({ orders: [{ order: 'stop', sack: 'run-1/0', try: 1 }] }),
   );
   assert.throws(() => decodeCloudRequest('/machines', { hire: 'r-1' }));
   assert.throws(() => decodeCloudRequest('/prices', {}));
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -28,7 +28,7 @@
 import { Users } from './users.js';
 import { Worker } from './worker.js';
 import { quietLog } from './quiet-log.js';
-import { withoutGate } from './without-gate.js';
+import { responseToUngatedBuild } from './ungated-build.js';
 
 interface NodeProcess extends SimulatedProcess {
   node: ControllerNode;
@@ -56,7 +56,7 @@
   nextMachineSlowness = 1;
   /** Additional checks that run after each step. */
   readonly checks: (() => void)[] = [];
-  /** Nodes that behave, from their next start on, like a build from before feature levels; see `withoutGate`. */
+  /** Nodes that behave, from their next start on, like a build from before feature levels; see `responseToUngatedBuild`. */
   readonly ungated = new Set<string>();
   /** Virtual time at which the last fault ended; unless null, `run` also checks that jobs get responses and start. */
   faultsEndedAt: number | null = null;
@@ -175,7 +175,7 @@
       random: this.random,
       processClock: this.clock.hostClock(this.random.between(1, 1.0005), () => process.alive),
       log: this.logOf(name),
-      alterResponse: this.ungated.has(name) ? withoutGate : undefined,
+      alterResponse: this.ungated.has(name) ? responseToUngatedBuild : undefined,
     });
     const broadcast = (message: PeerMessage): void => {
       this.peerMessageListener(message);
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -1,4 +1,4 @@
-/** Controllers as real processes on loopback, of builds that differ in the levels that they declare. */
+/** Controllers as real processes on loopback, running builds that declare different feature levels. */
 import assert from 'node:assert/strict';
 import { type ChildProcess, execFile, spawn } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
@@ -9,7 +9,7 @@
 import { type BuildName, bundleBuilds } from './controller-builds.js';
 import { killAndWait } from './child-process.js';
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
-import { LoopbackStandIns } from './loopback.js';
+import { LoopbackServices } from './loopback-services.js';
 import { freePort } from './loopback-server.js';
 import { type ControllerAddresses, settingsFile } from './platform-settings.js';
 import { ProcessUsers } from './process-users.js';
@@ -19,10 +19,10 @@
 const TEAM = 'research';
 const TEAM_LIMIT = 200;
 const REPORT_S = 0.5;
-/** Longer than a busy machine may stand still, so that no worker loses its lease for that. */
+/** Longer than a busy machine may stall, so that no worker loses its lease because of a stall. */
 const LEASE_S = 30;
 const CANCEL_S = 60;
-/** How a command line ended. */
+/** Exit code and output of a command. */
 export interface CommandResult {
   code: number;
   stdout: string;
@@ -33,15 +33,15 @@
   process: ChildProcess | null;
 }
 
-/** Three controllers, their stand-ins and their users; `stop` ends them all. */
+/** Three controllers, the simulated services that they use, and their users. `stop` stops them all. */
 export class ControllerProcesses {
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-'));
   private bundles = new Map<BuildName, string>();
   private readonly controllers: Controller[] = [];
-  standIns!: LoopbackStandIns;
+  services!: LoopbackServices;
   users!: ProcessUsers;
 
-  /** `rollout` and `duties`: as in the operators' file. */
+  /** Starts everything with one build. `rollout` and `duties` are settings as in the operators' file. */
   async start(
     build: BuildName,
     rollout: Partial<RolloutSettings>,
@@ -56,7 +56,7 @@
         peerAddress: `127.0.0.1:${await freePort()}`,
         process: null,
       });
-    this.standIns = new LoopbackStandIns({
+    this.services = new LoopbackServices({
       seed: 1,
       controllers: this.controllers,
       machinesPerPool: 3,
@@ -65,8 +65,8 @@
       cancelMs: CANCEL_S * 1000,
       limits: new Map([[TEAM, TEAM_LIMIT]]),
     });
-    await this.standIns.start();
-    this.users = new ProcessUsers(this.standIns, this.controllers, TEAM);
+    await this.services.start();
+    this.users = new ProcessUsers(this.services, this.controllers, TEAM);
     writeFileSync(join(this.directory, 'operator.json'), JSON.stringify({ rollout, duties }));
     for (const controller of this.controllers) {
       writeFileSync(this.configOf(controller.name), this.settingsOf(controller));
@@ -83,8 +83,8 @@
     return settingsFile({
       self: controller,
       others: this.controllers.filter((other) => other !== controller),
-      stateAddress: this.standIns.stateAddress,
-      cloudAddress: this.standIns.cloudAddress,
+      stateAddress: this.services.stateAddress,
+      cloudAddress: this.services.cloudAddress,
       teams: [{ name: TEAM, cpus: 16, cpusMax: TEAM_LIMIT }],
       reportS: REPORT_S,
       leaseS: LEASE_S,
@@ -95,7 +95,7 @@
     });
   }
 
-  private named(name: string): Controller {
+  private controllerNamed(name: string): Controller {
     return this.controllers.find((controller) => controller.name === name) ?? assert.fail(name);
   }
 
@@ -111,14 +111,14 @@
     );
   }
 
-  /** Stops or continues the process, which does not notice. */
+  /** Suspends or continues the process, which is not notified. */
   signal(name: string, signal: 'SIGSTOP' | 'SIGCONT'): void {
-    this.named(name).process?.kill(signal);
+    this.controllerNamed(name).process?.kill(signal);
   }
 
-  /** Ends the process without a signal that it could answer, and starts the other build. */
+  /** Kills the process with SIGKILL, which it can't handle, and starts the given build. */
   async replace(name: string, build: BuildName): Promise<void> {
-    const controller = this.named(name);
+    const controller = this.controllerNamed(name);
     if (controller.process) await killAndWait(controller.process);
     this.spawn(controller, build);
   }
@@ -126,17 +126,17 @@
   async stop(): Promise<void> {
     this.users.stop();
     for (const { process: child } of this.controllers) if (child) await killAndWait(child);
-    this.standIns.stop();
+    this.services.stop();
     rmSync(this.directory, { recursive: true });
   }
 
-  until(what: string, holds: () => Promise<boolean> | boolean): Promise<void> {
-    return waitUntil(what, holds);
+  until(description: string, condition: () => Promise<boolean> | boolean): Promise<void> {
+    return waitUntil(description, condition);
   }
 
   async health(name: string): Promise<{ status: number; text: string }> {
     try {
-      const response = await fetch(`http://${this.named(name).address}/healthz`);
+      const response = await fetch(`http://${this.controllerNamed(name).address}/healthz`);
       return { status: response.status, text: await response.text() };
     } catch {
       return { status: 0, text: '' };
@@ -147,12 +147,12 @@
     return this.until(`${name} is healthy`, async () => (await this.health(name)).status === 200);
   }
 
-  /** `millring rollout ...`, with the settings of a controller. */
+  /** Runs `millring rollout ...` with the settings of a controller. */
   rollout(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('new', name, ['rollout', ...args]);
   }
 
-  /** `millring duties ...`, with the settings of a controller. */
+  /** Runs `millring duties ...` with the settings of a controller. */
   duties(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('latest', name, ['duties', ...args]);
   }
@@ -172,9 +172,9 @@
     });
   }
 
-  /** What is stored of the cluster level. */
+  /** The stored cluster level, or the initial level if none is stored. */
   get level(): { state: string; active: number } {
-    const stored = this.standIns.state.value('rollout/level') as
+    const stored = this.services.state.value('rollout/level') as
       { state: string; active: number } | undefined;
     return stored ?? { state: 'stable', active: 1 };
   }
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -1,4 +1,4 @@
-/** Controllers that share the duties, without anything else that controllers do: in virtual time, with all faults. */
+/** Simulated controllers that share the duties and do nothing else, in virtual time and under all faults. */
 import assert from 'node:assert/strict';
 import {
   DUTIES,
@@ -20,8 +20,8 @@
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
 
-/** As in the operators' file. */
-export const SETTINGS: DutySettings = {
+/** Settings of the members, as in the operators' file. */
+export const DUTY_SETTINGS: DutySettings = {
   mode: 'on',
   held_here: [...DUTIES],
   lease_s: 2,
@@ -33,26 +33,29 @@
 
 const STATE = 'state:1';
 const PROVIDER = 'provider:1';
-const DRIFT_AT_MOST = 1.001;
+const MAX_CLOCK_RATE = 1.001;
 const DAY_MS = 24 * 3600 * 1000;
 const STEP_S = 0.05;
-/** Stands for the claim of whoever decides. */
+/** Key of the record that represents the decider's claim, which is a precondition of every intent. */
 const DECIDER_KEY = 'decider';
 
 interface MemberProcess extends SimulatedProcess {
   member: DutyMember;
 }
 
-/** How many controllers there are, and how they share the duties. */
+/** The number of controllers, and how they share the duties. */
 export interface DutyGroupConfig {
   seed: number;
   size?: number;
   settings?: Partial<DutySettings>;
-  /** The controller that leads, and so has other work. */
+  /** Name of the leading controller, which has other work to do. */
   leader?: string;
 }
 
-/** Composes the members, the state service and the provider. `run` lets time go on; the invariants are checked after each step. */
+/**
+ * Composes the members, the state service and the provider. `run` advances virtual time and checks the invariants after
+ * each step.
+ */
 export class DutyGroup implements ObservedDutyGroup {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
@@ -61,10 +64,10 @@
   readonly provider = new FencedProvider();
   readonly invariants: DutyInvariants;
   readonly names: string[];
-  /** Lines of the log, by controller. */
-  readonly lines: { name: string; text: string; fields: object }[] = [];
+  /** Log lines of all controllers, with the controller's name. */
+  readonly logLines: { name: string; text: string; fields: object }[] = [];
   private readonly processes = new Map<string, MemberProcess>();
-  /** Controllers whose duties are off at the moment. */
+  /** Names of controllers whose duties are currently turned off. */
   readonly turnedOff = new Set<string>();
   private nextIntent = 1;
   private readonly log: IntentLog;
@@ -86,19 +89,19 @@
   }
 
   private settings(): DutySettings {
-    return { ...SETTINGS, ...this.config.settings };
+    return { ...DUTY_SETTINGS, ...this.config.settings };
   }
 
   private runtime(name: string, process: SimulatedProcess, rate: number): Runtime {
-    const note = (fields: object, text: string): void => {
-      this.lines.push({ name, text, fields });
+    const recordLine = (fields: object, text: string): void => {
+      this.logLines.push({ name, text, fields });
     };
     return simulatedRuntime(`${name}:80`, process, {
       clock: this.clock,
       network: this.network,
       random: this.random,
       processClock: this.clock.hostClock(rate, () => process.alive),
-      log: { ...quietLog, info: note, error: note },
+      log: { ...quietLog, info: recordLine, error: recordLine },
     });
   }
 
@@ -115,15 +118,15 @@
     process: SimulatedProcess,
     settings: DutySettings,
   ): DutyMember {
-    const runtime = this.runtime(name, process, this.random.between(1, DRIFT_AT_MOST));
-    // Wall clocks differ by days.
-    const offMs = this.random.between(-DAY_MS, DAY_MS);
+    const runtime = this.runtime(name, process, this.random.between(1, MAX_CLOCK_RATE));
+    // The wall clocks of controllers may differ by days.
+    const wallOffsetMs = this.random.between(-DAY_MS, DAY_MS);
     return new DutyMember({
       environment: {
         clock: runtime.clock,
         log: runtime.log,
         random: () => runtime.random(),
-        wallMs: () => 1e12 + this.clock.time + offMs,
+        wallMs: () => 1e12 + this.clock.time + wallOffsetMs,
       },
       store: this.storeOf(runtime),
       self: name,
@@ -162,22 +165,22 @@
     });
   }
 
-  /** Another one decides from now on. */
+  /** Replaces the decider's claim, as a new decider does: transactions that require the previous claim fail. */
   replaceDecider(): void {
     this.state.putDirectly(DECIDER_KEY, {});
   }
 
-  open(duty: Duty, action: IntentAction): Promise<IntentResult> {
+  openIntent(duty: Duty, action: IntentAction): Promise<IntentResult> {
     return this.log.open(duty, action);
   }
 
-  /** Some machines of the provider are given back. */
+  /** Opens an intent to delete machines of the provider. */
   delete(duty: 'return' | 'reclaim', ...machines: string[]): Promise<IntentResult> {
-    return this.open(duty, { kind: 'delete', machines });
+    return this.openIntent(duty, { kind: 'delete', machines });
   }
 
   rent(count: number): Promise<IntentResult> {
-    return this.open('rent', { kind: 'rent', type: 't16', zone: 'a', spot: false, count });
+    return this.openIntent('rent', { kind: 'rent', type: 't16', zone: 'a', spot: false, count });
   }
 
   member(name: string): DutyMember {
@@ -205,7 +208,7 @@
     this.processes.get(name)!.frozenUntil = this.clock.time + ms;
   }
 
-  /** What the process asks of the provider is held, and arrives afterwards. */
+  /** Holds the process's requests to the provider for `ms`; they arrive afterwards. */
   holdRequests(name: string, ms: number): void {
     this.network.partitions.push({
       a: (host) => host === `${name}:80`,
@@ -215,8 +218,8 @@
     });
   }
 
-  /** What the state service answers this process is held; what it asks is executed. */
-  holdAnswers(name: string, ms: number): void {
+  /** Holds the state service's responses to the process for `ms`; the process's requests are executed. */
+  holdResponses(name: string, ms: number): void {
     this.network.partitions.push({
       a: (host) => host === STATE,
       b: (host) => host === `${name}:80`,
@@ -226,8 +229,8 @@
     });
   }
 
-  /** The state service refuses this process alone. */
-  refuse(name: string, ms: number): void {
+  /** Makes the state service reject requests of this process only, for `ms`. */
+  rejectStateRequests(name: string, ms: number): void {
     this.state.rejectHost(`${name}:80`, ms);
   }
 
@@ -235,7 +238,7 @@
     return this.isUp(name) && !this.isFrozen(name) && this.member(name).holder(duty).isHeld();
   }
 
-  /** Controllers that run and believe to hold the duty now. */
+  /** Names of the running controllers that consider themselves holders of the duty now. */
   holders(duty: Duty): string[] {
     return this.names.filter((name) => this.isHolder(name, duty));
   }
@@ -244,13 +247,13 @@
     return this.names.find((name) => this.isHolder(name, duty));
   }
 
-  /** What the records say. */
-  recorded(duty: Duty): { controller: string; token: number } | undefined {
+  /** The stored holder record of the duty, or undefined if there is none. */
+  storedHolder(duty: Duty): { controller: string; token: number } | undefined {
     return this.state.value(`duties/holders/${duty}`) as
       { controller: string; token: number } | undefined;
   }
 
-  openIntents(): number {
+  openIntentCount(): number {
     const intents = [...this.state.items].filter(([key]) => key.startsWith('duties/intents/'));
     return intents.filter(([, { value }]) => (value as { outcome: unknown }).outcome === null)
       .length;
@@ -262,16 +265,16 @@
     });
   }
 
-  async until(what: string, holds: () => boolean, withinS = 40): Promise<void> {
+  async until(description: string, condition: () => boolean, withinS = 40): Promise<void> {
     for (let waited = 0; waited < withinS; waited += STEP_S) {
-      if (holds()) return;
+      if (condition()) return;
       await this.run(STEP_S);
     }
-    assert.fail(`not within ${withinS} s: ${what}`);
+    assert.fail(`condition not met within ${withinS} s: ${description}`);
   }
 
-  /** Every duty has a holder. */
-  async settled(): Promise<void> {
+  /** Waits until every duty has a holder. */
+  async untilAllHeld(): Promise<void> {
     await this.until('all duties are held', () =>
       DUTIES.every((duty) => this.holder(duty) !== undefined),
     );
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -1,40 +1,40 @@
-/** The main module of a process that shares the duties with others; tests suspend and continue it by signals. */
+/** Main module of a process that shares the duties with other processes. Tests suspend and continue it with signals. */
 import { performance } from 'node:perf_hooks';
 import { DutyMember } from '@millring/duties';
 import { HttpClient } from '../../src/http/http-client.js';
 import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
-import { SETTINGS } from './duty-group.js';
+import { DUTY_SETTINGS } from './duty-group.js';
 import { FencedProviderClient } from './fenced-provider.js';
 import { quietLog } from './quiet-log.js';
 
-/** Handed over as JSON in the first argument. */
+/** Options of the process, passed as JSON in the first argument. */
 export interface DutyProcessOptions {
   name: string;
   stateAddress: string;
   providerAddress: string;
   leaseS: number;
-  /** Between the check of the holder and the request. */
-  beforeSendingMs: number;
+  /** Delay between the check of the holder and each request, in milliseconds. */
+  sendDelayMs: number;
 }
 
-/** What the process tells its parent. */
+/** A message from the process to its parent. */
 export type DutyProcessMessage =
   | { kind: 'state'; duty: string; to: string; token: number | null }
   | { kind: 'checked'; at: number }
-  /** The provider's answer to what was sent after a check; a status of 0 stands for none. */
+  /** The provider's response to the request sent after a check; status 0 means that there was no response. */
   | { kind: 'answered'; at: number; status: number };
 
 const SOCKETS = 16;
 
-function tell(message: DutyProcessMessage): void {
+function sendToParent(message: DutyProcessMessage): void {
   process.send?.(message);
 }
 
-function noteState(fields: object, text: string): void {
+function reportStateChange(fields: object, text: string): void {
   if (text !== 'duty state changed') return;
   const { duty, to, token } = fields as { duty: string; to: string; token?: number };
-  tell({ kind: 'state', duty, to, token: token ?? null });
+  sendToParent({ kind: 'state', duty, to, token: token ?? null });
 }
 
 function run(options: DutyProcessOptions): void {
@@ -53,25 +53,25 @@
       services: [stateAddress, providerAddress],
       maxConnectionsToWorkers: SOCKETS,
     }),
-    log: { ...quietLog, info: noteState },
+    log: { ...quietLog, info: reportStateChange },
     random: () => Math.random(),
   };
   const beforeSending = async (): Promise<void> => {
-    tell({ kind: 'checked', at: performance.now() });
-    await new Promise((done) => setTimeout(done, options.beforeSendingMs));
+    sendToParent({ kind: 'checked', at: performance.now() });
+    await new Promise((done) => setTimeout(done, options.sendDelayMs));
   };
   const member = new DutyMember({
     environment: { ...runtime, wallMs: () => Date.now() },
     store: new StateStore(runtime, { address: stateAddress, nodes: 3, rps: 400, writeRps: 100 }),
     self: name,
     process: `${name}-${process.pid}`,
-    settings: { ...SETTINGS, lease_s: options.leaseS },
+    settings: { ...DUTY_SETTINGS, lease_s: options.leaseS },
     provider: new FencedProviderClient({
       http: runtime.http,
       address: providerAddress,
       beforeSending,
-      onReply: ({ status }) => {
-        tell({ kind: 'answered', at: performance.now(), status });
+      onResponse: ({ status }) => {
+        sendToParent({ kind: 'answered', at: performance.now(), status });
       },
     }),
     maxTransactionOps: 12,
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -1,4 +1,4 @@
-/** Processes that share the duties, on loopback with their stand-ins. */
+/** Processes that share the duties, with a simulated state service and provider on loopback. */
 import { type ChildProcess, fork } from 'node:child_process';
 import type { Server } from 'node:http';
 import { fileURLToPath } from 'node:url';
@@ -8,19 +8,19 @@
 import type { DutyProcessMessage, DutyProcessOptions } from './duty-process.js';
 import { FencedProvider } from './fenced-provider.js';
 import { closeServer, serveOnLoopback } from './loopback-server.js';
-import { followSteadyClock } from './steady-clock.js';
+import { runInRealTime } from './real-time.js';
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
 import { waitUntil } from './wait-until.js';
 
 const MAIN = fileURLToPath(new URL('./duty-process.js', import.meta.url));
 const NAMES = ['n0', 'n1', 'n2'];
-/** No test asks how fast anything is: whoever waits for longer than this has a fault, not a slow machine. */
-const PATIENCE_MS = 120_000;
-/** The duty that is looked at. */
+/** No test measures speed: a wait longer than this is caused by a fault, not by a slow machine. */
+const TIMEOUT_MS = 120_000;
+/** The duty that the tests observe. */
 export const DUTY: Duty = 'return';
 
-/** Three processes, with a state service and a provider on loopback; `stop` ends them all. */
+/** Three processes, with a state service and a provider on loopback. `stop` stops them all. */
 export class DutyProcesses {
   readonly provider = new FencedProvider();
   readonly state: StateService;
@@ -34,21 +34,21 @@
     this.state = new StateService(this.clock, new SeededRandom(1));
   }
 
-  /** `beforeSendingMs`: between the check of the holder and each request. */
-  async start(beforeSendingMs: number, leaseS: number): Promise<void> {
+  /** `sendDelayMs` is the delay between the check of the holder and each request. */
+  async start(sendDelayMs: number, leaseS: number): Promise<void> {
     const state = await serveOnLoopback((...request) => this.state.handle(...request));
     const provider = await serveOnLoopback(this.provider.handle);
     this.servers.push(state.server, provider.server);
-    void followSteadyClock(this.clock, () => this.stopped);
+    void runInRealTime(this.clock, () => this.stopped);
     for (const name of NAMES)
       this.fork({
         name,
         stateAddress: state.address,
         providerAddress: provider.address,
         leaseS,
-        beforeSendingMs,
+        sendDelayMs,
       });
-    await this.until('somebody holds the duty', () => this.recorded() !== undefined);
+    await this.until('a process holds the duty', () => this.storedHolder() !== undefined);
   }
 
   private fork(options: DutyProcessOptions): void {
@@ -63,13 +63,13 @@
     this.children.get(name)!.kill(signal);
   }
 
-  recorded(): { controller: string; token: number } | undefined {
+  storedHolder(): { controller: string; token: number } | undefined {
     return this.state.value(`duties/holders/${DUTY}`) as
       { controller: string; token: number } | undefined;
   }
 
-  /** As a leader stores it. */
-  plantDeletion(id: string, machine: string): void {
+  /** Adds a machine to the provider and stores an intent to delete it, as a leader stores it. */
+  storeDeletionIntent(id: string, machine: string): void {
     const intent: Intent = {
       id,
       duty: DUTY,
@@ -90,24 +90,24 @@
     return (this.intent(id)?.outcome ?? null) !== null;
   }
 
-  /** States of the duty at the process, in order. */
+  /** States of the duty that the process reported, in order. */
   states(name: string): string[] {
     return this.messages.flatMap(({ name: from, message }) =>
       from === name && message.kind === 'state' && message.duty === DUTY ? [message.to] : [],
     );
   }
 
-  /** How often the process has passed the check of the holder. */
-  checks(name: string): number {
+  /** Number of times that the process has passed the check of the holder. */
+  checkCount(name: string): number {
     return this.messages.filter(
       ({ name: from, message }) => from === name && message.kind === 'checked',
     ).length;
   }
 
-  /** A failure tells what the processes and the provider did. */
-  async until(what: string, holds: () => boolean): Promise<void> {
+  /** Waits for a condition. On failure, prints what the processes and the provider did. */
+  async until(description: string, condition: () => boolean): Promise<void> {
     try {
-      await waitUntil(what, holds, { everyMs: 20, patienceMs: PATIENCE_MS });
+      await waitUntil(description, condition, { intervalMs: 20, timeoutMs: TIMEOUT_MS });
     } catch (error) {
       const running = [...this.children].map(([name, child]) => [name, child.exitCode]);
       const history = { running, messages: this.messages, calls: this.provider.calls };
@@ -116,10 +116,10 @@
     }
   }
 
-  /** Another process has taken the duty; its name. */
+  /** Waits until another process holds the duty, under a higher token. */
   async untilReplaced(old: string, token: number): Promise<void> {
     await this.until('a successor holds the duty', () => {
-      const now = this.recorded();
+      const now = this.storedHolder();
       return now !== undefined && now.controller !== old && now.token > token;
     });
   }
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -1,4 +1,4 @@
-/** A machine provider that checks fencing tokens, and the client that duties reach it by. */
+/** A machine provider that checks fencing tokens, and the client through which duties use it. */
 import {
   type DeleteResult,
   type Duty,
@@ -15,30 +15,30 @@
 const PRECONDITION_FAILED = 412;
 const TIMEOUT_MS = 5000;
 
-/** A request as it was executed, or refused for its token. */
+/** A request that was executed, or rejected because of its token. */
 export interface ProviderCall {
   duty: Duty;
   token: number;
-  /** Of a rental. */
+  /** Id of a rental request, null for a deletion. */
   request: string | null;
   machines: string[];
   executed: boolean;
 }
 
-/** How a provider fails for a while. */
+/** The provider's current faults. */
 export interface ProviderFailure {
-  /** Executes nothing. */
-  refuses: boolean;
-  /** Executes, but does not answer. */
-  silent: boolean;
+  /** Rejects every request with status 503 and executes nothing. */
+  unavailable: boolean;
+  /** Executes requests, but does not respond. */
+  dropsResponses: boolean;
 }
 
-/** Refuses a token that is lower than another that it has seen for the same duty. */
+/** Rejects a token that is lower than the highest that it has seen for the same duty. */
 export class FencedProvider {
   readonly calls: ProviderCall[] = [];
   readonly machines = new Set<string>();
-  failure: ProviderFailure = { refuses: false, silent: false };
-  /** Between the arrival of a request and its execution. */
+  failure: ProviderFailure = { unavailable: false, dropsResponses: false };
+  /** Awaited between the arrival of a request and its execution. */
   delay: () => Promise<void> = () => Promise.resolve();
   private readonly newest = new Map<Duty, number>();
   private readonly rented = new Map<string, string[]>();
@@ -46,9 +46,9 @@
 
   readonly handle: Handler = async (_method, path, body) => {
     await this.delay();
-    if (this.failure.refuses) return { status: 503, body: {} };
-    const reply = this.execute(path, body);
-    return this.failure.silent ? new Promise<HttpResponse>(() => undefined) : reply;
+    if (this.failure.unavailable) return { status: 503, body: {} };
+    const response = this.execute(path, body);
+    return this.failure.dropsResponses ? new Promise<HttpResponse>(() => undefined) : response;
   };
 
   executed(duty: Duty): ProviderCall[] {
@@ -88,16 +88,16 @@
   }
 }
 
-/** How the client reaches the provider. */
+/** How the client connects to the provider, and hooks around each request. */
 export interface FencedProviderClientOptions {
   http: Http;
   address: string;
-  /** Between the check of the holder and the request. */
+  /** Awaited between the check of the holder and the request. */
   beforeSending?: () => Promise<void>;
-  onReply?: (reply: HttpResponse) => void;
+  onResponse?: (response: HttpResponse) => void;
 }
 
-/** Fails with `StaleTokenError` when its token is refused. */
+/** Throws `StaleTokenError` when the provider rejects its token. */
 export class FencedProviderClient implements MachineProvider {
   constructor(private readonly options: FencedProviderClientOptions) {}
 
@@ -106,24 +106,24 @@
   }
 
   async rent(permit: Permit, request: string, action: RentAction): Promise<RentResult> {
-    const reply = await this.send(permit, '/rent', { request, count: action.count });
-    return reply
-      ? { kind: 'rented', machines: reply.machines as string[] }
+    const response = await this.send(permit, '/rent', { request, count: action.count });
+    return response
+      ? { kind: 'rented', machines: response.machines as string[] }
       : { kind: 'unavailable' };
   }
 
   async delete(permit: Permit, machines: readonly string[]): Promise<DeleteResult> {
-    const reply = await this.send(permit, '/delete', { machines: [...machines] });
-    return { kind: reply ? 'deleted' : 'unavailable' };
+    const response = await this.send(permit, '/delete', { machines: [...machines] });
+    return { kind: response ? 'deleted' : 'unavailable' };
   }
 
   private async send({ duty, token }: Permit, path: string, body: Body): Promise<Body | null> {
     await this.options.beforeSending?.();
     const { http, address } = this.options;
-    const reply = await http.send(address, 'POST', path, { ...body, duty, token }, TIMEOUT_MS);
-    this.options.onReply?.(reply);
-    if (reply.status === PRECONDITION_FAILED)
-      throw new StaleTokenError(duty, token, toNumber(reply.body.newest)!);
-    return reply.status === 200 ? reply.body : null;
+    const response = await http.send(address, 'POST', path, { ...body, duty, token }, TIMEOUT_MS);
+    this.options.onResponse?.(response);
+    if (response.status === PRECONDITION_FAILED)
+      throw new StaleTokenError(duty, token, toNumber(response.body.newest)!);
+    return response.status === 200 ? response.body : null;
   }
 }
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -2,7 +2,7 @@
 import type { ObservedJob } from './observed-job.js';
 import { type MachineCapacity, type Place, fits, mismatches } from './places.js';
 import { unservedJobs } from './service-level.js';
-import type { JobReply, JobState } from './wire/users.js';
+import type { JobResponse, JobState } from './wire/users.js';
 
 /** Maximum time in milliseconds without a response about an accepted job, once all faults have ended. */
 const MAX_RESPONSE_GAP_MS = 75_000;
@@ -105,7 +105,7 @@
   }
 
   /** Records the response to a request sent at `sentAt`; it must agree with the responses received before that. */
-  recordResponse(id: string, { status, job: reported }: JobReply, sentAt: number): void {
+  recordResponse(id: string, { status, job: reported }: JobResponse, sentAt: number): void {
     const job = this.jobs.get(id);
     if (status === 404 && job?.reportedAccepted) this.recordViolation('forgotten', id);
     if (!reported) return;
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -1,30 +1,30 @@
-/** Users of controllers that are real processes. */
+/** Simulated users of controllers that run as real processes. */
 import assert from 'node:assert/strict';
 import { setTimeout as delay } from 'node:timers/promises';
 import { PLAIN_ARRAY, jobId } from './jobs.js';
-import type { LoopbackStandIns } from './loopback.js';
+import type { LoopbackServices } from './loopback-services.js';
 import { observedJob } from './observed-job.js';
 import { waitUntil } from './wait-until.js';
 import {
   type JobSubmission,
   type UserRequest,
-  decodeJobReply,
+  decodeJobResponse,
   pollRequest,
   submitRequest,
 } from './wire/users.js';
 
-/** Submits jobs, and waits for their ends; each answer is checked by the invariants of the stand-ins. */
+/** Submits jobs and waits until they are done. The invariants of the simulated services check each response. */
 export class ProcessUsers {
   private nextJob = 1;
-  private openUsers = 0;
+  private unfinishedJobs = 0;
   private streaming = false;
-  /** Of each accepted submission, from its first attempt on, in milliseconds. */
+  /** Time from the first attempt to acceptance for each accepted submission, in milliseconds. */
   readonly latenciesMs: number[] = [];
-  /** Attempts that were not accepted. */
+  /** Number of attempts that were not accepted. */
   refused = 0;
 
   constructor(
-    private readonly standIns: LoopbackStandIns,
+    private readonly services: LoopbackServices,
     private readonly controllers: { address: string }[],
     private readonly team: string,
   ) {}
@@ -33,7 +33,7 @@
     this.streaming = false;
   }
 
-  newJob(over: Partial<JobSubmission> = {}): JobSubmission {
+  newJob(overrides: Partial<JobSubmission> = {}): JobSubmission {
     return {
       ...PLAIN_ARRAY,
       id: jobId(this.nextJob++),
@@ -41,38 +41,38 @@
       tasks: 4,
       memoryGb: 2,
       imageGb: 0.2,
-      ...over,
+      ...overrides,
     };
   }
 
-  /** As PROTOCOL has it: a submission is repeated until it is accepted, then its user asks until the job is over. */
+  /** As PROTOCOL specifies, repeats a submission until it is accepted, then polls until the job is done. */
   async run(job: JobSubmission): Promise<void> {
-    this.openUsers++;
+    this.unfinishedJobs++;
     const { id } = job;
-    const { invariants, clock } = this.standIns;
+    const { invariants, clock } = this.services;
     invariants.jobs.set(id, observedJob(job, clock.time));
-    const began = performance.now();
+    const startedAt = performance.now();
     while (!(await this.request(id, submitRequest(job)))) this.refused++;
-    this.latenciesMs.push(performance.now() - began);
+    this.latenciesMs.push(performance.now() - startedAt);
     await waitUntil(`${id} is done`, async () => {
       await this.request(id, pollRequest(id));
       await delay(300);
       return invariants.jobs.get(id)!.reportedDoneAt !== null;
     });
-    this.openUsers--;
+    this.unfinishedJobs--;
   }
 
-  /** Asks any controller that accepts connections; false if the request has to be repeated. */
+  /** Sends a request to any controller that accepts connections. Returns false if the request has to be repeated. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { invariants, clock } = this.standIns;
-    const asked = clock.time;
+    const { invariants, clock } = this.services;
+    const sentAt = clock.time;
     const start = Math.floor(Math.random() * this.controllers.length);
     for (let i = 0; i < this.controllers.length; i++) {
       const { address } = this.controllers[(start + i) % this.controllers.length];
-      const reply = await this.standIns.ask(address, method, path, body);
-      if (reply.status === 0) continue;
-      const decoded = decodeJobReply(reply);
-      invariants.recordResponse(id, decoded, asked);
+      const response = await this.services.sendToController(address, method, path, body);
+      if (response.status === 0) continue;
+      const decoded = decodeJobResponse(response);
+      invariants.recordResponse(id, decoded, sentAt);
       if (decoded.job) return true;
       break;
     }
@@ -80,24 +80,24 @@
     return false;
   }
 
-  /** Jobs keep coming until `endStream`. */
-  async stream(everyMs: number): Promise<void> {
+  /** Submits a job every `intervalMs` until `endStream` is called. */
+  async stream(intervalMs: number): Promise<void> {
     this.streaming = true;
     while (this.streaming) {
       void this.run(this.newJob({ tasks: 1 + (this.nextJob % 6) }));
-      await delay(everyMs);
+      await delay(intervalMs);
     }
   }
 
-  /** Every job that was begun has ended, as its user was told. */
+  /** Stops submitting jobs, and waits until each submitted job has been reported to its user as done. */
   async endStream(): Promise<void> {
     this.streaming = false;
-    await waitUntil('all jobs are done', () => this.openUsers === 0);
+    await waitUntil('all jobs are done', () => this.unfinishedJobs === 0);
   }
 
-  /** Each accepted job ended once; no task ran in two places, or again after it was done. */
+  /** Asserts that each accepted job completed once, and that no task ran in two places or again after it was done. */
   checkHistory(): void {
-    const { invariants } = this.standIns;
+    const { invariants } = this.services;
     assert.deepEqual(invariants.violations, []);
     assert.deepEqual(invariants.startsAfterFinish, []);
     for (const [id, job] of invariants.jobs)
--- a/test/sim/steady-clock.ts
+++ b/test/sim/real-time.ts
@@ -1,11 +1,11 @@
-/** Runs the stand-ins in real time. */
+/** Runs simulated services in real time. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { VirtualClock } from './clock.js';
 
 const STEP_MS = 10;
 
-/** Virtual time follows the steady clock until `stopped`. */
-export async function followSteadyClock(
+/** Advances virtual time with the monotonic clock until `stopped` returns true, and calls `check` after each event. */
+export async function runInRealTime(
   clock: VirtualClock,
   stopped: () => boolean,
   check: () => void = () => undefined,
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -15,13 +15,13 @@
 import { clientRuntime } from './client-runtime.js';
 import { RolloutInvariants } from './rollout-invariants.js';
 
-/** What ran before: it has the gate, and knows the base level only. */
-export const OLD: Build = { version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 };
-/** The levels of the first feature alone, so that a raised level stays where these tests look for it. */
-export const NEW: Build = { ...BUILD, reads: { from: 1, to: 2 }, writes: 2 };
+/** The build that ran before. It has the gate for feature levels, and supports the base level only. */
+export const OLD_BUILD: Build = { version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 };
+/** A build that supports no level above the first feature's, so that a raised level stays where the tests expect it. */
+export const NEW_BUILD: Build = { ...BUILD, reads: { from: 1, to: 2 }, writes: 2 };
 export const NAMES = ['n0', 'n1', 'n2'];
 
-export const SETTINGS: RolloutSettings = {
+export const ROLLOUT_SETTINGS: RolloutSettings = {
   mode: 'automatic',
   soak_s: 2,
   stall_s: 15,
@@ -31,11 +31,11 @@
 };
 
 const STEP_S = 0.05;
-/** Longer than a change of level takes with nobody away. */
-export const ROLL_S = 15;
+/** Longer than a change of level takes while all controllers are up, in seconds. */
+export const LEVEL_CHANGE_S = 15;
 
-/** What an operator's command works with, beside the controllers. */
-export function operatorOf(cluster: Cluster): RolloutOperator {
+/** Returns the client that an operator's command uses, apart from the controllers. */
+export function createOperator(cluster: Cluster): RolloutOperator {
   const store = new StateStore(clientRuntime(cluster), {
     address: 'state:1',
     nodes: 1,
@@ -46,24 +46,30 @@
     store,
     controllers: NAMES,
     registry: FEATURES,
-    settings: SETTINGS,
+    settings: ROLLOUT_SETTINGS,
     by: `operator-${cluster.clock.time}`,
     wallMs: () => 1e12 + cluster.clock.time,
   });
 }
 
-/** A cluster whose controllers tests replace, and the cluster level that follows. */
+/** A cluster whose controllers are replaced by tests, and its feature level, which follows. */
 export class RollingUpgrade {
   readonly cluster: Cluster;
   readonly invariants: RolloutInvariants;
 
   constructor(seed: number, build: Build, config: Partial<ClusterConfig> = {}) {
     const builds = Object.fromEntries(NAMES.map((name) => [name, build]));
-    this.cluster = new Cluster({ seed, ordinaryUp: 8, rollout: SETTINGS, builds, ...config });
+    this.cluster = new Cluster({
+      seed,
+      ordinaryUp: 8,
+      rollout: ROLLOUT_SETTINGS,
+      builds,
+      ...config,
+    });
     this.invariants = new RolloutInvariants(this.cluster);
   }
 
-  /** What is stored, or the beginning. */
+  /** The stored cluster level, or the initial level if none is stored. */
   get level(): Pick<ClusterLevel, 'state' | 'active' | 'reason' | 'held'> {
     return this.invariants.level ?? { state: 'stable', active: 1, reason: null, held: null };
   }
@@ -73,12 +79,14 @@
     this.cluster.crash(name, downMs);
   }
 
-  async until(what: string, holds: () => boolean, withinS = 40): Promise<void> {
+  async until(description: string, condition: () => boolean, withinS = 40): Promise<void> {
     for (let waited = 0; waited < withinS; waited += STEP_S) {
-      if (holds()) return;
+      if (condition()) return;
       await this.cluster.run(STEP_S);
     }
-    assert.fail(`not within ${withinS} s: ${what}; ${JSON.stringify(this.level)}`);
+    assert.fail(
+      `condition not met within ${withinS} s: ${description}; ${JSON.stringify(this.level)}`,
+    );
   }
 
   reaches(state: ClusterLevel['state'], active: number): Promise<void> {
@@ -88,7 +96,7 @@
     );
   }
 
-  /** For so long the active level stays. */
+  /** Asserts that the active level does not change for `seconds`. */
   async staysAt(active: number, seconds: number): Promise<void> {
     for (let waited = 0; waited < seconds; waited += 1) {
       await this.cluster.run(1);
@@ -97,30 +105,30 @@
   }
 
   leader(): string {
-    return this.cluster.leader() ?? assert.fail('nobody leads');
+    return this.cluster.leader() ?? assert.fail('no controller leads');
   }
 
   follower(): string {
-    return NAMES.find((name) => name !== this.cluster.leader()) ?? assert.fail('nobody follows');
+    return NAMES.find((name) => name !== this.cluster.leader()) ?? assert.fail('no follower');
   }
 
-  async ask(action: 'activate' | 'abort' | 'downgrade'): Promise<OperatorResult> {
+  async runOperatorCommand(action: 'activate' | 'abort' | 'downgrade'): Promise<OperatorResult> {
     const { cluster } = this;
-    const operator = operatorOf(cluster);
+    const operator = createOperator(cluster);
     let result: OperatorResult | null = null;
     void operator[action]().then((r) => (result = r));
     await this.until('the command has ended', () => result !== null);
     return result ?? assert.fail();
   }
 
-  /** An array so large that its finished tasks are stored in segments under the new level. */
-  submitLarge(durationS = 0.5): string {
+  /** Submits an array so large that its finished tasks are stored in segments under the new level. Returns its id. */
+  submitLargeArray(durationS = 0.5): string {
     const job = this.cluster.users.newJob({ ...BATCH, tasks: 2400, durationS, team: 't0' });
     void this.cluster.users.run(job, null);
     return job.id;
   }
 
-  /** Nothing was broken, and all arrays end. */
+  /** Waits until all arrays are done, and asserts that no invariant was violated. */
   async finish(): Promise<void> {
     const { invariants } = this.cluster;
     const open = (): boolean =>
@@ -132,11 +140,15 @@
   }
 }
 
-/** Room for arrays of thousands of tasks. */
-export const LARGE: Partial<ClusterConfig> = { ordinaryUp: 24, capacity: 24, teamLimit: 400 };
+/** A cluster with enough capacity for arrays of thousands of tasks. */
+export const LARGE_CLUSTER: Partial<ClusterConfig> = {
+  ordinaryUp: 24,
+  capacity: 24,
+  teamLimit: 400,
+};
 
-/** Submits some arrays. */
-export function withJobs(roll: RollingUpgrade, count = 4): void {
+/** Submits `count` arrays. */
+export function submitArrays(roll: RollingUpgrade, count = 4): void {
   for (let i = 0; i < count; i++)
     void roll.cluster.users.run(roll.cluster.users.newJob({ ...BATCH, tasks: 6 }), null);
 }
--- a/test/sim/rollout-invariants.ts
+++ b/test/sim/rollout-invariants.ts
@@ -1,4 +1,4 @@
-/** What must hold of the cluster level after each step, whatever fails: looked at from outside the controllers. */
+/** Invariants of the cluster level after each step, under any fault, checked from outside the controllers. */
 import type { ClusterLevel } from '@millring/rollout';
 import { BUILD, COMPACT_FINISHED_TASKS } from '../../src/build.js';
 import type { Cluster } from './cluster.js';
@@ -7,7 +7,7 @@
 const LEVEL_KEY = 'rollout/level';
 const FIRST_SEGMENT = 1000;
 
-const NEXT: Record<ClusterLevel['state'], ClusterLevel['state'][]> = {
+const NEXT_STATES: Record<ClusterLevel['state'], ClusterLevel['state'][]> = {
   stable: ['preparing', 'lowering', 'stable'],
   preparing: ['activating', 'aborting'],
   activating: ['stable', 'aborting'],
@@ -15,14 +15,14 @@
   lowering: ['stable'],
 };
 
-/** Keys of the segments of finished tasks that are stored. */
+/** Returns the keys of the stored segments of finished tasks. */
 export function segmentsIn(state: StateService): string[] {
   return [...state.items.keys()].filter(
     (key) => key.startsWith('d/') && Number(key.slice(key.lastIndexOf('/') + 1)) >= FIRST_SEGMENT,
   );
 }
 
-/** Looks at the stored cluster level and at each controller after each step of the cluster. */
+/** Checks the stored cluster level and each controller after each step of the cluster. */
 export class RolloutInvariants {
   /** All levels that were ever stored, in order. */
   readonly history: ClusterLevel[] = [];
@@ -46,43 +46,43 @@
     const item = this.cluster.state.items.get(LEVEL_KEY);
     if (item && item.version !== this.seenVersion) {
       this.seenVersion = item.version;
-      this.stored(item.value as ClusterLevel);
+      this.recordLevel(item.value as ClusterLevel);
     }
     this.checkAnnouncements();
     this.checkModes();
   }
 
-  /** Nothing that an earlier process had on its way takes the place of what a later one announced. */
+  /** A delayed write of an earlier process never replaces the announcement of a later process. */
   private checkAnnouncements(): void {
     const { state, invariants, nodeNames } = this.cluster;
     for (const name of nodeNames) {
       const announcement = state.value(`rollout/controllers/${name}`) as
         { incarnation?: number } | undefined;
-      const present = state.value(`rollout/incarnations/${name}`) as
+      const current = state.value(`rollout/incarnations/${name}`) as
         { incarnation: number } | undefined;
       if (
         announcement?.incarnation !== undefined &&
-        announcement.incarnation !== present?.incarnation
+        announcement.incarnation !== current?.incarnation
       )
         invariants.recordViolation('rollout_incarnation', name);
     }
   }
 
-  private stored(next: ClusterLevel): void {
+  private recordLevel(next: ClusterLevel): void {
     const last = this.level;
     this.history.push(next);
     const { invariants } = this.cluster;
     if (last && next.change !== last.change + 1)
       invariants.recordViolation('rollout_history', `${last.change} -> ${next.change}`);
-    if (last && !NEXT[last.state].includes(next.state))
+    if (last && !NEXT_STATES[last.state].includes(next.state))
       invariants.recordViolation('rollout_history', `${last.state} -> ${next.state}`);
-    if (last && next.active > last.active) this.checkAllCan(next.active);
+    if (last && next.active > last.active) this.checkAllSupport(next.active);
     if (next.active === 1 && next.state === 'stable' && this.segments().length > 0)
       invariants.recordViolation('rollout_lowered', this.segments()[0]);
   }
 
-  /** A controller that is up when the level is raised runs a build that can follow. */
-  private checkAllCan(active: number): void {
+  /** Every controller that is up when the level is raised runs a build that can read the new level. */
+  private checkAllSupport(active: number): void {
     const { cluster } = this;
     for (const name of cluster.nodeNames)
       if (cluster.isUp(name) && this.buildOf(name).reads.to < active)
@@ -93,7 +93,7 @@
     return this.cluster.startedWith.get(name) ?? BUILD;
   }
 
-  /** Whoever serves can read the active level, and no two are two steps apart. */
+  /** Every serving controller can read the active level, and no two of them are two steps apart (`on` and `off`). */
   private checkModes(): void {
     const { cluster } = this;
     const modes = new Set<string>();
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -6,11 +6,11 @@
 import type { Network } from './network.js';
 import type { SeededRandom } from './random.js';
 import {
-  type JobReply,
+  type JobResponse,
   type JobSubmission,
   type UserRequest,
   cancelRequest,
-  decodeJobReply,
+  decodeJobResponse,
   pollRequest,
   submitRequest,
 } from './wire/users.js';
@@ -40,9 +40,9 @@
     return { ...randomJob(this.nextJob++, this.deps.random), ...overrides };
   }
 
-  private async send({ method, path, body }: UserRequest, via?: string): Promise<JobReply> {
+  private async send({ method, path, body }: UserRequest, via?: string): Promise<JobResponse> {
     const node = via ?? this.deps.random.pick(this.deps.nodeNames);
-    return decodeJobReply(
+    return decodeJobResponse(
       await this.deps.network.send('user', `${node}:80`, method, path, body, TIMEOUT_MS),
     );
   }
@@ -55,7 +55,7 @@
     id: string,
     request: UserRequest,
     via?: string,
-  ): Promise<JobReply> {
+  ): Promise<JobResponse> {
     for (let i = 0; ; i++) {
       const sentAt = this.deps.clock.time;
       const response = await this.send(request, via);
@@ -77,7 +77,7 @@
     return new Promise((done) => this.deps.clock.after(ms, done));
   }
 
-  async poll(id: string): Promise<JobReply> {
+  async poll(id: string): Promise<JobResponse> {
     const sentAt = this.deps.clock.time;
     const response = await this.send(pollRequest(id));
     this.deps.invariants.recordResponse(id, response, sentAt);
@@ -85,7 +85,7 @@
   }
 
   /** Submits the job again, once; an accepted job must not be rejected. */
-  async resubmit(id: string): Promise<JobReply> {
+  async resubmit(id: string): Promise<JobResponse> {
     const sentAt = this.deps.clock.time;
     const response = await this.send(submitRequest(this.deps.invariants.jobs.get(id)!.spec));
     this.deps.invariants.recordResponse(id, response, sentAt);
--- a/test/sim/wire/fields.ts
+++ b/test/sim/wire/fields.ts
@@ -1,4 +1,4 @@
-/** Strict access to the fields of decoded bodies: what is missing or of another type is a fault, not a default. */
+/** Strict access to the fields of decoded bodies: throws for a missing or mistyped field instead of using a default. */
 import { type Body, isMap, toNumber } from '../../../src/wire/cbor.js';
 
 export function textField(body: Body, field: string): string {
@@ -13,44 +13,45 @@
   return value;
 }
 
-export function amountField(body: Body, field: string): number {
+export function numberField(body: Body, field: string): number {
   const value = body[field];
   if (typeof value !== 'number') throw malformed(body, field);
   return value;
 }
 
-export function flagField(body: Body, field: string): boolean {
+export function booleanField(body: Body, field: string): boolean {
   const value = body[field];
   if (typeof value !== 'boolean') throw malformed(body, field);
   return value;
 }
 
-export function textsField(body: Body, field: string): string[] {
+export function textListField(body: Body, field: string): string[] {
   const value = body[field];
   if (!Array.isArray(value) || !value.every((item) => typeof item === 'string'))
     throw malformed(body, field);
   return value;
 }
 
-/** A list of maps; a field that is missing stands for an empty one. */
+/** Returns a list of maps; a missing field counts as an empty list. */
 export function mapsField(body: Body, field: string): Body[] {
   const value = body[field] ?? [];
   if (!Array.isArray(value) || !value.every(isMap)) throw malformed(body, field);
   return value;
 }
 
-/** The inner word for a word of the wire. */
-export function wordField<Word extends string>(
+/** Returns the internal name of a value from its name on the wire. */
+export function enumField<Name extends string>(
   body: Body,
   field: string,
-  words: Readonly<Record<Word, string>>,
-): Word {
-  for (const word of Object.keys(words) as Word[]) if (words[word] === body[field]) return word;
+  wireNames: Readonly<Record<Name, string>>,
+): Name {
+  for (const name of Object.keys(wireNames) as Name[])
+    if (wireNames[name] === body[field]) return name;
   throw malformed(body, field);
 }
 
 function malformed(body: Body, field: string): Error {
-  return new Error(`field ${field} of ${JSON.stringify(body, jsonValue)}`);
+  return new Error(`missing or malformed field ${field} in ${JSON.stringify(body, jsonValue)}`);
 }
 
 function jsonValue(_key: string, value: unknown): unknown {
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -1,13 +1,13 @@
-/** The users' side of the protocol as tests speak it: submissions, polls, cancellations and their answers. */
+/** The users' side of the protocol for tests: submissions, polls, cancellations and their responses. */
 import type { HttpResponse } from '../../../src/runtime.js';
 import type { Body } from '../../../src/wire/cbor.js';
-import { integerField, textField, wordField } from './fields.js';
+import { integerField, textField, enumField } from './fields.js';
 
 export type SubmittedKind = 'array' | 'service' | 'gang';
 type SubmittedPriority = 'production' | 'high' | 'normal' | 'idle';
 export type JobState = 'pending' | 'running' | 'done' | 'cancelled';
 
-/** A job as its user asks for it. */
+/** A job as submitted by its user. */
 export interface JobSubmission {
   id: string;
   jobClass: string;
@@ -15,25 +15,25 @@
   kind: SubmittedKind;
   priority: SubmittedPriority;
   tasks: number;
-  /** What each task takes of its machine. */
+  /** CPUs, GPUs and memory that each task uses on its machine. */
   cpus: number;
   gpus: number;
   memoryGb: number;
   image: string;
   imageGb: number;
-  /** Null: any. */
+  /** Null allows any machine type. */
   machineTypes: string[] | null;
   zone: string | null;
-  /** All tasks in the same zone. */
+  /** Whether all tasks must run in the same zone. */
   oneZone: boolean;
-  /** At most half of the tasks in one zone. */
+  /** Whether at most half of the tasks may run in one zone. */
   spread: boolean;
   spot: boolean;
-  /** The owner's estimate of a task's run time. */
+  /** The owner's estimate of a task's run time, in seconds. */
   durationS: number;
-  /** 0: the tasks never save. */
+  /** Interval at which a task saves a checkpoint, in seconds; 0 if the tasks never save. */
   checkpointEveryS: number;
-  /** How long a task saves when it is stopped. */
+  /** Time that a task takes to save when it is stopped, in seconds. */
   checkpointS: number;
   deadlineS: number | null;
 }
@@ -44,20 +44,20 @@
   body: Body | null;
 }
 
-/** What a controller is asked for on the users' paths. */
+/** An operation that a user can request from a controller. */
 export type UserOperation =
   { kind: 'submit' } | { kind: 'poll'; id: string } | { kind: 'cancel'; id: string };
 
 export interface JobStatus {
   id: string;
   state: JobState;
-  /** Task counts, which answers to polls carry. */
+  /** Task counts, contained in responses to polls. */
   done?: number;
   running?: number;
 }
 
 /** `job` is null unless the request was accepted. */
-export interface JobReply {
+export interface JobResponse {
   status: number;
   job: JobStatus | null;
 }
@@ -99,12 +99,12 @@
   cancelled: 'cancelled',
 };
 
-/** Fields keep the order of the submission. */
+/** The fields keep the order of the submission. */
 export function encodeSubmission(job: JobSubmission): Body {
   return encodeFields({ ...job, kind: WIRE_KINDS[job.kind] });
 }
 
-/** A body whose named fields hold these values as they are, whether or not a submission may hold them. */
+/** Returns a submission in which the given fields contain raw values, which need not be valid. */
 export function submissionWithRawFields(
   job: JobSubmission,
   rawFields: Partial<Record<keyof JobSubmission, unknown>>,
@@ -112,7 +112,7 @@
   return encodeFields({ ...job, kind: WIRE_KINDS[job.kind], ...rawFields });
 }
 
-/** A body that lacks a field. */
+/** Returns a submission that lacks one field. */
 export function submissionWithout(job: JobSubmission, missing: keyof JobSubmission): Body {
   const fields = Object.entries(encodeSubmission(job));
   return Object.fromEntries(fields.filter(([field]) => field !== WIRE_FIELDS[missing]));
@@ -121,7 +121,8 @@
 function encodeFields(fields: Record<keyof JobSubmission, unknown>): Body {
   return Object.fromEntries(
     Object.entries(fields).map(([field, value]) => {
-      if (!Object.hasOwn(WIRE_FIELDS, field)) throw new Error(`no field ${field} on the wire`);
+      if (!Object.hasOwn(WIRE_FIELDS, field))
+        throw new Error(`submission field ${field} has no wire name`);
       return [WIRE_FIELDS[field as keyof JobSubmission], value];
     }),
   );
@@ -131,7 +132,7 @@
   return rawSubmitRequest(encodeSubmission(job));
 }
 
-/** A submission with any body. */
+/** Returns a submission request with any body. */
 export function rawSubmitRequest(body: Body): UserRequest {
   return { method: 'POST', path: JOBS_PATH, body };
 }
@@ -144,7 +145,7 @@
   return { method: 'POST', path: `${JOBS_PATH}/${id}/${CANCEL}`, body: null };
 }
 
-/** What a request to a controller asks for, null if it is no user's. */
+/** Returns the operation that a request to a controller asks for, or null if it is not a user's request. */
 export function userOperation(method: string, path: string): UserOperation | null {
   if (path !== JOBS_PATH && !path.startsWith(`${JOBS_PATH}/`)) return null;
   const [id, verb] = path.slice(JOBS_PATH.length + 1).split('/');
@@ -152,8 +153,8 @@
   return verb === CANCEL ? { kind: 'cancel', id } : { kind: 'submit' };
 }
 
-/** An accepted request has to name the job and a state that users know. */
-export function decodeJobReply({ status, body }: HttpResponse): JobReply {
+/** Throws if the response to an accepted request lacks the job's id or a state that is known to users. */
+export function decodeJobResponse({ status, body }: HttpResponse): JobResponse {
   const isAccepted = status === 200 || status === 201;
   return { status, job: isAccepted ? decodeJobStatus(body) : null };
 }
@@ -161,7 +162,7 @@
 function decodeJobStatus(body: Body): JobStatus {
   const job: JobStatus = {
     id: textField(body, 'id'),
-    state: wordField(body, 'condition', WIRE_STATES),
+    state: enumField(body, 'condition', WIRE_STATES),
   };
   if (body.done === undefined) return job;
   return { ...job, done: integerField(body, 'done'), running: integerField(body, 'running') };
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -9,7 +9,7 @@
   COMMANDS_PATH,
   HEARTBEAT_PATH,
   decodeCommandRequest,
-  decodeHeartbeatReply,
+  decodeHeartbeatResponse,
   encodeHeartbeat,
   redirectTarget,
 } from './wire/workers.js';
@@ -215,7 +215,7 @@
   private acceptResponse(body: Body, sentAt: number, incarnation: number): void {
     this.isAwaitingResponse = false;
     this.checkLease();
-    const { token, commands } = decodeHeartbeatReply(body);
+    const { token, commands } = decodeHeartbeatResponse(body);
     if (incarnation !== this.incarnation || token === undefined || token < this.token) return;
     this.lastAcknowledgedSentAt = sentAt;
     this.observeToken(token);
