--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -64,7 +64,7 @@
 }
 
 /** Conditions that apply to all machines in one evaluation. */
-interface Round {
+interface Evaluation {
   now: number;
   isLagging: boolean;
   isSelfPartitioned: boolean;
@@ -98,15 +98,17 @@
     );
     this.zones.update(machines, now);
     this.budget.expire(now);
-    const round = this.startRound(machines, now);
-    const dead = machines.filter((machine) => !machine.deleting && this.isDead(machine, round));
+    const evaluation = this.startEvaluation(machines, now);
+    const dead = machines.filter(
+      (machine) => !machine.deleting && this.isDead(machine, evaluation),
+    );
     for (const machine of machines)
       if (machine.drainReason === 'faulty' && !machine.deleting && this.budget.tryAcquire(now))
         dead.push(machine);
     return dead;
   }
 
-  private startRound(machines: readonly Machine[], now: number): Round {
+  private startEvaluation(machines: readonly Machine[], now: number): Evaluation {
     const reachable = machines.filter((machine) => !this.zones.isPartitioned(machine.zone));
     const reconciled = reachable.filter((machine) => machine.isReconciled()).length;
     return {
@@ -144,17 +146,17 @@
     );
   }
 
-  private isDead(machine: Machine, round: Round): boolean {
-    const { now } = round;
+  private isDead(machine: Machine, evaluation: Evaluation): boolean {
+    const { now } = evaluation;
     // Most likely preempted by the cloud. Its deletion proves that, and can't affect a machine that still runs.
     if (machine.unlisted && this.liveness.isHeartbeatOverdue(machine, now)) return true;
     const isPreempted = machine.preemptionDeadline !== null && now > machine.preemptionDeadline;
-    const delaysFailover = this.delaysFailover(machine, round);
-    if (!delaysFailover && !this.isConfirmedUnreachable(machine, round)) return false;
+    const delaysFailover = this.delaysFailover(machine, evaluation);
+    if (!delaysFailover && !this.isConfirmedUnreachable(machine, evaluation)) return false;
     if (isPreempted) return true;
     if (this.zones.isPartitioned(machine.zone))
       return this.isDeadInPartitionedZone(machine, delaysFailover, now);
-    if (round.isSelfPartitioned || round.partitionedZones.has(machine.zone)) return false;
+    if (evaluation.isSelfPartitioned || evaluation.partitionedZones.has(machine.zone)) return false;
     return this.budget.tryAcquire(now);
   }
 
@@ -165,17 +167,17 @@
    * required, since responses may be waiting unread. The other zones don't wait for a partitioned zone whose leases
    * nobody can extend, either.
    */
-  private delaysFailover(machine: Machine, round: Round): boolean {
-    const minFailures = round.isLagging ? MIN_FAILED_PROBES_WHILE_LAGGING : MIN_FAILED_PROBES;
+  private delaysFailover(machine: Machine, evaluation: Evaluation): boolean {
+    const minFailures = evaluation.isLagging ? MIN_FAILED_PROBES_WHILE_LAGGING : MIN_FAILED_PROBES;
     if (!machine.awaitingReconciliation || machine.isReconciled()) return false;
-    if (machine.commandFailures < minFailures || !round.isNearlyReconciled) return false;
+    if (machine.commandFailures < minFailures || !evaluation.isNearlyReconciled) return false;
     const graceMs = this.zones.isPartitioned(machine.zone)
       ? 2 * RECONCILIATION_GRACE_MS
       : RECONCILIATION_GRACE_MS;
-    return round.now - this.startedAt > graceMs;
+    return evaluation.now - this.startedAt > graceMs;
   }
 
-  private isConfirmedUnreachable(machine: Machine, { now, isLagging }: Round): boolean {
+  private isConfirmedUnreachable(machine: Machine, { now, isLagging }: Evaluation): boolean {
     if (!this.liveness.isUnreachable(machine, now)) return false;
     if (!isLagging && !machine.leaseExpired) return true;
     const timeoutMs = this.liveness.unreachableAfterMs * (isLagging ? 2 : 1);
