--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -17,8 +17,8 @@
  */
 const RECONCILED_SHARE_THRESHOLD = 0.85;
 /** Failed probes after which a machine counts as delaying a failover. */
-const MIN_FAILED_PROBES = 2;
-const MIN_FAILED_PROBES_WHILE_LAGGING = 3;
+const MIN_COMMAND_FAILURES = 2;
+const MIN_COMMAND_FAILURES_WHILE_LAGGING = 3;
 /**
  * With at least this many machines, some are heard at any time. If none is heard for `ISOLATION_TIMEOUT_MS`, this
  * controller itself is isolated.
@@ -29,8 +29,8 @@
  * If the unreachable ordinary machines in reachable zones exceed both this share and this count, this controller itself
  * is isolated.
  */
-const OWN_PARTITION_UNREACHABLE_SHARE = 0.3;
-const OWN_PARTITION_UNREACHABLE_COUNT = 2;
+const ISOLATION_UNREACHABLE_SHARE = 0.3;
+const ISOLATION_UNREACHABLE_COUNT = 2;
 /**
  * Share of the lease duration after which a machine in a partitioned zone may be deleted, so that its replicas can
  * start elsewhere.
@@ -67,7 +67,7 @@
 interface Evaluation {
   now: number;
   isLagging: boolean;
-  isSelfPartitioned: boolean;
+  isControllerIsolated: boolean;
   isNearlyReconciled: boolean;
   partitionedZones: Set<string>;
 }
@@ -114,7 +114,7 @@
     return {
       now,
       isLagging: this.deps.isLagging(),
-      isSelfPartitioned: this.isSelfPartitioned(machines, reachable, now),
+      isControllerIsolated: this.isControllerIsolated(machines, reachable, now),
       isNearlyReconciled: reconciled > RECONCILED_SHARE_THRESHOLD * reachable.length,
       partitionedZones: this.deps.partitionedZones(),
     };
@@ -124,7 +124,7 @@
    * Whether this controller itself is isolated, as indicated by many ordinary machines in several zones that become
    * unreachable at once.
    */
-  private isSelfPartitioned(
+  private isControllerIsolated(
     machines: readonly Machine[],
     reachable: readonly Machine[],
     now: number,
@@ -142,7 +142,7 @@
     const unreachable = ordinary.filter((machine) => this.liveness.isUnreachable(machine, now));
     return (
       unreachable.length >
-      Math.max(OWN_PARTITION_UNREACHABLE_COUNT, ordinary.length * OWN_PARTITION_UNREACHABLE_SHARE)
+      Math.max(ISOLATION_UNREACHABLE_COUNT, ordinary.length * ISOLATION_UNREACHABLE_SHARE)
     );
   }
 
@@ -156,7 +156,8 @@
     if (isPreempted) return true;
     if (this.zones.isPartitioned(machine.zone))
       return this.isDeadInPartitionedZone(machine, delaysFailover, now);
-    if (evaluation.isSelfPartitioned || evaluation.partitionedZones.has(machine.zone)) return false;
+    if (evaluation.isControllerIsolated || evaluation.partitionedZones.has(machine.zone))
+      return false;
     return this.budget.tryAcquire(now);
   }
 
@@ -168,7 +169,9 @@
    * nobody can extend, either.
    */
   private delaysFailover(machine: Machine, evaluation: Evaluation): boolean {
-    const minFailures = evaluation.isLagging ? MIN_FAILED_PROBES_WHILE_LAGGING : MIN_FAILED_PROBES;
+    const minFailures = evaluation.isLagging
+      ? MIN_COMMAND_FAILURES_WHILE_LAGGING
+      : MIN_COMMAND_FAILURES;
     if (!machine.awaitingReconciliation || machine.isReconciled()) return false;
     if (machine.commandFailures < minFailures || !evaluation.isNearlyReconciled) return false;
     const graceMs = this.zones.isPartitioned(machine.zone)
--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -17,7 +17,7 @@
  * has passed.
  */
 const UNRESPONSIVE_AFTER_INTERVALS = 1.6;
-const UNREACHABLE_AFTER_FAILED_COMMANDS = 2;
+const UNREACHABLE_AFTER_COMMAND_FAILURES = 2;
 const UNREACHABLE_SLACK_MS = 500;
 
 /** Stateless: all data it needs is stored in `Machine`. */
@@ -47,7 +47,7 @@
     if (!machine.reported && !machine.stored) return false;
     const timeSinceHeardMs = now - machine.lastHeardAt;
     const isUnresponsive =
-      machine.commandFailures >= UNREACHABLE_AFTER_FAILED_COMMANDS &&
+      machine.commandFailures >= UNREACHABLE_AFTER_COMMAND_FAILURES &&
       this.isHeartbeatOverdue(machine, now) &&
       timeSinceHeardMs > this.unresponsiveAfterMs;
     return (
