--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -18,7 +18,7 @@
   extends
     CloudInventoryDependencies,
     MachineDeletionDependencies,
-    Omit<FailureDetectorDependencies, 'zones'>,
+    Omit<FailureDetectorDependencies, 'allZones'>,
     ScaleInDependencies,
     ScaleOutDependencies {
   /** Interval between two heartbeats of a machine, in seconds. */
@@ -37,7 +37,7 @@
   private readonly startedAt: number;
   private readonly runtime: Runtime;
   private readonly liveness: MachineLiveness;
-  private readonly zones: ZonePartitions;
+  private readonly partitions: ZonePartitions;
   private readonly failureDetector: FailureDetector;
   private readonly deletion: MachineDeletion;
   private readonly inventory: CloudInventory;
@@ -53,22 +53,22 @@
       heartbeatIntervalS,
       missedHeartbeats: operator.silent_reports,
     });
-    this.zones = new ZonePartitions(this.liveness);
+    this.partitions = new ZonePartitions(this.liveness);
     this.failureDetector = new FailureDetector(
-      { ...deps, zones: new Set(types.flatMap((type) => type.zones)) },
+      { ...deps, allZones: new Set(types.flatMap((type) => type.zones)) },
       this.liveness,
-      this.zones,
+      this.partitions,
       this.startedAt,
     );
     this.deletion = new MachineDeletion(deps);
     this.inventory = new CloudInventory(deps, this.deletion, this.startedAt);
-    this.scaleOut = new ScaleOut(deps, this.deletion, this.liveness, this.zones);
+    this.scaleOut = new ScaleOut(deps, this.deletion, this.liveness, this.partitions);
     this.scaleIn = new ScaleIn(deps, this.deletion);
   }
 
   /** Whether the machine's zone was partitioned from this controller at the last planning. */
   isInPartitionedZone(machine: Machine): boolean {
-    return this.zones.isPartitioned(machine.zone);
+    return this.partitions.isPartitioned(machine.zone);
   }
 
   /** See `MachineLiveness.isHeartbeatOverdue`. */
--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -49,12 +49,12 @@
   /** Duration of a worker's lease, in seconds. */
   leaseS: number;
   /** All zones that machines can be requested in. */
-  zones: Set<string>;
+  allZones: Set<string>;
   /**
    * Zones that are partitioned from this controller according to the reports of other controllers. Missing heartbeats
    * from these zones don't prove that a machine is dead.
    */
-  partitionedZones(): Set<string>;
+  zonesOutOfContact(): Set<string>;
   /** Until when the controllers in a partitioned zone may extend leases there; null if it has no controller. */
   leasesExtendableUntil(zone: string): number | null;
   /**
@@ -69,7 +69,7 @@
   isLagging: boolean;
   isControllerIsolated: boolean;
   isNearlyReconciled: boolean;
-  partitionedZones: Set<string>;
+  zonesOutOfContact: Set<string>;
 }
 
 /** Runs on the leader only. */
@@ -80,7 +80,7 @@
   constructor(
     private readonly deps: FailureDetectorDependencies,
     private readonly liveness: MachineLiveness,
-    private readonly zones: ZonePartitions,
+    private readonly partitions: ZonePartitions,
     private readonly startedAt: number,
   ) {
     const { table, operator } = deps;
@@ -96,7 +96,7 @@
     const machines = [...this.deps.table.all()].filter(
       (machine) => machine.reported || machine.stored || machine.leaseExpired,
     );
-    this.zones.update(machines, now);
+    this.partitions.update(machines, now);
     this.budget.expire(now);
     const evaluation = this.startEvaluation(machines, now);
     const dead = machines.filter(
@@ -109,14 +109,14 @@
   }
 
   private startEvaluation(machines: readonly Machine[], now: number): Evaluation {
-    const reachable = machines.filter((machine) => !this.zones.isPartitioned(machine.zone));
+    const reachable = machines.filter((machine) => !this.partitions.isPartitioned(machine.zone));
     const reconciled = reachable.filter((machine) => machine.isReconciled()).length;
     return {
       now,
       isLagging: this.deps.isLagging(),
       isControllerIsolated: this.isControllerIsolated(machines, reachable, now),
       isNearlyReconciled: reconciled > RECONCILED_SHARE_THRESHOLD * reachable.length,
-      partitionedZones: this.deps.partitionedZones(),
+      zonesOutOfContact: this.deps.zonesOutOfContact(),
     };
   }
 
@@ -154,9 +154,9 @@
     const delaysFailover = this.delaysFailover(machine, evaluation);
     if (!delaysFailover && !this.isConfirmedUnreachable(machine, evaluation)) return false;
     if (isPreempted) return true;
-    if (this.zones.isPartitioned(machine.zone))
+    if (this.partitions.isPartitioned(machine.zone))
       return this.isDeadInPartitionedZone(machine, delaysFailover, now);
-    if (evaluation.isControllerIsolated || evaluation.partitionedZones.has(machine.zone))
+    if (evaluation.isControllerIsolated || evaluation.zonesOutOfContact.has(machine.zone))
       return false;
     return this.budget.tryAcquire(now);
   }
@@ -174,7 +174,7 @@
       : MIN_COMMAND_FAILURES;
     if (!machine.awaitingReconciliation || machine.isReconciled()) return false;
     if (machine.commandFailures < minFailures || !evaluation.isNearlyReconciled) return false;
-    const graceMs = this.zones.isPartitioned(machine.zone)
+    const graceMs = this.partitions.isPartitioned(machine.zone)
       ? 2 * RECONCILIATION_GRACE_MS
       : RECONCILIATION_GRACE_MS;
     return evaluation.now - this.startedAt > graceMs;
@@ -205,7 +205,7 @@
       return delaysFailover || (machine.serviceTasks > 0 && timeSinceHeardMs > waitMs);
     return (
       (machine.serviceTasks > 0 || machine.awaitingReconciliation) &&
-      this.deps.zones.size - this.zones.count() >= MIN_REACHABLE_ZONES &&
+      this.deps.allZones.size - this.partitions.count() >= MIN_REACHABLE_ZONES &&
       now > extendableUntil + waitMs
     );
   }
--- a/src/autoscaler/scale-out.ts
+++ b/src/autoscaler/scale-out.ts
@@ -44,7 +44,7 @@
     private readonly deps: ScaleOutDependencies,
     private readonly deletion: MachineDeletion,
     private readonly liveness: MachineLiveness,
-    private readonly zones: ZonePartitions,
+    private readonly partitions: ZonePartitions,
   ) {
     for (const type of deps.types)
       for (const zone of type.zones)
@@ -68,7 +68,7 @@
     }
     const capacity: Capacity = { ordinaryCpus: 0, spotCpus: 0 };
     for (const pool of this.pools.values()) {
-      if (this.zones.isQuarantined(pool.zone, now))
+      if (this.partitions.isQuarantined(pool.zone, now))
         pool.unavailableUntil = Math.max(pool.unavailableUntil, now + blockMs);
       const cpus = pool.machineCount * pool.type.cpus;
       if (pool.spot) capacity.spotCpus += cpus;
@@ -108,7 +108,7 @@
     if (machine.deleting || machine.preemptionDeadline !== null) return false;
     if (machine.drainReason && machine.drainReason !== 'surplus') return false;
     if (this.liveness.isUnreachable(machine, now)) return false;
-    return machine.reported || !this.zones.isPartitioned(machine.zone);
+    return machine.reported || !this.partitions.isPartitioned(machine.zone);
   }
 
   private async request(pool: Pool, count: number): Promise<void> {
--- a/src/autoscaler/zone-partitions.ts
+++ b/src/autoscaler/zone-partitions.ts
@@ -70,9 +70,10 @@
       elsewhere.machines += counts.machines;
       elsewhere.suspected += counts.suspected;
     }
-    const heard = elsewhere.machines - elsewhere.suspected;
+    const notSuspected = elsewhere.machines - elsewhere.suspected;
     const canJudge =
-      heard > ZONE_MAJORITY_SHARE * elsewhere.machines && heard >= MIN_MACHINES_PER_ZONE;
+      notSuspected > ZONE_MAJORITY_SHARE * elsewhere.machines &&
+      notSuspected >= MIN_MACHINES_PER_ZONE;
     return canJudge ? candidates : new Set();
   }
 
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -47,7 +47,7 @@
     listLagS: settings.listLagS,
     isLeader: () => lifecycle.isLeader(),
     demand: () => context.demand(),
-    partitionedZones: () => partitionedZones(settings, grants, runtime.clock.now()),
+    zonesOutOfContact: () => partitionedZones(settings, grants, runtime.clock.now()),
     leasesExtendableUntil: (zone) =>
       leasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
     controllerZones: new Set([settings.zone, ...settings.peers.map((peer) => peer.zone)]),
--- a/test/sim/autoscaler-harness.ts
+++ b/test/sim/autoscaler-harness.ts
@@ -68,7 +68,7 @@
         largestMachineCpus: 8,
         isUsable: () => true,
       }),
-      partitionedZones: () => new Set(),
+      zonesOutOfContact: () => new Set(),
       leasesExtendableUntil: (zone) => (zone === 'c' ? null : this.extendableUntil),
       controllerZones: new Set(['a', 'b']),
       leaseS: LEASE_S,
