--- a/src/autoscaler/scale-in.ts
+++ b/src/autoscaler/scale-in.ts
@@ -2,7 +2,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
-import { markSurplus } from './idle-machines.js';
+import { markSurplus } from './surplus-machines.js';
 import type { MachineDeletion } from './machine-deletion.js';
 import { type Demand, scalingTargets } from './scaling-plan.js';
 
--- a/src/autoscaler/idle-machines.ts
+++ b/src/autoscaler/surplus-machines.ts
@@ -17,7 +17,7 @@
   return false;
 }
 
-function add(kept: KeptCpus, machine: Machine, sign: 1 | -1): void {
+function adjustKept(kept: KeptCpus, machine: Machine, sign: 1 | -1): void {
   kept.total += sign * machine.type.cpus;
   if (!machine.spot) kept.ordinary += sign * machine.type.cpus;
 }
@@ -35,13 +35,13 @@
 ): void {
   const active = machines.filter((machine) => !machine.drainReason);
   const kept: KeptCpus = { total: 0, ordinary: 0 };
-  for (const machine of active) add(kept, machine, 1);
+  for (const machine of active) adjustKept(kept, machine, 1);
   unmarkNeeded(machines, targets, kept);
   const usedShare = (machine: Machine): number => machine.usedCpus / machine.type.cpus;
   active.sort((a, b) => Number(a.spot) - Number(b.spot) || usedShare(a) - usedShare(b));
   for (const machine of active) {
     if (!isSurplus(machine, targets, kept, now)) continue;
-    add(kept, machine, -1);
+    adjustKept(kept, machine, -1);
     machine.drainReason = 'surplus';
   }
 }
@@ -53,7 +53,7 @@
     const isOrdinaryMissing = !machine.spot && kept.ordinary < targets.ordinaryCpus;
     if (!isTotalMissing && !isOrdinaryMissing) continue;
     machine.drainReason = null;
-    add(kept, machine, 1);
+    adjustKept(kept, machine, 1);
   }
 }
 
