--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -5,7 +5,13 @@
 import type { StopReason } from '../workers/stop-reason.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import { placementGroups, totalTaskSlots } from './gang-capacity.js';
-import { attemptsOf, gangAttempt, gangState, missingTasks, remainingWaitMs } from './gang-state.js';
+import {
+  attemptsOf,
+  gangAttemptNumber,
+  gangState,
+  missingTasks,
+  remainingWaitMs,
+} from './gang-state.js';
 import {
   MachineCandidates,
   type SelectionContext,
@@ -30,7 +36,7 @@
   /** Seconds that a task that has its image waits for the others before it gives up. */
   gangWaitS: number;
   now(): number;
-  nextAttempt(): number;
+  nextAttemptNumber(): number;
 }
 
 /** `not-now`: the gang can't start for now, for reasons other than capacity. */
@@ -65,27 +71,27 @@
     const state = gangState(gang);
     if (state === 'stopping') return 'not-now';
     if (state === 'running') {
-      this.abortAttempt(gang, 'gang-member-lost');
+      this.abortGang(gang, 'gang-member-lost');
       return 'not-now';
     }
     gang.notBefore = this.deps.now() + RETRY_INTERVAL_MS;
     const placement = this.placeMissing(gang, options);
     // A part of a gang must not occupy capacity that other jobs, or the gang as a whole, could use.
     if (state === 'starting' && placement !== 'placed')
-      this.abortAttempt(gang, 'gang-member-unschedulable');
+      this.abortGang(gang, 'gang-member-unschedulable');
     return placement;
   }
 
   private placeMissing(gang: Job, options: GangPlacementOptions): GangPlacement {
     const tasks = missingTasks(gang);
     if (!this.fitsTeamLimit(gang, tasks.length)) return 'not-now';
-    const attempt = gangAttempt(gang) ?? this.deps.nextAttempt();
+    const attemptNumber = gangAttemptNumber(gang) ?? this.deps.nextAttemptNumber();
     const allowed = allowedMachines(gang, options.machines);
     for (const group of placementGroups(gang, allowed)) {
       const slots = totalTaskSlots(gang, group);
       if (!options.mayPreempt && slots < tasks.length) continue;
       const candidates = new MachineCandidates(gang, group, options.context);
-      const victims = this.addAllOrNone(gang, tasks, candidates, attempt);
+      const victims = this.addAllOrNone(gang, tasks, candidates, attemptNumber);
       if (!victims) continue;
       for (const victim of victims) this.stopNow(victim, 'preempted');
       gang.startedAt = this.deps.now();
@@ -150,11 +156,11 @@
       cause === null || cause === 'no_room' || cause === 'busy' || stop?.replaced === true;
     if (isReplaceable && gangState(gang) === 'starting') return;
     if (cause === 'incomplete') this.abortAfterFetches(gang);
-    else this.abortAttempt(gang, 'gang-member-lost');
+    else this.abortGang(gang, 'gang-member-lost');
   }
 
   /** Stops the whole gang immediately; progress since its last checkpoint is lost. */
-  private abortAttempt(gang: Job, reason: StopReason): void {
+  private abortGang(gang: Job, reason: StopReason): void {
     gang.gangAttemptAborted = gang.attempts.size > 0;
     for (const attempt of attemptsOf(gang)) this.stopNow(attempt, reason);
   }
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -20,8 +20,9 @@
 export function gangState(job: Job): GangState {
   const attempts = attemptsOf(job);
   if (attempts.length === 0) return 'absent';
-  const { attempt: number } = attempts[0];
-  const isMixed = attempts.length > job.attempts.size || attempts.some((a) => a.attempt !== number);
+  const { attempt: attemptNumber } = attempts[0];
+  const isMixed =
+    attempts.length > job.attempts.size || attempts.some((a) => a.attempt !== attemptNumber);
   const isStopped = attempts.some((a) => a.stop !== null && !a.stop.replaced);
   if (isMixed || isStopped || job.gangAttemptAborted) return 'stopping';
   const hasBegun = attempts.some((a) => a.state === 'running' || a.state === 'saving');
@@ -29,7 +30,7 @@
 }
 
 /** Attempt number by which workers recognize tasks of the same start of the gang; null if no task is on a machine. */
-export function gangAttempt(job: Job): number | null {
+export function gangAttemptNumber(job: Job): number | null {
   return attemptsOf(job)[0]?.attempt ?? null;
 }
 
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -84,12 +84,12 @@
     };
     const state = { jobs, table, machines, usage, reservations, guaranteed, demand, runTimes };
     const shared = { ...state, operator, context, stats, decisions, log, now };
-    const nextAttempt = (): number => this.nextAttempt();
+    const nextAttemptNumber = (): number => this.nextAttemptNumber();
     this.stopper = new AttemptStopper(table, decisions, stats, now);
     this.gangs = new GangScheduler({
       ...shared,
       gangWaitS: settings.gangWaitS,
-      nextAttempt,
+      nextAttemptNumber,
     });
     const relocation = new GangRelocation({
       ...shared,
@@ -105,7 +105,7 @@
       ...shared,
       goals: finishGoals(settings.objectives),
       gangs,
-      tasks: new TaskScheduler({ ...shared, stopper, nextAttempt }),
+      tasks: new TaskScheduler({ ...shared, stopper, nextAttemptNumber }),
       wallMs: () => deps.wallMs(),
       recoveryComplete: () => deps.recoveryComplete(),
     });
@@ -113,7 +113,7 @@
     this.lastRoundAt = now();
   }
 
-  private nextAttempt(): number {
+  private nextAttemptNumber(): number {
     return this.deps.attemptBase + this.attemptCount++;
   }
 
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -29,7 +29,7 @@
   context: SelectionContext;
   stopper: AttemptStopper;
   stats: SchedulingStats;
-  nextAttempt(): number;
+  nextAttemptNumber(): number;
 }
 
 /** Starts as many tasks of a job as its team's quota, the machines and the cycle's budgets allow. */
@@ -111,7 +111,14 @@
     const { machine, victims } = choice;
     for (const victim of victims) stopper.stop(victim, 0, 'preempted');
     job.startedAt = cycle.now;
-    table.addAttempt(machine, job.spec.id, job, taskNumber, this.deps.nextAttempt(), cycle.now);
+    table.addAttempt(
+      machine,
+      job.spec.id,
+      job,
+      taskNumber,
+      this.deps.nextAttemptNumber(),
+      cycle.now,
+    );
     candidates.recordPlacement(machine);
     if (!machine.spot) cycle.spareOrdinaryCpus -= job.spec.cpus;
     stats.countStarts(1);
