--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -22,7 +22,7 @@
 import type { TeamUsage } from './team-usage.js';
 
 /** A gang that has found no capacity for this long goes first among the jobs of its rank and reserves machines. */
-const RESERVE_AFTER_MS = 10_000;
+const GANG_STARVATION_THRESHOLD_MS = 10_000;
 /** How long a gang that was not placed waits until it is tried again. */
 const RETRY_INTERVAL_MS = 500;
 /** A replacement task must have its image at least this long before the first waiting task gives up. */
@@ -60,10 +60,10 @@
 export class GangScheduler {
   constructor(private readonly deps: GangSchedulerDependencies) {}
 
-  /** Whether the job is a waiting gang that has found no capacity for longer than `RESERVE_AFTER_MS`. */
-  isOverdue(job: Job): boolean {
+  /** Whether the job is a waiting gang that has found no capacity for longer than `GANG_STARVATION_THRESHOLD_MS`. */
+  isStarvedGang(job: Job): boolean {
     if (job.spec.kind !== 'gang' || job.attempts.size > 0) return false;
-    return this.deps.now() - job.startedAt > RESERVE_AFTER_MS;
+    return this.deps.now() - job.startedAt > GANG_STARVATION_THRESHOLD_MS;
   }
 
   /** Starts all tasks of a gang, or the missing tasks of one that is starting. */
@@ -84,7 +84,7 @@
 
   private placeMissing(gang: Job, options: GangPlacementOptions): GangPlacement {
     const tasks = missingTasks(gang);
-    if (!this.fitsTeamLimit(gang, tasks.length)) return 'not-now';
+    if (!this.fitsOrReservesTeamLimit(gang, tasks.length)) return 'not-now';
     const attemptNumber = gangAttemptNumber(gang) ?? this.deps.nextAttemptNumber();
     const allowed = allowedMachines(gang, options.machines);
     for (const group of placementGroups(gang, allowed)) {
@@ -106,11 +106,11 @@
     this.deps.reservations.reserveMachines(gang, allowed, this.deps.now());
   }
 
-  private fitsTeamLimit(gang: Job, tasks: number): boolean {
+  private fitsOrReservesTeamLimit(gang: Job, tasks: number): boolean {
     const { usage, reservations } = this.deps;
     const request = { spec: gang.spec, tasks, headroomCpus: 0 };
     if (usage.mayStart(request)) return true;
-    if (!this.isOverdue(gang)) return false;
+    if (!this.isStarvedGang(gang)) return false;
     const arrays = reservations.usedByArrays(gang.spec.team);
     if (usage.fitsWithout(request, arrays)) reservations.reserveTeamLimit(gang, this.deps.now());
     return false;
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -12,7 +12,7 @@
  * An array of which nothing has started this long after its acceptance gets a first share of its tasks before all other
  * jobs of its rank.
  */
-const STARVATION_THRESHOLD_MS = 60_000;
+const ARRAY_STARVATION_THRESHOLD_MS = 60_000;
 
 /** By job class, the times in seconds after submission within which jobs should finish, shortest first. */
 export type FinishGoals = Map<string, number[]>;
@@ -55,9 +55,9 @@
 }
 
 /** Whether an array has waited too long for its start: streams of smaller jobs must not block a large one forever. */
-export function isStarved(job: Job, wallMs: number): boolean {
+export function isStarvedArray(job: Job, wallMs: number): boolean {
   if (job.spec.kind !== 'array' || job.attempts.size > 0 || job.finishedCount > 0) return false;
-  return wallMs - job.acceptedAt > STARVATION_THRESHOLD_MS;
+  return wallMs - job.acceptedAt > ARRAY_STARVATION_THRESHOLD_MS;
 }
 
 /** Sorts jobs: production first, then jobs within their team's guarantee, then by priority; equal ones by urgency. */
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -25,8 +25,8 @@
   }
 
   /** Whether the job may preempt anything at all. If not, only machines with free capacity are of use to it. */
-  mayPreemptAny(job: Job, lowestRunningPriority: number): boolean {
-    return job.spec.priority < lowestRunningPriority || this.guaranteed.has(job);
+  mayPreemptAny(job: Job, maxRunningPriorityNumber: number): boolean {
+    return job.spec.priority < maxRunningPriorityNumber || this.guaranteed.has(job);
   }
 
   /** Whether the job's team may reclaim capacity that another team uses beyond its guarantee; never from production. */
--- a/src/placement/scheduling-cycle-runner.ts
+++ b/src/placement/scheduling-cycle-runner.ts
@@ -10,7 +10,7 @@
   type FinishGoals,
   MOST_URGENT,
   type Urgency,
-  isStarved,
+  isStarvedArray,
   servingOrder,
   urgency,
 } from './job-order.js';
@@ -102,7 +102,7 @@
       withCapacity,
       full,
       zones: new Set([...withCapacity, ...full].map((machine) => machine.zone)),
-      lowestRunningPriority: this.lowestRunningPriority(),
+      maxRunningPriorityNumber: this.maxRunningPriorityNumber(),
       spareOrdinaryCpus: this.spareOrdinaryCpus(withCapacity),
       unschedulableShapes,
       teamsConsideredForPreemption: new Set(),
@@ -111,11 +111,11 @@
     };
   }
 
-  private lowestRunningPriority(): number {
-    let lowest = 0;
+  private maxRunningPriorityNumber(): number {
+    let max = 0;
     for (const job of this.deps.jobs.all())
-      if (job.attempts.size > 0) lowest = Math.max(lowest, job.spec.priority);
-    return lowest;
+      if (job.attempts.size > 0) max = Math.max(max, job.spec.priority);
+    return max;
   }
 
   private spareOrdinaryCpus(withCapacity: Machine[]): number {
@@ -126,7 +126,7 @@
   }
 
   private urgencyOf(job: Job, { wallMs }: SchedulingCycle): Urgency {
-    if (isStarved(job, wallMs) || this.deps.gangs.isOverdue(job)) return MOST_URGENT;
+    if (isStarvedArray(job, wallMs) || this.deps.gangs.isStarvedGang(job)) return MOST_URGENT;
     return urgency(job, this.deps.goals, this.deps.runTimes.expectedMs(job), wallMs);
   }
 
@@ -142,12 +142,12 @@
     const machines = reservations.withoutReserved(gang, all, cycle.now);
     cycle.candidateBudget -= machines.length;
     stats.countCandidates(machines.length);
-    const mayPreempt = context.preemption.mayPreemptAny(gang, cycle.lowestRunningPriority);
+    const mayPreempt = context.preemption.mayPreemptAny(gang, cycle.maxRunningPriorityNumber);
     const placement = gangs.place(gang, { context, machines, mayPreempt });
     if (placement === 'placed') {
       cycle.startBudget -= gang.spec.tasks;
       stats.countStarts(gang.spec.tasks);
     }
-    if (placement === 'no-capacity' && gangs.isOverdue(gang)) gangs.reserve(gang, machines);
+    if (placement === 'no-capacity' && gangs.isStarvedGang(gang)) gangs.reserve(gang, machines);
   }
 }
--- a/src/placement/scheduling-cycle.ts
+++ b/src/placement/scheduling-cycle.ts
@@ -14,7 +14,7 @@
   /** Zones of the machines in `withCapacity` and `full`. */
   readonly zones: ReadonlySet<string>;
   /** Priority number of the least urgent job with attempts on machines; less urgent jobs have higher numbers. */
-  readonly lowestRunningPriority: number;
+  readonly maxRunningPriorityNumber: number;
   /** Free CPUs of ordinary machines beyond those that arrays leave to gangs. */
   spareOrdinaryCpus: number;
   /** Shapes of jobs that found no machine in this cycle, or in those before it that used up their candidate budget. */
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -5,7 +5,7 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { AttemptStopper } from './attempt-stopper.js';
 import type { GuaranteedJobs } from './guaranteed-jobs.js';
-import { isStarved } from './job-order.js';
+import { isStarvedArray } from './job-order.js';
 import { MachineCandidates, type SelectionContext } from './machine-candidates.js';
 import { closedZonesKey } from './machine-constraints.js';
 import { victimsWithinTeam } from './preemption.js';
@@ -17,7 +17,7 @@
 /** Only this share of a starved job's tasks starts ahead of other jobs, so that it does not starve those in turn. */
 const STARVED_JOB_SHARE = 0.25;
 /** An array that has started no task for this long uses any machine that it is allowed on. */
-const SPOT_PREFERENCE_MS = 30_000;
+const ORDINARY_MACHINE_YIELD_MS = 30_000;
 
 /** Dependencies of `TaskScheduler`. */
 export interface TaskSchedulerDependencies {
@@ -38,8 +38,8 @@
 
   /** Places as many tasks of the job as possible. Machines are scored once per job, not once per task. */
   place(job: Job, cycle: SchedulingCycle): void {
-    const prefersSpot = this.prefersSpot(job, cycle.now);
-    const shapeKey = this.shapeKeyOf(job, cycle, prefersSpot);
+    const yieldsOrdinaryMachines = this.yieldsOrdinaryMachines(job, cycle.now);
+    const shapeKey = this.shapeKeyOf(job, cycle, yieldsOrdinaryMachines);
     if (cycle.unschedulableShapes.has(shapeKey)) return;
     const { reservations, usage } = this.deps;
     if (reservations.yieldsTeamLimit(job, cycle.now)) return;
@@ -55,40 +55,41 @@
         this.preemptWithinTeam(job, cycle);
         return;
       }
-      candidates ??= this.candidatesFor(job, cycle, prefersSpot, shapeKey);
+      candidates ??= this.candidatesFor(job, cycle, yieldsOrdinaryMachines, shapeKey);
       const machine = this.startNext(job, candidates, cycle);
       if (!machine) return;
       // Once arrays have used up the spare ordinary CPUs, candidates are selected again, without ordinary machines.
-      if (prefersSpot && !machine.spot && cycle.spareOrdinaryCpus <= 0) candidates = null;
+      if (yieldsOrdinaryMachines && !machine.spot && cycle.spareOrdinaryCpus <= 0)
+        candidates = null;
     }
   }
 
   /** Whether the job leaves ordinary machines to gangs: arrays that may use spot machines do so for a limited time. */
-  private prefersSpot(job: Job, now: number): boolean {
+  private yieldsOrdinaryMachines(job: Job, now: number): boolean {
     const { kind, spot } = job.spec;
     if (kind !== 'array' || !spot || this.deps.guaranteed.has(job)) return false;
-    return now - job.startedAt <= SPOT_PREFERENCE_MS;
+    return now - job.startedAt <= ORDINARY_MACHINE_YIELD_MS;
   }
 
   /** The job's equivalence class in this cycle: if one job of a class finds no machine, no other job of it does. */
-  private shapeKeyOf(job: Job, cycle: SchedulingCycle, prefersSpot: boolean): string {
+  private shapeKeyOf(job: Job, cycle: SchedulingCycle, yieldsOrdinaryMachines: boolean): string {
     // Includes the closed zones: otherwise replicas whose zones are closed would use up each cycle's candidate budget.
     const closedZones = closedZonesKey(job, cycle.zones);
     const guaranteedTeam = this.deps.guaranteed.has(job) ? job.spec.team : '';
-    return `${job.shapeKey}|${closedZones}|${guaranteedTeam}|${prefersSpot}`;
+    return `${job.shapeKey}|${closedZones}|${guaranteedTeam}|${yieldsOrdinaryMachines}`;
   }
 
   private candidatesFor(
     job: Job,
     cycle: SchedulingCycle,
-    prefersSpot: boolean,
+    yieldsOrdinaryMachines: boolean,
     shapeKey: string,
   ): MachineCandidates {
     const { context, reservations, stats } = this.deps;
-    const mayPreempt = context.preemption.mayPreemptAny(job, cycle.lowestRunningPriority);
+    const mayPreempt = context.preemption.mayPreemptAny(job, cycle.maxRunningPriorityNumber);
     const all = mayPreempt ? [...cycle.withCapacity, ...cycle.full] : cycle.withCapacity;
     const unreserved = reservations.withoutReserved(job, all, cycle.now);
-    const spotOnly = prefersSpot && cycle.spareOrdinaryCpus <= 0;
+    const spotOnly = yieldsOrdinaryMachines && cycle.spareOrdinaryCpus <= 0;
     const machines = spotOnly ? unreserved.filter((machine) => machine.spot) : unreserved;
     const candidates = new MachineCandidates(job, machines, context);
     cycle.candidateBudget -= candidates.examined;
@@ -142,5 +143,7 @@
 }
 
 function startLimit(job: Job, cycle: SchedulingCycle): number {
-  return isStarved(job, cycle.wallMs) ? Math.ceil(job.spec.tasks * STARVED_JOB_SHARE) : Infinity;
+  return isStarvedArray(job, cycle.wallMs)
+    ? Math.ceil(job.spec.tasks * STARVED_JOB_SHARE)
+    : Infinity;
 }
