--- a/src/placement/gang-relocation.ts
+++ b/src/placement/gang-relocation.ts
@@ -29,12 +29,12 @@
   constructor(private readonly deps: GangRelocationDependencies) {}
 
   /**
-   * Makes the task leave its machine, which will be preempted in `leftS` seconds (Infinity if it stays up). Returns
+   * Makes the task leave its machine, which will be preempted in `timeLeftS` seconds (Infinity if it stays up). Returns
    * true if anything was stopped. In a starting gang only the task is replaced. A running gang stops as a whole with a
    * checkpoint: as soon as it fits elsewhere and all its machines are reachable, or at the latest time that still
    * allows it to save.
    */
-  vacateMachine(attempt: TaskAttempt, gang: Job, leftS: number, reason: StopReason): boolean {
+  vacateMachine(attempt: TaskAttempt, gang: Job, timeLeftS: number, reason: StopReason): boolean {
     const state = gangState(gang);
     if (state === 'starting') {
       const request: StopRequest = { graceS: 0, reason, replaced: true };
@@ -43,26 +43,26 @@
     }
     if (state !== 'running') return false;
     const { gangPeerS, heartbeatIntervalS } = this.deps;
-    const latestS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * heartbeatIntervalS;
-    if (leftS > latestS && !this.canRelocate(gang, attempt.machine)) return false;
-    this.stopWithCheckpoint(gang, reason, leftS);
+    const minTimeLeftS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * heartbeatIntervalS;
+    if (timeLeftS > minTimeLeftS && !this.canRelocate(gang, attempt.machine)) return false;
+    this.stopWithCheckpoint(gang, reason, timeLeftS);
     return true;
   }
 
   /** Whether the whole gang fits elsewhere, without the machine `from`, and all its present machines are reachable. */
   canRelocate(gang: Job, from: Machine): boolean {
-    if (!this.allReachable(gang)) return false;
-    const targets = [...this.deps.table.all()].filter(
+    if (!this.areAllResponsive(gang)) return false;
+    const destinations = [...this.deps.table.all()].filter(
       (machine) =>
         machine !== from &&
         !machine.isStraggler &&
         this.deps.isUsable(machine) &&
         satisfiesConstraints(gang.spec, machine),
     );
-    return fitsGang(gang, targets);
+    return fitsGang(gang, destinations);
   }
 
-  private allReachable(gang: Job): boolean {
+  private areAllResponsive(gang: Job): boolean {
     return attemptsOf(gang).every(
       ({ machine }) => machine.isReconciled() && machine.commandFailures === 0,
     );
@@ -73,11 +73,11 @@
    * that is impossible because a machine is unreachable or the time is too short, the gang falls back to its last
    * checkpoint.
    */
-  stopWithCheckpoint(gang: Job, reason: StopReason, leftS = Infinity): void {
+  stopWithCheckpoint(gang: Job, reason: StopReason, timeLeftS = Infinity): void {
     const { id, saveS, checkpointS } = gang.spec;
-    const saves = checkpointS > 0 && saveS <= leftS && this.allReachable(gang);
-    if (!saves) this.deps.log.info({ job: id, reason }, 'gang stops without a checkpoint');
-    const request: StopRequest = { graceS: saves ? saveS : 0, reason, replaced: false };
+    const canSave = checkpointS > 0 && saveS <= timeLeftS && this.areAllResponsive(gang);
+    if (!canSave) this.deps.log.info({ job: id, reason }, 'gang stops without a checkpoint');
+    const request: StopRequest = { graceS: canSave ? saveS : 0, reason, replaced: false };
     for (const attempt of attemptsOf(gang)) this.deps.table.stop(attempt, request, this.deps.now());
   }
 }
--- a/src/placement/machine-drain.ts
+++ b/src/placement/machine-drain.ts
@@ -19,15 +19,15 @@
   machines: UsableMachines;
   operator: OperatorSettings;
   runTimes: RunTimePrediction;
-  gangs: GangRelocation;
+  gangRelocation: GangRelocation;
   stopper: AttemptStopper;
 }
 
 /** State shared by the moves of tasks off one machine. */
 interface DrainProgress {
   /** Milliseconds until the machine is preempted; Infinity if it stays up. */
-  readonly leftMs: number;
-  readonly targets: Machine[];
+  readonly timeLeftMs: number;
+  readonly candidates: Machine[];
   /** CPUs, by target machine, that the tasks moved so far will take. */
   readonly promisedCpus: Map<Machine, number>;
 }
@@ -35,7 +35,7 @@
 /** Drains machines; targets for their tasks are chosen round robin among the other machines. */
 export class MachineDrain {
   /** Index of the machine that is considered first for the next task. */
-  private nextTarget = 0;
+  private nextCandidateIndex = 0;
 
   constructor(private readonly deps: MachineDrainDependencies) {}
 
@@ -47,8 +47,8 @@
     if (!machine.isReconciled()) return;
     const { preemptionDeadline } = machine;
     const progress: DrainProgress = {
-      leftMs: preemptionDeadline === null ? Infinity : preemptionDeadline - now,
-      targets: [...this.deps.table.all()],
+      timeLeftMs: preemptionDeadline === null ? Infinity : preemptionDeadline - now,
+      candidates: [...this.deps.table.all()],
       promisedCpus: new Map(),
     };
     let budget = this.deps.operator.drain_moves_per_round;
@@ -56,24 +56,27 @@
       if (budget <= 0) return;
       const { job } = attempt;
       if (!attempt.onMachine() || attempt.stop || attempt.startUnacknowledged || !job) continue;
-      if (this.endsInTime(attempt, job, progress.leftMs, now)) continue;
+      if (this.endsInTime(attempt, job, progress.timeLeftMs, now)) continue;
       if (this.moveAway(attempt, job, progress)) budget--;
     }
   }
 
-  private endsInTime(attempt: TaskAttempt, job: Job, leftMs: number, now: number): boolean {
+  private endsInTime(attempt: TaskAttempt, job: Job, timeLeftMs: number, now: number): boolean {
     const remainingMs = this.deps.runTimes.remainingMs(attempt, job, now);
-    return remainingMs !== null && remainingMs < leftMs * MAX_SHARE_OF_TIME_LEFT;
+    return remainingMs !== null && remainingMs < timeLeftMs * MAX_SHARE_OF_TIME_LEFT;
   }
 
   private moveAway(attempt: TaskAttempt, job: Job, progress: DrainProgress): boolean {
-    const leftS = progress.leftMs / 1000;
+    const timeLeftS = progress.timeLeftMs / 1000;
     if (job.spec.kind === 'gang')
-      return this.deps.gangs.vacateMachine(attempt, job, leftS, 'machine-drained');
-    const target = this.selectTarget(job, progress);
-    if (!target) return false;
-    progress.promisedCpus.set(target, (progress.promisedCpus.get(target) ?? 0) + job.spec.cpus);
-    const graceS = job.spec.checkpointS > 0 ? Math.min(job.spec.saveS, leftS) : 0;
+      return this.deps.gangRelocation.vacateMachine(attempt, job, timeLeftS, 'machine-drained');
+    const machineWithCapacity = this.findMachineWithCapacity(job, progress);
+    if (!machineWithCapacity) return false;
+    progress.promisedCpus.set(
+      machineWithCapacity,
+      (progress.promisedCpus.get(machineWithCapacity) ?? 0) + job.spec.cpus,
+    );
+    const graceS = job.spec.checkpointS > 0 ? Math.min(job.spec.saveS, timeLeftS) : 0;
     this.deps.stopper.stop(attempt, graceS, 'machine-drained');
     return true;
   }
@@ -83,14 +86,17 @@
    * never selected. Capacity is checked first: when many machines are preempted at the same time, each of their
    * heartbeats leads here, and on a full fleet the capacity check is then the only cost.
    */
-  private selectTarget(job: Job, { targets, promisedCpus }: DrainProgress): Machine | null {
-    for (let i = 0; i < targets.length; i++) {
-      const index = (this.nextTarget + i) % targets.length;
-      const machine = targets[index];
+  private findMachineWithCapacity(
+    job: Job,
+    { candidates, promisedCpus }: DrainProgress,
+  ): Machine | null {
+    for (let i = 0; i < candidates.length; i++) {
+      const index = (this.nextCandidateIndex + i) % candidates.length;
+      const machine = candidates[index];
       if (!hasCapacity(job.spec, machine, promisedCpus.get(machine))) continue;
       if (!satisfiesConstraints(job.spec, machine) || !this.deps.machines.isUsable(machine))
         continue;
-      this.nextTarget = (index + 1) % targets.length;
+      this.nextCandidateIndex = (index + 1) % candidates.length;
       return machine;
     }
     return null;
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -100,7 +100,7 @@
     const { stopper, gangs } = this;
     this.usageAudit = new UsageAudit(shared);
     this.accounting = new AttemptAccounting({ ...shared, gangs });
-    this.rebalancer = new Rebalancer({ ...shared, gangs: relocation, stopper });
+    this.rebalancer = new Rebalancer({ ...shared, gangRelocation: relocation, stopper });
     this.cycles = new SchedulingCycleRunner({
       ...shared,
       goals: finishGoals(settings.objectives),
--- a/src/placement/straggler-relocation.ts
+++ b/src/placement/straggler-relocation.ts
@@ -19,7 +19,7 @@
   operator: OperatorSettings;
   log: Log;
   runTimes: RunTimePrediction;
-  gangs: GangRelocation;
+  gangRelocation: GangRelocation;
   stopper: AttemptStopper;
 }
 
@@ -66,15 +66,15 @@
   }
 
   private moveGang(gang: Job, from: Machine): boolean {
-    const { gangs } = this.deps;
-    if (!gangs.canRelocate(gang, from)) return false;
+    const { gangRelocation } = this.deps;
+    if (!gangRelocation.canRelocate(gang, from)) return false;
     for (const task of gang.attempts.keys()) gang.moved.add(task);
-    gangs.stopWithCheckpoint(gang, 'gang-moved-off-straggler');
+    gangRelocation.stopWithCheckpoint(gang, 'gang-moved-off-straggler');
     return true;
   }
 
   private moveTask(attempt: TaskAttempt, job: Job): boolean {
-    if (!this.hasTarget(job)) return false;
+    if (!this.isCapacityElsewhere(job)) return false;
     job.moved.add(attempt.taskNumber);
     const graceS = job.spec.checkpointS > 0 ? job.spec.saveS : 0;
     this.deps.stopper.stop(attempt, graceS, 'moved-off-straggler');
@@ -82,7 +82,7 @@
   }
 
   /** Whether a machine that is not a straggler has free capacity for a task of the job. */
-  private hasTarget(job: Job): boolean {
+  private isCapacityElsewhere(job: Job): boolean {
     const { table, machines } = this.deps;
     const isZoneOpen = zoneFilter(job);
     for (const machine of table.all()) {
