--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -77,8 +77,8 @@
   withoutReserved(job: Job, machines: Machine[], now: number): Machine[] {
     const reservation = this.machineReservation;
     if (!isActive(reservation, now) || reservation.gang === job) return machines;
-    const isMoreUrgent = job.spec.priority < reservation.gang.spec.priority;
-    if (isMoreUrgent || this.ignoresReservations(job, now)) return machines;
+    const isHigherPriority = job.spec.priority < reservation.gang.spec.priority;
+    if (isHigherPriority || this.ignoresReservations(job, now)) return machines;
     return machines.filter((machine) => !reservation.machines.has(machine));
   }
 
