--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -81,7 +81,7 @@
     return this.liveness.isUnreachable(machine, now);
   }
 
-  /** Whether the cloud has confirmed the deletion of the machine with this id. */
+  /** See `MachineDeletion.isDeleted`. */
   isDeleted(id: string): boolean {
     return this.deletion.isDeleted(id);
   }
--- a/src/autoscaler/cloud-inventory.ts
+++ b/src/autoscaler/cloud-inventory.ts
@@ -76,13 +76,17 @@
     if (!type) return null;
     const machine = table.add(listed.id, listed.endpoint, type, listed.zone, listed.spot, now);
     machine.rentedAt = now - listed.ageS * 1000;
-    // A machine that has been up for a long time but is not stored: a former leader saw its lease expire. It may
-    // become reachable again.
+    // The machine has been up for long enough to be stored, but is not: a former leader removed its record when its
+    // lease expired. It may become reachable again.
     machine.leaseExpired = listed.state === 'running' && mustHaveBooted(listed.ageS, type.bootS);
     return machine;
   }
 
-  /** A long list takes seconds to read, so its first page may describe a time before `requestedAt`. */
+  /**
+   * Marks the machines that the list does not contain although they must have existed when it was requested. The
+   * maximum age of the list counts back from `requestedAt`, not from `now`: a long list takes seconds to read, so its
+   * first page may describe a time before `requestedAt`.
+   */
   private markUnlisted(requestedAt: number, now: number): void {
     const maxListAgeMs = 2 * this.deps.listLagS * 1000 + LIST_AGE_SLACK_MS;
     for (const machine of this.deps.table.all())
--- a/src/autoscaler/demand-smoothing.ts
+++ b/src/autoscaler/demand-smoothing.ts
@@ -1,4 +1,7 @@
-/** Smooths the demand, so that no machines are requested for a rise that is over before they are up. */
+/**
+ * Smooths the demand, so that no machines are requested for a rise of the spot-eligible demand that is over before they
+ * are up, and none are returned in a short dip of any demand.
+ */
 import type { Demand } from './scaling-plan.js';
 
 /** Share of the difference between demand and mean by which the mean changes in each step. */
@@ -12,13 +15,16 @@
   spotEligibleCpus: number;
 }
 
-/** An exponential moving average, with a slower fall than rise; to be called once in each planning interval. */
+/**
+ * An exponential moving average, to be updated once in each planning interval. The ordinary demand rises at once and is
+ * smoothed only when it falls. The spot-eligible demand is smoothed both ways, with a slower fall than rise.
+ */
 export class DemandSmoothing {
   private mean: MeanDemand | null = null;
 
   /**
    * Returns the demand to plan for, given `capacityCpus` that are up or booting. The waiting work that a new leader
-   * finds is smoothed like any other rise: machines requested for it at once would come up too late.
+   * finds is smoothed like any other rise: machines requested for all of it would be up too late to run it.
    */
   smooth(demand: Demand, capacityCpus: number): Demand {
     const demandCpus = demand.ordinaryCpus + demand.spotEligibleCpus;
--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -16,12 +16,12 @@
  * dead.
  */
 const RECONCILED_SHARE_THRESHOLD = 0.85;
-/** Failed probes after which a machine counts as delaying a failover. */
+/** Consecutive requests without a response after which a machine counts as delaying a failover. */
 const MIN_COMMAND_FAILURES = 2;
 const MIN_COMMAND_FAILURES_WHILE_LAGGING = 3;
 /**
- * With at least this many machines, some are heard at any time. If none is heard for `ISOLATION_TIMEOUT_MS`, this
- * controller itself is isolated.
+ * With at least this many machines, messages from some of them arrive at any time. If none arrives for
+ * `ISOLATION_TIMEOUT_MS`, this controller itself is isolated.
  */
 const MIN_MACHINES_FOR_ISOLATION_TIMEOUT = 30;
 const ISOLATION_TIMEOUT_MS = 1500;
@@ -51,8 +51,8 @@
   /** All zones that machines can be requested in. */
   allZones: Set<string>;
   /**
-   * Zones that are partitioned from this controller according to the reports of other controllers. Missing heartbeats
-   * from these zones don't prove that a machine is dead.
+   * Zones in which this controller has lost contact with all controllers, and had contact until recently. Missing
+   * heartbeats from these zones don't prove that a machine is dead.
    */
   zonesOutOfContact(): Set<string>;
   /** Until when the controllers in a partitioned zone may extend leases there; null if it has no controller. */
@@ -121,8 +121,9 @@
   }
 
   /**
-   * Whether this controller itself is isolated, as indicated by many ordinary machines in several zones that become
-   * unreachable at once.
+   * Whether this controller itself is isolated: in a cluster of at least `MIN_MACHINES_FOR_ISOLATION_TIMEOUT` machines,
+   * none has sent anything for `ISOLATION_TIMEOUT_MS`; or too many ordinary machines are unreachable in zones that
+   * don't count as partitioned.
    */
   private isControllerIsolated(
     machines: readonly Machine[],
@@ -148,7 +149,8 @@
 
   private isDead(machine: Machine, evaluation: Evaluation): boolean {
     const { now } = evaluation;
-    // Most likely preempted by the cloud. Its deletion proves that, and can't affect a machine that still runs.
+    // The cloud no longer lists the machine, so it was most likely preempted. The deletion proves that it no longer
+    // exists, and can't affect a running machine, since the cloud lists all of those.
     if (machine.unlisted && this.liveness.isHeartbeatOverdue(machine, now)) return true;
     const isPreempted = machine.preemptionDeadline !== null && now > machine.preemptionDeadline;
     const delaysFailover = this.delaysFailover(machine, evaluation);
@@ -164,9 +166,8 @@
   /**
    * Whether the machine is probably dead and delays a failover. After a failover, all jobs of former leaders wait until
    * the last machine has responded. Once nearly all machines have responded, one that has not is probably dead and does
-   * not get the time that an unreachable machine otherwise has. While this controller lags, more failed probes are
-   * required, since responses may be waiting unread. The other zones don't wait for a partitioned zone whose leases
-   * nobody can extend, either.
+   * not get the time that an unreachable machine otherwise has. While this controller lags, more requests without a
+   * response are required, since responses may be waiting unread. In a partitioned zone, the grace period is doubled.
    */
   private delaysFailover(machine: Machine, evaluation: Evaluation): boolean {
     const minFailures = evaluation.isLagging
@@ -188,16 +189,21 @@
   }
 
   /**
-   * Once a partition has healed, the zone's machines are worth more than new ones: they are up, have the images, and
-   * may be the only place for replicas that must be spread. They are therefore kept, and the expiry of their leases
-   * proves that nothing runs on them. They are deleted earlier in two cases: shortly before the leases expire, so
-   * that replicas can run elsewhere at once; and in a failover that waits for nothing else, unless a controller may
-   * extend the leases.
+   * Whether to delete an unreachable machine in a partitioned zone. Such a machine is usually kept, and the expiry of
+   * its lease proves that nothing runs on it: once the partition has healed, it is more useful than a new machine,
+   * since it is up, has the images, and may be the only place for replicas that must be spread. It is deleted if
+   * - nothing was received from it for `MAX_PARTITION_MS`; or
+   * - `minimizeCost` is set and its lease has expired; or
+   * - the zone has no controller that can extend the lease, and either the machine delays a failover (the other zones
+   *   don't wait for it), or it runs service tasks and its lease expires soon (replicas can then run elsewhere at
+   *   once); or
+   * - the zone has controllers, but the last extension that they may have made also expires soon, at least
+   *   `MIN_REACHABLE_ZONES` zones are reachable, and the machine runs service tasks or a failover still waits for it.
    */
   private isDeadInPartitionedZone(machine: Machine, delaysFailover: boolean, now: number): boolean {
     const timeSinceHeardMs = now - machine.lastHeardAt;
     if (timeSinceHeardMs > MAX_PARTITION_MS) return true;
-    // Its tasks already run elsewhere, so the machine is not worth its price.
+    // Its tasks already run elsewhere, so keeping the machine would only cost money.
     if (this.deps.minimizeCost && machine.leaseExpired) return true;
     const waitMs = this.deps.leaseS * 1000 * PARTITIONED_LEASE_SHARE;
     const extendableUntil = this.deps.leasesExtendableUntil(machine.zone);
--- a/src/autoscaler/machine-actions.ts
+++ b/src/autoscaler/machine-actions.ts
@@ -3,7 +3,7 @@
 import type { Cloud, MachineRequestResult } from './cloud.js';
 import type { Pool } from './scaling-plan.js';
 
-/** Why machines are deleted. `return`: they are idle. `reclaim`: they are dead, faulty or failed to boot. */
+/** Kind of a deletion. `return`: of idle machines. `reclaim`: of machines that are dead, faulty or failed to boot. */
 export type DeletionPurpose = 'return' | 'reclaim';
 
 /** Requests and deletes machines, either by direct calls to the cloud or through intents. */
--- a/src/autoscaler/machine-deletion.ts
+++ b/src/autoscaler/machine-deletion.ts
@@ -20,12 +20,19 @@
 
   constructor(private readonly deps: MachineDeletionDependencies) {}
 
-  /** Whether the cloud has confirmed the deletion. Any message that still arrives was sent before the deletion. */
+  /**
+   * Whether the machine counts as deleted: the cloud has confirmed its deletion, or it was not in the table when a
+   * former leader's deletion of it was restored, whatever the outcome of that. A message that arrives after the
+   * deletion was sent before it.
+   */
   isDeleted(id: string): boolean {
     return this.deletedIds.has(id);
   }
 
-  /** Starts to delete as many of the machines as one request may contain, unless the call budget is used up. */
+  /**
+   * Starts to delete as many of the machines as one request may contain, unless the call budget is used up. `why` is
+   * the reason for the log.
+   */
   async delete(machines: readonly Machine[], purpose: DeletionPurpose, why: string): Promise<void> {
     const { actions, runtime } = this.deps;
     const candidates = machines.filter((machine) => !machine.deleting);
--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -13,10 +13,11 @@
 const OVERDUE_AFTER_INTERVALS = 1.27;
 const OVERDUE_SLACK_MS = 200;
 /**
- * After this many intervals without a heartbeat, failed commands make a machine unreachable before `unreachableAfterMs`
- * has passed.
+ * After this many intervals without a heartbeat, requests without a response make a machine unreachable before
+ * `unreachableAfterMs` has passed.
  */
 const UNRESPONSIVE_AFTER_INTERVALS = 1.6;
+/** Consecutive requests without a response that, after `UNRESPONSIVE_AFTER_INTERVALS`, make a machine unreachable. */
 const UNREACHABLE_AFTER_COMMAND_FAILURES = 2;
 const UNREACHABLE_SLACK_MS = 500;
 
@@ -33,7 +34,10 @@
     this.unreachableAfterMs = missedHeartbeats * heartbeatIntervalS * 1000 + UNREACHABLE_SLACK_MS;
   }
 
-  /** Whether the heartbeat is overdue. A probe then detects a failure sooner than waiting for further heartbeats. */
+  /**
+   * Whether the heartbeat is overdue. The leader then probes the machine, which detects a failure sooner than waiting
+   * for further heartbeats.
+   */
   isHeartbeatOverdue(machine: Machine, now: number): boolean {
     return (machine.reported || machine.stored) && now - machine.lastHeardAt > this.overdueAfterMs;
   }
--- a/src/autoscaler/scale-out.ts
+++ b/src/autoscaler/scale-out.ts
@@ -1,4 +1,4 @@
-/** Requests machines from the cloud as the scaling plan says. */
+/** Requests machines from the cloud according to the scaling plan. */
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Runtime } from '../runtime.js';
 import type { MachineType } from '../wire/model.js';
--- a/src/autoscaler/scaling-plan.ts
+++ b/src/autoscaler/scaling-plan.ts
@@ -23,7 +23,7 @@
   spotEligibleCpus: number;
   /** Recent rate of CPUs requested by services, in CPUs per second. */
   arrivingCpusPerS: number;
-  /** Boot time of a machine, in seconds. */
+  /** Time in seconds within which machines of all types are expected to boot, with a margin. */
   bootS: number;
   /** CPUs of the largest machine type. */
   largestMachineCpus: number;
@@ -36,7 +36,7 @@
   pools: Pool[];
   demand: Demand;
   minimizeCost: boolean;
-  /** Capacity to keep free, as a share of the used capacity. Applies only with `minimizeCost`. */
+  /** Capacity to keep free, as a share of the demand. Applies only with `minimizeCost`. */
   spareShare: number;
   /** Current time by the monotonic clock, in milliseconds. */
   now: number;
@@ -73,8 +73,9 @@
       : 0;
     return { ordinaryCpus: cpus, totalCpus: cpus };
   }
-  // A service that arrives now must find free capacity while another machine boots. The spare capacity is half a
-  // machine plus a share of the demand, or the CPUs that arrive during the boot time when many services arrive.
+  // A service that arrives now must find free capacity while another machine boots. The spare capacity is a share of
+  // the ordinary demand, or the CPUs that arrive during the boot time (up to a maximum) if these are more. Half of the
+  // largest machine is added to it.
   const spareCpus = Math.max(
     spareShare * ordinaryCpus,
     Math.min(MAX_SPARE_SHARE_FOR_ARRIVALS * ordinaryCpus, demand.arrivingCpusPerS * demand.bootS),
--- a/src/autoscaler/surplus-machines.ts
+++ b/src/autoscaler/surplus-machines.ts
@@ -1,4 +1,4 @@
-/** Determines which machines are surplus. Without side effects except for the mark on the machine. */
+/** Determines which machines are surplus. The only side effect is that it sets and clears `drainReason` of machines. */
 import type { Machine } from '../workers/machine.js';
 import type { ScalingTargets } from './scaling-plan.js';
 
@@ -17,6 +17,7 @@
   return false;
 }
 
+/** Adds the machine's CPUs to `kept`, or subtracts them if `sign` is -1. */
 function adjustKept(kept: KeptCpus, machine: Machine, sign: 1 | -1): void {
   kept.total += sign * machine.type.cpus;
   if (!machine.spot) kept.ordinary += sign * machine.type.cpus;
--- a/src/autoscaler/zone-partitions.ts
+++ b/src/autoscaler/zone-partitions.ts
@@ -6,7 +6,7 @@
 const MIN_MACHINES_PER_ZONE = 4;
 /**
  * A zone counts as partitioned if more than this share of its machines is suspected, and more than this share of the
- * machines in the zones without such a majority is heard.
+ * machines in the zones without such a majority is not suspected.
  */
 const ZONE_MAJORITY_SHARE = 0.7;
 const QUARANTINE_MS = 45_000;
@@ -42,8 +42,8 @@
   /** Redetermines which zones of these machines are partitioned. */
   update(machines: readonly Machine[], now: number): void {
     const partitioned = this.findPartitioned(machines, now);
-    // The machines of a zone whose partition has healed are not all heard at once: the others get the time for a
-    // heartbeat.
+    // When a partition has healed, the heartbeats of the zone's machines don't all arrive at once: the machines whose
+    // heartbeat has not arrived yet get the time for one.
     for (const machine of machines)
       if (
         this.partitioned.has(machine.zone) &&
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Returns the zones in which most machines are suspected, provided that most machines elsewhere are heard. Otherwise
+   * Returns the zones in which most machines are suspected, provided that most machines elsewhere are not. Otherwise
    * this controller itself is isolated, and no zone counts as partitioned.
    */
   private findPartitioned(machines: readonly Machine[], now: number): Set<string> {
