--- a/src/placement/attempt-stopper.ts
+++ b/src/placement/attempt-stopper.ts
@@ -1,4 +1,6 @@
-/** Stops attempts of arrays and services, and individual tasks in favour of others. */
+/**
+ * Stops attempts; records and counts each stop. The stops that `GangScheduler` and `GangRelocation` decide bypass it.
+ */
 import type { MachineTable } from '../workers/machine-table.js';
 import type { StopReason } from '../workers/stop-reason.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -1,7 +1,7 @@
 /**
  * The leader's latest decisions on tasks, with the data they were based on: a bounded list in memory that is written to
- * the log when an audit finds a violation. The violation can then be traced without a log line for each start in a
- * large fleet.
+ * the log when an audit finds a violation. The violation can then be traced without an info line for each start in a
+ * large fleet. Stops that `GangScheduler` and `GangRelocation` decide are not recorded.
  */
 import type { Log } from '../runtime.js';
 import type { ExitCause } from '../wire/model.js';
@@ -69,7 +69,10 @@
     });
   }
 
-  /** Records an attempt that a heartbeat reported and that this leader did not start. */
+  /**
+   * Records an attempt that a heartbeat reported and that was not in the machine table: a former leader started it, or
+   * this leader had removed it. Unlike `TaskAttempt.discovered`, this includes attempts that are fetching or waiting.
+   */
   discovered(attempt: TaskAttempt, at: number): void {
     this.record({ ...attemptFields(attempt, at), kind: 'discovered', state: attempt.state });
   }
@@ -102,6 +105,6 @@
   private record(decision: Decision): void {
     this.decisions[this.nextSlot] = decision;
     this.nextSlot = (this.nextSlot + 1) % MAX_DECISIONS_KEPT;
-    this.log.debug(decision, 'decision');
+    this.log.debug(decision, 'scheduling decision');
   }
 }
--- a/src/placement/failure-tracking.ts
+++ b/src/placement/failure-tracking.ts
@@ -43,7 +43,10 @@
   job.failures = 0;
 }
 
-/** Reopens the machines on which the job failed once: if no other machine is left, the job must not wait forever. */
+/**
+ * Allows again the machines on which the job failed, once it has started nothing for `FAILED_MACHINES_TTL_MS`: if no
+ * other machine is left, the job must not wait forever.
+ */
 export function expireFailedMachines(job: Job, now: number): void {
   if (job.failedOn.size > 0 && now - job.startedAt > FAILED_MACHINES_TTL_MS) job.failedOn.clear();
 }
--- a/src/placement/gang-relocation.ts
+++ b/src/placement/gang-relocation.ts
@@ -9,16 +9,21 @@
 import { attemptsOf, gangState } from './gang-state.js';
 import { satisfiesConstraints } from './machine-constraints.js';
 
-/** A stop with a checkpoint is deferred at most until this many heartbeat intervals before the latest possible time. */
+/**
+ * A stop with a checkpoint is deferred only while the time left is longer than the time to save, plus `gangPeerS`, plus
+ * this many heartbeat intervals.
+ */
 const HEARTBEATS_BEFORE_STOP = 2;
 
-/** Dependencies of `GangRelocation`. Times are in seconds. */
+/** Dependencies of `GangRelocation`. */
 export interface GangRelocationDependencies {
   table: MachineTable;
   log: Log;
-  /** Time within which the tasks of a running gang notice that one of them no longer runs. */
+  /** Time in seconds within which the tasks of a running gang notice that one of them no longer runs. */
   gangPeerS: number;
+  /** Interval between two heartbeats of a machine, in seconds. */
   heartbeatIntervalS: number;
+  /** Current time by the monotonic clock, in milliseconds. */
   now(): number;
   /** Whether the machine may be given work. */
   isUsable(machine: Machine): boolean;
@@ -31,7 +36,7 @@
   /**
    * Makes the task leave its machine, which will be preempted in `timeLeftS` seconds (Infinity if it stays up). Returns
    * true if anything was stopped. In a starting gang only the task is replaced. A running gang stops as a whole with a
-   * checkpoint: as soon as it fits elsewhere and all its machines are reachable, or at the latest time that still
+   * checkpoint: as soon as it fits elsewhere and all its machines are responsive, or at the latest time that still
    * allows it to save.
    */
   vacateMachine(attempt: TaskAttempt, gang: Job, timeLeftS: number, reason: StopReason): boolean {
@@ -49,7 +54,7 @@
     return true;
   }
 
-  /** Whether the whole gang fits elsewhere, without the machine `from`, and all its present machines are reachable. */
+  /** Whether the whole gang fits elsewhere, without the machine `from`, and all its present machines are responsive. */
   canRelocate(gang: Job, from: Machine): boolean {
     if (!this.areAllResponsive(gang)) return false;
     const destinations = [...this.deps.table.all()].filter(
@@ -62,6 +67,7 @@
     return fitsGang(gang, destinations);
   }
 
+  /** Whether all machines of the gang are reconciled, and none has left its latest request without a response. */
   private areAllResponsive(gang: Job): boolean {
     return attemptsOf(gang).every(
       ({ machine }) => machine.isReconciled() && machine.commandFailures === 0,
@@ -70,7 +76,7 @@
 
   /**
    * Stops all tasks at the same time and gives them time to save, so that the next attempt continues from there. If
-   * that is impossible because a machine is unreachable or the time is too short, the gang falls back to its last
+   * that is impossible because a machine is not responsive or the time is too short, the gang falls back to its last
    * checkpoint.
    */
   stopWithCheckpoint(gang: Job, reason: StopReason, timeLeftS = Infinity): void {
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -1,4 +1,4 @@
-/** Starts gangs, replaces their missing tasks and aborts them. Nothing is started or stopped until all tasks fit. */
+/** Starts gangs, replaces their missing tasks and aborts them. No task is started or preempted until all tasks fit. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -21,7 +21,10 @@
 import type { Reservations } from './reservations.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** A gang that has found no capacity for this long goes first among the jobs of its rank and reserves machines. */
+/**
+ * A waiting gang that was last started, or became known, this long ago goes first among the jobs of its rank (see
+ * `servingOrder`) and reserves machines or its team's limit.
+ */
 const GANG_STARVATION_THRESHOLD_MS = 10_000;
 /** How long a gang that was not placed waits until it is tried again. */
 const RETRY_INTERVAL_MS = 500;
@@ -39,7 +42,10 @@
   nextAttemptNumber(): number;
 }
 
-/** `not-now`: the gang can't start for now, for reasons other than capacity. */
+/**
+ * `no-capacity`: the machines can't take all missing tasks. `not-now`: the gang is stopping, was aborted just now, or
+ * does not fit under its team's limit.
+ */
 export type GangPlacement = 'placed' | 'no-capacity' | 'not-now';
 
 /** Restrictions on the placement of a gang in this scheduling cycle. */
@@ -60,13 +66,19 @@
 export class GangScheduler {
   constructor(private readonly deps: GangSchedulerDependencies) {}
 
-  /** Whether the job is a waiting gang that has found no capacity for longer than `GANG_STARVATION_THRESHOLD_MS`. */
+  /**
+   * Whether the job is a gang without attempts whose last start, or else the time when it became known, was more than
+   * `GANG_STARVATION_THRESHOLD_MS` ago, whether it waits for capacity, its team's limit or a delay.
+   */
   isStarvedGang(job: Job): boolean {
     if (job.spec.kind !== 'gang' || job.attempts.size > 0) return false;
     return this.deps.now() - job.startedAt > GANG_STARVATION_THRESHOLD_MS;
   }
 
-  /** Starts all tasks of a gang, or the missing tasks of one that is starting. */
+  /**
+   * Starts all tasks of a gang, or the missing tasks of one that is starting. Aborts a running gang with missing tasks,
+   * and a starting one whose missing tasks can't be started. Does nothing to a gang that is stopping.
+   */
   place(gang: Job, options: GangPlacementOptions): GangPlacement {
     const state = gangState(gang);
     if (state === 'stopping') return 'not-now';
@@ -106,6 +118,10 @@
     this.deps.reservations.reserveMachines(gang, allowed, this.deps.now());
   }
 
+  /**
+   * Whether the tasks fit under the team's limit. If not, reserves the limit for a starved gang that will fit once the
+   * team's arrays have ended.
+   */
   private fitsOrReservesTeamLimit(gang: Job, tasks: number): boolean {
     const { usage, reservations } = this.deps;
     const request = { spec: gang.spec, tasks, headroomCpus: 0 };
@@ -146,7 +162,7 @@
 
   /**
    * Handles a task of the gang that has left its machine. While the gang is starting, a task that was lost, was
-   * rejected or had to leave its machine is replaced under the same attempt. Otherwise the whole gang stops and
+   * rejected or had to leave its machine is replaced with the same attempt number. Otherwise the whole gang stops and
    * restarts.
    */
   attemptEnded(gang: Job, attempt: TaskAttempt): void {
@@ -166,8 +182,9 @@
   }
 
   /**
-   * Aborts an attempt whose tasks were not all ready in time. Tasks that still fetch their image continue until they
-   * have it: an aborted fetch would start from scratch with the next attempt, which would then be too late again.
+   * Aborts a start of the gang whose tasks were not all ready in time. Tasks that still fetch their image continue
+   * until they have it: an aborted fetch would start from scratch with the next start of the gang, which would then be
+   * too late again.
    */
   private abortAfterFetches(gang: Job): void {
     gang.gangAttemptAborted = gang.attempts.size > 0;
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -4,10 +4,10 @@
 
 /**
  * - absent: none of its tasks can be on any machine.
- * - starting: tasks of one attempt fetch their image or wait for each other; none has begun to run.
+ * - starting: tasks with the same attempt number fetch their image or wait for each other; none has begun to run.
  * - running: at least one task runs, so all of them have begun to run.
- * - stopping: a stop was requested, or tasks of different attempts remain; nothing starts until all have left their
- *   machines.
+ * - stopping: a stop was requested, or tasks with different attempt numbers remain; nothing starts until all have
+ *   left their machines.
  */
 export type GangState = 'absent' | 'starting' | 'running' | 'stopping';
 
--- a/src/placement/job-order.ts
+++ b/src/placement/job-order.ts
@@ -3,18 +3,18 @@
 import type { Objective } from '../settings/platform.js';
 
 /**
- * Share of the expected run time. Tasks of one job differ: a goal is given up only if even a task this much shorter
- * would miss it.
+ * A goal counts as missed only if even a task that takes just this share of the expected run time would miss it, since
+ * the tasks of one job differ.
  */
 const SHORTEST_TASK_SHARE = 0.6;
 
 /**
  * An array of which nothing has started this long after its acceptance gets a first share of its tasks before all other
- * jobs of its rank.
+ * jobs of its rank (see `servingOrder`).
  */
 const ARRAY_STARVATION_THRESHOLD_MS = 60_000;
 
-/** By job class, the times in seconds after submission within which jobs should finish, shortest first. */
+/** By job class, the times in seconds after acceptance within which jobs should finish, shortest first. */
 export type FinishGoals = Map<string, number[]>;
 
 /** The goals that the platform's objectives state for finishing jobs. */
@@ -31,7 +31,7 @@
   return goals;
 }
 
-/** How urgent a job is among those of its rank; lower values are served first. */
+/** How urgent a job is among those of its rank (see `servingOrder`); lower values are served first. */
 export interface Urgency {
   /** Index of the first goal that can still be met; the number of goals if none; -1 if it goes before all others. */
   goal: number;
@@ -54,13 +54,19 @@
   return { goal: goal < 0 ? goalsS.length : goal, work: job.pending() * cpus * expectedMs };
 }
 
-/** Whether an array has waited too long for its start: streams of smaller jobs must not block a large one forever. */
+/**
+ * Whether an array, of which no task has started, has waited too long since its acceptance: streams of smaller jobs
+ * must not block a large one forever. For gangs, see `GangScheduler.isStarvedGang`.
+ */
 export function isStarvedArray(job: Job, wallMs: number): boolean {
   if (job.spec.kind !== 'array' || job.attempts.size > 0 || job.finishedCount > 0) return false;
   return wallMs - job.acceptedAt > ARRAY_STARVATION_THRESHOLD_MS;
 }
 
-/** Sorts jobs: production first, then jobs within their team's guarantee, then by priority; equal ones by urgency. */
+/**
+ * Sorts jobs by rank, and jobs of equal rank by urgency. Production jobs have the first rank, then come jobs within
+ * their team's guarantee, then the others, ranked by priority. Jobs of equal rank and urgency are sorted by age.
+ */
 export function servingOrder(
   jobs: Job[],
   guaranteed: { has(job: Job): boolean },
--- a/src/placement/machine-candidates.ts
+++ b/src/placement/machine-candidates.ts
@@ -13,7 +13,10 @@
 
 /** Inputs of the selection of machines besides the job and the machines. */
 export interface SelectionContext {
-  /** Whether cheap machines are preferred, and full ones to empty ones, so that some can be returned to the cloud. */
+  /**
+   * Whether cheap machines are preferred, and, for services, full machines to empty ones, so that some can be returned
+   * to the cloud.
+   */
   minimizeCost: boolean;
   preemption: PreemptionPolicy;
 }
@@ -31,15 +34,17 @@
 /** Spread the replicas of a service over machines and over zones. */
 const COST_PER_REPLICA_ON_MACHINE = 50;
 const COST_PER_REPLICA_IN_ZONE = 5;
-/** Negative, so that tasks of an array are placed together: the loss of a machine then affects few jobs. */
+/** Negative, so that tasks of an array or a gang are placed together: the loss of a machine then affects few jobs. */
 const COST_OF_MACHINE_SHARED_BY_ARRAY = -30;
 const COST_OF_AVOIDABLE_ORDINARY_MACHINE = 600;
-/** Without `saveMoney`, ordinary machines are only slightly preferred for tasks that are allowed on spot machines. */
+/**
+ * Without `minimizeCost`, ordinary machines are only slightly preferred for tasks that are allowed on spot machines.
+ */
 const COST_OF_SPOT_MACHINE = 2;
 /** Multiplied by the free share of the machine's CPUs. */
 const WEIGHT_OF_FREE_SHARE = 10;
 
-/** The youngest attempts whose stop would free enough capacity on the machine; null if there is no such set. */
+/** Returns the youngest attempts whose stop would free enough capacity on the machine, or null if none suffice. */
 function preemptionVictims(
   job: Job,
   machine: Machine,
@@ -81,10 +86,12 @@
 
 /**
  * Candidate machines for the tasks of one job. All machines are scored once per job, not once per task, since the tasks
- * of a job are alike. Machines that have the image come first, since a fetch takes longer than anything else here; then
- * those that need no preemption, that keep replicas apart, and that have the most free capacity. With `saveMoney`,
- * services are bin-packed. Arrays never are: an array whose tasks fill few machines is affected by the loss of few
- * machines, and a single lost task makes it late.
+ * of a job are alike. A score is a sum of costs. The fetch of the image usually costs most, since it takes longer than
+ * anything else here; but a straggler, or with `minimizeCost` an ordinary machine that the job can avoid, costs as much
+ * as several seconds of fetching. Then come preemption, replicas that are not kept apart, and a lack of free capacity.
+ * With `minimizeCost`, services are bin-packed. Arrays and gangs never are; they prefer machines with much free
+ * capacity: an array whose tasks fill few machines is affected by the loss of few machines, and a single lost task
+ * makes it late.
  */
 export class MachineCandidates {
   private readonly machines: Machine[] = [];
@@ -94,7 +101,7 @@
   private readonly tasksPerMachine = new Map<Machine, number>();
   private readonly tasksPerZone = new Map<string, number>();
   private readonly isZoneOpen: ZoneFilter | null;
-  /** Number of machines scored, as a measure of the cost of the selection. */
+  /** Number of machines scored, as a measure of the work of the selection. */
   examined = 0;
 
   constructor(
@@ -148,7 +155,7 @@
     return tasksHere > 0 ? COST_OF_MACHINE_SHARED_BY_ARRAY : 0;
   }
 
-  /** Used with `saveMoney`: prefers spot machines where the job allows them, and bin-packs services. */
+  /** Used with `minimizeCost`: prefers spot machines where the job allows them, and bin-packs services. */
   private rentCost(machine: Machine): number {
     const { spot, kind } = this.job.spec;
     const freeShare = machine.freeCpus() / machine.type.cpus;
@@ -158,7 +165,7 @@
     );
   }
 
-  /** Used without `saveMoney`: spreads the load over all machines. */
+  /** Used without `minimizeCost`: spreads the load over all machines. */
   private utilizationCost(machine: Machine): number {
     const freeShare = machine.freeCpus() / machine.type.cpus;
     return (
--- a/src/placement/machine-drain.ts
+++ b/src/placement/machine-drain.ts
@@ -28,20 +28,24 @@
   /** Milliseconds until the machine is preempted; Infinity if it stays up. */
   readonly timeLeftMs: number;
   readonly candidates: Machine[];
-  /** CPUs, by target machine, that the tasks moved so far will take. */
+  /** CPUs, by machine, that the tasks stopped so far are assumed to take there. */
   readonly promisedCpus: Map<Machine, number>;
 }
 
-/** Drains machines; targets for their tasks are chosen round robin among the other machines. */
+/**
+ * Drains machines by stopping their tasks, which the scheduler then places on any machine. Before a stop, the other
+ * machines are searched round robin for one with capacity, only to make sure that there is one.
+ */
 export class MachineDrain {
-  /** Index of the machine that is considered first for the next task. */
+  /** Index of the machine whose capacity is checked first for the next task. */
   private nextCandidateIndex = 0;
 
   constructor(private readonly deps: MachineDrainDependencies) {}
 
   /**
    * Stops a bounded number of the machine's tasks, so that they restart elsewhere. Tasks that are expected to finish
-   * before the machine is preempted stay; a task is moved only if another machine has capacity for it.
+   * before the machine is preempted stay. A task of an array or a service is stopped only if another machine has
+   * capacity for it; for gangs, see `GangRelocation.vacateMachine`.
    */
   drain(machine: Machine, now: number): void {
     if (!machine.isReconciled()) return;
--- a/src/placement/obsolete-attempts.ts
+++ b/src/placement/obsolete-attempts.ts
@@ -13,7 +13,7 @@
 
 /**
  * Whether the attempt duplicates the oldest attempt of its task, which is kept. A late heartbeat of a machine that no
- * longer exists also shows a duplicate, so both machines must be reconciled before either attempt counts as proof.
+ * longer exists may report one of the two, so they count as duplicates only once both machines are reconciled.
  */
 function isDuplicate(attempt: TaskAttempt, attemptsOfTask: TaskAttempt[] | undefined): boolean {
   if (!attemptsOfTask || attemptsOfTask.length < 2) return false;
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -190,7 +190,10 @@
     this.usageAudit.tick(now);
   }
 
-  /** Runs the placement round (see DESIGN) if its interval has elapsed. */
+  /**
+   * Runs a placement round if its interval (`round_s`) has elapsed: logs the counts since the last round, and moves
+   * tasks off machines that are slow, faulty or about to be preempted.
+   */
   round(): void {
     const now = this.deps.runtime.clock.now();
     if (now - this.lastRoundAt < this.deps.operator.round_s * 1000) return;
--- a/src/placement/preemption.ts
+++ b/src/placement/preemption.ts
@@ -16,8 +16,8 @@
     const victimJob = victim.job;
     // Stopping one task of a gang would end all of them.
     if (!victimJob || victimJob.spec.kind === 'gang') return false;
-    // As in `servingOrder`, work within its team's guarantee goes before more urgent work beyond one. If each could
-    // stop the other, two teams on a full fleet would stop each other's tasks forever, and no task would finish.
+    // As in `servingOrder`, work within its team's guarantee goes before work of higher priority beyond one. If each
+    // could stop the other, two teams on a full fleet would stop each other's tasks forever, and no task would finish.
     if (job.spec.priority > 0 && this.guaranteed.has(victimJob) && !this.guaranteed.has(job))
       return false;
     if (victimJob.spec.priority > job.spec.priority) return true;
@@ -43,8 +43,8 @@
 }
 
 /**
- * The youngest less urgent tasks of the job's own team that free enough of the team's limit for one task of the job.
- * Tasks that are stopping already count as freed.
+ * The youngest tasks of lower priority of the job's own team that free enough of the team's limit for one task of the
+ * job. Tasks that are stopping already count as freed.
  */
 export function victimsWithinTeam(job: Job, jobs: Iterable<Job>): TaskAttempt[] {
   const { team, priority, cpus } = job.spec;
--- a/src/placement/rebalancer.ts
+++ b/src/placement/rebalancer.ts
@@ -1,6 +1,6 @@
 /**
- * The placement round (see DESIGN): moves young tasks off stragglers, and drains machines that are faulty or will be
- * preempted.
+ * The moves of a placement round, which the leader runs every `round_s` seconds: moves young tasks off stragglers, and
+ * drains machines that are faulty or will be preempted.
  */
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
@@ -22,7 +22,7 @@
     this.draining = new MachineDrain(deps);
   }
 
-  /** Runs one placement round. */
+  /** Makes the moves of one placement round. */
   round(now: number): void {
     this.relocation.round(now);
     for (const machine of this.table.all())
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -43,7 +43,7 @@
   private machineReservation: MachineReservation | null = null;
   /** Reserves team limit for a gang that waits until its team's usage is far enough below the limit. */
   private teamLimitReservation: Reservation | null = null;
-  /** By team, the highest number of CPUs that one of its services has requested. */
+  /** By team, the most CPUs that one of its services needs for up to `MAX_SERVICE_HEADROOM_TASKS` of its tasks. */
   private readonly serviceCpus = new Map<string, number>();
 
   constructor(private readonly jobs: JobTable) {}
@@ -73,7 +73,7 @@
     this.machineReservation = { gang, machines, expiresAt: now + RESERVATION_TTL_MS };
   }
 
-  /** The machines of the list that the job may use. Jobs more urgent than the gang ignore its reservation. */
+  /** The machines of the list that the job may use. Jobs of higher priority than the gang ignore its reservation. */
   withoutReserved(job: Job, machines: Machine[], now: number): Machine[] {
     const reservation = this.machineReservation;
     if (!isActive(reservation, now) || reservation.gang === job) return machines;
@@ -82,7 +82,10 @@
     return machines.filter((machine) => !reservation.machines.has(machine));
   }
 
-  /** Makes the team's arrays leave the part of its limit that they free, as their tasks end, to the gang. */
+  /**
+   * Reserves the team's limit for the gang. Until the reservation expires, the team's arrays start no tasks, so that
+   * the part of the limit that their ending tasks free is left to the gang; see `yieldsTeamLimit` for exceptions.
+   */
   reserveTeamLimit(gang: Job, now: number): void {
     this.teamLimitReservation = { gang, expiresAt: now + RESERVATION_TTL_MS };
   }
@@ -110,7 +113,10 @@
   }
 }
 
-/** Number of the gang's tasks that the machine can take once the array tasks on it have ended; services stay. */
+/**
+ * Number of the gang's tasks for which the machine has enough CPUs once the array tasks on it have ended; services
+ * stay. An approximation: memory and GPUs are not considered.
+ */
 function slotsWithoutArrays(gang: Job, machine: Machine): number {
   let cpus = machine.freeCpus();
   for (const attempt of machine.attempts.values())
@@ -119,8 +125,8 @@
 }
 
 /**
- * Machines that can take the whole gang once the array tasks on them have ended, chosen by most free CPUs first. Empty
- * if there are not enough of them.
+ * Machines that have enough CPUs for the whole gang once the array tasks on them have ended, chosen by most free CPUs
+ * first. Empty if there are not enough of them.
  */
 function machinesToReserve(gang: Job, allowed: Machine[]): Set<Machine> {
   for (const group of placementGroups(gang, allowed)) {
--- a/src/placement/round-log.ts
+++ b/src/placement/round-log.ts
@@ -1,4 +1,4 @@
-/** Logs the cost of scheduling and the usage of the teams once per placement round. */
+/** Logs the scheduler's counts and the usage of the teams once per placement round. */
 import type { Log } from '../runtime.js';
 import type { SchedulingStats } from './scheduling-stats.js';
 import type { TeamUsage } from './team-usage.js';
--- a/src/placement/run-time-estimator.ts
+++ b/src/placement/run-time-estimator.ts
@@ -33,8 +33,8 @@
   private readonly biases = new Map<string, Histogram>();
 
   /**
-   * Records a run time, and its ratio to the owner's estimate: estimates are far off, on some days all in one
-   * direction, and that bias is learnt too.
+   * Records a run time, and its ratio to the owner's estimate, by which `expectedMs` corrects later estimates: owners'
+   * estimates can be far off, on some days all in the same direction.
    */
   record(jobClass: string, runTimeMs: number, estimateMs: number): void {
     recordIn(this.runTimes, jobClass, runTimeMs);
--- a/src/placement/run-time-prediction.ts
+++ b/src/placement/run-time-prediction.ts
@@ -10,7 +10,7 @@
   readonly samples = new RunTimeSamples();
   private readonly byClass = new RunTimeEstimator();
 
-  /** Records the run time of a finished task of an array or a gang; services are not counted. */
+  /** Records the run time of a finished task by job class, and for an array also by job. Callers leave out services. */
   recordRun(job: Job, machine: Machine, runTimeMs: number): void {
     const { cls: jobClass, estimateS, kind } = job.spec;
     this.byClass.record(jobClass, runTimeMs, estimateS * 1000);
@@ -24,7 +24,10 @@
     return this.samples.medianMs(job.index) ?? this.byClass.expectedMs(jobClass, estimateS * 1000);
   }
 
-  /** Median run time of the job's finished tasks; of its class for a gang, whose tasks run as one. Null if unknown. */
+  /**
+   * Median run time of the job's finished tasks, or of its class for a gang, whose tasks run as one. Null if there are
+   * too few samples.
+   */
   usualMs(job: Job): number | null {
     return job.spec.kind === 'gang'
       ? this.byClass.medianMs(job.spec.cls)
--- a/src/placement/scheduling-cycle-runner.ts
+++ b/src/placement/scheduling-cycle-runner.ts
@@ -53,16 +53,16 @@
 /** Runs one cycle at a time, and carries over the state that the next one needs to continue. */
 export class SchedulingCycleRunner {
   /**
-   * Shapes that found no machine in a cycle that used up its candidate budget. The next cycle skips them and continues
-   * with the jobs behind them.
+   * Shape keys of jobs that found no machine in a cycle that used up its candidate budget. The next cycle skips them
+   * and continues with the jobs behind them.
    */
   private carriedOverShapes = new Set<string>();
 
   constructor(private readonly deps: SchedulingCycleRunnerDependencies) {}
 
   /**
-   * Starts all tasks that can start. Returns true if it stopped early. Jobs of the same shape are decided as a class:
-   * if one finds no machine, the others are skipped.
+   * Starts all tasks that can start. Returns true if it stopped early. If an array or service finds no machine, the
+   * others with the same shape key (see `TaskScheduler`) are skipped.
    */
   run(): boolean {
     const { usage, jobs, guaranteed, stats } = this.deps;
--- a/src/placement/scheduling-cycle.ts
+++ b/src/placement/scheduling-cycle.ts
@@ -13,11 +13,13 @@
   readonly full: Machine[];
   /** Zones of the machines in `withCapacity` and `full`. */
   readonly zones: ReadonlySet<string>;
-  /** Priority number of the least urgent job with attempts on machines; less urgent jobs have higher numbers. */
+  /** Highest priority number, which means the lowest priority, among the jobs with attempts on machines. */
   readonly maxRunningPriorityNumber: number;
   /** Free CPUs of ordinary machines beyond those that arrays leave to gangs. */
   spareOrdinaryCpus: number;
-  /** Shapes of jobs that found no machine in this cycle, or in those before it that used up their candidate budget. */
+  /**
+   * Shape keys of jobs that found no machine in this cycle, or in those before it that used up their candidate budget.
+   */
   readonly unschedulableShapes: Set<string>;
   /** Teams whose own tasks were considered for preemption: once per team, since that iterates over all its tasks. */
   readonly teamsConsideredForPreemption: Set<string>;
--- a/src/placement/scheduling-stats.ts
+++ b/src/placement/scheduling-stats.ts
@@ -1,4 +1,4 @@
-/** Counts the cost of scheduling since the last placement round, for the log. */
+/** Counts what the scheduler did since the last placement round, for the log. */
 import type { StopReason } from '../workers/stop-reason.js';
 
 /** Counts since the last round, under their names in the log. */
@@ -13,7 +13,10 @@
   return { cycles: 0, candidatesExamined: 0, starts: 0, stops: {} };
 }
 
-/** Counts cycles, examined candidates, starts, and stops by reason. */
+/**
+ * Counts cycles, examined candidates, starts, and stops by reason. Only stops by `AttemptStopper` are counted: not
+ * those by which gangs are aborted, moved, or preempt other tasks.
+ */
 export class SchedulingStats {
   private counts = noCounts();
 
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -16,7 +16,7 @@
 
 /** Only this share of a starved job's tasks starts ahead of other jobs, so that it does not starve those in turn. */
 const STARVED_JOB_SHARE = 0.25;
-/** An array that has started no task for this long uses any machine that it is allowed on. */
+/** An array that has started no task for this long no longer leaves ordinary machines to gangs. */
 const ORDINARY_MACHINE_YIELD_MS = 30_000;
 
 /** Dependencies of `TaskScheduler`. */
@@ -64,14 +64,18 @@
     }
   }
 
-  /** Whether the job leaves ordinary machines to gangs: arrays that may use spot machines do so for a limited time. */
+  /**
+   * Whether the job uses only spot machines once the spare CPUs of ordinary machines are used up, and so leaves the
+   * others to gangs. Arrays that may use spot machines do so for a limited time, unless they are within their team's
+   * guarantee.
+   */
   private yieldsOrdinaryMachines(job: Job, now: number): boolean {
     const { kind, spot } = job.spec;
     if (kind !== 'array' || !spot || this.deps.guaranteed.has(job)) return false;
     return now - job.startedAt <= ORDINARY_MACHINE_YIELD_MS;
   }
 
-  /** The job's equivalence class in this cycle: if one job of a class finds no machine, no other job of it does. */
+  /** Key of the job's shape in this cycle: if one job finds no machine, no other job with the same key does. */
   private shapeKeyOf(job: Job, cycle: SchedulingCycle, yieldsOrdinaryMachines: boolean): string {
     // Includes the closed zones: otherwise replicas whose zones are closed would use up each cycle's candidate budget.
     const closedZones = closedZonesKey(job, cycle.zones);
@@ -128,7 +132,7 @@
   }
 
   /**
-   * Called when the job's team is at its limit: stops less urgent tasks of the same team in favour of a production job.
+   * Called when the job's team is at its limit: stops tasks of lower priority of the same team for a production job.
    * The job starts in a later cycle, once those tasks are guaranteed to have left their machines.
    */
   private preemptWithinTeam(job: Job, cycle: SchedulingCycle): void {
--- a/src/placement/team-usage.ts
+++ b/src/placement/team-usage.ts
@@ -162,7 +162,7 @@
     if (account) account.suspended = suspended;
   }
 
-  /** Replaces a wrong sum with the one computed from the table of attempts. */
+  /** Replaces a wrong sum with the one recounted from the machine table. */
   correctUsed(name: string, used: Resources): void {
     const account = this.accounts.get(name);
     if (account) account.used = used;
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -1,6 +1,6 @@
 /**
- * Periodically checks the teams' usage sums against the table of attempts from which they were computed. A wrong sum
- * would let a team start more than its limit allows without any other sign.
+ * Periodically checks the teams' usage sums, which are updated whenever an attempt is added or has ended, against the
+ * attempts in the machine table. A wrong sum would let a team start more than its limit allows without any other sign.
  */
 import type { Log } from '../runtime.js';
 import type { MachineTable } from '../workers/machine-table.js';
