--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -68,6 +68,7 @@
   now: number;
   isLagging: boolean;
   isControllerIsolated: boolean;
+  /** Whether more than `RECONCILED_SHARE_THRESHOLD` of the machines outside partitioned zones are reconciled. */
   isNearlyReconciled: boolean;
   zonesOutOfContact: Set<string>;
 }
--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Whether the machine sends nothing, or messages to it don't arrive. Such a machine can't be given work, and only its
-   * deletion proves that nothing runs on it.
+   * Whether the machine sends nothing, messages to it don't arrive, or its lease has expired. Such a machine can't be
+   * given work, and unless its lease has expired, only its deletion proves that nothing runs on it.
    */
   isUnreachable(machine: Machine, now: number): boolean {
     if (machine.leaseExpired) return true;
--- a/src/autoscaler/scale-in.ts
+++ b/src/autoscaler/scale-in.ts
@@ -28,7 +28,10 @@
     private readonly deletion: MachineDeletion,
   ) {}
 
-  /** Marks surplus machines, and starts to delete those that have been idle for long enough. */
+  /**
+   * With `minimizeCost`, marks surplus machines and starts to delete those that have been idle for long enough.
+   * Otherwise deletes all machines that have been idle for long enough, but only if there is no demand.
+   */
   deleteIdle(demand: Demand, now: number): void {
     if (this.deps.minimizeCost) this.deleteSurplus(demand, now);
     else if (demand.ordinaryCpus + demand.spotEligibleCpus === 0) this.deleteAllIdle(now);
--- a/src/autoscaler/scale-out.ts
+++ b/src/autoscaler/scale-out.ts
@@ -24,7 +24,7 @@
   isLeader(): boolean;
 }
 
-/** How long nothing is requested from a pool that had no capacity or whose last request has an unknown outcome. */
+/** How long nothing is requested from a pool whose last request was not granted in full or has an unknown outcome. */
 const NO_CAPACITY_BACKOFF_MS = 12_000;
 /** How long nothing is requested after a rejected request, which indicates nothing about the pool's capacity. */
 const REJECTED_BACKOFF_MS = 2000;
