--- a/src/autoscaler/demand-smoothing.ts
+++ b/src/autoscaler/demand-smoothing.ts
@@ -1,6 +1,6 @@
 /**
  * Smooths the demand, so that no machines are requested for a rise of the spot-eligible demand that is over before they
- * are up, and none are returned in a short dip of any demand.
+ * are up. If there is no demand at all, nothing is smoothed.
  */
 import type { Demand } from './scaling-plan.js';
 
