--- a/src/autoscaler/failure-detector.ts
+++ b/src/autoscaler/failure-detector.ts
@@ -16,12 +16,12 @@
  * dead.
  */
 const RECONCILED_SHARE_THRESHOLD = 0.85;
-/** Failed probes after which a machine counts as delaying a failover. */
-const MIN_FAILED_PROBES = 2;
-const MIN_FAILED_PROBES_WHILE_LAGGING = 3;
+/** Consecutive requests without a response after which a machine counts as delaying a failover. */
+const MIN_COMMAND_FAILURES = 2;
+const MIN_COMMAND_FAILURES_WHILE_LAGGING = 3;
 /**
- * With at least this many machines, some are heard at any time. If none is heard for `ISOLATION_TIMEOUT_MS`, this
- * controller itself is isolated.
+ * With at least this many machines, messages from some of them arrive at any time. If none arrives for
+ * `ISOLATION_TIMEOUT_MS`, this controller itself is isolated.
  */
 const MIN_MACHINES_FOR_ISOLATION_TIMEOUT = 30;
 const ISOLATION_TIMEOUT_MS = 1500;
@@ -29,8 +29,8 @@
  * If the unreachable ordinary machines in reachable zones exceed both this share and this count, this controller itself
  * is isolated.
  */
-const OWN_PARTITION_UNREACHABLE_SHARE = 0.3;
-const OWN_PARTITION_UNREACHABLE_COUNT = 2;
+const ISOLATION_UNREACHABLE_SHARE = 0.3;
+const ISOLATION_UNREACHABLE_COUNT = 2;
 /**
  * Share of the lease duration after which a machine in a partitioned zone may be deleted, so that its replicas can
  * start elsewhere.
@@ -49,12 +49,12 @@
   /** Duration of a worker's lease, in seconds. */
   leaseS: number;
   /** All zones that machines can be requested in. */
-  zones: Set<string>;
+  allZones: Set<string>;
   /**
-   * Zones that are partitioned from this controller according to the reports of other controllers. Missing heartbeats
-   * from these zones don't prove that a machine is dead.
+   * Zones in which this controller has lost contact with all controllers, and had contact until recently. Missing
+   * heartbeats from these zones don't prove that a machine is dead.
    */
-  partitionedZones(): Set<string>;
+  zonesOutOfContact(): Set<string>;
   /** Until when the controllers in a partitioned zone may extend leases there; null if it has no controller. */
   leasesExtendableUntil(zone: string): number | null;
   /**
@@ -64,12 +64,13 @@
 }
 
 /** Conditions that apply to all machines in one evaluation. */
-interface Round {
+interface Evaluation {
   now: number;
   isLagging: boolean;
-  isSelfPartitioned: boolean;
+  isControllerIsolated: boolean;
+  /** Whether more than `RECONCILED_SHARE_THRESHOLD` of the machines outside partitioned zones are reconciled. */
   isNearlyReconciled: boolean;
-  partitionedZones: Set<string>;
+  zonesOutOfContact: Set<string>;
 }
 
 /** Runs on the leader only. */
@@ -80,7 +81,7 @@
   constructor(
     private readonly deps: FailureDetectorDependencies,
     private readonly liveness: MachineLiveness,
-    private readonly zones: ZonePartitions,
+    private readonly partitions: ZonePartitions,
     private readonly startedAt: number,
   ) {
     const { table, operator } = deps;
@@ -96,33 +97,36 @@
     const machines = [...this.deps.table.all()].filter(
       (machine) => machine.reported || machine.stored || machine.leaseExpired,
     );
-    this.zones.update(machines, now);
+    this.partitions.update(machines, now);
     this.budget.expire(now);
-    const round = this.startRound(machines, now);
-    const dead = machines.filter((machine) => !machine.deleting && this.isDead(machine, round));
+    const evaluation = this.startEvaluation(machines, now);
+    const dead = machines.filter(
+      (machine) => !machine.deleting && this.isDead(machine, evaluation),
+    );
     for (const machine of machines)
       if (machine.drainReason === 'faulty' && !machine.deleting && this.budget.tryAcquire(now))
         dead.push(machine);
     return dead;
   }
 
-  private startRound(machines: readonly Machine[], now: number): Round {
-    const reachable = machines.filter((machine) => !this.zones.isPartitioned(machine.zone));
+  private startEvaluation(machines: readonly Machine[], now: number): Evaluation {
+    const reachable = machines.filter((machine) => !this.partitions.isPartitioned(machine.zone));
     const reconciled = reachable.filter((machine) => machine.isReconciled()).length;
     return {
       now,
       isLagging: this.deps.isLagging(),
-      isSelfPartitioned: this.isSelfPartitioned(machines, reachable, now),
+      isControllerIsolated: this.isControllerIsolated(machines, reachable, now),
       isNearlyReconciled: reconciled > RECONCILED_SHARE_THRESHOLD * reachable.length,
-      partitionedZones: this.deps.partitionedZones(),
+      zonesOutOfContact: this.deps.zonesOutOfContact(),
     };
   }
 
   /**
-   * Whether this controller itself is isolated, as indicated by many ordinary machines in several zones that become
-   * unreachable at once.
+   * Whether this controller itself is isolated: in a cluster of at least `MIN_MACHINES_FOR_ISOLATION_TIMEOUT` machines,
+   * none has sent anything for `ISOLATION_TIMEOUT_MS`; or too many ordinary machines are unreachable in zones that
+   * don't count as partitioned.
    */
-  private isSelfPartitioned(
+  private isControllerIsolated(
     machines: readonly Machine[],
     reachable: readonly Machine[],
     now: number,
@@ -140,42 +144,45 @@
     const unreachable = ordinary.filter((machine) => this.liveness.isUnreachable(machine, now));
     return (
       unreachable.length >
-      Math.max(OWN_PARTITION_UNREACHABLE_COUNT, ordinary.length * OWN_PARTITION_UNREACHABLE_SHARE)
+      Math.max(ISOLATION_UNREACHABLE_COUNT, ordinary.length * ISOLATION_UNREACHABLE_SHARE)
     );
   }
 
-  private isDead(machine: Machine, round: Round): boolean {
-    const { now } = round;
-    // Most likely preempted by the cloud. Its deletion proves that, and can't affect a machine that still runs.
+  private isDead(machine: Machine, evaluation: Evaluation): boolean {
+    const { now } = evaluation;
+    // The cloud no longer lists the machine, so it was most likely preempted. The deletion proves that it no longer
+    // exists, and can't affect a running machine, since the cloud lists all of those.
     if (machine.unlisted && this.liveness.isHeartbeatOverdue(machine, now)) return true;
     const isPreempted = machine.preemptionDeadline !== null && now > machine.preemptionDeadline;
-    const delaysFailover = this.delaysFailover(machine, round);
-    if (!delaysFailover && !this.isConfirmedUnreachable(machine, round)) return false;
+    const delaysFailover = this.delaysFailover(machine, evaluation);
+    if (!delaysFailover && !this.isConfirmedUnreachable(machine, evaluation)) return false;
     if (isPreempted) return true;
-    if (this.zones.isPartitioned(machine.zone))
+    if (this.partitions.isPartitioned(machine.zone))
       return this.isDeadInPartitionedZone(machine, delaysFailover, now);
-    if (round.isSelfPartitioned || round.partitionedZones.has(machine.zone)) return false;
+    if (evaluation.isControllerIsolated || evaluation.zonesOutOfContact.has(machine.zone))
+      return false;
     return this.budget.tryAcquire(now);
   }
 
   /**
    * Whether the machine is probably dead and delays a failover. After a failover, all jobs of former leaders wait until
    * the last machine has responded. Once nearly all machines have responded, one that has not is probably dead and does
-   * not get the time that an unreachable machine otherwise has. While this controller lags, more failed probes are
-   * required, since responses may be waiting unread. The other zones don't wait for a partitioned zone whose leases
-   * nobody can extend, either.
+   * not get the time that an unreachable machine otherwise has. While this controller lags, more requests without a
+   * response are required, since responses may be waiting unread. In a partitioned zone, the grace period is doubled.
    */
-  private delaysFailover(machine: Machine, round: Round): boolean {
-    const minFailures = round.isLagging ? MIN_FAILED_PROBES_WHILE_LAGGING : MIN_FAILED_PROBES;
+  private delaysFailover(machine: Machine, evaluation: Evaluation): boolean {
+    const minFailures = evaluation.isLagging
+      ? MIN_COMMAND_FAILURES_WHILE_LAGGING
+      : MIN_COMMAND_FAILURES;
     if (!machine.awaitingReconciliation || machine.isReconciled()) return false;
-    if (machine.commandFailures < minFailures || !round.isNearlyReconciled) return false;
-    const graceMs = this.zones.isPartitioned(machine.zone)
+    if (machine.commandFailures < minFailures || !evaluation.isNearlyReconciled) return false;
+    const graceMs = this.partitions.isPartitioned(machine.zone)
       ? 2 * RECONCILIATION_GRACE_MS
       : RECONCILIATION_GRACE_MS;
-    return round.now - this.startedAt > graceMs;
+    return evaluation.now - this.startedAt > graceMs;
   }
 
-  private isConfirmedUnreachable(machine: Machine, { now, isLagging }: Round): boolean {
+  private isConfirmedUnreachable(machine: Machine, { now, isLagging }: Evaluation): boolean {
     if (!this.liveness.isUnreachable(machine, now)) return false;
     if (!isLagging && !machine.leaseExpired) return true;
     const timeoutMs = this.liveness.unreachableAfterMs * (isLagging ? 2 : 1);
@@ -183,16 +190,21 @@
   }
 
   /**
-   * Once a partition has healed, the zone's machines are worth more than new ones: they are up, have the images, and
-   * may be the only place for replicas that must be spread. They are therefore kept, and the expiry of their leases
-   * proves that nothing runs on them. They are deleted earlier in two cases: shortly before the leases expire, so
-   * that replicas can run elsewhere at once; and in a failover that waits for nothing else, unless a controller may
-   * extend the leases.
+   * Whether to delete an unreachable machine in a partitioned zone. Such a machine is usually kept, and the expiry of
+   * its lease proves that nothing runs on it: once the partition has healed, it is more useful than a new machine,
+   * since it is up, has the images, and may be the only place for replicas that must be spread. It is deleted if
+   * - nothing was received from it for `MAX_PARTITION_MS`; or
+   * - `minimizeCost` is set and its lease has expired; or
+   * - the zone has no controller that can extend the lease, and either the machine delays a failover (the other zones
+   *   don't wait for it), or it runs service tasks and its lease expires soon (replicas can then run elsewhere at
+   *   once); or
+   * - the zone has controllers, but the last extension that they may have made also expires soon, at least
+   *   `MIN_REACHABLE_ZONES` zones are reachable, and the machine runs service tasks or a failover still waits for it.
    */
   private isDeadInPartitionedZone(machine: Machine, delaysFailover: boolean, now: number): boolean {
     const timeSinceHeardMs = now - machine.lastHeardAt;
     if (timeSinceHeardMs > MAX_PARTITION_MS) return true;
-    // Its tasks already run elsewhere, so the machine is not worth its price.
+    // Its tasks already run elsewhere, so keeping the machine would only cost money.
     if (this.deps.minimizeCost && machine.leaseExpired) return true;
     const waitMs = this.deps.leaseS * 1000 * PARTITIONED_LEASE_SHARE;
     const extendableUntil = this.deps.leasesExtendableUntil(machine.zone);
@@ -200,7 +212,7 @@
       return delaysFailover || (machine.serviceTasks > 0 && timeSinceHeardMs > waitMs);
     return (
       (machine.serviceTasks > 0 || machine.awaitingReconciliation) &&
-      this.deps.zones.size - this.zones.count() >= MIN_REACHABLE_ZONES &&
+      this.deps.allZones.size - this.partitions.count() >= MIN_REACHABLE_ZONES &&
       now > extendableUntil + waitMs
     );
   }
--- a/src/autoscaler/machine-liveness.ts
+++ b/src/autoscaler/machine-liveness.ts
@@ -13,11 +13,12 @@
 const OVERDUE_AFTER_INTERVALS = 1.27;
 const OVERDUE_SLACK_MS = 200;
 /**
- * After this many intervals without a heartbeat, failed commands make a machine unreachable before `unreachableAfterMs`
- * has passed.
+ * After this many intervals without a heartbeat, requests without a response make a machine unreachable before
+ * `unreachableAfterMs` has passed.
  */
 const UNRESPONSIVE_AFTER_INTERVALS = 1.6;
-const UNREACHABLE_AFTER_FAILED_COMMANDS = 2;
+/** Consecutive requests without a response that, after `UNRESPONSIVE_AFTER_INTERVALS`, make a machine unreachable. */
+const UNREACHABLE_AFTER_COMMAND_FAILURES = 2;
 const UNREACHABLE_SLACK_MS = 500;
 
 /** Stateless: all data it needs is stored in `Machine`. */
@@ -33,21 +34,24 @@
     this.unreachableAfterMs = missedHeartbeats * heartbeatIntervalS * 1000 + UNREACHABLE_SLACK_MS;
   }
 
-  /** Whether the heartbeat is overdue. A probe then detects a failure sooner than waiting for further heartbeats. */
+  /**
+   * Whether the heartbeat is overdue. The leader then probes the machine, which detects a failure sooner than waiting
+   * for further heartbeats.
+   */
   isHeartbeatOverdue(machine: Machine, now: number): boolean {
     return (machine.reported || machine.stored) && now - machine.lastHeardAt > this.overdueAfterMs;
   }
 
   /**
-   * Whether the machine sends nothing, or messages to it don't arrive. Such a machine can't be given work, and only its
-   * deletion proves that nothing runs on it.
+   * Whether the machine sends nothing, messages to it don't arrive, or its lease has expired. Such a machine can't be
+   * given work, and unless its lease has expired, only its deletion proves that nothing runs on it.
    */
   isUnreachable(machine: Machine, now: number): boolean {
     if (machine.leaseExpired) return true;
     if (!machine.reported && !machine.stored) return false;
     const timeSinceHeardMs = now - machine.lastHeardAt;
     const isUnresponsive =
-      machine.commandFailures >= UNREACHABLE_AFTER_FAILED_COMMANDS &&
+      machine.commandFailures >= UNREACHABLE_AFTER_COMMAND_FAILURES &&
       this.isHeartbeatOverdue(machine, now) &&
       timeSinceHeardMs > this.unresponsiveAfterMs;
     return (
--- a/src/autoscaler/scale-out.ts
+++ b/src/autoscaler/scale-out.ts
@@ -1,4 +1,4 @@
-/** Requests machines from the cloud as the scaling plan says. */
+/** Requests machines from the cloud according to the scaling plan. */
 import type { OperatorSettings } from '../settings/operator.js';
 import type { Runtime } from '../runtime.js';
 import type { MachineType } from '../wire/model.js';
@@ -24,7 +24,7 @@
   isLeader(): boolean;
 }
 
-/** How long nothing is requested from a pool that had no capacity or whose last request has an unknown outcome. */
+/** How long nothing is requested from a pool whose last request was not granted in full or has an unknown outcome. */
 const NO_CAPACITY_BACKOFF_MS = 12_000;
 /** How long nothing is requested after a rejected request, which indicates nothing about the pool's capacity. */
 const REJECTED_BACKOFF_MS = 2000;
@@ -44,7 +44,7 @@
     private readonly deps: ScaleOutDependencies,
     private readonly deletion: MachineDeletion,
     private readonly liveness: MachineLiveness,
-    private readonly zones: ZonePartitions,
+    private readonly partitions: ZonePartitions,
   ) {
     for (const type of deps.types)
       for (const zone of type.zones)
@@ -68,7 +68,7 @@
     }
     const capacity: Capacity = { ordinaryCpus: 0, spotCpus: 0 };
     for (const pool of this.pools.values()) {
-      if (this.zones.isQuarantined(pool.zone, now))
+      if (this.partitions.isQuarantined(pool.zone, now))
         pool.unavailableUntil = Math.max(pool.unavailableUntil, now + blockMs);
       const cpus = pool.machineCount * pool.type.cpus;
       if (pool.spot) capacity.spotCpus += cpus;
@@ -108,7 +108,7 @@
     if (machine.deleting || machine.preemptionDeadline !== null) return false;
     if (machine.drainReason && machine.drainReason !== 'surplus') return false;
     if (this.liveness.isUnreachable(machine, now)) return false;
-    return machine.reported || !this.zones.isPartitioned(machine.zone);
+    return machine.reported || !this.partitions.isPartitioned(machine.zone);
   }
 
   private async request(pool: Pool, count: number): Promise<void> {
--- a/src/placement/gang-relocation.ts
+++ b/src/placement/gang-relocation.ts
@@ -9,16 +9,21 @@
 import { attemptsOf, gangState } from './gang-state.js';
 import { satisfiesConstraints } from './machine-constraints.js';
 
-/** A stop with a checkpoint is deferred at most until this many heartbeat intervals before the latest possible time. */
+/**
+ * A stop with a checkpoint is deferred only while the time left is longer than the time to save, plus `gangPeerS`, plus
+ * this many heartbeat intervals.
+ */
 const HEARTBEATS_BEFORE_STOP = 2;
 
-/** Dependencies of `GangRelocation`. Times are in seconds. */
+/** Dependencies of `GangRelocation`. */
 export interface GangRelocationDependencies {
   table: MachineTable;
   log: Log;
-  /** Time within which the tasks of a running gang notice that one of them no longer runs. */
+  /** Time in seconds within which the tasks of a running gang notice that one of them no longer runs. */
   gangPeerS: number;
+  /** Interval between two heartbeats of a machine, in seconds. */
   heartbeatIntervalS: number;
+  /** Current time by the monotonic clock, in milliseconds. */
   now(): number;
   /** Whether the machine may be given work. */
   isUsable(machine: Machine): boolean;
@@ -29,12 +34,12 @@
   constructor(private readonly deps: GangRelocationDependencies) {}
 
   /**
-   * Makes the task leave its machine, which will be preempted in `leftS` seconds (Infinity if it stays up). Returns
+   * Makes the task leave its machine, which will be preempted in `timeLeftS` seconds (Infinity if it stays up). Returns
    * true if anything was stopped. In a starting gang only the task is replaced. A running gang stops as a whole with a
-   * checkpoint: as soon as it fits elsewhere and all its machines are reachable, or at the latest time that still
+   * checkpoint: as soon as it fits elsewhere and all its machines are responsive, or at the latest time that still
    * allows it to save.
    */
-  vacateMachine(attempt: TaskAttempt, gang: Job, leftS: number, reason: StopReason): boolean {
+  vacateMachine(attempt: TaskAttempt, gang: Job, timeLeftS: number, reason: StopReason): boolean {
     const state = gangState(gang);
     if (state === 'starting') {
       const request: StopRequest = { graceS: 0, reason, replaced: true };
@@ -43,26 +48,27 @@
     }
     if (state !== 'running') return false;
     const { gangPeerS, heartbeatIntervalS } = this.deps;
-    const latestS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * heartbeatIntervalS;
-    if (leftS > latestS && !this.canRelocate(gang, attempt.machine)) return false;
-    this.stopWithCheckpoint(gang, reason, leftS);
+    const minTimeLeftS = gang.spec.saveS + gangPeerS + HEARTBEATS_BEFORE_STOP * heartbeatIntervalS;
+    if (timeLeftS > minTimeLeftS && !this.canRelocate(gang, attempt.machine)) return false;
+    this.stopWithCheckpoint(gang, reason, timeLeftS);
     return true;
   }
 
-  /** Whether the whole gang fits elsewhere, without the machine `from`, and all its present machines are reachable. */
+  /** Whether the whole gang fits elsewhere, without the machine `from`, and all its present machines are responsive. */
   canRelocate(gang: Job, from: Machine): boolean {
-    if (!this.allReachable(gang)) return false;
-    const targets = [...this.deps.table.all()].filter(
+    if (!this.areAllResponsive(gang)) return false;
+    const destinations = [...this.deps.table.all()].filter(
       (machine) =>
         machine !== from &&
         !machine.isStraggler &&
         this.deps.isUsable(machine) &&
         satisfiesConstraints(gang.spec, machine),
     );
-    return fitsGang(gang, targets);
+    return fitsGang(gang, destinations);
   }
 
-  private allReachable(gang: Job): boolean {
+  /** Whether all machines of the gang are reconciled, and none has left its latest request without a response. */
+  private areAllResponsive(gang: Job): boolean {
     return attemptsOf(gang).every(
       ({ machine }) => machine.isReconciled() && machine.commandFailures === 0,
     );
@@ -70,14 +76,14 @@
 
   /**
    * Stops all tasks at the same time and gives them time to save, so that the next attempt continues from there. If
-   * that is impossible because a machine is unreachable or the time is too short, the gang falls back to its last
+   * that is impossible because a machine is not responsive or the time is too short, the gang falls back to its last
    * checkpoint.
    */
-  stopWithCheckpoint(gang: Job, reason: StopReason, leftS = Infinity): void {
+  stopWithCheckpoint(gang: Job, reason: StopReason, timeLeftS = Infinity): void {
     const { id, saveS, checkpointS } = gang.spec;
-    const saves = checkpointS > 0 && saveS <= leftS && this.allReachable(gang);
-    if (!saves) this.deps.log.info({ job: id, reason }, 'gang stops without a checkpoint');
-    const request: StopRequest = { graceS: saves ? saveS : 0, reason, replaced: false };
+    const canSave = checkpointS > 0 && saveS <= timeLeftS && this.areAllResponsive(gang);
+    if (!canSave) this.deps.log.info({ job: id, reason }, 'gang stops without a checkpoint');
+    const request: StopRequest = { graceS: canSave ? saveS : 0, reason, replaced: false };
     for (const attempt of attemptsOf(gang)) this.deps.table.stop(attempt, request, this.deps.now());
   }
 }
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -1,11 +1,17 @@
-/** Starts gangs, replaces their missing tasks and aborts them. Nothing is started or stopped until all tasks fit. */
+/** Starts gangs, replaces their missing tasks and aborts them. No task is started or preempted until all tasks fit. */
 import type { Job } from '../jobs/job.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import type { StopReason } from '../workers/stop-reason.js';
 import type { TaskAttempt } from '../workers/task-attempt.js';
 import { placementGroups, totalTaskSlots } from './gang-capacity.js';
-import { attemptsOf, gangAttempt, gangState, missingTasks, remainingWaitMs } from './gang-state.js';
+import {
+  attemptsOf,
+  gangAttemptNumber,
+  gangState,
+  missingTasks,
+  remainingWaitMs,
+} from './gang-state.js';
 import {
   MachineCandidates,
   type SelectionContext,
@@ -15,8 +21,11 @@
 import type { Reservations } from './reservations.js';
 import type { TeamUsage } from './team-usage.js';
 
-/** A gang that has found no capacity for this long goes first among the jobs of its rank and reserves machines. */
-const RESERVE_AFTER_MS = 10_000;
+/**
+ * A waiting gang that was last started, or became known, this long ago goes first among the jobs of its rank (see
+ * `servingOrder`) and reserves machines or its team's limit.
+ */
+const GANG_STARVATION_THRESHOLD_MS = 10_000;
 /** How long a gang that was not placed waits until it is tried again. */
 const RETRY_INTERVAL_MS = 500;
 /** A replacement task must have its image at least this long before the first waiting task gives up. */
@@ -30,10 +39,13 @@
   /** Seconds that a task that has its image waits for the others before it gives up. */
   gangWaitS: number;
   now(): number;
-  nextAttempt(): number;
+  nextAttemptNumber(): number;
 }
 
-/** `not-now`: the gang can't start for now, for reasons other than capacity. */
+/**
+ * `no-capacity`: the machines can't take all missing tasks. `not-now`: the gang is stopping, was aborted just now, or
+ * does not fit under its team's limit.
+ */
 export type GangPlacement = 'placed' | 'no-capacity' | 'not-now';
 
 /** Restrictions on the placement of a gang in this scheduling cycle. */
@@ -54,38 +66,44 @@
 export class GangScheduler {
   constructor(private readonly deps: GangSchedulerDependencies) {}
 
-  /** Whether the job is a waiting gang that has found no capacity for longer than `RESERVE_AFTER_MS`. */
-  isOverdue(job: Job): boolean {
+  /**
+   * Whether the job is a gang without attempts whose last start, or else the time when it became known, was more than
+   * `GANG_STARVATION_THRESHOLD_MS` ago, whether it waits for capacity, its team's limit or a delay.
+   */
+  isStarvedGang(job: Job): boolean {
     if (job.spec.kind !== 'gang' || job.attempts.size > 0) return false;
-    return this.deps.now() - job.startedAt > RESERVE_AFTER_MS;
+    return this.deps.now() - job.startedAt > GANG_STARVATION_THRESHOLD_MS;
   }
 
-  /** Starts all tasks of a gang, or the missing tasks of one that is starting. */
+  /**
+   * Starts all tasks of a gang, or the missing tasks of one that is starting. Aborts a running gang with missing tasks,
+   * and a starting one whose missing tasks can't be started. Does nothing to a gang that is stopping.
+   */
   place(gang: Job, options: GangPlacementOptions): GangPlacement {
     const state = gangState(gang);
     if (state === 'stopping') return 'not-now';
     if (state === 'running') {
-      this.abortAttempt(gang, 'gang-member-lost');
+      this.abortGang(gang, 'gang-member-lost');
       return 'not-now';
     }
     gang.notBefore = this.deps.now() + RETRY_INTERVAL_MS;
     const placement = this.placeMissing(gang, options);
     // A part of a gang must not occupy capacity that other jobs, or the gang as a whole, could use.
     if (state === 'starting' && placement !== 'placed')
-      this.abortAttempt(gang, 'gang-member-unschedulable');
+      this.abortGang(gang, 'gang-member-unschedulable');
     return placement;
   }
 
   private placeMissing(gang: Job, options: GangPlacementOptions): GangPlacement {
     const tasks = missingTasks(gang);
-    if (!this.fitsTeamLimit(gang, tasks.length)) return 'not-now';
-    const attempt = gangAttempt(gang) ?? this.deps.nextAttempt();
+    if (!this.fitsOrReservesTeamLimit(gang, tasks.length)) return 'not-now';
+    const attemptNumber = gangAttemptNumber(gang) ?? this.deps.nextAttemptNumber();
     const allowed = allowedMachines(gang, options.machines);
     for (const group of placementGroups(gang, allowed)) {
       const slots = totalTaskSlots(gang, group);
       if (!options.mayPreempt && slots < tasks.length) continue;
       const candidates = new MachineCandidates(gang, group, options.context);
-      const victims = this.addAllOrNone(gang, tasks, candidates, attempt);
+      const victims = this.addAllOrNone(gang, tasks, candidates, attemptNumber);
       if (!victims) continue;
       for (const victim of victims) this.stopNow(victim, 'preempted');
       gang.startedAt = this.deps.now();
@@ -100,11 +118,15 @@
     this.deps.reservations.reserveMachines(gang, allowed, this.deps.now());
   }
 
-  private fitsTeamLimit(gang: Job, tasks: number): boolean {
+  /**
+   * Whether the tasks fit under the team's limit. If not, reserves the limit for a starved gang that will fit once the
+   * team's arrays have ended.
+   */
+  private fitsOrReservesTeamLimit(gang: Job, tasks: number): boolean {
     const { usage, reservations } = this.deps;
     const request = { spec: gang.spec, tasks, headroomCpus: 0 };
     if (usage.mayStart(request)) return true;
-    if (!this.isOverdue(gang)) return false;
+    if (!this.isStarvedGang(gang)) return false;
     const arrays = reservations.usedByArrays(gang.spec.team);
     if (usage.fitsWithout(request, arrays)) reservations.reserveTeamLimit(gang, this.deps.now());
     return false;
@@ -140,7 +162,7 @@
 
   /**
    * Handles a task of the gang that has left its machine. While the gang is starting, a task that was lost, was
-   * rejected or had to leave its machine is replaced under the same attempt. Otherwise the whole gang stops and
+   * rejected or had to leave its machine is replaced with the same attempt number. Otherwise the whole gang stops and
    * restarts.
    */
   attemptEnded(gang: Job, attempt: TaskAttempt): void {
@@ -150,18 +172,19 @@
       cause === null || cause === 'no_room' || cause === 'busy' || stop?.replaced === true;
     if (isReplaceable && gangState(gang) === 'starting') return;
     if (cause === 'incomplete') this.abortAfterFetches(gang);
-    else this.abortAttempt(gang, 'gang-member-lost');
+    else this.abortGang(gang, 'gang-member-lost');
   }
 
   /** Stops the whole gang immediately; progress since its last checkpoint is lost. */
-  private abortAttempt(gang: Job, reason: StopReason): void {
+  private abortGang(gang: Job, reason: StopReason): void {
     gang.gangAttemptAborted = gang.attempts.size > 0;
     for (const attempt of attemptsOf(gang)) this.stopNow(attempt, reason);
   }
 
   /**
-   * Aborts an attempt whose tasks were not all ready in time. Tasks that still fetch their image continue until they
-   * have it: an aborted fetch would start from scratch with the next attempt, which would then be too late again.
+   * Aborts a start of the gang whose tasks were not all ready in time. Tasks that still fetch their image continue
+   * until they have it: an aborted fetch would start from scratch with the next start of the gang, which would then be
+   * too late again.
    */
   private abortAfterFetches(gang: Job): void {
     gang.gangAttemptAborted = gang.attempts.size > 0;
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -4,10 +4,10 @@
 
 /**
  * - absent: none of its tasks can be on any machine.
- * - starting: tasks of one attempt fetch their image or wait for each other; none has begun to run.
+ * - starting: tasks with the same attempt number fetch their image or wait for each other; none has begun to run.
  * - running: at least one task runs, so all of them have begun to run.
- * - stopping: a stop was requested, or tasks of different attempts remain; nothing starts until all have left their
- *   machines.
+ * - stopping: a stop was requested, or tasks with different attempt numbers remain; nothing starts until all have
+ *   left their machines.
  */
 export type GangState = 'absent' | 'starting' | 'running' | 'stopping';
 
@@ -20,8 +20,9 @@
 export function gangState(job: Job): GangState {
   const attempts = attemptsOf(job);
   if (attempts.length === 0) return 'absent';
-  const { attempt: number } = attempts[0];
-  const isMixed = attempts.length > job.attempts.size || attempts.some((a) => a.attempt !== number);
+  const { attempt: attemptNumber } = attempts[0];
+  const isMixed =
+    attempts.length > job.attempts.size || attempts.some((a) => a.attempt !== attemptNumber);
   const isStopped = attempts.some((a) => a.stop !== null && !a.stop.replaced);
   if (isMixed || isStopped || job.gangAttemptAborted) return 'stopping';
   const hasBegun = attempts.some((a) => a.state === 'running' || a.state === 'saving');
@@ -29,7 +30,7 @@
 }
 
 /** Attempt number by which workers recognize tasks of the same start of the gang; null if no task is on a machine. */
-export function gangAttempt(job: Job): number | null {
+export function gangAttemptNumber(job: Job): number | null {
   return attemptsOf(job)[0]?.attempt ?? null;
 }
 
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -84,12 +84,12 @@
     };
     const state = { jobs, table, machines, usage, reservations, guaranteed, demand, runTimes };
     const shared = { ...state, operator, context, stats, decisions, log, now };
-    const nextAttempt = (): number => this.nextAttempt();
+    const nextAttemptNumber = (): number => this.nextAttemptNumber();
     this.stopper = new AttemptStopper(table, decisions, stats, now);
     this.gangs = new GangScheduler({
       ...shared,
       gangWaitS: settings.gangWaitS,
-      nextAttempt,
+      nextAttemptNumber,
     });
     const relocation = new GangRelocation({
       ...shared,
@@ -100,12 +100,12 @@
     const { stopper, gangs } = this;
     this.usageAudit = new UsageAudit(shared);
     this.accounting = new AttemptAccounting({ ...shared, gangs });
-    this.rebalancer = new Rebalancer({ ...shared, gangs: relocation, stopper });
+    this.rebalancer = new Rebalancer({ ...shared, gangRelocation: relocation, stopper });
     this.cycles = new SchedulingCycleRunner({
       ...shared,
       goals: finishGoals(settings.objectives),
       gangs,
-      tasks: new TaskScheduler({ ...shared, stopper, nextAttempt }),
+      tasks: new TaskScheduler({ ...shared, stopper, nextAttemptNumber }),
       wallMs: () => deps.wallMs(),
       recoveryComplete: () => deps.recoveryComplete(),
     });
@@ -113,7 +113,7 @@
     this.lastRoundAt = now();
   }
 
-  private nextAttempt(): number {
+  private nextAttemptNumber(): number {
     return this.deps.attemptBase + this.attemptCount++;
   }
 
@@ -190,7 +190,10 @@
     this.usageAudit.tick(now);
   }
 
-  /** Runs the placement round (see DESIGN) if its interval has elapsed. */
+  /**
+   * Runs a placement round if its interval (`round_s`) has elapsed: logs the counts since the last round, and moves
+   * tasks off machines that are slow, faulty or about to be preempted.
+   */
   round(): void {
     const now = this.deps.runtime.clock.now();
     if (now - this.lastRoundAt < this.deps.operator.round_s * 1000) return;
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -5,7 +5,7 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { AttemptStopper } from './attempt-stopper.js';
 import type { GuaranteedJobs } from './guaranteed-jobs.js';
-import { isStarved } from './job-order.js';
+import { isStarvedArray } from './job-order.js';
 import { MachineCandidates, type SelectionContext } from './machine-candidates.js';
 import { closedZonesKey } from './machine-constraints.js';
 import { victimsWithinTeam } from './preemption.js';
@@ -16,8 +16,8 @@
 
 /** Only this share of a starved job's tasks starts ahead of other jobs, so that it does not starve those in turn. */
 const STARVED_JOB_SHARE = 0.25;
-/** An array that has started no task for this long uses any machine that it is allowed on. */
-const SPOT_PREFERENCE_MS = 30_000;
+/** An array that has started no task for this long no longer leaves ordinary machines to gangs. */
+const ORDINARY_MACHINE_YIELD_MS = 30_000;
 
 /** Dependencies of `TaskScheduler`. */
 export interface TaskSchedulerDependencies {
@@ -29,7 +29,7 @@
   context: SelectionContext;
   stopper: AttemptStopper;
   stats: SchedulingStats;
-  nextAttempt(): number;
+  nextAttemptNumber(): number;
 }
 
 /** Starts as many tasks of a job as its team's quota, the machines and the cycle's budgets allow. */
@@ -38,8 +38,8 @@
 
   /** Places as many tasks of the job as possible. Machines are scored once per job, not once per task. */
   place(job: Job, cycle: SchedulingCycle): void {
-    const prefersSpot = this.prefersSpot(job, cycle.now);
-    const shapeKey = this.shapeKeyOf(job, cycle, prefersSpot);
+    const yieldsOrdinaryMachines = this.yieldsOrdinaryMachines(job, cycle.now);
+    const shapeKey = this.shapeKeyOf(job, cycle, yieldsOrdinaryMachines);
     if (cycle.unschedulableShapes.has(shapeKey)) return;
     const { reservations, usage } = this.deps;
     if (reservations.yieldsTeamLimit(job, cycle.now)) return;
@@ -55,40 +55,45 @@
         this.preemptWithinTeam(job, cycle);
         return;
       }
-      candidates ??= this.candidatesFor(job, cycle, prefersSpot, shapeKey);
+      candidates ??= this.candidatesFor(job, cycle, yieldsOrdinaryMachines, shapeKey);
       const machine = this.startNext(job, candidates, cycle);
       if (!machine) return;
       // Once arrays have used up the spare ordinary CPUs, candidates are selected again, without ordinary machines.
-      if (prefersSpot && !machine.spot && cycle.spareOrdinaryCpus <= 0) candidates = null;
+      if (yieldsOrdinaryMachines && !machine.spot && cycle.spareOrdinaryCpus <= 0)
+        candidates = null;
     }
   }
 
-  /** Whether the job leaves ordinary machines to gangs: arrays that may use spot machines do so for a limited time. */
-  private prefersSpot(job: Job, now: number): boolean {
+  /**
+   * Whether the job uses only spot machines once the spare CPUs of ordinary machines are used up, and so leaves the
+   * others to gangs. Arrays that may use spot machines do so for a limited time, unless they are within their team's
+   * guarantee.
+   */
+  private yieldsOrdinaryMachines(job: Job, now: number): boolean {
     const { kind, spot } = job.spec;
     if (kind !== 'array' || !spot || this.deps.guaranteed.has(job)) return false;
-    return now - job.startedAt <= SPOT_PREFERENCE_MS;
+    return now - job.startedAt <= ORDINARY_MACHINE_YIELD_MS;
   }
 
-  /** The job's equivalence class in this cycle: if one job of a class finds no machine, no other job of it does. */
-  private shapeKeyOf(job: Job, cycle: SchedulingCycle, prefersSpot: boolean): string {
+  /** Key of the job's shape in this cycle: if one job finds no machine, no other job with the same key does. */
+  private shapeKeyOf(job: Job, cycle: SchedulingCycle, yieldsOrdinaryMachines: boolean): string {
     // Includes the closed zones: otherwise replicas whose zones are closed would use up each cycle's candidate budget.
     const closedZones = closedZonesKey(job, cycle.zones);
     const guaranteedTeam = this.deps.guaranteed.has(job) ? job.spec.team : '';
-    return `${job.shapeKey}|${closedZones}|${guaranteedTeam}|${prefersSpot}`;
+    return `${job.shapeKey}|${closedZones}|${guaranteedTeam}|${yieldsOrdinaryMachines}`;
   }
 
   private candidatesFor(
     job: Job,
     cycle: SchedulingCycle,
-    prefersSpot: boolean,
+    yieldsOrdinaryMachines: boolean,
     shapeKey: string,
   ): MachineCandidates {
     const { context, reservations, stats } = this.deps;
-    const mayPreempt = context.preemption.mayPreemptAny(job, cycle.lowestRunningPriority);
+    const mayPreempt = context.preemption.mayPreemptAny(job, cycle.maxRunningPriorityNumber);
     const all = mayPreempt ? [...cycle.withCapacity, ...cycle.full] : cycle.withCapacity;
     const unreserved = reservations.withoutReserved(job, all, cycle.now);
-    const spotOnly = prefersSpot && cycle.spareOrdinaryCpus <= 0;
+    const spotOnly = yieldsOrdinaryMachines && cycle.spareOrdinaryCpus <= 0;
     const machines = spotOnly ? unreserved.filter((machine) => machine.spot) : unreserved;
     const candidates = new MachineCandidates(job, machines, context);
     cycle.candidateBudget -= candidates.examined;
@@ -111,7 +116,14 @@
     const { machine, victims } = choice;
     for (const victim of victims) stopper.stop(victim, 0, 'preempted');
     job.startedAt = cycle.now;
-    table.addAttempt(machine, job.spec.id, job, taskNumber, this.deps.nextAttempt(), cycle.now);
+    table.addAttempt(
+      machine,
+      job.spec.id,
+      job,
+      taskNumber,
+      this.deps.nextAttemptNumber(),
+      cycle.now,
+    );
     candidates.recordPlacement(machine);
     if (!machine.spot) cycle.spareOrdinaryCpus -= job.spec.cpus;
     stats.countStarts(1);
@@ -120,7 +132,7 @@
   }
 
   /**
-   * Called when the job's team is at its limit: stops less urgent tasks of the same team in favour of a production job.
+   * Called when the job's team is at its limit: stops tasks of lower priority of the same team for a production job.
    * The job starts in a later cycle, once those tasks are guaranteed to have left their machines.
    */
   private preemptWithinTeam(job: Job, cycle: SchedulingCycle): void {
@@ -135,5 +147,7 @@
 }
 
 function startLimit(job: Job, cycle: SchedulingCycle): number {
-  return isStarved(job, cycle.wallMs) ? Math.ceil(job.spec.tasks * STARVED_JOB_SHARE) : Infinity;
+  return isStarvedArray(job, cycle.wallMs)
+    ? Math.ceil(job.spec.tasks * STARVED_JOB_SHARE)
+    : Infinity;
 }
