--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -3,7 +3,7 @@
 import type { SeededRandom } from '../sim/random.js';
 import { HEARTBEAT_PATH } from '../sim/wire/workers.js';
 import type { Fault } from './fault-schedule.js';
-import { NAMES, type SoakDeployment } from './soak-deployment.js';
+import { CONTROLLER_NAMES, type SoakDeployment } from './soak-deployment.js';
 
 type FaultOf<Kind extends Fault['kind']> = Extract<Fault, { kind: Kind }>;
 type LinkFault = FaultOf<
@@ -54,16 +54,19 @@
     }
   }
 
-  private get standIns(): SoakDeployment['standIns'] {
-    return this.deployment.standIns;
+  private get simulation(): SoakDeployment['simulation'] {
+    return this.deployment.simulation;
   }
 
   private nameOf(controller: number | 'leader'): string {
-    return controller === 'leader' ? (this.standIns.leader() ?? NAMES[0]) : NAMES[controller];
+    return controller === 'leader'
+      ? (this.simulation.leader() ?? CONTROLLER_NAMES[0])
+      : CONTROLLER_NAMES[controller];
   }
 
   private async process(fault: ProcessFault): Promise<void> {
-    if (fault.kind === 'kill') return this.deployment.kill(NAMES[fault.controller], fault.downMs);
+    if (fault.kind === 'kill')
+      return this.deployment.kill(CONTROLLER_NAMES[fault.controller], fault.downMs);
     if (fault.kind === 'pause') {
       this.deployment.pause(this.nameOf(fault.controller), fault.forMs);
       return;
@@ -75,18 +78,18 @@
   }
 
   private readonly isController: HostFilter = (host) =>
-    NAMES.some((name) => this.deployment.addressOf(name) === host);
+    CONTROLLER_NAMES.some((name) => this.deployment.addressOf(name) === host);
 
-  private readonly isMachine: HostFilter = (host) => this.standIns.isMachine(host);
+  private readonly isMachine: HostFilter = (host) => this.simulation.isMachine(host);
 
   private someMachines(share: number): HostFilter {
-    const hosts = [...this.standIns.network.hosts.keys()].filter(this.isMachine);
+    const hosts = [...this.simulation.network.hosts.keys()].filter(this.isMachine);
     const chosen = new Set(hosts.filter(() => this.random.chance(share)));
     return (host) => chosen.has(host);
   }
 
   private link(fault: LinkFault): void {
-    const { network, clock } = this.standIns;
+    const { network, clock } = this.simulation;
     const until = clock.time + fault.forMs;
     const all: HostFilter = () => true;
     if (fault.kind === 'cut-peers') {
@@ -127,7 +130,7 @@
   }
 
   private machine(fault: MachineFault): void {
-    const { network, cloud, clock } = this.standIns;
+    const { network, cloud, clock } = this.simulation;
     if (fault.kind === 'hang-machines') {
       const chosen = this.someMachines(fault.share);
       for (const [name, host] of network.hosts)
@@ -139,7 +142,7 @@
   }
 
   private service(fault: ServiceFault): void {
-    const { state, clock } = this.standIns;
+    const { state, clock } = this.simulation;
     if (fault.kind === 'state-outage') state.beginOutage(fault.forMs);
     else if (fault.kind === 'late-writes')
       state.lateWrites = { share: fault.share, until: clock.time + fault.forMs };
@@ -147,9 +150,9 @@
   }
 
   private message(fault: MessageFault): void {
-    const { network, clock } = this.standIns;
+    const { network, clock } = this.simulation;
     if (fault.kind === 'late-starts') {
-      this.standIns.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
+      this.simulation.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
     } else if (fault.kind === 'duplicate-heartbeats') {
       const to = (): string => this.deployment.addressOf(this.nameOf('leader'));
       network.duplicates = {
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -23,7 +23,7 @@
 }
 
 export const TEAMS = ['t0', 't1'];
-export const NAMES = ['n0', 'n1', 'n2'];
+export const CONTROLLER_NAMES = ['n0', 'n1', 'n2'];
 const ZONES = ['a', 'b', 'a'];
 const LEADER_LEASE_MS = 1500;
 const GUARANTEED_CPUS = 8;
@@ -42,12 +42,12 @@
     private readonly program: string,
     private readonly size: SoakSize,
     private readonly controllers: Controller[],
-    readonly standIns: LoopbackStandIns,
+    readonly simulation: LoopbackStandIns,
   ) {}
 
   static async start(program: string, seed: number, size: SoakSize): Promise<SoakDeployment> {
     const controllers: Controller[] = [];
-    for (const [index, name] of NAMES.entries())
+    for (const [index, name] of CONTROLLER_NAMES.entries())
       controllers.push({
         name,
         zone: ZONES[index],
@@ -55,7 +55,7 @@
         peerAddress: `127.0.0.1:${await freePort()}`,
         process: null,
       });
-    const standIns = new LoopbackStandIns({
+    const simulation = new LoopbackStandIns({
       seed,
       controllers,
       machinesPerPool: size.machinesPerPool,
@@ -65,13 +65,13 @@
       limits: new Map(TEAMS.map((team) => [team, size.teamLimit])),
       throughNetwork: true,
     });
-    const deployment = new SoakDeployment(program, size, controllers, standIns);
+    const deployment = new SoakDeployment(program, size, controllers, simulation);
     await deployment.open();
     return deployment;
   }
 
   private async open(): Promise<void> {
-    await this.standIns.start();
+    await this.simulation.start();
     for (const from of this.controllers)
       for (const to of this.controllers) if (from !== to) await this.openRelay(from, to);
     writeFileSync(
@@ -79,7 +79,7 @@
       JSON.stringify({ leader_lease_ms: LEADER_LEASE_MS }),
     );
     for (const controller of this.controllers) {
-      writeFileSync(this.configOf(controller), this.settingsOf(controller));
+      writeFileSync(this.settingsPathOf(controller), this.settingsTextOf(controller));
       this.spawn(controller);
     }
   }
@@ -92,11 +92,11 @@
 
   private readonly relayAddresses = new Map<string, string>();
 
-  private configOf({ name }: Controller): string {
+  private settingsPathOf({ name }: Controller): string {
     return join(this.directory, `${name}.toml`);
   }
 
-  private settingsOf(controller: Controller): string {
+  private settingsTextOf(controller: Controller): string {
     const { reportS, leaseS, cancelS, teamLimit } = this.size;
     const viaRelay = (other: Controller): ControllerAddresses => {
       const relay = this.relayAddresses.get(`${controller.name}>${other.name}`);
@@ -105,8 +105,8 @@
     return settingsFile({
       self: controller,
       others: this.controllers.filter((other) => other !== controller).map(viaRelay),
-      stateAddress: this.standIns.stateAddressOf(controller.name),
-      cloudAddress: this.standIns.cloudAddressOf(controller.name),
+      stateAddress: this.simulation.stateAddressOf(controller.name),
+      cloudAddress: this.simulation.cloudAddressOf(controller.name),
       teams: TEAMS.map((name) => ({ name, cpus: GUARANTEED_CPUS, cpusMax: teamLimit })),
       reportS,
       leaseS,
@@ -117,7 +117,7 @@
     });
   }
 
-  private logOf({ name }: Controller): string {
+  private logPathOf({ name }: Controller): string {
     return join(this.directory, `${name}.log`);
   }
 
@@ -125,23 +125,23 @@
   logs(): { name: string; text: string }[] {
     return this.controllers.map((controller) => ({
       name: controller.name,
-      text: readFileSync(this.logOf(controller), 'utf8'),
+      text: readFileSync(this.logPathOf(controller), 'utf8'),
     }));
   }
 
   private spawn(controller: Controller): void {
     const args = [this.program, '--operator', join(this.directory, 'operator.json')];
-    const child = spawn(process.execPath, [...args, '--config', this.configOf(controller)], {
+    const child = spawn(process.execPath, [...args, '--config', this.settingsPathOf(controller)], {
       env: { ...process.env, LOG_LEVEL: 'info' },
       stdio: ['ignore', 'ignore', 'pipe'],
     });
-    child.stderr.pipe(createWriteStream(this.logOf(controller), { flags: 'a' }));
+    child.stderr.pipe(createWriteStream(this.logPathOf(controller), { flags: 'a' }));
     controller.process = child;
   }
 
   /** Ends the process without a signal that it could answer; it comes back after a while. */
   async kill(name: string, downMs: number): Promise<void> {
-    const controller = this.named(name);
+    const controller = this.controllerNamed(name);
     const child = controller.process;
     if (!child) return;
     controller.process = null;
@@ -153,7 +153,7 @@
 
   /** The process stands still while its clocks run on. */
   pause(name: string, forMs: number): void {
-    const child = this.named(name).process;
+    const child = this.controllerNamed(name).process;
     child?.kill('SIGSTOP');
     setTimeout(() => child?.kill('SIGCONT'), forMs);
   }
@@ -164,17 +164,17 @@
   }
 
   addressOf(name: string): string {
-    return this.named(name).address;
+    return this.controllerNamed(name).address;
   }
 
   /** Processes that are down although nobody ended them. */
-  endedByThemselves(): string[] {
+  unexpectedExits(): string[] {
     return this.controllers
       .filter(({ process: child }) => child !== null && child.exitCode !== null)
       .map(({ name }) => name);
   }
 
-  private named(name: string): Controller {
+  private controllerNamed(name: string): Controller {
     const controller = this.controllers.find((candidate) => candidate.name === name);
     if (!controller) throw new Error(`no controller ${name}`);
     return controller;
@@ -184,7 +184,7 @@
     this.stopping = true;
     for (const { process: child } of this.controllers) if (child) await killAndWait(child);
     for (const relay of this.relays.values()) relay.close();
-    this.standIns.stop();
+    this.simulation.stop();
     rmSync(this.directory, { recursive: true });
   }
 }
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -18,7 +18,7 @@
 } from '../sim/wire/users.js';
 import { FaultInjector } from './fault-injector.js';
 import { type ScheduledFault, faultSchedule } from './fault-schedule.js';
-import { NAMES, SoakDeployment, type SoakSize, TEAMS } from './soak-deployment.js';
+import { CONTROLLER_NAMES, SoakDeployment, type SoakSize, TEAMS } from './soak-deployment.js';
 
 /** What a run did, and what it violated. */
 export interface SoakResult {
@@ -78,12 +78,12 @@
     this.recordHistory();
   }
 
-  private get standIns(): SoakDeployment['standIns'] {
-    return this.deployment.standIns;
+  private get simulation(): SoakDeployment['simulation'] {
+    return this.deployment.simulation;
   }
 
   private recordHistory(): void {
-    const { invariants, clock } = this.standIns;
+    const { invariants, clock } = this.simulation;
     const note = (line: string): void => {
       this.history.push(`${Math.round(clock.time)} ${line}`);
       if (this.history.length > HISTORY_LINES) this.history.shift();
@@ -109,7 +109,7 @@
     await delay(FAULTS_MS);
     this.submitting = false;
     await delay(CALM_MS);
-    this.standIns.network.duplicates = null;
+    this.simulation.network.duplicates = null;
     await this.settle();
   }
 
@@ -148,7 +148,7 @@
 
   private async runUser(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
-    const { invariants, clock } = this.standIns;
+    const { invariants, clock } = this.simulation;
     const facts = observedJob(job, clock.time);
     invariants.jobs.set(id, facts);
     while (!(await this.request(id, submitRequest(job)))) await delay(USER_RETRY_MS);
@@ -171,10 +171,10 @@
 
   /** Asks a controller; false if the request has to be repeated. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { invariants, clock } = this.standIns;
+    const { invariants, clock } = this.simulation;
     const asked = clock.time - STEP_MARGIN_MS;
-    const address = this.deployment.addressOf(this.random.pick(NAMES));
-    const reply = await this.standIns.ask(address, method, path, body);
+    const address = this.deployment.addressOf(this.random.pick(CONTROLLER_NAMES));
+    const reply = await this.simulation.ask(address, method, path, body);
     const refused = reply.status === 400 || reply.status === 422;
     if (refused) invariants.recordViolation('forgotten', `${id} got ${reply.status}`);
     else if (reply.status !== 0) invariants.recordAnswer(id, decodeJobReply(reply), asked);
@@ -183,7 +183,7 @@
 
   /** Every job is over, as its user was told, and nothing is left on any machine. */
   private async settle(): Promise<void> {
-    const { invariants } = this.standIns;
+    const { invariants } = this.simulation;
     const end = performance.now() + SETTLE_MS;
     const open = (): string[] =>
       [...invariants.jobs]
@@ -200,9 +200,8 @@
   }
 
   result(schedule: ScheduledFault[]): SoakResult {
-    const { invariants } = this.standIns;
-    for (const name of this.deployment.endedByThemselves())
-      invariants.recordViolation('ended', name);
+    const { invariants } = this.simulation;
+    for (const name of this.deployment.unexpectedExits()) invariants.recordViolation('ended', name);
     const logs = this.deployment.logs();
     // The service goes on after a broken invariant; a test must not.
     for (const { name, text } of logs)
@@ -228,7 +227,7 @@
   const deployment = await SoakDeployment.start(program, seed, size);
   try {
     const schedule = faultSchedule(seed, {
-      controllers: NAMES.length,
+      controllers: CONTROLLER_NAMES.length,
       durationMs: FAULTS_MS,
       leaseMs: size.leaseS * 1000,
     });
