--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -93,7 +93,7 @@
     const until = clock.time + fault.forMs;
     const all: HostFilter = () => true;
     if (fault.kind === 'cut-peers') {
-      this.deployment.cutPeers(this.nameOf(fault.controller), fault.mode, fault.forMs);
+      this.deployment.interruptPeerLinks(this.nameOf(fault.controller), fault.mode, fault.forMs);
     } else if (fault.kind === 'cut-heartbeats' || fault.kind === 'cut-commands') {
       const address = this.deployment.addressOf(this.nameOf(fault.controller));
       const isThisController: HostFilter = (host) => host === address;
--- a/test/soak/peer-relay.ts
+++ b/test/soak/peer-relay.ts
@@ -8,7 +8,7 @@
 export class PeerRelay {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
-  private cutUntil = 0;
+  private interruptedUntil = 0;
   private mode: LinkMode = 'reset';
 
   private constructor(private readonly target: string) {
@@ -17,7 +17,7 @@
     });
   }
 
-  static async to(target: string, port: number): Promise<PeerRelay> {
+  static async listen(target: string, port: number): Promise<PeerRelay> {
     const relay = new PeerRelay(target);
     await new Promise<void>((done, failed) => {
       relay.server.once('error', failed);
@@ -27,14 +27,14 @@
   }
 
   /** Held bytes arrive after the cut; a reset ends the connections and refuses new ones. */
-  cut(mode: LinkMode, forMs: number): void {
+  interrupt(mode: LinkMode, forMs: number): void {
     this.mode = mode;
-    this.cutUntil = performance.now() + forMs;
+    this.interruptedUntil = performance.now() + forMs;
     for (const socket of this.sockets)
       if (mode === 'reset') socket.destroy();
       else socket.pause();
     setTimeout(() => {
-      if (!this.isCut()) for (const socket of this.sockets) socket.resume();
+      if (!this.isInterrupted()) for (const socket of this.sockets) socket.resume();
     }, forMs + 1);
   }
 
@@ -43,19 +43,19 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private isCut(): boolean {
-    return performance.now() < this.cutUntil;
+  private isInterrupted(): boolean {
+    return performance.now() < this.interruptedUntil;
   }
 
   private relay(incoming: Socket): void {
-    if (this.isCut() && this.mode === 'reset') {
+    if (this.isInterrupted() && this.mode === 'reset') {
       incoming.destroy();
       return;
     }
     const outgoing = connect(Number(this.target.slice(this.target.lastIndexOf(':') + 1)), HOST);
     this.forward(incoming, outgoing);
     this.forward(outgoing, incoming);
-    if (!this.isCut()) return;
+    if (!this.isInterrupted()) return;
     incoming.pause();
     outgoing.pause();
   }
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -86,7 +86,7 @@
 
   private async openRelay(from: Controller, to: Controller): Promise<void> {
     const port = await freePort();
-    this.relays.set(`${from.name}>${to.name}`, await PeerRelay.to(to.peerAddress, port));
+    this.relays.set(`${from.name}>${to.name}`, await PeerRelay.listen(to.peerAddress, port));
     this.relayAddresses.set(`${from.name}>${to.name}`, `127.0.0.1:${port}`);
   }
 
@@ -158,9 +158,9 @@
     setTimeout(() => child?.kill('SIGCONT'), forMs);
   }
 
-  cutPeers(name: string, mode: LinkMode, forMs: number): void {
+  interruptPeerLinks(name: string, mode: LinkMode, forMs: number): void {
     for (const [link, relay] of this.relays)
-      if (link.split('>').includes(name)) relay.cut(mode, forMs);
+      if (link.split('>').includes(name)) relay.interrupt(mode, forMs);
   }
 
   addressOf(name: string): string {
