--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -29,28 +29,28 @@
     private readonly duplicatesUpToMs: number,
   ) {}
 
-  async bring(fault: Fault): Promise<void> {
+  async inject(fault: Fault): Promise<void> {
     switch (fault.kind) {
       case 'kill':
       case 'kill-leader':
       case 'pause':
-        return this.process(fault);
+        return this.injectProcessFault(fault);
       case 'hang-machines':
       case 'take-machines':
-        this.machine(fault);
+        this.injectMachineFault(fault);
         return;
       case 'refuse-state':
       case 'state-outage':
       case 'late-writes':
-        this.service(fault);
+        this.injectServiceFault(fault);
         return;
       case 'late-starts':
       case 'duplicate-heartbeats':
       case 'slow-network':
-        this.message(fault);
+        this.injectMessageFault(fault);
         return;
       default:
-        this.link(fault);
+        this.injectLinkFault(fault);
     }
   }
 
@@ -58,21 +58,21 @@
     return this.deployment.simulation;
   }
 
-  private nameOf(controller: number | 'leader'): string {
+  private controllerNameOf(controller: number | 'leader'): string {
     return controller === 'leader'
       ? (this.simulation.leader() ?? CONTROLLER_NAMES[0])
       : CONTROLLER_NAMES[controller];
   }
 
-  private async process(fault: ProcessFault): Promise<void> {
+  private async injectProcessFault(fault: ProcessFault): Promise<void> {
     if (fault.kind === 'kill')
       return this.deployment.kill(CONTROLLER_NAMES[fault.controller], fault.downMs);
     if (fault.kind === 'pause') {
-      this.deployment.pause(this.nameOf(fault.controller), fault.forMs);
+      this.deployment.pause(this.controllerNameOf(fault.controller), fault.forMs);
       return;
     }
     for (let i = 0; i < fault.times; i++) {
-      await this.deployment.kill(this.nameOf('leader'), fault.downMs);
+      await this.deployment.kill(this.controllerNameOf('leader'), fault.downMs);
       await delay(fault.everyMs);
     }
   }
@@ -82,35 +82,39 @@
 
   private readonly isMachine: HostFilter = (host) => this.simulation.isMachine(host);
 
-  private someMachines(share: number): HostFilter {
+  private pickMachines(share: number): HostFilter {
     const hosts = [...this.simulation.network.hosts.keys()].filter(this.isMachine);
     const chosen = new Set(hosts.filter(() => this.random.chance(share)));
     return (host) => chosen.has(host);
   }
 
-  private link(fault: LinkFault): void {
+  private injectLinkFault(fault: LinkFault): void {
     const { network, clock } = this.simulation;
     const until = clock.time + fault.forMs;
-    const all: HostFilter = () => true;
+    const anyHost: HostFilter = () => true;
     if (fault.kind === 'cut-peers') {
-      this.deployment.interruptPeerLinks(this.nameOf(fault.controller), fault.mode, fault.forMs);
+      this.deployment.interruptPeerLinks(
+        this.controllerNameOf(fault.controller),
+        fault.mode,
+        fault.forMs,
+      );
     } else if (fault.kind === 'cut-heartbeats' || fault.kind === 'cut-commands') {
-      const address = this.deployment.addressOf(this.nameOf(fault.controller));
+      const address = this.deployment.addressOf(this.controllerNameOf(fault.controller));
       const isThisController: HostFilter = (host) => host === address;
-      const ends =
+      const sides =
         fault.kind === 'cut-heartbeats'
           ? { a: this.isMachine, b: isThisController }
           : { a: isThisController, b: this.isMachine };
-      network.partitions.push({ ...ends, until, mode: fault.mode, oneWay: true });
+      network.partitions.push({ ...sides, until, mode: fault.mode, oneWay: true });
     } else if (fault.kind === 'cut-machines') {
       network.partitions.push({
-        a: this.someMachines(fault.share),
-        b: all,
+        a: this.pickMachines(fault.share),
+        b: anyHost,
         until,
         mode: fault.mode,
       });
     } else if (fault.kind === 'block-connections') {
-      const machines = this.someMachines(fault.share);
+      const machines = this.pickMachines(fault.share);
       network.partitions.push({
         a: machines,
         b: this.isController,
@@ -120,8 +124,8 @@
       });
     } else {
       network.partitions.push({
-        a: all,
-        b: this.someMachines(fault.share),
+        a: anyHost,
+        b: this.pickMachines(fault.share),
         until,
         mode: 'hold',
         oneWay: true,
@@ -129,10 +133,10 @@
     }
   }
 
-  private machine(fault: MachineFault): void {
+  private injectMachineFault(fault: MachineFault): void {
     const { network, cloud, clock } = this.simulation;
     if (fault.kind === 'hang-machines') {
-      const chosen = this.someMachines(fault.share);
+      const chosen = this.pickMachines(fault.share);
       for (const [name, host] of network.hosts)
         if (chosen(name)) host.hangsUntil = clock.time + fault.forMs;
       return;
@@ -141,20 +145,24 @@
       if (machine.spot && machine.worker && this.random.chance(fault.share)) cloud.preempt(machine);
   }
 
-  private service(fault: ServiceFault): void {
+  private injectServiceFault(fault: ServiceFault): void {
     const { state, clock } = this.simulation;
     if (fault.kind === 'state-outage') state.beginOutage(fault.forMs);
     else if (fault.kind === 'late-writes')
       state.lateWrites = { share: fault.share, until: clock.time + fault.forMs };
-    else state.rejectHost(this.deployment.addressOf(this.nameOf(fault.controller)), fault.forMs);
+    else
+      state.rejectHost(
+        this.deployment.addressOf(this.controllerNameOf(fault.controller)),
+        fault.forMs,
+      );
   }
 
-  private message(fault: MessageFault): void {
+  private injectMessageFault(fault: MessageFault): void {
     const { network, clock } = this.simulation;
     if (fault.kind === 'late-starts') {
       this.simulation.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
     } else if (fault.kind === 'duplicate-heartbeats') {
-      const to = (): string => this.deployment.addressOf(this.nameOf('leader'));
+      const to = (): string => this.deployment.addressOf(this.controllerNameOf('leader'));
       network.duplicates = {
         path: HEARTBEAT_PATH,
         chance: fault.chance,
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -105,7 +105,8 @@
   async run(schedule: ScheduledFault[]): Promise<void> {
     await delay(BEGIN_MS);
     void this.submit();
-    for (const { atMs, fault } of schedule) setTimeout(() => void this.injector.bring(fault), atMs);
+    for (const { atMs, fault } of schedule)
+      setTimeout(() => void this.injector.inject(fault), atMs);
     await delay(FAULTS_MS);
     this.submitting = false;
     await delay(CALM_MS);
