--- a/test/soak/fault-schedule.ts
+++ b/test/soak/fault-schedule.ts
@@ -39,33 +39,35 @@
 }
 
 /** Each moment with faults has so many of them at most, so that faults combine. */
-const MOST_AT_ONCE = 3;
+const MAX_FAULTS_AT_ONCE = 3;
 /** How often two or three faults are brought together on purpose. */
 const COMBINATION_SHARE = 0.4;
 /** The first faults come once machines are up and busy, and all others so many leases later. */
-const OPENING_MS = 9000;
-const OPENING_LEASES = 1.5;
-const LEAST_GAP_MS = 900;
-const MOST_GAP_MS = 2600;
+const FIRST_FAULT_MS = 9000;
+const FIRST_FAULT_LEASES = 1.5;
+const MIN_GAP_MS = 900;
+const MAX_GAP_MS = 2600;
 
 /** The same for the same seed and options. */
 export function faultSchedule(seed: number, options: ScheduleOptions): ScheduledFault[] {
   const random = new SeededRandom(seed);
   // Undisturbed by others, so that it surely comes to what it is meant for.
-  const opening =
-    seed % 2 === 1 ? sessionsEnd(random, OPENING_MS, options) : leaderSeries(random, options);
-  const schedule = [...opening];
-  const openedMs = OPENING_MS + OPENING_LEASES * options.leaseMs;
+  const firstFaults =
+    seed % 2 === 1
+      ? endAllIncarnations(random, FIRST_FAULT_MS, options)
+      : killLeadersInSeries(random, options);
+  const schedule = [...firstFaults];
+  const randomFaultsFromMs = FIRST_FAULT_MS + FIRST_FAULT_LEASES * options.leaseMs;
   for (
-    let atMs = openedMs;
+    let atMs = randomFaultsFromMs;
     atMs < options.durationMs;
-    atMs += random.between(LEAST_GAP_MS, MOST_GAP_MS)
+    atMs += random.between(MIN_GAP_MS, MAX_GAP_MS)
   ) {
     if (random.chance(COMBINATION_SHARE)) {
       schedule.push(...drawCombination(random, atMs, options));
       continue;
     }
-    const count = random.int(1, MOST_AT_ONCE);
+    const count = random.int(1, MAX_FAULTS_AT_ONCE);
     for (let i = 0; i < count; i++)
       schedule.push({ atMs: atMs + i * random.between(0, 400), fault: drawFault(random, options) });
   }
@@ -73,7 +75,7 @@
 }
 
 /** Sessions of all workers end while starts for them are on their way. */
-function sessionsEnd(
+function endAllIncarnations(
   random: SeededRandom,
   atMs: number,
   { leaseMs }: ScheduleOptions,
@@ -89,15 +91,15 @@
 }
 
 /** Leaders end one after the other while some machines can't be asked. */
-function leaderSeries(random: SeededRandom, { leaseMs }: ScheduleOptions): ScheduledFault[] {
+function killLeadersInSeries(random: SeededRandom, { leaseMs }: ScheduleOptions): ScheduledFault[] {
   const share = random.between(0.4, 0.9);
   const times = random.int(2, 4);
   const downMs = random.pick([50, 500, 3000]);
   const forMs = random.between(0.6, 0.95) * leaseMs;
   return [
-    { atMs: OPENING_MS, fault: { kind: 'hang-machines', share, forMs } },
+    { atMs: FIRST_FAULT_MS, fault: { kind: 'hang-machines', share, forMs } },
     {
-      atMs: OPENING_MS + 200,
+      atMs: FIRST_FAULT_MS + 200,
       fault: { kind: 'kill-leader', times, everyMs: random.between(1500, 3000), downMs },
     },
   ];
@@ -112,7 +114,7 @@
   const { leaseMs } = options;
   const share = random.between(0.3, 0.9);
   const combinations: ScheduledFault[][] = [
-    sessionsEnd(random, atMs, options),
+    endAllIncarnations(random, atMs, options),
     [
       { atMs, fault: { kind: 'hang-machines', share, forMs: 0.9 * leaseMs } },
       { atMs: atMs + 300, fault: { kind: 'kill-leader', times: 2, everyMs: 1500, downMs: 500 } },
@@ -139,7 +141,7 @@
   const mode = random.pick<LinkMode>(['hold', 'reset']);
   const controller = random.chance(0.5) ? 'leader' : random.int(0, controllers - 1);
   const downMs = random.pick([50, 500, 3000]);
-  const draws: Fault[] = [
+  const candidates: Fault[] = [
     { kind: 'kill', controller: random.int(0, controllers - 1), downMs },
     { kind: 'kill-leader', times: random.int(1, 4), everyMs: 2500, downMs },
     { kind: 'pause', controller, forMs },
@@ -158,5 +160,5 @@
     { kind: 'duplicate-heartbeats', chance: random.between(0.05, 0.4), forMs },
     { kind: 'slow-network', factor: random.between(3, 30), forMs },
   ];
-  return random.pick(draws);
+  return random.pick(candidates);
 }
