--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -41,23 +41,23 @@
 const SMALL: SoakSize = { machinesPerPool: 3, teamLimit: 30, reportS: 0.5, leaseS: 5, cancelS: 14 };
 const LARGE: SoakSize = { machinesPerPool: 60, teamLimit: 400, reportS: 2, leaseS: 8, cancelS: 20 };
 /** Each of so many seeds runs at the large size. */
-const LARGE_EVERY = 10;
+const SEEDS_PER_LARGE_RUN = 10;
 /** Until the controllers serve. */
-const BEGIN_MS = 3000;
+const STARTUP_MS = 3000;
 const FAULTS_MS = 24_000;
 /** Faults last, and machines boot, for some seconds longer. */
-const CALM_MS = 9000;
+const RECOVERY_MS = 9000;
 /** No run waits for longer for its jobs to end. */
-const SETTLE_MS = 90_000;
+const SETTLE_TIMEOUT_MS = 90_000;
 const USER_RETRY_MS = 300;
 /** Recorded times are taken within one step of the stand-ins' clock. */
 const STEP_MARGIN_MS = 50;
 const HISTORY_LINES = 400;
 /** In the log line of a controller that begins to serve as the leader. */
-const TERM_BEGAN = '"to":"serving"';
+const TERM_START_MARKER = '"to":"serving"';
 
 function sizeOf(seed: number): SoakSize {
-  return seed % LARGE_EVERY === 0 ? LARGE : SMALL;
+  return seed % SEEDS_PER_LARGE_RUN === 0 ? LARGE : SMALL;
 }
 
 class SoakRun {
@@ -84,32 +84,32 @@
 
   private recordHistory(): void {
     const { invariants, clock } = this.simulation;
-    const note = (line: string): void => {
+    const addLine = (line: string): void => {
       this.history.push(`${Math.round(clock.time)} ${line}`);
       if (this.history.length > HISTORY_LINES) this.history.shift();
     };
-    const start = invariants.taskStarted.bind(invariants);
-    const leave = invariants.taskLeft.bind(invariants);
+    const taskStarted = invariants.taskStarted.bind(invariants);
+    const taskLeft = invariants.taskLeft.bind(invariants);
     invariants.taskStarted = (task, place) => {
-      note(`start ${task} on ${place.machine}`);
-      start(task, place);
+      addLine(`start ${task} on ${place.machine}`);
+      taskStarted(task, place);
       const used = Math.max(...TEAMS.map((team) => invariants.usedCpus(team)));
       this.peakShare = Math.max(this.peakShare, used / this.size.teamLimit);
     };
     invariants.taskLeft = (task, machine, done) => {
-      note(`leave ${task} on ${machine}${done ? ' done' : ''}`);
-      leave(task, machine, done);
+      addLine(`leave ${task} on ${machine}${done ? ' done' : ''}`);
+      taskLeft(task, machine, done);
     };
   }
 
   async run(schedule: ScheduledFault[]): Promise<void> {
-    await delay(BEGIN_MS);
+    await delay(STARTUP_MS);
     void this.submit();
     for (const { atMs, fault } of schedule)
       setTimeout(() => void this.injector.inject(fault), atMs);
     await delay(FAULTS_MS);
     this.submitting = false;
-    await delay(CALM_MS);
+    await delay(RECOVERY_MS);
     this.simulation.network.duplicates = null;
     await this.settle();
   }
@@ -150,52 +150,56 @@
   private async runUser(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
     const { invariants, clock } = this.simulation;
-    const facts = observedJob(job, clock.time);
-    invariants.jobs.set(id, facts);
+    const observed = observedJob(job, clock.time);
+    invariants.jobs.set(id, observed);
     while (!(await this.request(id, submitRequest(job)))) await delay(USER_RETRY_MS);
     // Services would hold their team's room for ever.
-    const until =
+    const effectiveCancelAfterMs =
       cancelAfterMs ?? (job.kind === 'service' ? this.random.between(8000, 20_000) : null);
-    if (until !== null) void this.cancelLater(id, facts, until);
-    while (facts.reportedDoneAt === null && facts.reportedCancelledAt === null) {
+    if (effectiveCancelAfterMs !== null)
+      void this.cancelLater(id, observed, effectiveCancelAfterMs);
+    while (observed.reportedDoneAt === null && observed.reportedCancelledAt === null) {
       await delay(this.random.between(200, 900));
       if (this.random.chance(0.1)) await this.request(id, submitRequest(job));
       else await this.request(id, pollRequest(id));
     }
   }
 
-  private async cancelLater(id: string, facts: ObservedJob, afterMs: number): Promise<void> {
+  private async cancelLater(id: string, observed: ObservedJob, afterMs: number): Promise<void> {
     await delay(afterMs);
-    facts.cancelRequested = true;
+    observed.cancelRequested = true;
     while (!(await this.request(id, cancelRequest(id)))) await delay(USER_RETRY_MS);
   }
 
   /** Asks a controller; false if the request has to be repeated. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
     const { invariants, clock } = this.simulation;
-    const asked = clock.time - STEP_MARGIN_MS;
+    const sentAt = clock.time - STEP_MARGIN_MS;
     const address = this.deployment.addressOf(this.random.pick(CONTROLLER_NAMES));
-    const reply = await this.simulation.ask(address, method, path, body);
-    const refused = reply.status === 400 || reply.status === 422;
-    if (refused) invariants.recordViolation('forgotten', `${id} got ${reply.status}`);
-    else if (reply.status !== 0) invariants.recordAnswer(id, decodeJobReply(reply), asked);
-    return reply.status === 200 || reply.status === 201;
+    const response = await this.simulation.ask(address, method, path, body);
+    const isRejected = response.status === 400 || response.status === 422;
+    if (isRejected) invariants.recordViolation('forgotten', `${id} got ${response.status}`);
+    else if (response.status !== 0) invariants.recordAnswer(id, decodeJobReply(response), sentAt);
+    return response.status === 200 || response.status === 201;
   }
 
   /** Every job is over, as its user was told, and nothing is left on any machine. */
   private async settle(): Promise<void> {
     const { invariants } = this.simulation;
-    const end = performance.now() + SETTLE_MS;
-    const open = (): string[] =>
+    const deadline = performance.now() + SETTLE_TIMEOUT_MS;
+    const unfinishedJobs = (): string[] =>
       [...invariants.jobs]
-        .filter(([, facts]) => facts.reportedDoneAt === null && facts.reportedCancelledAt === null)
+        .filter(
+          ([, observed]) =>
+            observed.reportedDoneAt === null && observed.reportedCancelledAt === null,
+        )
         .map(([id]) => id);
-    while (performance.now() < end && invariants.violations.length === 0) {
-      if (open().length === 0 && invariants.placesByTask.size === 0) return;
+    while (performance.now() < deadline && invariants.violations.length === 0) {
+      if (unfinishedJobs().length === 0 && invariants.placesByTask.size === 0) return;
       await delay(200);
     }
     if (invariants.violations.length > 0) return;
-    for (const id of open()) invariants.recordViolation('not_over', id);
+    for (const id of unfinishedJobs()) invariants.recordViolation('not_over', id);
     for (const task of invariants.placesByTask.keys())
       invariants.recordViolation('left_over', task);
   }
@@ -212,7 +216,7 @@
       machines: 4 * this.size.machinesPerPool,
       jobs: invariants.jobs.size,
       starts: invariants.starts,
-      terms: logs.reduce((count, { text }) => count + text.split(TERM_BEGAN).length - 1, 0),
+      terms: logs.reduce((count, { text }) => count + text.split(TERM_START_MARKER).length - 1, 0),
       peakShare: this.peakShare,
       violations: invariants.violations,
       schedule,
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -70,7 +70,7 @@
   let next = seeds.from;
   let passed = 0;
   let failed = 0;
-  const work = async (): Promise<void> => {
+  const runSeeds = async (): Promise<void> => {
     while (next <= seeds.to) {
       const result = await runSoak(program, next++);
       print(result);
@@ -78,7 +78,7 @@
       else failed++;
     }
   };
-  await Promise.all(Array.from({ length: jobs }, work));
+  await Promise.all(Array.from({ length: jobs }, runSeeds));
   rmSync(directory, { recursive: true });
   console.log(`soak: ${passed} passed, ${failed} failed`);
   if (failed > 0) process.exitCode = 1;
