--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -6,7 +6,7 @@
 export const THREE_ZONES = ['a', 'b', 'c'];
 
 /** Controllers share the duties. */
-export const withDuties: Partial<ClusterConfig> = {
+export const sharedDuties: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   minimizeCost: true,
   rollout: ROLLOUT,
@@ -27,7 +27,7 @@
 }
 
 /** Machine types of very different sizes. */
-export const unevenMachines: Partial<ClusterConfig> = {
+export const heterogeneousMachines: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   teamLimit: 400,
   minimizeCost: true,
@@ -47,7 +47,11 @@
 };
 
 /** Room for arrays of thousands of tasks. */
-export const wide: Partial<ClusterConfig> = { ordinaryUp: 24, capacity: 24, teamLimit: 400 };
+export const largeCapacity: Partial<ClusterConfig> = {
+  ordinaryUp: 24,
+  capacity: 24,
+  teamLimit: 400,
+};
 
 /** More than a hundred machines in three zones. */
 export const largeFleet: Partial<ClusterConfig> = {
--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -27,7 +27,7 @@
 export function preemptSpotMachine(cluster: Cluster): void {
   const machines = runningMachines(cluster).filter((machine) => machine.spot);
   if (machines.length === 0) return;
-  takeAfterNotice(cluster, cluster.random.pick(machines));
+  preemptAfterNotice(cluster, cluster.random.pick(machines));
 }
 
 /** A machine under a running gang gets notice. */
@@ -37,12 +37,12 @@
     const job = invariants.jobs.get(task.slice(0, task.lastIndexOf('/')));
     const machine = cloud.machines.get(places[0]?.machine);
     if (job?.spec.kind !== 'gang' || !machine?.worker) continue;
-    takeAfterNotice(cluster, machine);
+    preemptAfterNotice(cluster, machine);
     return;
   }
 }
 
-function takeAfterNotice(cluster: Cluster, machine: CloudMachine): void {
+function preemptAfterNotice(cluster: Cluster, machine: CloudMachine): void {
   machine.worker!.preemptionDeadline = cluster.clock.time + SPOT_NOTICE_MS;
   cluster.clock.after(SPOT_NOTICE_MS, () => {
     cluster.cloud.preempt(machine);
@@ -82,10 +82,10 @@
 export function partitionMachines(cluster: Cluster, oneWay: boolean): void {
   const chosen = cluster.faults.hostsOf(pickMachines(cluster, 0.3));
   const until = cluster.clock.time + cluster.random.between(4000, 14_000);
-  const everybody = (): boolean => true;
+  const anyHost = (): boolean => true;
   if (oneWay)
-    cluster.network.partitions.push({ a: everybody, b: chosen, until, mode: 'hold', oneWay });
-  else cluster.network.partitions.push({ a: chosen, b: everybody, until, mode: 'reset' });
+    cluster.network.partitions.push({ a: anyHost, b: chosen, until, mode: 'hold', oneWay });
+  else cluster.network.partitions.push({ a: chosen, b: anyHost, until, mode: 'reset' });
 }
 
 /** Machines and controllers of a zone are apart from all others. */
@@ -124,7 +124,7 @@
 }
 
 /** An operator lowers the level again. */
-export function lowerLevel(cluster: Cluster): void {
+export function lowerFeatureLevel(cluster: Cluster): void {
   void operatorOf(cluster).downgrade();
 }
 
@@ -136,12 +136,12 @@
   cluster.state.beginOutage(cluster.random.between(3000, LEASE_MS + 4000));
 }
 
-export function refuseLeader(cluster: Cluster): void {
+export function rejectLeaderRequests(cluster: Cluster): void {
   cluster.state.rejectHost(`${leaderOrRandomNode(cluster)}:80`, 6000);
 }
 
 /** Machines that come up next run tasks slowly, or fail them. */
-export function poorMachines(cluster: Cluster, second: number): void {
+export function slowOrFailingMachines(cluster: Cluster, second: number): void {
   if (second % 8 === 1) cluster.nextMachineSlowness = 4;
   if (second % 16 === 5) cluster.nextMachineFaulty = true;
   if (second % 8 === 2) cluster.cloud.add('t16', 'a', false, true);
--- a/test/digest/scenario.ts
+++ b/test/digest/scenario.ts
@@ -15,8 +15,8 @@
 
 const BUSY_S = 60;
 /** Long enough that machines without work are given back. */
-const CALM_S = 60;
-const SETTLE_S = 4;
+const RECOVERY_S = 60;
+const WARM_UP_S = 4;
 
 /** The scenario's deployment, with the random numbers of the seed. */
 export function clusterFor(scenario: Scenario, seed: number): Cluster {
@@ -26,11 +26,11 @@
 /** Jobs and faults for a while, then none, so that the cluster recovers and shrinks. */
 export async function runScenario(scenario: Scenario, cluster: Cluster): Promise<void> {
   scenario.prepare?.(cluster);
-  await cluster.run(SETTLE_S);
+  await cluster.run(WARM_UP_S);
   for (let second = 0; second < (scenario.busyS ?? BUSY_S); second++) {
     scenario.eachSecond(cluster, second);
     await cluster.run(1);
   }
   cluster.network.duplicates = null;
-  await cluster.run(CALM_S);
+  await cluster.run(RECOVERY_S);
 }
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -3,19 +3,25 @@
 import { SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
 import { OLD, SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
 import { duplicateHeartbeats } from '../sim/faults.js';
-import { THREE_ZONES, largeFleet, unevenMachines, wide, withDuties } from './deployments.js';
+import {
+  THREE_ZONES,
+  largeFleet,
+  heterogeneousMachines,
+  largeCapacity,
+  sharedDuties,
+} from './deployments.js';
 import * as faults from './faults.js';
 import type { Scenario } from './scenario.js';
 import {
-  crowd,
-  evenArrays,
+  excessJobs,
+  equalLengthArrays,
   gangBehindTeamLimit,
   gangs,
   gangsBehindArrays,
   invalidRequests,
   largeFleetJobs,
-  unevenJobs,
-  zoneJobs,
+  heterogeneousJobs,
+  singleZoneJobs,
   largeArray,
   mixedJobs,
 } from './workload.js';
@@ -65,7 +71,7 @@
     config: { minimizeCost: true, ordinaryUp: 0, zones: THREE_ZONES },
     eachSecond: combine(
       mixedJobs,
-      zoneJobs,
+      singleZoneJobs,
       every(4, 2, faults.preemptSpotMachine),
       every(16, 9, faults.crashLeader),
     ),
@@ -75,7 +81,7 @@
     eachSecond: combine(
       mixedJobs,
       every(20, 6, faults.slowStateService),
-      every(18, 10, faults.refuseLeader),
+      every(18, 10, faults.rejectLeaderRequests),
       every(20, 14, faults.stateOutage),
       every(9, 4, cancel(1, 3000)),
     ),
@@ -103,7 +109,7 @@
     config: { nodes: 5, zones: THREE_ZONES, capacity: 3 },
     eachSecond: combine(
       mixedJobs,
-      zoneJobs,
+      singleZoneJobs,
       (cluster, second) => {
         if (second % 16 === 8) faults.partitionZone(cluster, cluster.random.pick(THREE_ZONES));
       },
@@ -112,7 +118,7 @@
   },
   {
     config: {
-      ...wide,
+      ...largeCapacity,
       rollout: AUTOMATIC_ROLLOUT,
       builds: { n0: OLD, n1: OLD, n2: OLD },
     },
@@ -121,11 +127,11 @@
       faults.replaceBuilds,
       every(50, 5, largeArray),
       every(19, 13, faults.stateOutage),
-      every(60, 50, faults.lowerLevel),
+      every(60, 50, faults.lowerFeatureLevel),
     ),
   },
   {
-    config: withDuties,
+    config: sharedDuties,
     prepare: plantLevel,
     eachSecond: combine(
       mixedJobs,
@@ -142,16 +148,16 @@
       cluster.network.delayFactor = 10;
     },
     eachSecond: combine(
-      crowd,
+      excessJobs,
       gangBehindTeamLimit,
       every(25, 14, faults.crashLeader),
       every(12, 9, cancel(2, 2000)),
     ),
   },
   {
-    config: unevenMachines,
+    config: heterogeneousMachines,
     eachSecond: combine(
-      unevenJobs,
+      heterogeneousJobs,
       every(10, 4, faults.preemptSpotMachine),
       every(30, 15, (cluster) => {
         cluster.cloud.downUntil = cluster.clock.time + 8000;
@@ -202,11 +208,15 @@
     prepare: (cluster) => {
       cluster.nextMachineSlowness = 6;
     },
-    eachSecond: combine(evenArrays, faults.poorMachines, every(40, 32, faults.crashLeader)),
+    eachSecond: combine(
+      equalLengthArrays,
+      faults.slowOrFailingMachines,
+      every(40, 32, faults.crashLeader),
+    ),
   },
   {
     config: {
-      ...wide,
+      ...largeCapacity,
       minimizeCost: true,
       rollout: AUTOMATIC_ROLLOUT,
       duties: DUTIES,
@@ -217,11 +227,11 @@
       every(25, 18, largeArray),
       every(15, 9, faults.crashLeader),
       every(12, 5, faults.killMachine),
-      every(60, 50, faults.lowerLevel),
+      every(60, 50, faults.lowerFeatureLevel),
     ),
   },
   {
-    config: { ...withDuties, nodes: 5, zones: THREE_ZONES },
+    config: { ...sharedDuties, nodes: 5, zones: THREE_ZONES },
     prepare: plantLevel,
     eachSecond: combine(
       mixedJobs,
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -31,9 +31,9 @@
     });
   }
 
-  private add(head: (string | number)[], body: Uint8Array): void {
+  private add(header: (string | number)[], body: Uint8Array): void {
     this.messages++;
-    this.hash.update(JSON.stringify([this.cluster.clock.time, ...head, body.length]));
+    this.hash.update(JSON.stringify([this.cluster.clock.time, ...header, body.length]));
     this.hash.update(body);
   }
 
--- a/test/digest/workload.ts
+++ b/test/digest/workload.ts
@@ -17,8 +17,8 @@
   return cluster.random.chance(0.15) ? cluster.random.between(0, 15_000) : null;
 }
 
-function submit(cluster: Cluster, over: Partial<JobSubmission>): void {
-  void cluster.users.run(cluster.users.newJob(over), maybeCancelAfterMs(cluster));
+function submit(cluster: Cluster, overrides: Partial<JobSubmission>): void {
+  void cluster.users.run(cluster.users.newJob(overrides), maybeCancelAfterMs(cluster));
 }
 
 /** Arrays and services of all shapes, some of them cancelled. */
@@ -39,7 +39,7 @@
 }
 
 /** More than there is room for, urgent and not. */
-export function crowd(cluster: Cluster, second: number): void {
+export function excessJobs(cluster: Cluster, second: number): void {
   const { random } = cluster;
   const array = { ...BATCH, spot: true, tasks: random.int(4, 20), durationS: 4 };
   if (second < 25 && second % 2 === 0) submit(cluster, array);
@@ -72,28 +72,28 @@
 }
 
 /** Tasks of equal length all over the fleet, so that slow machines stand out. */
-export function evenArrays(cluster: Cluster, second: number): void {
+export function equalLengthArrays(cluster: Cluster, second: number): void {
   if (second % 3 === 0) submit(cluster, { ...BATCH, tasks: 12, durationS: 6 });
   if (second % 20 === 9) submit(cluster, { ...GANG, oneZone: false, tasks: 4 });
 }
 
 /** Requests that are refused, or ask for what is not there. */
 export function invalidRequests(cluster: Cluster, second: number): void {
-  const ask = ({ method, path, body }: UserRequest): void => {
+  const send = ({ method, path, body }: UserRequest): void => {
     const to = `${cluster.random.pick(cluster.nodeNames)}:80`;
     void cluster.network.send('user', to, method, path, body, USER_TIMEOUT_MS);
   };
-  const submitOnce = (over: Partial<JobSubmission>): void => {
-    ask(submitRequest(cluster.users.newJob({ ...BATCH, ...over })));
+  const submitOnce = (overrides: Partial<JobSubmission>): void => {
+    send(submitRequest(cluster.users.newJob({ ...BATCH, ...overrides })));
   };
   if (second % 10 === 2) submitOnce({ tasks: 0 });
   if (second % 10 === 4) submitOnce({ team: 'nobody' });
   if (second % 10 === 6) submitOnce({ cpus: 1000 });
-  if (second % 10 === 7) ask(pollRequest('run-999999'));
-  if (second % 10 === 8) ask(cancelRequest('run-999999'));
+  if (second % 10 === 7) send(pollRequest('run-999999'));
+  if (second % 10 === 8) send(cancelRequest('run-999999'));
 }
 
-export function unevenJobs(cluster: Cluster, second: number): void {
+export function heterogeneousJobs(cluster: Cluster, second: number): void {
   if (second % 6 === 0) submit(cluster, { ...BATCH, cpus: 4, tasks: cluster.random.int(4, 16) });
   if (second % 10 === 3) submit(cluster, { ...BATCH, gpus: 1, tasks: 3, machineTypes: ['gpu-16'] });
   if (second % 15 === 5) submit(cluster, { ...SERVICE, cpus: 4, tasks: 2 });
@@ -101,7 +101,7 @@
 }
 
 /** Jobs of one zone, tied to it or not. */
-export function zoneJobs(cluster: Cluster, second: number): void {
+export function singleZoneJobs(cluster: Cluster, second: number): void {
   const zone = cluster.random.pick(['a', 'b', 'c', null]);
   if (second % 5 === 1) submit(cluster, { ...BATCH, oneZone: true, tasks: 6, zone });
 }
