--- a/test/digest/recorded-digests.ts
+++ b/test/digest/recorded-digests.ts
@@ -29,7 +29,9 @@
   const isRecorded = ({ seed }: SeedDigest): boolean => recorded.has(seed);
   const differs = ({ seed, digest }: SeedDigest): boolean => recorded.get(seed) !== digest;
   return {
-    different: actual.filter((each) => isRecorded(each) && differs(each)).map(({ seed }) => seed),
-    unrecorded: actual.filter((each) => !isRecorded(each)).map(({ seed }) => seed),
+    different: actual
+      .filter((digest) => isRecorded(digest) && differs(digest))
+      .map(({ seed }) => seed),
+    unrecorded: actual.filter((digest) => !isRecorded(digest)).map(({ seed }) => seed),
   };
 }
--- a/test/digest/trace-digest.ts
+++ b/test/digest/trace-digest.ts
@@ -9,7 +9,7 @@
 import { scenarioOf } from './scenarios.js';
 import { TrafficDigest } from './traffic-digest.js';
 
-const DIFFERENT = 1;
+const DIFFERENCES_FOUND = 1;
 const USAGE_ERROR = 2;
 
 interface DigestOptions {
@@ -46,7 +46,7 @@
   const { different, unrecorded } = compareDigests(digests, readDigests(path));
   if (different.length > 0) console.log(`different from ${path}: seeds ${different.join(' ')}`);
   if (unrecorded.length > 0) console.log(`not recorded in ${path}: seeds ${unrecorded.join(' ')}`);
-  if (different.length + unrecorded.length > 0) process.exitCode = DIFFERENT;
+  if (different.length + unrecorded.length > 0) process.exitCode = DIFFERENCES_FOUND;
   else console.log(`all ${digests.length} as in ${path}`);
 }
 
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,7 +1,12 @@
 /** The verdict over known failures: it must never hide another failure, nor a test that has come to pass. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type KnownRedEntry, MAX_ENTRIES, judge, readKnownRed } from './runner/known-red.js';
+import {
+  type KnownRedEntry,
+  MAX_ENTRIES,
+  evaluateResults,
+  readKnownRed,
+} from './runner/known-red.js';
 
 const LISTED: KnownRedEntry = {
   test: 'test/a.test.ts > breaks',
@@ -41,16 +46,18 @@
 test('a listed test that fails is passed over, any other failure is not', () => {
   const ok = { test: 'test/a.test.ts > fine', passed: true };
   const red = { test: LISTED.test, passed: false };
-  assert.deepEqual(judge([ok, red], [LISTED]), { knownRed: [LISTED], problems: [] });
+  assert.deepEqual(evaluateResults([ok, red], [LISTED]), { knownRed: [LISTED], problems: [] });
   const other = { test: 'test/b.test.ts > breaks', passed: false };
-  assert.deepEqual(judge([red, other], [LISTED]).problems, ['failed: test/b.test.ts > breaks']);
-  assert.deepEqual(judge([ok, red], []).problems, [`failed: ${LISTED.test}`]);
+  assert.deepEqual(evaluateResults([red, other], [LISTED]).problems, [
+    'failed: test/b.test.ts > breaks',
+  ]);
+  assert.deepEqual(evaluateResults([ok, red], []).problems, [`failed: ${LISTED.test}`]);
 });
 
 test('a listed test that passes or is gone fails the run, and so does a run without tests', () => {
-  const passes = judge([{ test: LISTED.test, passed: true }], [LISTED]);
+  const passes = evaluateResults([{ test: LISTED.test, passed: true }], [LISTED]);
   assert.deepEqual(passes.problems, [`listed as known red, but passes: ${LISTED.test}`]);
-  const gone = judge([{ test: 'test/a.test.ts > fine', passed: true }], [LISTED]);
+  const gone = evaluateResults([{ test: 'test/a.test.ts > fine', passed: true }], [LISTED]);
   assert.deepEqual(gone.problems, [`listed as known red, but did not run: ${LISTED.test}`]);
-  assert.deepEqual(judge([], []).problems, ['no test ran']);
+  assert.deepEqual(evaluateResults([], []).problems, ['no test ran']);
 });
--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -57,7 +57,7 @@
 }
 
 /** Any failure that is not listed fails the run, and so does a listed test that passes or did not run. */
-export function judge(results: TestResult[], entries: KnownRedEntry[]): Verdict {
+export function evaluateResults(results: TestResult[], entries: KnownRedEntry[]): Verdict {
   const failed = new Set(results.filter((result) => !result.passed).map((result) => result.test));
   const listed = new Set(entries.map((entry) => entry.test));
   const problems: string[] = [];
--- a/test/runner/run-tests.ts
+++ b/test/runner/run-tests.ts
@@ -4,17 +4,17 @@
 import { pipeline } from 'node:stream/promises';
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
-import { type TestResult, judge, readKnownRed } from './known-red.js';
+import { type TestResult, evaluateResults, readKnownRed } from './known-red.js';
 
-const LIST = 'KNOWN-RED.txt';
-const TARGET = 'target';
+const KNOWN_RED_FILE = 'KNOWN-RED.txt';
+const BUILD_FOLDER = 'target';
 const TEST_SUFFIX = '.test.js';
 
 /** Built test files of the service and of each package. */
 function testFiles(root: string): string[] {
   const packages = readdirSync(join(root, 'packages')).map((name) => join(root, 'packages', name));
   return [root, ...packages].flatMap((base) => {
-    const folder = join(base, TARGET, 'test');
+    const folder = join(base, BUILD_FOLDER, 'test');
     return filesIn(folder).filter((file) => file.endsWith(TEST_SUFFIX));
   });
 }
@@ -33,7 +33,7 @@
 function sourceOf(root: string, builtFile: string): string {
   const parts = relative(root, builtFile).split(sep);
   return parts
-    .filter((part) => part !== TARGET)
+    .filter((part) => part !== BUILD_FOLDER)
     .join('/')
     .replace(/\.js$/, '.ts');
 }
@@ -41,15 +41,18 @@
 async function runAll(root: string): Promise<TestResult[]> {
   const results: TestResult[] = [];
   const events = run({ files: testFiles(root), concurrency: true });
-  const note = (event: { name: string; nesting: number; file?: string }, passed: boolean): void => {
+  const addResult = (
+    event: { name: string; nesting: number; file?: string },
+    passed: boolean,
+  ): void => {
     if (event.nesting === 0)
       results.push({ test: `${sourceOf(root, event.file ?? '?')} > ${event.name}`, passed });
   };
   events.on('test:pass', (event) => {
-    note(event, true);
+    addResult(event, true);
   });
   events.on('test:fail', (event) => {
-    note(event, false);
+    addResult(event, false);
   });
   await pipeline(events, new spec(), process.stdout, { end: false });
   return results;
@@ -57,12 +60,12 @@
 
 async function main(): Promise<number> {
   const root = process.cwd();
-  const list = readKnownRed(readFileSync(join(root, LIST), 'utf8'));
+  const list = readKnownRed(readFileSync(join(root, KNOWN_RED_FILE), 'utf8'));
   if (list.kind === 'malformed') {
-    process.stderr.write(`${LIST}:${list.line}: ${list.reason}\n`);
+    process.stderr.write(`${KNOWN_RED_FILE}:${list.line}: ${list.reason}\n`);
     return 1;
   }
-  const verdict = judge(await runAll(root), list.entries);
+  const verdict = evaluateResults(await runAll(root), list.entries);
   for (const { test, command, observed, issue } of verdict.knownRed)
     process.stdout.write(`known red: ${test} (${observed}; ${command}; ${issue})\n`);
   for (const problem of verdict.problems) process.stdout.write(`${problem}\n`);
