--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -1,11 +1,11 @@
-/** Deployments that the digest's scenarios run in. */
+/** Deployments for the scenarios of the trace digest. */
 import { ROLLOUT, SETTINGS as DUTIES } from '../sim/cloud-invariants.js';
 import type { ClusterConfig } from '../sim/cluster-config.js';
 import type { CloudType } from '../sim/wire/cloud.js';
 
 export const THREE_ZONES = ['a', 'b', 'c'];
 
-/** Controllers share the duties. */
+/** The duties are distributed over the controllers. */
 export const sharedDuties: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   minimizeCost: true,
--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -1,4 +1,4 @@
-/** Faults of machines, controllers, network and services, for the digest's scenarios. */
+/** Faults of machines, controllers, the network and services for the scenarios of the trace digest. */
 import { BUILD } from '../../src/build.js';
 import { OLD, operatorOf } from '../sim/rolling-upgrade.js';
 import { type Cluster } from '../sim/cluster.js';
@@ -17,20 +17,20 @@
   if (machines.length > 0) cluster.random.pick(machines).worker!.kill();
 }
 
-/** The cloud takes a machine at once. */
+/** The cloud preempts a machine without notice. */
 export function preemptMachine(cluster: Cluster): void {
   const machines = runningMachines(cluster);
   if (machines.length > 0) cluster.cloud.preempt(cluster.random.pick(machines));
 }
 
-/** The cloud gives notice to a spot machine, and takes it then. */
+/** The cloud sends a preemption notice for a spot machine and preempts it `SPOT_NOTICE_MS` later. */
 export function preemptSpotMachine(cluster: Cluster): void {
   const machines = runningMachines(cluster).filter((machine) => machine.spot);
   if (machines.length === 0) return;
   preemptAfterNotice(cluster, cluster.random.pick(machines));
 }
 
-/** A machine under a running gang gets notice. */
+/** The cloud preempts, after a notice, a machine that runs a task of a gang. */
 export function preemptGang(cluster: Cluster): void {
   const { invariants, cloud } = cluster;
   for (const [task, places] of invariants.placesByTask) {
@@ -78,7 +78,10 @@
   cluster.faults.holdCommands(pickMachines(cluster, 0.4), cluster.random.between(1000, 6000));
 }
 
-/** Machines can't be reached, or don't hear what is sent to them. */
+/**
+ * Isolates a random share of the machines: either all their connections are reset, or, with `oneWay`, messages to
+ * them are held until the partition ends while messages from them arrive.
+ */
 export function partitionMachines(cluster: Cluster, oneWay: boolean): void {
   const chosen = cluster.faults.hostsOf(pickMachines(cluster, 0.3));
   const until = cluster.clock.time + cluster.random.between(4000, 14_000);
@@ -88,7 +91,7 @@
   else cluster.network.partitions.push({ a: chosen, b: anyHost, until, mode: 'reset' });
 }
 
-/** Machines and controllers of a zone are apart from all others. */
+/** Partitions the machines and controllers of a zone from all other hosts. */
 export function partitionZone(cluster: Cluster, zone: string): void {
   const inside = cluster.faults.inWholeZone(zone);
   cluster.network.partitions.push({
@@ -99,7 +102,7 @@
   });
 }
 
-/** The leader loses the state service and its peers, and jobs are cancelled through another controller. */
+/** Isolates the leader from the state service and its peers, and cancels jobs through another controller 4 s later. */
 export function isolateLeader(cluster: Cluster): void {
   const leader = leaderOrRandomNode(cluster);
   cluster.faults.isolate(leader, cluster.random.between(5000, 15_000), 'reset');
@@ -113,7 +116,7 @@
   cluster.state.lateWrites = keys === undefined ? lateness : { ...lateness, keys };
 }
 
-/** Controllers are replaced by newer builds, now and then by older ones, until all are new. */
+/** Replaces random controllers by the current build, less often by the old one, until all run the current build. */
 export function replaceBuilds(cluster: Cluster, second: number): void {
   const name = cluster.random.pick(cluster.nodeNames);
   if (second >= 20 && second < 20 + cluster.nodeNames.length)
@@ -123,7 +126,7 @@
   if (second === 26) crashAll(cluster);
 }
 
-/** An operator lowers the level again. */
+/** An operator lowers the feature level. */
 export function lowerFeatureLevel(cluster: Cluster): void {
   void operatorOf(cluster).downgrade();
 }
@@ -140,7 +143,7 @@
   cluster.state.rejectHost(`${leaderOrRandomNode(cluster)}:80`, 6000);
 }
 
-/** Machines that come up next run tasks slowly, or fail them. */
+/** Makes the next machine that boots run tasks slowly or fail them, and adds machines. */
 export function slowOrFailingMachines(cluster: Cluster, second: number): void {
   if (second % 8 === 1) cluster.nextMachineSlowness = 4;
   if (second % 16 === 5) cluster.nextMachineFaulty = true;
--- a/test/digest/recorded-digests.ts
+++ b/test/digest/recorded-digests.ts
@@ -1,14 +1,14 @@
-/** Digests kept in a file, one JSON object a line. */
+/** Digests stored in a file, one JSON object per line. */
 import { readFileSync, writeFileSync } from 'node:fs';
 
-/** The digest of all messages of a seed, and how many they were. */
+/** The digest of all messages of a seed's run, and their number. */
 export interface SeedDigest {
   seed: number;
   digest: string;
   messages: number;
 }
 
-/** Seeds whose digest is not the recorded one, or is not recorded. */
+/** Seeds whose digest differs from the recorded one, and seeds without a recorded digest. */
 export interface DigestDifferences {
   different: number[];
   unrecorded: number[];
@@ -23,7 +23,7 @@
   return lines.filter((line) => line !== '').map((line) => JSON.parse(line) as SeedDigest);
 }
 
-/** Which of the digests are not as recorded. */
+/** Compares digests with the recorded ones. */
 export function compareDigests(actual: SeedDigest[], expected: SeedDigest[]): DigestDifferences {
   const recorded = new Map(expected.map(({ seed, digest }) => [seed, digest]));
   const isRecorded = ({ seed }: SeedDigest): boolean => recorded.has(seed);
--- a/test/digest/scenario.ts
+++ b/test/digest/scenario.ts
@@ -1,29 +1,29 @@
-/** What a digest is taken of: a cluster, its jobs and its faults, all drawn from the cluster's seeded random. */
+/** Runs a scenario: a cluster with jobs and faults, which are drawn from the cluster's seeded random numbers. */
 import { Cluster } from '../sim/cluster.js';
 import type { ClusterConfig } from '../sim/cluster-config.js';
 
 /** A deployment with its workload and faults. */
 export interface Scenario {
   config?: Partial<ClusterConfig>;
-  /** How long the busy part lasts. */
+  /** Duration of the phase with jobs and faults, in seconds; `BUSY_S` by default. */
   busyS?: number;
-  /** Before anything runs. */
+  /** Called before the cluster runs. */
   prepare?: (cluster: Cluster) => void;
-  /** Called once in each second of the busy part; `second` counts from 0. */
+  /** Called once per second of the phase with jobs and faults; `second` counts from 0. */
   eachSecond: (cluster: Cluster, second: number) => void;
 }
 
 const BUSY_S = 60;
-/** Long enough that machines without work are given back. */
+/** Long enough that idle machines are returned to the cloud. */
 const RECOVERY_S = 60;
 const WARM_UP_S = 4;
 
-/** The scenario's deployment, with the random numbers of the seed. */
+/** Creates the scenario's cluster, with random numbers from the seed. */
 export function clusterFor(scenario: Scenario, seed: number): Cluster {
   return new Cluster({ ordinaryUp: 6, ...scenario.config, seed });
 }
 
-/** Jobs and faults for a while, then none, so that the cluster recovers and shrinks. */
+/** Runs a phase with jobs and faults, then one without, in which the cluster recovers and scales down. */
 export async function runScenario(scenario: Scenario, cluster: Cluster): Promise<void> {
   scenario.prepare?.(cluster);
   await cluster.run(WARM_UP_S);
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,4 +1,4 @@
-/** The scenarios by seed: seeds that are `SCENARIOS.length` apart run the same one with other random numbers. */
+/** Scenarios by seed. Seeds that differ by `SCENARIOS.length` run the same scenario with different random numbers. */
 import { type Cluster } from '../sim/cluster.js';
 import { SETTINGS as DUTIES, plantLevel } from '../sim/cloud-invariants.js';
 import { OLD, SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
@@ -34,7 +34,7 @@
   };
 }
 
-/** The fault in one second of every so many. */
+/** Injects the fault every `seconds` seconds, the first time in second `first`. */
 function every(seconds: number, first: number, fault: (cluster: Cluster) => void): EachSecond {
   return (cluster, second) => {
     if (second % seconds === first) fault(cluster);
@@ -256,7 +256,7 @@
   },
 ];
 
-/** The scenario that the seed runs. */
+/** Returns the scenario that the seed runs. */
 export function scenarioOf(seed: number): Scenario {
   return SCENARIOS[(seed - 1) % SCENARIOS.length];
 }
--- a/test/digest/trace-digest.ts
+++ b/test/digest/trace-digest.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run trace-digest -- --seeds 1-20`: a hash per seed over all that the controllers of a simulated cluster send.
- * A refactoring that keeps behaviour keeps the hashes.
+ * `npm run trace-digest -- --seeds 1-20` prints, for each seed, a hash of all messages that the controllers of a
+ * simulated cluster send. A refactoring that does not change behaviour does not change the hashes.
  */
 import { Command, CommanderError } from 'commander';
 import { type SeedRange, readSeeds } from '../sim/seed-range.js';
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -1,4 +1,4 @@
-/** A hash over everything that the controllers of a simulated cluster send. */
+/** A hash of all messages that the controllers of a simulated cluster send. */
 import { type Hash, createHash } from 'node:crypto';
 import { Packr } from 'msgpackr';
 import type { Cluster } from '../sim/cluster.js';
@@ -6,17 +6,18 @@
 const HEX_DIGITS = 16;
 
 /**
- * Hashes what controllers ask of workers, the state service and the cloud, what they reply, and what they tell each
- * other, with the virtual time of each message. It sees the wire only, so that renaming anything else changes nothing.
+ * Hashes the requests of controllers to workers, the state service and the cloud, their responses, and the messages
+ * between controllers, each with its virtual time. It reads only what is sent over the network, so that renaming
+ * anything else does not change the hash.
  */
 export class TrafficDigest {
   private readonly hash: Hash = createHash('sha256');
   /** The encoding that controllers use among themselves. */
   private readonly packr = new Packr({ useRecords: false });
-  /** How many messages were hashed. */
+  /** Number of messages hashed so far. */
   messages = 0;
 
-  /** What was sent before, within the cluster's constructor, is not seen. */
+  /** Messages that the cluster's constructor sent are not included. */
   constructor(private readonly cluster: Cluster) {
     cluster.network.observer = {
       requested: ({ from, to, method, path, body }) => {
@@ -37,7 +38,7 @@
     this.hash.update(body);
   }
 
-  /** Ends the digest: nothing can be added afterwards. */
+  /** Returns the digest and stops observing the cluster: nothing can be added afterwards. */
   finish(): string {
     this.cluster.network.observer = null;
     this.cluster.onPeerMessage(() => undefined);
--- a/test/digest/workload.ts
+++ b/test/digest/workload.ts
@@ -1,4 +1,4 @@
-/** The users of the digest's scenarios. */
+/** Jobs and user requests of the scenarios of the trace digest. */
 import type { Cluster } from '../sim/cluster.js';
 import { BATCH, SERVICE, GANG } from '../sim/jobs.js';
 import {
@@ -21,7 +21,7 @@
   void cluster.users.run(cluster.users.newJob(overrides), maybeCancelAfterMs(cluster));
 }
 
-/** Arrays and services of all shapes, some of them cancelled. */
+/** Random arrays and services, some of which are cancelled. */
 export function mixedJobs(cluster: Cluster): void {
   if (cluster.random.chance(0.3)) submit(cluster, {});
 }
@@ -38,7 +38,7 @@
   });
 }
 
-/** More than there is room for, urgent and not. */
+/** More jobs than the cluster has room for, some of them urgent. */
 export function excessJobs(cluster: Cluster, second: number): void {
   const { random } = cluster;
   const array = { ...BATCH, spot: true, tasks: random.int(4, 20), durationS: 4 };
@@ -48,14 +48,14 @@
   if (second % 10 === 5) submit(cluster, SERVICE);
 }
 
-/** A fleet that arrays fill, while gangs wait for room in it. */
+/** Arrays that fill the fleet, and gangs that wait for room. */
 export function gangsBehindArrays(cluster: Cluster, second: number): void {
   if (second % 4 === 0) submit(cluster, { ...BATCH, tasks: 14, durationS: 12 });
   if (second % 25 === 8)
     void cluster.users.run(cluster.users.newJob({ ...GANG, tasks: 6, cpus: 4 }), null);
 }
 
-/** A gang that fits under its team's limit only without the arrays that run on and on. */
+/** A gang that exceeds its team's limit while the team's long-running arrays run. */
 export function gangBehindTeamLimit(cluster: Cluster, second: number): void {
   const team = 't0';
   if (second === 0)
@@ -71,13 +71,13 @@
   void cluster.users.run(job, null);
 }
 
-/** Tasks of equal length all over the fleet, so that slow machines stand out. */
+/** Tasks of equal length across the whole fleet, so that slow machines can be detected. */
 export function equalLengthArrays(cluster: Cluster, second: number): void {
   if (second % 3 === 0) submit(cluster, { ...BATCH, tasks: 12, durationS: 6 });
   if (second % 20 === 9) submit(cluster, { ...GANG, oneZone: false, tasks: 4 });
 }
 
-/** Requests that are refused, or ask for what is not there. */
+/** Requests that are rejected, and requests for jobs that do not exist. */
 export function invalidRequests(cluster: Cluster, second: number): void {
   const send = ({ method, path, body }: UserRequest): void => {
     const to = `${cluster.random.pick(cluster.nodeNames)}:80`;
@@ -100,7 +100,7 @@
   if (second % 15 === 8) submit(cluster, { ...GANG, cpus: 8, tasks: 3 });
 }
 
-/** Jobs of one zone, tied to it or not. */
+/** Arrays whose tasks must all be in one zone, in a given zone or in any. */
 export function singleZoneJobs(cluster: Cluster, second: number): void {
   const zone = cluster.random.pick(['a', 'b', 'c', null]);
   if (second % 5 === 1) submit(cluster, { ...BATCH, oneZone: true, tasks: 6, zone });
