--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -1,12 +1,12 @@
 /**
- * Tests that are known to fail for a fault that is not mended yet. They run with all others; the verdict passes over
- * them alone, and only while they really fail.
+ * Tests that are known to fail because of a fault that is not fixed yet. They run with all other tests. The verdict
+ * ignores only their failures, and a listed test that no longer fails is a problem.
  */
 
 /** One line of KNOWN-RED.txt: `FILE > TITLE | COMMAND AND SEED | WHAT WAS SEEN | ISSUE`. */
 export interface KnownRedEntry {
   test: string;
-  /** Repeats the failure, with the seed where there is one. */
+  /** The command that reproduces the failure, with the seed if there is one. */
   command: string;
   observed: string;
   issue: string;
@@ -15,26 +15,26 @@
 export type KnownRedList =
   { kind: 'read'; entries: KnownRedEntry[] } | { kind: 'malformed'; line: number; reason: string };
 
-/** A finished test of the top level; `test` is `FILE > TITLE`. */
+/** Result of a top-level test; `test` is `FILE > TITLE`. */
 export interface TestResult {
   test: string;
   passed: boolean;
 }
 
 export interface Verdict {
-  /** Listed, and failed as expected. */
+  /** Listed tests that failed as expected. */
   knownRed: KnownRedEntry[];
-  /** Why the run fails; empty if it passes. */
+  /** Reasons why the run fails; empty if it passes. */
   problems: string[];
 }
 
-/** More known failures than this are not carried along. */
+/** Maximum number of known failures; a longer list is malformed. */
 export const MAX_ENTRIES = 3;
 
 const FIELDS = 4;
 const TEST_PATTERN = /^\S+\.test\.ts > \S/;
 
-/** Reads KNOWN-RED.txt. Empty lines are ignored. */
+/** Parses the text of KNOWN-RED.txt. Empty lines are ignored. */
 export function readKnownRed(text: string): KnownRedList {
   const entries: KnownRedEntry[] = [];
   for (const [index, line] of text.split('\n').entries()) {
@@ -56,7 +56,7 @@
   return { kind: 'read', entries };
 }
 
-/** Any failure that is not listed fails the run, and so does a listed test that passes or did not run. */
+/** The run fails if a test fails that is not listed, if a listed test passes or did not run, or if no test ran. */
 export function evaluateResults(results: TestResult[], entries: KnownRedEntry[]): Verdict {
   const failed = new Set(results.filter((result) => !result.passed).map((result) => result.test));
   const listed = new Set(entries.map((entry) => entry.test));
--- a/test/runner/run-tests.ts
+++ b/test/runner/run-tests.ts
@@ -1,4 +1,4 @@
-/** Runs all tests, prints those that are known red, and exits with 1 if anything else is wrong. */
+/** Runs all tests, prints the known failures, and exits with 1 if there is any other problem. */
 import { readFileSync, readdirSync } from 'node:fs';
 import { join, relative, sep } from 'node:path';
 import { pipeline } from 'node:stream/promises';
@@ -10,7 +10,7 @@
 const BUILD_FOLDER = 'target';
 const TEST_SUFFIX = '.test.js';
 
-/** Built test files of the service and of each package. */
+/** Paths of the compiled test files of the service and of each package. */
 function testFiles(root: string): string[] {
   const packages = readdirSync(join(root, 'packages')).map((name) => join(root, 'packages', name));
   return [root, ...packages].flatMap((base) => {
@@ -23,13 +23,13 @@
   try {
     return readdirSync(folder).map((name) => join(folder, name));
   } catch (error) {
-    // A package without tests.
+    // The package has no tests.
     if ((error as NodeJS.ErrnoException).code === 'ENOENT') return [];
     throw error;
   }
 }
 
-/** The source file of a built test, as KNOWN-RED.txt names it. */
+/** Returns the path of the source file of a compiled test, in the form that KNOWN-RED.txt uses. */
 function sourceOf(root: string, builtFile: string): string {
   const parts = relative(root, builtFile).split(sep);
   return parts
