--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -1,4 +1,4 @@
-/** Brings the faults of a schedule about, in the processes, on the links and in the stand-ins. */
+/** Injects the faults of a schedule into the processes, the links and the simulated services. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { SeededRandom } from '../sim/random.js';
 import { HEARTBEAT_PATH } from '../sim/wire/workers.js';
@@ -20,12 +20,12 @@
 type MessageFault = FaultOf<'late-starts' | 'duplicate-heartbeats' | 'slow-network'>;
 type HostFilter = (host: string) => boolean;
 
-/** Machines that a fault applies to are drawn from the given random numbers. */
+/** Injects faults. The machines that a fault affects are drawn from the given random numbers. */
 export class FaultInjector {
   constructor(
     private readonly deployment: SoakDeployment,
     private readonly random: SeededRandom,
-    /** Duplicates of heartbeats arrive this late at most. */
+    /** Maximum delay of duplicate heartbeats, in milliseconds. */
     private readonly duplicatesUpToMs: number,
   ) {}
 
--- a/test/soak/fault-schedule.ts
+++ b/test/soak/fault-schedule.ts
@@ -1,10 +1,13 @@
-/** Which faults a run of the soak test has, and when: a pure function of the seed. */
+/** The faults of a run of the soak test and their times, as a pure function of the seed and the options. */
 import { SeededRandom } from '../sim/random.js';
 
-/** Messages are held until the cut ends, or connections are reset. */
+/** Effect of a link fault: messages are held until the fault ends, or connections are reset. */
 export type LinkMode = 'hold' | 'reset';
 
-/** `controller` is an index; `share` is of the machines, chosen by the run's seed. */
+/**
+ * `controller` is an index, or the leader. `share` is the share of machines that are affected, or of writes for
+ * `late-writes`; which ones are affected depends on the run's seed.
+ */
 export type Fault =
   | { kind: 'kill'; controller: number; downMs: number }
   | { kind: 'kill-leader'; times: number; everyMs: number; downMs: number }
@@ -24,34 +27,35 @@
   | { kind: 'duplicate-heartbeats'; chance: number; forMs: number }
   | { kind: 'slow-network'; factor: number; forMs: number };
 
-/** A fault, and when it begins. */
+/** A fault and the time at which it begins, in milliseconds after the first job is submitted. */
 export interface ScheduledFault {
   atMs: number;
   fault: Fault;
 }
 
-/** What a schedule has to fit. */
+/** Properties of the run that a schedule is made for. */
 export interface ScheduleOptions {
   controllers: number;
-  /** Faults begin within this time. */
+  /** Time within which faults begin, in milliseconds. */
   durationMs: number;
   leaseMs: number;
 }
 
-/** Each moment with faults has so many of them at most, so that faults combine. */
+/** Maximum number of independent random faults that begin together, so that faults combine. */
 const MAX_FAULTS_AT_ONCE = 3;
-/** How often two or three faults are brought together on purpose. */
+/** Probability that a predefined combination of two or three faults is injected instead of independent ones. */
 const COMBINATION_SHARE = 0.4;
-/** The first faults come once machines are up and busy, and all others so many leases later. */
+/** Start of the first faults: by then, machines are up and run tasks. */
 const FIRST_FAULT_MS = 9000;
+/** Time between the first faults and all others, in worker leases. */
 const FIRST_FAULT_LEASES = 1.5;
 const MIN_GAP_MS = 900;
 const MAX_GAP_MS = 2600;
 
-/** The same for the same seed and options. */
+/** Returns the same schedule for the same seed and options. */
 export function faultSchedule(seed: number, options: ScheduleOptions): ScheduledFault[] {
   const random = new SeededRandom(seed);
-  // Undisturbed by others, so that it surely comes to what it is meant for.
+  // No other faults disturb the first ones, so that they are guaranteed to have their intended effect.
   const firstFaults =
     seed % 2 === 1
       ? endAllIncarnations(random, FIRST_FAULT_MS, options)
@@ -74,7 +78,7 @@
   return schedule.sort((a, b) => a.atMs - b.atMs);
 }
 
-/** Sessions of all workers end while starts for them are on their way. */
+/** The incarnations of all workers end, because their leases expire, while commands to start tasks are in flight. */
 function endAllIncarnations(
   random: SeededRandom,
   atMs: number,
@@ -90,7 +94,7 @@
   ];
 }
 
-/** Leaders end one after the other while some machines can't be asked. */
+/** Several leaders are killed in succession while some machines do not respond to requests. */
 function killLeadersInSeries(random: SeededRandom, { leaseMs }: ScheduleOptions): ScheduledFault[] {
   const share = random.between(0.4, 0.9);
   const times = random.int(2, 4);
@@ -105,7 +109,7 @@
   ];
 }
 
-/** Faults that harm only when one follows the other at the right time: chance alone seldom brings them together. */
+/** Faults that cause harm only in a certain sequence and timing, which independent random faults rarely have. */
 function drawCombination(
   random: SeededRandom,
   atMs: number,
--- a/test/soak/peer-relay.ts
+++ b/test/soak/peer-relay.ts
@@ -1,10 +1,10 @@
-/** A TCP relay between two controllers, whose link can be held or cut while both processes go on. */
+/** A TCP relay between two controllers that can hold or reset their connections while both processes continue. */
 import { type Server, type Socket, connect, createServer } from 'node:net';
 import type { LinkMode } from './fault-schedule.js';
 
 const HOST = '127.0.0.1';
 
-/** Forwards connections to its target while the link is not cut. */
+/** Forwards connections to its target while the link is not interrupted. */
 export class PeerRelay {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
@@ -26,7 +26,10 @@
     return relay;
   }
 
-  /** Held bytes arrive after the cut; a reset ends the connections and refuses new ones. */
+  /**
+   * Interrupts the link for `forMs`: `hold` delivers the bytes afterwards; `reset` closes the connections and refuses
+   * new ones.
+   */
   interrupt(mode: LinkMode, forMs: number): void {
     this.mode = mode;
     this.interruptedUntil = performance.now() + forMs;
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -1,4 +1,7 @@
-/** Controllers as real processes on loopback, with links between them and to the stand-ins that can be cut. */
+/**
+ * Controllers as real processes on loopback, connected to each other and to the simulated services through links that
+ * can be interrupted.
+ */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createWriteStream, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -11,11 +14,11 @@
 import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
 
-/** How large a run is. */
+/** Size of a run. */
 export interface SoakSize {
-  /** Machines in each of the two zones, of each kind. */
+  /** Number of ordinary machines, and also of spot machines, in each of the two zones. */
   machinesPerPool: number;
-  /** CPUs that each team may use. */
+  /** Number of CPUs that each team may use. */
   teamLimit: number;
   reportS: number;
   leaseS: number;
@@ -32,7 +35,7 @@
   process: ChildProcess | null;
 }
 
-/** Three controllers and their stand-ins; `stop` ends them all. */
+/** Three controllers and the simulated services; `stop` ends them all. */
 export class SoakDeployment {
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-soak-'));
   private readonly relays = new Map<string, PeerRelay>();
@@ -121,7 +124,7 @@
     return join(this.directory, `${name}.log`);
   }
 
-  /** What a controller wrote in all its processes. */
+  /** Log of each controller, over all its processes. */
   logs(): { name: string; text: string }[] {
     return this.controllers.map((controller) => ({
       name: controller.name,
@@ -139,7 +142,7 @@
     controller.process = child;
   }
 
-  /** Ends the process without a signal that it could answer; it comes back after a while. */
+  /** Kills the process with SIGKILL, which it cannot handle, and starts a new one `downMs` after its exit. */
   async kill(name: string, downMs: number): Promise<void> {
     const controller = this.controllerNamed(name);
     const child = controller.process;
@@ -151,7 +154,7 @@
     }, downMs);
   }
 
-  /** The process stands still while its clocks run on. */
+  /** Suspends the process for `forMs`, while its clocks continue. */
   pause(name: string, forMs: number): void {
     const child = this.controllerNamed(name).process;
     child?.kill('SIGSTOP');
@@ -167,7 +170,7 @@
     return this.controllerNamed(name).address;
   }
 
-  /** Processes that are down although nobody ended them. */
+  /** Names of the controllers whose process exited although it was not killed. */
   unexpectedExits(): string[] {
     return this.controllers
       .filter(({ process: child }) => child !== null && child.exitCode !== null)
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -1,7 +1,8 @@
 /**
- * One run of the soak test: jobs come at all controllers while faults happen by the schedule of a seed; afterwards
- * everything has to end. All invariants are checked on the stand-ins' own histories. The faults, their times and the jobs
- * are drawn from the seed; what meets what is decided by real time as well, so that a run does not repeat exactly.
+ * One run of the soak test: users submit jobs to all controllers while faults are injected by the schedule of a seed.
+ * Afterwards all jobs have to reach a terminal state. The invariants are checked against what the simulated services
+ * observed. The faults, their times and the jobs are drawn from the seed, but their interleaving also depends on real
+ * time, so that a run cannot be reproduced exactly.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { TEAM_USAGE_VIOLATION } from '../../src/placement/usage-audit.js';
@@ -20,40 +21,40 @@
 import { type ScheduledFault, faultSchedule } from './fault-schedule.js';
 import { CONTROLLER_NAMES, SoakDeployment, type SoakSize, TEAMS } from './soak-deployment.js';
 
-/** What a run did, and what it violated. */
+/** Figures of a run, and the invariants that it violated. */
 export interface SoakResult {
   seed: number;
   machines: number;
   jobs: number;
   starts: number;
-  /** How often a controller began to serve as the leader. */
+  /** Number of times that a controller began to serve as the leader. */
   terms: number;
-  /** The highest use that any team had, as a share of its limit. */
+  /** Highest CPU usage of any team, as a share of its limit. */
   peakShare: number;
   violations: string[];
   schedule: ScheduledFault[];
-  /** Only of a run that broke something. */
+  /** Logs of the controllers; empty if no invariant was violated. */
   logs: { name: string; text: string }[];
-  /** The last starts and exits of tasks before the run ended, with times. */
+  /** The last `HISTORY_LINES` starts and exits of tasks, with times. */
   history: string[];
 }
 
 const SMALL: SoakSize = { machinesPerPool: 3, teamLimit: 30, reportS: 0.5, leaseS: 5, cancelS: 14 };
 const LARGE: SoakSize = { machinesPerPool: 60, teamLimit: 400, reportS: 2, leaseS: 8, cancelS: 20 };
-/** Each of so many seeds runs at the large size. */
+/** Seeds that are multiples of this number run at the large size. */
 const SEEDS_PER_LARGE_RUN = 10;
-/** Until the controllers serve. */
+/** Time for the controllers to start serving. */
 const STARTUP_MS = 3000;
 const FAULTS_MS = 24_000;
-/** Faults last, and machines boot, for some seconds longer. */
+/** Time after the last faults begin: they last, and machines boot, for some seconds more. */
 const RECOVERY_MS = 9000;
-/** No run waits for longer for its jobs to end. */
+/** Maximum time that a run waits for its jobs to reach a terminal state. */
 const SETTLE_TIMEOUT_MS = 90_000;
 const USER_RETRY_MS = 300;
-/** Recorded times are taken within one step of the stand-ins' clock. */
+/** Margin for times that are recorded within one step of the simulation's clock. */
 const STEP_MARGIN_MS = 50;
 const HISTORY_LINES = 400;
-/** In the log line of a controller that begins to serve as the leader. */
+/** Part of the log line of a controller that begins to serve as the leader. */
 const TERM_START_MARKER = '"to":"serving"';
 
 function sizeOf(seed: number): SoakSize {
@@ -97,7 +98,7 @@
       this.peakShare = Math.max(this.peakShare, used / this.size.teamLimit);
     };
     invariants.taskLeft = (task, machine, done) => {
-      addLine(`leave ${task} on ${machine}${done ? ' done' : ''}`);
+      addLine(`exit ${task} on ${machine}${done ? ' done' : ''}`);
       taskLeft(task, machine, done);
     };
   }
@@ -114,7 +115,7 @@
     await this.settle();
   }
 
-  // Users.
+  // Simulated users.
 
   private async submit(): Promise<void> {
     while (this.submitting) {
@@ -153,7 +154,7 @@
     const observed = observedJob(job, clock.time);
     invariants.jobs.set(id, observed);
     while (!(await this.request(id, submitRequest(job)))) await delay(USER_RETRY_MS);
-    // Services would hold their team's room for ever.
+    // Services never finish: without a cancellation they would use their team's CPUs until the end of the run.
     const effectiveCancelAfterMs =
       cancelAfterMs ?? (job.kind === 'service' ? this.random.between(8000, 20_000) : null);
     if (effectiveCancelAfterMs !== null)
@@ -171,7 +172,7 @@
     while (!(await this.request(id, cancelRequest(id)))) await delay(USER_RETRY_MS);
   }
 
-  /** Asks a controller; false if the request has to be repeated. */
+  /** Sends the request to a random controller. Returns false if the request must be retried. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
     const { invariants, clock } = this.simulation;
     const sentAt = clock.time - STEP_MARGIN_MS;
@@ -183,7 +184,7 @@
     return response.status === 200 || response.status === 201;
   }
 
-  /** Every job is over, as its user was told, and nothing is left on any machine. */
+  /** Waits until each job is reported done or cancelled and no task runs; records a violation for each that remains. */
   private async settle(): Promise<void> {
     const { invariants } = this.simulation;
     const deadline = performance.now() + SETTLE_TIMEOUT_MS;
@@ -208,7 +209,7 @@
     const { invariants } = this.simulation;
     for (const name of this.deployment.unexpectedExits()) invariants.recordViolation('ended', name);
     const logs = this.deployment.logs();
-    // The service goes on after a broken invariant; a test must not.
+    // The service continues after it logs a violated invariant; a test must fail.
     for (const { name, text } of logs)
       if (text.includes(TEAM_USAGE_VIOLATION)) invariants.recordViolation('usage_fault', name);
     return {
@@ -226,7 +227,7 @@
   }
 }
 
-/** `program` is a bundle of the controller. */
+/** Runs the soak test with one seed. `program` is the path of a bundle of the controller. */
 export async function runSoak(program: string, seed: number): Promise<SoakResult> {
   const size = sizeOf(seed);
   const deployment = await SoakDeployment.start(program, seed, size);
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -1,4 +1,4 @@
-/** `npm run soak -- --seeds 1-50`: randomized fault tests on real controller processes over loopback. */
+/** `npm run soak -- --seeds 1-50` runs randomized fault tests on real controller processes over loopback. */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -39,9 +39,11 @@
   }
 }
 
-/** What is needed to trace a failure: the faults, what the controllers wrote, and what the machines did. */
+/** Prints what is needed to analyze a failure: the faults, the controllers' logs and the starts and exits of tasks. */
 function printFailure(result: SoakResult): void {
-  console.log(`seed ${result.seed} broke: ${result.violations.slice(0, 10).join('; ')}`);
+  console.log(
+    `seed ${result.seed} violated invariants: ${result.violations.slice(0, 10).join('; ')}`,
+  );
   console.log('faults:');
   for (const { atMs, fault } of result.schedule)
     console.log(`  ${Math.round(atMs)} ${JSON.stringify(fault)}`);
@@ -49,16 +51,16 @@
     console.log(`log of ${name}:`);
     console.log(text.split('\n').slice(-LAST_LOG_LINES).join('\n'));
   }
-  console.log('machines:');
+  console.log('task starts and exits:');
   console.log(result.history.join('\n'));
 }
 
 function print(result: SoakResult): void {
   const { seed, machines, jobs, starts, terms, peakShare, violations } = result;
-  const outcome = violations.length === 0 ? 'ok' : 'BROKEN';
+  const outcome = violations.length === 0 ? 'ok' : 'FAILED';
   const peak = Math.round(100 * peakShare);
   console.log(
-    `seed ${seed}: ${outcome}, ${machines} machines, ${jobs} jobs, ${starts} starts, ${terms} leader terms, highest use ${peak} %`,
+    `seed ${seed}: ${outcome}, ${machines} machines, ${jobs} jobs, ${starts} starts, ${terms} leader terms, peak usage ${peak} %`,
   );
   if (violations.length > 0) printFailure(result);
 }
