--- a/test/soak/fault-schedule.ts
+++ b/test/soak/fault-schedule.ts
@@ -48,7 +48,7 @@
 /** Start of the first faults: by then, machines are up and run tasks. */
 const FIRST_FAULT_MS = 9000;
 /** Time between the first faults and all others, in worker leases. */
-const FIRST_FAULT_LEASES = 1.5;
+const RANDOM_FAULTS_DELAY_LEASES = 1.5;
 const MIN_GAP_MS = 900;
 const MAX_GAP_MS = 2600;
 
@@ -61,7 +61,7 @@
       ? endAllIncarnations(random, FIRST_FAULT_MS, options)
       : killLeadersInSeries(random, options);
   const schedule = [...firstFaults];
-  const randomFaultsFromMs = FIRST_FAULT_MS + FIRST_FAULT_LEASES * options.leaseMs;
+  const randomFaultsFromMs = FIRST_FAULT_MS + RANDOM_FAULTS_DELAY_LEASES * options.leaseMs;
   for (
     let atMs = randomFaultsFromMs;
     atMs < options.durationMs;
