--- a/test/soak/fault-schedule.ts
+++ b/test/soak/fault-schedule.ts
@@ -45,7 +45,7 @@
 const MAX_FAULTS_AT_ONCE = 3;
 /** Probability that a predefined combination of two or three faults is injected instead of independent ones. */
 const COMBINATION_SHARE = 0.4;
-/** Start of the first faults: by then, machines are up and run tasks. */
+/** Start of the first faults, in milliseconds; machines are up and run tasks by then. */
 const FIRST_FAULT_MS = 9000;
 /** Time between the first faults and all others, in worker leases. */
 const RANDOM_FAULTS_DELAY_LEASES = 1.5;
