--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -1,12 +1,12 @@
-/** Deployments that the digest's scenarios run in. */
+/** Deployments for the scenarios of the trace digest. */
 import { ROLLOUT_SETTINGS, DUTY_SETTINGS as DUTIES } from '../sim/cloud-invariants.js';
 import type { ClusterConfig } from '../sim/cluster-config.js';
 import type { CloudType } from '../sim/wire/cloud.js';
 
 export const THREE_ZONES = ['a', 'b', 'c'];
 
-/** Controllers share the duties. */
-export const withDuties: Partial<ClusterConfig> = {
+/** The duties are distributed over the controllers. */
+export const sharedDuties: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   minimizeCost: true,
   rollout: ROLLOUT_SETTINGS,
@@ -27,7 +27,7 @@
 }
 
 /** Machine types of very different sizes. */
-export const unevenMachines: Partial<ClusterConfig> = {
+export const heterogeneousMachines: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   teamLimit: 400,
   minimizeCost: true,
@@ -47,7 +47,11 @@
 };
 
 /** Room for arrays of thousands of tasks. */
-export const wide: Partial<ClusterConfig> = { ordinaryUp: 24, capacity: 24, teamLimit: 400 };
+export const largeCapacity: Partial<ClusterConfig> = {
+  ordinaryUp: 24,
+  capacity: 24,
+  teamLimit: 400,
+};
 
 /** More than a hundred machines in three zones. */
 export const largeFleet: Partial<ClusterConfig> = {
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,7 +1,12 @@
 /** The verdict on known failures: it must not hide another failure, nor a listed test that passes again. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type KnownRedEntry, MAX_ENTRIES, judge, readKnownRed } from './runner/known-red.js';
+import {
+  type KnownRedEntry,
+  MAX_ENTRIES,
+  evaluateResults,
+  readKnownRed,
+} from './runner/known-red.js';
 
 const LISTED: KnownRedEntry = {
   test: 'test/a.test.ts > breaks',
@@ -41,16 +46,18 @@
 test('the failure of a listed test is tolerated, and any other failure is not', () => {
   const ok = { test: 'test/a.test.ts > fine', passed: true };
   const red = { test: LISTED.test, passed: false };
-  assert.deepEqual(judge([ok, red], [LISTED]), { knownRed: [LISTED], problems: [] });
+  assert.deepEqual(evaluateResults([ok, red], [LISTED]), { knownRed: [LISTED], problems: [] });
   const other = { test: 'test/b.test.ts > breaks', passed: false };
-  assert.deepEqual(judge([red, other], [LISTED]).problems, ['failed: test/b.test.ts > breaks']);
-  assert.deepEqual(judge([ok, red], []).problems, [`failed: ${LISTED.test}`]);
+  assert.deepEqual(evaluateResults([red, other], [LISTED]).problems, [
+    'failed: test/b.test.ts > breaks',
+  ]);
+  assert.deepEqual(evaluateResults([ok, red], []).problems, [`failed: ${LISTED.test}`]);
 });
 
 test('a listed test that passes or did not run fails the run, and so does a run without tests', () => {
-  const passes = judge([{ test: LISTED.test, passed: true }], [LISTED]);
+  const passes = evaluateResults([{ test: LISTED.test, passed: true }], [LISTED]);
   assert.deepEqual(passes.problems, [`listed as known red, but passes: ${LISTED.test}`]);
-  const missing = judge([{ test: 'test/a.test.ts > fine', passed: true }], [LISTED]);
+  const missing = evaluateResults([{ test: 'test/a.test.ts > fine', passed: true }], [LISTED]);
   assert.deepEqual(missing.problems, [`listed as known red, but did not run: ${LISTED.test}`]);
-  assert.deepEqual(judge([], []).problems, ['no test ran']);
+  assert.deepEqual(evaluateResults([], []).problems, ['no test ran']);
 });
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -1,9 +1,9 @@
-/** Brings the faults of a schedule about, in the processes, on the links and in the stand-ins. */
+/** Injects the faults of a schedule into the processes, the links and the simulated services. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { SeededRandom } from '../sim/random.js';
 import { HEARTBEAT_PATH } from '../sim/wire/workers.js';
 import type { Fault } from './fault-schedule.js';
-import { NAMES, type SoakDeployment } from './soak-deployment.js';
+import { CONTROLLER_NAMES, type SoakDeployment } from './soak-deployment.js';
 
 type FaultOf<Kind extends Fault['kind']> = Extract<Fault, { kind: Kind }>;
 type LinkFault = FaultOf<
@@ -20,94 +20,101 @@
 type MessageFault = FaultOf<'late-starts' | 'duplicate-heartbeats' | 'slow-network'>;
 type HostFilter = (host: string) => boolean;
 
-/** Machines that a fault applies to are drawn from the given random numbers. */
+/** Injects faults. The machines that a fault affects are drawn from the given random numbers. */
 export class FaultInjector {
   constructor(
     private readonly deployment: SoakDeployment,
     private readonly random: SeededRandom,
-    /** Duplicates of heartbeats arrive this late at most. */
+    /** Maximum delay of duplicate heartbeats, in milliseconds. */
     private readonly duplicatesUpToMs: number,
   ) {}
 
-  async bring(fault: Fault): Promise<void> {
+  async inject(fault: Fault): Promise<void> {
     switch (fault.kind) {
       case 'kill':
       case 'kill-leader':
       case 'pause':
-        return this.process(fault);
+        return this.injectProcessFault(fault);
       case 'hang-machines':
       case 'take-machines':
-        this.machine(fault);
+        this.injectMachineFault(fault);
         return;
       case 'refuse-state':
       case 'state-outage':
       case 'late-writes':
-        this.service(fault);
+        this.injectServiceFault(fault);
         return;
       case 'late-starts':
       case 'duplicate-heartbeats':
       case 'slow-network':
-        this.message(fault);
+        this.injectMessageFault(fault);
         return;
       default:
-        this.link(fault);
+        this.injectLinkFault(fault);
     }
   }
 
-  private get standIns(): SoakDeployment['standIns'] {
-    return this.deployment.standIns;
+  private get simulation(): SoakDeployment['simulation'] {
+    return this.deployment.simulation;
   }
 
-  private nameOf(controller: number | 'leader'): string {
-    return controller === 'leader' ? (this.standIns.leader() ?? NAMES[0]) : NAMES[controller];
+  private controllerNameOf(controller: number | 'leader'): string {
+    return controller === 'leader'
+      ? (this.simulation.leader() ?? CONTROLLER_NAMES[0])
+      : CONTROLLER_NAMES[controller];
   }
 
-  private async process(fault: ProcessFault): Promise<void> {
-    if (fault.kind === 'kill') return this.deployment.kill(NAMES[fault.controller], fault.downMs);
+  private async injectProcessFault(fault: ProcessFault): Promise<void> {
+    if (fault.kind === 'kill')
+      return this.deployment.kill(CONTROLLER_NAMES[fault.controller], fault.downMs);
     if (fault.kind === 'pause') {
-      this.deployment.pause(this.nameOf(fault.controller), fault.forMs);
+      this.deployment.pause(this.controllerNameOf(fault.controller), fault.forMs);
       return;
     }
     for (let i = 0; i < fault.times; i++) {
-      await this.deployment.kill(this.nameOf('leader'), fault.downMs);
+      await this.deployment.kill(this.controllerNameOf('leader'), fault.downMs);
       await delay(fault.everyMs);
     }
   }
 
   private readonly isController: HostFilter = (host) =>
-    NAMES.some((name) => this.deployment.addressOf(name) === host);
+    CONTROLLER_NAMES.some((name) => this.deployment.addressOf(name) === host);
 
-  private readonly isMachine: HostFilter = (host) => this.standIns.isMachine(host);
+  private readonly isMachine: HostFilter = (host) => this.simulation.isMachine(host);
 
-  private someMachines(share: number): HostFilter {
-    const hosts = [...this.standIns.network.hosts.keys()].filter(this.isMachine);
+  private pickMachines(share: number): HostFilter {
+    const hosts = [...this.simulation.network.hosts.keys()].filter(this.isMachine);
     const chosen = new Set(hosts.filter(() => this.random.chance(share)));
     return (host) => chosen.has(host);
   }
 
-  private link(fault: LinkFault): void {
-    const { network, clock } = this.standIns;
+  private injectLinkFault(fault: LinkFault): void {
+    const { network, clock } = this.simulation;
     const until = clock.time + fault.forMs;
-    const all: HostFilter = () => true;
+    const anyHost: HostFilter = () => true;
     if (fault.kind === 'cut-peers') {
-      this.deployment.cutPeers(this.nameOf(fault.controller), fault.mode, fault.forMs);
+      this.deployment.interruptPeerLinks(
+        this.controllerNameOf(fault.controller),
+        fault.mode,
+        fault.forMs,
+      );
     } else if (fault.kind === 'cut-heartbeats' || fault.kind === 'cut-commands') {
-      const address = this.deployment.addressOf(this.nameOf(fault.controller));
+      const address = this.deployment.addressOf(this.controllerNameOf(fault.controller));
       const isThisController: HostFilter = (host) => host === address;
-      const ends =
+      const sides =
         fault.kind === 'cut-heartbeats'
           ? { a: this.isMachine, b: isThisController }
           : { a: isThisController, b: this.isMachine };
-      network.partitions.push({ ...ends, until, mode: fault.mode, oneWay: true });
+      network.partitions.push({ ...sides, until, mode: fault.mode, oneWay: true });
     } else if (fault.kind === 'cut-machines') {
       network.partitions.push({
-        a: this.someMachines(fault.share),
-        b: all,
+        a: this.pickMachines(fault.share),
+        b: anyHost,
         until,
         mode: fault.mode,
       });
     } else if (fault.kind === 'block-connections') {
-      const machines = this.someMachines(fault.share);
+      const machines = this.pickMachines(fault.share);
       network.partitions.push({
         a: machines,
         b: this.isController,
@@ -117,8 +124,8 @@
       });
     } else {
       network.partitions.push({
-        a: all,
-        b: this.someMachines(fault.share),
+        a: anyHost,
+        b: this.pickMachines(fault.share),
         until,
         mode: 'hold',
         oneWay: true,
@@ -126,10 +133,10 @@
     }
   }
 
-  private machine(fault: MachineFault): void {
-    const { network, cloud, clock } = this.standIns;
+  private injectMachineFault(fault: MachineFault): void {
+    const { network, cloud, clock } = this.simulation;
     if (fault.kind === 'hang-machines') {
-      const chosen = this.someMachines(fault.share);
+      const chosen = this.pickMachines(fault.share);
       for (const [name, host] of network.hosts)
         if (chosen(name)) host.hangsUntil = clock.time + fault.forMs;
       return;
@@ -138,20 +145,24 @@
       if (machine.spot && machine.worker && this.random.chance(fault.share)) cloud.preempt(machine);
   }
 
-  private service(fault: ServiceFault): void {
-    const { state, clock } = this.standIns;
+  private injectServiceFault(fault: ServiceFault): void {
+    const { state, clock } = this.simulation;
     if (fault.kind === 'state-outage') state.beginOutage(fault.forMs);
     else if (fault.kind === 'late-writes')
       state.lateWrites = { share: fault.share, until: clock.time + fault.forMs };
-    else state.rejectHost(this.deployment.addressOf(this.nameOf(fault.controller)), fault.forMs);
+    else
+      state.rejectHost(
+        this.deployment.addressOf(this.controllerNameOf(fault.controller)),
+        fault.forMs,
+      );
   }
 
-  private message(fault: MessageFault): void {
-    const { network, clock } = this.standIns;
+  private injectMessageFault(fault: MessageFault): void {
+    const { network, clock } = this.simulation;
     if (fault.kind === 'late-starts') {
-      this.standIns.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
+      this.simulation.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
     } else if (fault.kind === 'duplicate-heartbeats') {
-      const to = (): string => this.deployment.addressOf(this.nameOf('leader'));
+      const to = (): string => this.deployment.addressOf(this.controllerNameOf('leader'));
       network.duplicates = {
         path: HEARTBEAT_PATH,
         chance: fault.chance,
--- a/test/soak/fault-schedule.ts
+++ b/test/soak/fault-schedule.ts
@@ -1,10 +1,13 @@
-/** Which faults a run of the soak test has, and when: a pure function of the seed. */
+/** The faults of a run of the soak test and their times, as a pure function of the seed and the options. */
 import { SeededRandom } from '../sim/random.js';
 
-/** Messages are held until the cut ends, or connections are reset. */
+/** Effect of a link fault: messages are held until the fault ends, or connections are reset. */
 export type LinkMode = 'hold' | 'reset';
 
-/** `controller` is an index; `share` is of the machines, chosen by the run's seed. */
+/**
+ * `controller` is an index, or the leader. `share` is the share of machines that are affected, or of writes for
+ * `late-writes`; which ones are affected depends on the run's seed.
+ */
 export type Fault =
   | { kind: 'kill'; controller: number; downMs: number }
   | { kind: 'kill-leader'; times: number; everyMs: number; downMs: number }
@@ -24,56 +27,59 @@
   | { kind: 'duplicate-heartbeats'; chance: number; forMs: number }
   | { kind: 'slow-network'; factor: number; forMs: number };
 
-/** A fault, and when it begins. */
+/** A fault and the time at which it begins, in milliseconds after the first job is submitted. */
 export interface ScheduledFault {
   atMs: number;
   fault: Fault;
 }
 
-/** What a schedule has to fit. */
+/** Properties of the run that a schedule is made for. */
 export interface ScheduleOptions {
   controllers: number;
-  /** Faults begin within this time. */
+  /** Time within which faults begin, in milliseconds. */
   durationMs: number;
   leaseMs: number;
 }
 
-/** Each moment with faults has so many of them at most, so that faults combine. */
-const MOST_AT_ONCE = 3;
-/** How often two or three faults are brought together on purpose. */
+/** Maximum number of independent random faults that begin together, so that faults combine. */
+const MAX_FAULTS_AT_ONCE = 3;
+/** Probability that a predefined combination of two or three faults is injected instead of independent ones. */
 const COMBINATION_SHARE = 0.4;
-/** The first faults come once machines are up and busy, and all others so many leases later. */
-const OPENING_MS = 9000;
-const OPENING_LEASES = 1.5;
-const LEAST_GAP_MS = 900;
-const MOST_GAP_MS = 2600;
+/** Start of the first faults, in milliseconds; machines are up and run tasks by then. */
+const FIRST_FAULT_MS = 9000;
+/** Time between the first faults and all others, in worker leases. */
+const RANDOM_FAULTS_DELAY_LEASES = 1.5;
+const MIN_GAP_MS = 900;
+const MAX_GAP_MS = 2600;
 
-/** The same for the same seed and options. */
+/** Returns the same schedule for the same seed and options. */
 export function faultSchedule(seed: number, options: ScheduleOptions): ScheduledFault[] {
   const random = new SeededRandom(seed);
-  // Undisturbed by others, so that it surely comes to what it is meant for.
-  const opening =
-    seed % 2 === 1 ? sessionsEnd(random, OPENING_MS, options) : leaderSeries(random, options);
-  const schedule = [...opening];
-  const openedMs = OPENING_MS + OPENING_LEASES * options.leaseMs;
+  // No other faults disturb the first ones, so that they are guaranteed to have their intended effect.
+  const firstFaults =
+    seed % 2 === 1
+      ? endAllIncarnations(random, FIRST_FAULT_MS, options)
+      : killLeadersInSeries(random, options);
+  const schedule = [...firstFaults];
+  const randomFaultsFromMs = FIRST_FAULT_MS + RANDOM_FAULTS_DELAY_LEASES * options.leaseMs;
   for (
-    let atMs = openedMs;
+    let atMs = randomFaultsFromMs;
     atMs < options.durationMs;
-    atMs += random.between(LEAST_GAP_MS, MOST_GAP_MS)
+    atMs += random.between(MIN_GAP_MS, MAX_GAP_MS)
   ) {
     if (random.chance(COMBINATION_SHARE)) {
       schedule.push(...drawCombination(random, atMs, options));
       continue;
     }
-    const count = random.int(1, MOST_AT_ONCE);
+    const count = random.int(1, MAX_FAULTS_AT_ONCE);
     for (let i = 0; i < count; i++)
       schedule.push({ atMs: atMs + i * random.between(0, 400), fault: drawFault(random, options) });
   }
   return schedule.sort((a, b) => a.atMs - b.atMs);
 }
 
-/** Sessions of all workers end while starts for them are on their way. */
-function sessionsEnd(
+/** The incarnations of all workers end, because their leases expire, while commands to start tasks are in flight. */
+function endAllIncarnations(
   random: SeededRandom,
   atMs: number,
   { leaseMs }: ScheduleOptions,
@@ -88,22 +94,22 @@
   ];
 }
 
-/** Leaders end one after the other while some machines can't be asked. */
-function leaderSeries(random: SeededRandom, { leaseMs }: ScheduleOptions): ScheduledFault[] {
+/** Several leaders are killed in succession while some machines do not respond to requests. */
+function killLeadersInSeries(random: SeededRandom, { leaseMs }: ScheduleOptions): ScheduledFault[] {
   const share = random.between(0.4, 0.9);
   const times = random.int(2, 4);
   const downMs = random.pick([50, 500, 3000]);
   const forMs = random.between(0.6, 0.95) * leaseMs;
   return [
-    { atMs: OPENING_MS, fault: { kind: 'hang-machines', share, forMs } },
+    { atMs: FIRST_FAULT_MS, fault: { kind: 'hang-machines', share, forMs } },
     {
-      atMs: OPENING_MS + 200,
+      atMs: FIRST_FAULT_MS + 200,
       fault: { kind: 'kill-leader', times, everyMs: random.between(1500, 3000), downMs },
     },
   ];
 }
 
-/** Faults that harm only when one follows the other at the right time: chance alone seldom brings them together. */
+/** Faults that cause harm only in a certain sequence and timing, which independent random faults rarely have. */
 function drawCombination(
   random: SeededRandom,
   atMs: number,
@@ -112,7 +118,7 @@
   const { leaseMs } = options;
   const share = random.between(0.3, 0.9);
   const combinations: ScheduledFault[][] = [
-    sessionsEnd(random, atMs, options),
+    endAllIncarnations(random, atMs, options),
     [
       { atMs, fault: { kind: 'hang-machines', share, forMs: 0.9 * leaseMs } },
       { atMs: atMs + 300, fault: { kind: 'kill-leader', times: 2, everyMs: 1500, downMs: 500 } },
@@ -139,7 +145,7 @@
   const mode = random.pick<LinkMode>(['hold', 'reset']);
   const controller = random.chance(0.5) ? 'leader' : random.int(0, controllers - 1);
   const downMs = random.pick([50, 500, 3000]);
-  const draws: Fault[] = [
+  const candidates: Fault[] = [
     { kind: 'kill', controller: random.int(0, controllers - 1), downMs },
     { kind: 'kill-leader', times: random.int(1, 4), everyMs: 2500, downMs },
     { kind: 'pause', controller, forMs },
@@ -158,5 +164,5 @@
     { kind: 'duplicate-heartbeats', chance: random.between(0.05, 0.4), forMs },
     { kind: 'slow-network', factor: random.between(3, 30), forMs },
   ];
-  return random.pick(draws);
+  return random.pick(candidates);
 }
--- a/test/soak/peer-relay.ts
+++ b/test/soak/peer-relay.ts
@@ -1,14 +1,14 @@
-/** A TCP relay between two controllers, whose link can be held or cut while both processes go on. */
+/** A TCP relay between two controllers that can hold or reset their connections while both processes continue. */
 import { type Server, type Socket, connect, createServer } from 'node:net';
 import type { LinkMode } from './fault-schedule.js';
 
 const HOST = '127.0.0.1';
 
-/** Forwards connections to its target while the link is not cut. */
+/** Forwards connections to its target while the link is not interrupted. */
 export class PeerRelay {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
-  private cutUntil = 0;
+  private interruptedUntil = 0;
   private mode: LinkMode = 'reset';
 
   private constructor(private readonly target: string) {
@@ -17,7 +17,7 @@
     });
   }
 
-  static async to(target: string, port: number): Promise<PeerRelay> {
+  static async listen(target: string, port: number): Promise<PeerRelay> {
     const relay = new PeerRelay(target);
     await new Promise<void>((done, failed) => {
       relay.server.once('error', failed);
@@ -26,15 +26,18 @@
     return relay;
   }
 
-  /** Held bytes arrive after the cut; a reset ends the connections and refuses new ones. */
-  cut(mode: LinkMode, forMs: number): void {
+  /**
+   * Interrupts the link for `forMs`: `hold` delivers the bytes afterwards; `reset` closes the connections and refuses
+   * new ones.
+   */
+  interrupt(mode: LinkMode, forMs: number): void {
     this.mode = mode;
-    this.cutUntil = performance.now() + forMs;
+    this.interruptedUntil = performance.now() + forMs;
     for (const socket of this.sockets)
       if (mode === 'reset') socket.destroy();
       else socket.pause();
     setTimeout(() => {
-      if (!this.isCut()) for (const socket of this.sockets) socket.resume();
+      if (!this.isInterrupted()) for (const socket of this.sockets) socket.resume();
     }, forMs + 1);
   }
 
@@ -43,19 +46,19 @@
     for (const socket of this.sockets) socket.destroy();
   }
 
-  private isCut(): boolean {
-    return performance.now() < this.cutUntil;
+  private isInterrupted(): boolean {
+    return performance.now() < this.interruptedUntil;
   }
 
   private relay(incoming: Socket): void {
-    if (this.isCut() && this.mode === 'reset') {
+    if (this.isInterrupted() && this.mode === 'reset') {
       incoming.destroy();
       return;
     }
     const outgoing = connect(Number(this.target.slice(this.target.lastIndexOf(':') + 1)), HOST);
     this.forward(incoming, outgoing);
     this.forward(outgoing, incoming);
-    if (!this.isCut()) return;
+    if (!this.isInterrupted()) return;
     incoming.pause();
     outgoing.pause();
   }
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -1,4 +1,7 @@
-/** Controllers as real processes on loopback, with links between them and to the stand-ins that can be cut. */
+/**
+ * Controllers as real processes on loopback, connected to each other and to the simulated services through links that
+ * can be interrupted.
+ */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createWriteStream, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -11,11 +14,11 @@
 import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
 
-/** How large a run is. */
+/** Size of a run. */
 export interface SoakSize {
-  /** Machines in each of the two zones, of each kind. */
+  /** Number of ordinary machines, and also of spot machines, in each of the two zones. */
   machinesPerPool: number;
-  /** CPUs that each team may use. */
+  /** Number of CPUs that each team may use. */
   teamLimit: number;
   reportS: number;
   leaseS: number;
@@ -23,7 +26,7 @@
 }
 
 export const TEAMS = ['t0', 't1'];
-export const NAMES = ['n0', 'n1', 'n2'];
+export const CONTROLLER_NAMES = ['n0', 'n1', 'n2'];
 const ZONES = ['a', 'b', 'a'];
 const LEADER_LEASE_MS = 1500;
 const GUARANTEED_CPUS = 8;
@@ -32,7 +35,7 @@
   process: ChildProcess | null;
 }
 
-/** Three controllers and their stand-ins; `stop` ends them all. */
+/** Three controllers and the simulated services; `stop` ends them all. */
 export class SoakDeployment {
   private readonly directory = mkdtempSync(join(tmpdir(), 'millring-soak-'));
   private readonly relays = new Map<string, PeerRelay>();
@@ -42,12 +45,12 @@
     private readonly program: string,
     private readonly size: SoakSize,
     private readonly controllers: Controller[],
-    readonly standIns: LoopbackServices,
+    readonly simulation: LoopbackServices,
   ) {}
 
   static async start(program: string, seed: number, size: SoakSize): Promise<SoakDeployment> {
     const controllers: Controller[] = [];
-    for (const [index, name] of NAMES.entries())
+    for (const [index, name] of CONTROLLER_NAMES.entries())
       controllers.push({
         name,
         zone: ZONES[index],
@@ -55,7 +58,7 @@
         peerAddress: `127.0.0.1:${await freePort()}`,
         process: null,
       });
-    const standIns = new LoopbackServices({
+    const simulation = new LoopbackServices({
       seed,
       controllers,
       machinesPerPool: size.machinesPerPool,
@@ -65,13 +68,13 @@
       limits: new Map(TEAMS.map((team) => [team, size.teamLimit])),
       throughNetwork: true,
     });
-    const deployment = new SoakDeployment(program, size, controllers, standIns);
+    const deployment = new SoakDeployment(program, size, controllers, simulation);
     await deployment.open();
     return deployment;
   }
 
   private async open(): Promise<void> {
-    await this.standIns.start();
+    await this.simulation.start();
     for (const from of this.controllers)
       for (const to of this.controllers) if (from !== to) await this.openRelay(from, to);
     writeFileSync(
@@ -79,24 +82,24 @@
       JSON.stringify({ leader_lease_ms: LEADER_LEASE_MS }),
     );
     for (const controller of this.controllers) {
-      writeFileSync(this.configOf(controller), this.settingsOf(controller));
+      writeFileSync(this.settingsPathOf(controller), this.settingsTextOf(controller));
       this.spawn(controller);
     }
   }
 
   private async openRelay(from: Controller, to: Controller): Promise<void> {
     const port = await freePort();
-    this.relays.set(`${from.name}>${to.name}`, await PeerRelay.to(to.peerAddress, port));
+    this.relays.set(`${from.name}>${to.name}`, await PeerRelay.listen(to.peerAddress, port));
     this.relayAddresses.set(`${from.name}>${to.name}`, `127.0.0.1:${port}`);
   }
 
   private readonly relayAddresses = new Map<string, string>();
 
-  private configOf({ name }: Controller): string {
+  private settingsPathOf({ name }: Controller): string {
     return join(this.directory, `${name}.toml`);
   }
 
-  private settingsOf(controller: Controller): string {
+  private settingsTextOf(controller: Controller): string {
     const { reportS, leaseS, cancelS, teamLimit } = this.size;
     const viaRelay = (other: Controller): ControllerAddresses => {
       const relay = this.relayAddresses.get(`${controller.name}>${other.name}`);
@@ -105,8 +108,8 @@
     return settingsFile({
       self: controller,
       others: this.controllers.filter((other) => other !== controller).map(viaRelay),
-      stateAddress: this.standIns.stateAddressOf(controller.name),
-      cloudAddress: this.standIns.cloudAddressOf(controller.name),
+      stateAddress: this.simulation.stateAddressOf(controller.name),
+      cloudAddress: this.simulation.cloudAddressOf(controller.name),
       teams: TEAMS.map((name) => ({ name, cpus: GUARANTEED_CPUS, cpusMax: teamLimit })),
       reportS,
       leaseS,
@@ -117,31 +120,31 @@
     });
   }
 
-  private logOf({ name }: Controller): string {
+  private logPathOf({ name }: Controller): string {
     return join(this.directory, `${name}.log`);
   }
 
-  /** What a controller wrote in all its processes. */
+  /** Log of each controller, over all its processes. */
   logs(): { name: string; text: string }[] {
     return this.controllers.map((controller) => ({
       name: controller.name,
-      text: readFileSync(this.logOf(controller), 'utf8'),
+      text: readFileSync(this.logPathOf(controller), 'utf8'),
     }));
   }
 
   private spawn(controller: Controller): void {
     const args = [this.program, '--operator', join(this.directory, 'operator.json')];
-    const child = spawn(process.execPath, [...args, '--config', this.configOf(controller)], {
+    const child = spawn(process.execPath, [...args, '--config', this.settingsPathOf(controller)], {
       env: { ...process.env, LOG_LEVEL: 'info' },
       stdio: ['ignore', 'ignore', 'pipe'],
     });
-    child.stderr.pipe(createWriteStream(this.logOf(controller), { flags: 'a' }));
+    child.stderr.pipe(createWriteStream(this.logPathOf(controller), { flags: 'a' }));
     controller.process = child;
   }
 
-  /** Ends the process without a signal that it could answer; it comes back after a while. */
+  /** Kills the process with SIGKILL, which it cannot handle, and starts a new one `downMs` after its exit. */
   async kill(name: string, downMs: number): Promise<void> {
-    const controller = this.named(name);
+    const controller = this.controllerNamed(name);
     const child = controller.process;
     if (!child) return;
     controller.process = null;
@@ -151,30 +154,30 @@
     }, downMs);
   }
 
-  /** The process stands still while its clocks run on. */
+  /** Suspends the process for `forMs`, while its clocks continue. */
   pause(name: string, forMs: number): void {
-    const child = this.named(name).process;
+    const child = this.controllerNamed(name).process;
     child?.kill('SIGSTOP');
     setTimeout(() => child?.kill('SIGCONT'), forMs);
   }
 
-  cutPeers(name: string, mode: LinkMode, forMs: number): void {
+  interruptPeerLinks(name: string, mode: LinkMode, forMs: number): void {
     for (const [link, relay] of this.relays)
-      if (link.split('>').includes(name)) relay.cut(mode, forMs);
+      if (link.split('>').includes(name)) relay.interrupt(mode, forMs);
   }
 
   addressOf(name: string): string {
-    return this.named(name).address;
+    return this.controllerNamed(name).address;
   }
 
-  /** Processes that are down although nobody ended them. */
-  endedByThemselves(): string[] {
+  /** Names of the controllers whose process exited although it was not killed. */
+  unexpectedExits(): string[] {
     return this.controllers
       .filter(({ process: child }) => child !== null && child.exitCode !== null)
       .map(({ name }) => name);
   }
 
-  private named(name: string): Controller {
+  private controllerNamed(name: string): Controller {
     const controller = this.controllers.find((candidate) => candidate.name === name);
     if (!controller) throw new Error(`no controller ${name}`);
     return controller;
@@ -184,7 +187,7 @@
     this.stopping = true;
     for (const { process: child } of this.controllers) if (child) await killAndWait(child);
     for (const relay of this.relays.values()) relay.close();
-    this.standIns.stop();
+    this.simulation.stop();
     rmSync(this.directory, { recursive: true });
   }
 }
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -1,7 +1,8 @@
 /**
- * One run of the soak test: jobs come at all controllers while faults happen by the schedule of a seed; afterwards
- * everything has to end. All invariants are checked on the stand-ins' own histories. The faults, their times and the jobs
- * are drawn from the seed; what meets what is decided by real time as well, so that a run does not repeat exactly.
+ * One run of the soak test: users submit jobs to all controllers while faults are injected by the schedule of a seed.
+ * Afterwards all jobs have to reach a terminal state. The invariants are checked against what the simulated services
+ * observed. The faults, their times and the jobs are drawn from the seed, but their interleaving also depends on real
+ * time, so that a run cannot be reproduced exactly.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { TEAM_USAGE_VIOLATION } from '../../src/placement/usage-audit.js';
@@ -18,46 +19,46 @@
 } from '../sim/wire/users.js';
 import { FaultInjector } from './fault-injector.js';
 import { type ScheduledFault, faultSchedule } from './fault-schedule.js';
-import { NAMES, SoakDeployment, type SoakSize, TEAMS } from './soak-deployment.js';
+import { CONTROLLER_NAMES, SoakDeployment, type SoakSize, TEAMS } from './soak-deployment.js';
 
-/** What a run did, and what it violated. */
+/** Figures of a run, and the invariants that it violated. */
 export interface SoakResult {
   seed: number;
   machines: number;
   jobs: number;
   starts: number;
-  /** How often a controller began to serve as the leader. */
+  /** Number of times that a controller began to serve as the leader. */
   terms: number;
-  /** The highest use that any team had, as a share of its limit. */
+  /** Highest CPU usage of any team, as a share of its limit. */
   peakShare: number;
   violations: string[];
   schedule: ScheduledFault[];
-  /** Only of a run that broke something. */
+  /** Logs of the controllers; empty if no invariant was violated. */
   logs: { name: string; text: string }[];
-  /** The last starts and exits of tasks before the run ended, with times. */
+  /** The last `HISTORY_LINES` starts and exits of tasks, with times. */
   history: string[];
 }
 
 const SMALL: SoakSize = { machinesPerPool: 3, teamLimit: 30, reportS: 0.5, leaseS: 5, cancelS: 14 };
 const LARGE: SoakSize = { machinesPerPool: 60, teamLimit: 400, reportS: 2, leaseS: 8, cancelS: 20 };
-/** Each of so many seeds runs at the large size. */
-const LARGE_EVERY = 10;
-/** Until the controllers serve. */
-const BEGIN_MS = 3000;
+/** Seeds that are multiples of this number run at the large size. */
+const SEEDS_PER_LARGE_RUN = 10;
+/** Time for the controllers to start serving. */
+const STARTUP_MS = 3000;
 const FAULTS_MS = 24_000;
-/** Faults last, and machines boot, for some seconds longer. */
-const CALM_MS = 9000;
-/** No run waits for longer for its jobs to end. */
-const SETTLE_MS = 90_000;
+/** Time after the last faults begin: they last, and machines boot, for some seconds more. */
+const RECOVERY_MS = 9000;
+/** Maximum time that a run waits for its jobs to reach a terminal state. */
+const SETTLE_TIMEOUT_MS = 90_000;
 const USER_RETRY_MS = 300;
-/** Recorded times are taken within one step of the stand-ins' clock. */
+/** Margin for times that are recorded within one step of the simulation's clock. */
 const STEP_MARGIN_MS = 50;
 const HISTORY_LINES = 400;
-/** In the log line of a controller that begins to serve as the leader. */
-const TERM_BEGAN = '"to":"serving"';
+/** Part of the log line of a controller that begins to serve as the leader. */
+const TERM_START_MARKER = '"to":"serving"';
 
 function sizeOf(seed: number): SoakSize {
-  return seed % LARGE_EVERY === 0 ? LARGE : SMALL;
+  return seed % SEEDS_PER_LARGE_RUN === 0 ? LARGE : SMALL;
 }
 
 class SoakRun {
@@ -78,42 +79,43 @@
     this.recordHistory();
   }
 
-  private get standIns(): SoakDeployment['standIns'] {
-    return this.deployment.standIns;
+  private get simulation(): SoakDeployment['simulation'] {
+    return this.deployment.simulation;
   }
 
   private recordHistory(): void {
-    const { invariants, clock } = this.standIns;
-    const note = (line: string): void => {
+    const { invariants, clock } = this.simulation;
+    const addLine = (line: string): void => {
       this.history.push(`${Math.round(clock.time)} ${line}`);
       if (this.history.length > HISTORY_LINES) this.history.shift();
     };
-    const start = invariants.taskStarted.bind(invariants);
-    const leave = invariants.taskLeft.bind(invariants);
+    const taskStarted = invariants.taskStarted.bind(invariants);
+    const taskLeft = invariants.taskLeft.bind(invariants);
     invariants.taskStarted = (task, place) => {
-      note(`start ${task} on ${place.machine}`);
-      start(task, place);
+      addLine(`start ${task} on ${place.machine}`);
+      taskStarted(task, place);
       const used = Math.max(...TEAMS.map((team) => invariants.usedCpus(team)));
       this.peakShare = Math.max(this.peakShare, used / this.size.teamLimit);
     };
     invariants.taskLeft = (task, machine, done) => {
-      note(`leave ${task} on ${machine}${done ? ' done' : ''}`);
-      leave(task, machine, done);
+      addLine(`exit ${task} on ${machine}${done ? ' done' : ''}`);
+      taskLeft(task, machine, done);
     };
   }
 
   async run(schedule: ScheduledFault[]): Promise<void> {
-    await delay(BEGIN_MS);
+    await delay(STARTUP_MS);
     void this.submit();
-    for (const { atMs, fault } of schedule) setTimeout(() => void this.injector.bring(fault), atMs);
+    for (const { atMs, fault } of schedule)
+      setTimeout(() => void this.injector.inject(fault), atMs);
     await delay(FAULTS_MS);
     this.submitting = false;
-    await delay(CALM_MS);
-    this.standIns.network.duplicates = null;
+    await delay(RECOVERY_MS);
+    this.simulation.network.duplicates = null;
     await this.settle();
   }
 
-  // Users.
+  // Simulated users.
 
   private async submit(): Promise<void> {
     while (this.submitting) {
@@ -148,63 +150,66 @@
 
   private async runUser(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
-    const { invariants, clock } = this.standIns;
-    const facts = observedJob(job, clock.time);
-    invariants.jobs.set(id, facts);
+    const { invariants, clock } = this.simulation;
+    const observed = observedJob(job, clock.time);
+    invariants.jobs.set(id, observed);
     while (!(await this.request(id, submitRequest(job)))) await delay(USER_RETRY_MS);
-    // Services would hold their team's room for ever.
-    const until =
+    // Services never finish: without a cancellation they would use their team's CPUs until the end of the run.
+    const effectiveCancelAfterMs =
       cancelAfterMs ?? (job.kind === 'service' ? this.random.between(8000, 20_000) : null);
-    if (until !== null) void this.cancelLater(id, facts, until);
-    while (facts.reportedDoneAt === null && facts.reportedCancelledAt === null) {
+    if (effectiveCancelAfterMs !== null)
+      void this.cancelLater(id, observed, effectiveCancelAfterMs);
+    while (observed.reportedDoneAt === null && observed.reportedCancelledAt === null) {
       await delay(this.random.between(200, 900));
       if (this.random.chance(0.1)) await this.request(id, submitRequest(job));
       else await this.request(id, pollRequest(id));
     }
   }
 
-  private async cancelLater(id: string, facts: ObservedJob, afterMs: number): Promise<void> {
+  private async cancelLater(id: string, observed: ObservedJob, afterMs: number): Promise<void> {
     await delay(afterMs);
-    facts.cancelRequested = true;
+    observed.cancelRequested = true;
     while (!(await this.request(id, cancelRequest(id)))) await delay(USER_RETRY_MS);
   }
 
-  /** Asks a controller; false if the request has to be repeated. */
+  /** Sends the request to a random controller. Returns false if the request must be retried. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { invariants, clock } = this.standIns;
-    const asked = clock.time - STEP_MARGIN_MS;
-    const address = this.deployment.addressOf(this.random.pick(NAMES));
-    const reply = await this.standIns.sendToController(address, method, path, body);
-    const refused = reply.status === 400 || reply.status === 422;
-    if (refused) invariants.recordViolation('forgotten', `${id} got ${reply.status}`);
-    else if (reply.status !== 0) invariants.recordResponse(id, decodeJobResponse(reply), asked);
-    return reply.status === 200 || reply.status === 201;
+    const { invariants, clock } = this.simulation;
+    const sentAt = clock.time - STEP_MARGIN_MS;
+    const address = this.deployment.addressOf(this.random.pick(CONTROLLER_NAMES));
+    const response = await this.simulation.sendToController(address, method, path, body);
+    const isRejected = response.status === 400 || response.status === 422;
+    if (isRejected) invariants.recordViolation('forgotten', `${id} got ${response.status}`);
+    else if (response.status !== 0) invariants.recordResponse(id, decodeJobResponse(response), sentAt);
+    return response.status === 200 || response.status === 201;
   }
 
-  /** Every job is over, as its user was told, and nothing is left on any machine. */
+  /** Waits until each job is reported done or cancelled and no task runs; records a violation for each that remains. */
   private async settle(): Promise<void> {
-    const { invariants } = this.standIns;
-    const end = performance.now() + SETTLE_MS;
-    const open = (): string[] =>
+    const { invariants } = this.simulation;
+    const deadline = performance.now() + SETTLE_TIMEOUT_MS;
+    const unfinishedJobs = (): string[] =>
       [...invariants.jobs]
-        .filter(([, facts]) => facts.reportedDoneAt === null && facts.reportedCancelledAt === null)
+        .filter(
+          ([, observed]) =>
+            observed.reportedDoneAt === null && observed.reportedCancelledAt === null,
+        )
         .map(([id]) => id);
-    while (performance.now() < end && invariants.violations.length === 0) {
-      if (open().length === 0 && invariants.placesByTask.size === 0) return;
+    while (performance.now() < deadline && invariants.violations.length === 0) {
+      if (unfinishedJobs().length === 0 && invariants.placesByTask.size === 0) return;
       await delay(200);
     }
     if (invariants.violations.length > 0) return;
-    for (const id of open()) invariants.recordViolation('not_over', id);
+    for (const id of unfinishedJobs()) invariants.recordViolation('not_over', id);
     for (const task of invariants.placesByTask.keys())
       invariants.recordViolation('left_over', task);
   }
 
   result(schedule: ScheduledFault[]): SoakResult {
-    const { invariants } = this.standIns;
-    for (const name of this.deployment.endedByThemselves())
-      invariants.recordViolation('ended', name);
+    const { invariants } = this.simulation;
+    for (const name of this.deployment.unexpectedExits()) invariants.recordViolation('ended', name);
     const logs = this.deployment.logs();
-    // The service goes on after a broken invariant; a test must not.
+    // The service continues after it logs a violated invariant; a test must fail.
     for (const { name, text } of logs)
       if (text.includes(TEAM_USAGE_VIOLATION)) invariants.recordViolation('usage_fault', name);
     return {
@@ -212,7 +217,7 @@
       machines: 4 * this.size.machinesPerPool,
       jobs: invariants.jobs.size,
       starts: invariants.starts,
-      terms: logs.reduce((count, { text }) => count + text.split(TERM_BEGAN).length - 1, 0),
+      terms: logs.reduce((count, { text }) => count + text.split(TERM_START_MARKER).length - 1, 0),
       peakShare: this.peakShare,
       violations: invariants.violations,
       schedule,
@@ -222,13 +227,13 @@
   }
 }
 
-/** `program` is a bundle of the controller. */
+/** Runs the soak test with one seed. `program` is the path of a bundle of the controller. */
 export async function runSoak(program: string, seed: number): Promise<SoakResult> {
   const size = sizeOf(seed);
   const deployment = await SoakDeployment.start(program, seed, size);
   try {
     const schedule = faultSchedule(seed, {
-      controllers: NAMES.length,
+      controllers: CONTROLLER_NAMES.length,
       durationMs: FAULTS_MS,
       leaseMs: size.leaseS * 1000,
     });
