--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -180,7 +180,8 @@
     const response = await this.simulation.sendToController(address, method, path, body);
     const isRejected = response.status === 400 || response.status === 422;
     if (isRejected) invariants.recordViolation('forgotten', `${id} got ${response.status}`);
-    else if (response.status !== 0) invariants.recordResponse(id, decodeJobResponse(response), sentAt);
+    else if (response.status !== 0)
+      invariants.recordResponse(id, decodeJobResponse(response), sentAt);
     return response.status === 200 || response.status === 201;
   }
 
