--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -18,13 +18,13 @@
   const allocation = allocateSockets(sockets);
   const userApp = createUserApp(node);
   const server = createServer((request, response) => {
-    if (isHeartbeat(request)) heartbeats.serve(request, response);
+    if (isHeartbeat(request)) heartbeats.handle(request, response);
     else userApp(request, response);
   });
   const queue = new AcceptQueue(server, allocation.maxInbound, log, (ms, callback) => {
     setTimeout(callback, ms);
   });
-  const heartbeats = new HeartbeatServer(
+  const heartbeats = new HeartbeatHandler(
     server,
     queue,
     allocation.maxKeptWorkerConnections,
@@ -44,7 +44,7 @@
  * Serves heartbeats without express. The leader receives hundreds of heartbeats per second, which are most of its work,
  * and with express each costs three times as much.
  */
-class HeartbeatServer {
+class HeartbeatHandler {
   private openConnections = 0;
   /** Connections on which at least one heartbeat was read. */
   private readonly knownSockets = new WeakSet<Socket>();
@@ -61,7 +61,7 @@
     });
   }
 
-  serve(request: IncomingMessage, response: ServerResponse): void {
+  handle(request: IncomingMessage, response: ServerResponse): void {
     readBody(request, (body) => {
       const { socket } = request;
       if (this.knownSockets.has(socket)) {
