--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -13,9 +13,9 @@
 /** Workers and users send a request every few seconds: a connection that is idle for this time is most likely dead. */
 const IDLE_TIMEOUT_MS = 25_000;
 
-/** Creates the server for users, workers and health checks. Accepts at most the inbound share of `sockets`. */
-export function createHttpServer(node: ControllerNode, sockets: number, log: Log): Server {
-  const allocation = allocateSockets(sockets);
+/** Creates the server for users, workers and health checks. Accepts at most the inbound share of `socketLimit`. */
+export function createHttpServer(node: ControllerNode, socketLimit: number, log: Log): Server {
+  const allocation = allocateSockets(socketLimit);
   const userApp = createUserApp(node);
   const server = createServer((request, response) => {
     if (isHeartbeat(request)) heartbeats.handle(request, response);
--- a/src/http/socket-allocation.ts
+++ b/src/http/socket-allocation.ts
@@ -13,7 +13,7 @@
   /** With more accepted connections than this, a worker's connection is closed after the response to its heartbeat. */
   maxKeptWorkerConnections: number;
   /** Maximum number of connections to workers, including those being established. */
-  maxToWorkers: number;
+  maxConnectionsToWorkers: number;
   /** Maximum number of requests to workers in flight. */
   maxRequestsToWorkers: number;
 }
@@ -21,8 +21,8 @@
 /** Sockets for the state service, the cloud, the other controllers and listeners, limited to a share of all sockets. */
 const RESERVED_FOR_SERVICES = 80;
 const MAX_SHARE_FOR_SERVICES = 1 / 4;
-const SHARE_TO_WORKERS = 0.17;
-const MIN_TO_WORKERS = 8;
+const SHARE_FOR_CONNECTIONS_TO_WORKERS = 0.17;
+const MIN_CONNECTIONS_TO_WORKERS = 8;
 const BACKLOG_SHARE = 1 / 8;
 const MAX_BACKLOG = 128;
 const MIN_INBOUND = 24;
@@ -33,20 +33,29 @@
 /** Beyond this number the limit is the processor, not the sockets. */
 const MAX_REQUESTS_TO_WORKERS = 200;
 
-/** Divides `limit`, the number of sockets that the process may hold. */
-export function allocateSockets(limit: number): SocketAllocation {
-  const maxToWorkers = Math.max(MIN_TO_WORKERS, Math.floor(limit * SHARE_TO_WORKERS));
-  const backlog = Math.min(MAX_BACKLOG, Math.floor(limit * BACKLOG_SHARE));
-  const forServices = Math.min(RESERVED_FOR_SERVICES, Math.floor(limit * MAX_SHARE_FOR_SERVICES));
-  const maxInbound = Math.max(MIN_INBOUND, limit - maxToWorkers - backlog - forServices);
+/** Divides `socketLimit`, the number of sockets that the process may hold. */
+export function allocateSockets(socketLimit: number): SocketAllocation {
+  const maxConnectionsToWorkers = Math.max(
+    MIN_CONNECTIONS_TO_WORKERS,
+    Math.floor(socketLimit * SHARE_FOR_CONNECTIONS_TO_WORKERS),
+  );
+  const backlog = Math.min(MAX_BACKLOG, Math.floor(socketLimit * BACKLOG_SHARE));
+  const forServices = Math.min(
+    RESERVED_FOR_SERVICES,
+    Math.floor(socketLimit * MAX_SHARE_FOR_SERVICES),
+  );
+  const maxInbound = Math.max(
+    MIN_INBOUND,
+    socketLimit - maxConnectionsToWorkers - backlog - forServices,
+  );
   return {
     maxInbound,
     backlog,
     maxKeptWorkerConnections: Math.floor(maxInbound * SHARE_OF_KEPT_WORKER_CONNECTIONS),
-    maxToWorkers,
+    maxConnectionsToWorkers,
     maxRequestsToWorkers: Math.min(
       MAX_REQUESTS_TO_WORKERS,
-      Math.floor(maxToWorkers * REQUESTS_PER_CONNECTION_TO_WORKERS),
+      Math.floor(maxConnectionsToWorkers * REQUESTS_PER_CONNECTION_TO_WORKERS),
     ),
   };
 }
--- a/src/process-runtime.ts
+++ b/src/process-runtime.ts
@@ -24,7 +24,7 @@
     clock: STEADY_CLOCK,
     http: new HttpClient({
       services: [settings.stateAddress, settings.cloudAddress],
-      maxConnectionsToWorkers: allocateSockets(settings.maxSockets).maxToWorkers,
+      maxConnectionsToWorkers: allocateSockets(settings.maxSockets).maxConnectionsToWorkers,
     }),
     log,
     random: () => Math.random(),
--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -155,10 +155,13 @@
 test('allocated sockets stay within the limit, for every limit', () => {
   for (const limit of [60, 400, 1000, 1308, 1923, 20_000]) {
     const shares = allocateSockets(limit);
-    assert.ok(shares.maxInbound + shares.backlog + shares.maxToWorkers < limit, String(limit));
+    assert.ok(
+      shares.maxInbound + shares.backlog + shares.maxConnectionsToWorkers < limit,
+      String(limit),
+    );
     assert.ok(
       shares.maxKeptWorkerConnections < shares.maxInbound &&
-        shares.maxRequestsToWorkers < shares.maxToWorkers,
+        shares.maxRequestsToWorkers < shares.maxConnectionsToWorkers,
       String(limit),
     );
   }
