--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -31,7 +31,7 @@
 import { TokenBucket } from './token-bucket.js';
 
 /** Address of the state service, and the rate limits for all nodes together. */
-export interface StateStoreLimits {
+export interface StateStoreOptions {
   address: string;
   /** Number of controllers that share the limits. */
   nodes: number;
@@ -65,10 +65,10 @@
   });
 }
 
-function sharedBucket(limitPerS: number, nodes: number, now: () => number): TokenBucket {
+function sharedBucket(limitPerS: number, controllerCount: number, now: () => number): TokenBucket {
   const ratePerS = Math.max(
     limitPerS * MIN_SHARE_OF_LIMIT,
-    (limitPerS * EVENLY_DIVIDED_SHARE) / nodes,
+    (limitPerS * EVENLY_DIVIDED_SHARE) / controllerCount,
   );
   return new TokenBucket(ratePerS, limitPerS * BURST_SHARE, now);
 }
@@ -86,12 +86,12 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly limits: StateStoreLimits,
+    private readonly options: StateStoreOptions,
   ) {
     const now = () => runtime.clock.now();
     this.lastSuccessAt = now();
-    this.reads = sharedBucket(limits.rps, limits.nodes, now);
-    this.writes = sharedBucket(limits.writeRps, limits.nodes, now);
+    this.reads = sharedBucket(options.rps, options.nodes, now);
+    this.writes = sharedBucket(options.writeRps, options.nodes, now);
   }
 
   private async send(
@@ -102,7 +102,7 @@
   ): Promise<HttpResponse> {
     const { clock, http } = this.runtime;
     const sentAt = clock.now();
-    const response = await http.send(this.limits.address, method, path, body, timeoutMs);
+    const response = await http.send(this.options.address, method, path, body, timeoutMs);
     if (isNoResponse(response) || response.status === HTTP_STATUS.serviceUnavailable)
       this.lastFailureAt = sentAt;
     else this.lastSuccessAt = sentAt;
