--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -9,7 +9,7 @@
 import {
   type MachinePage,
   deletionBody,
-  readMachineList,
+  readMachinePage,
   readRental,
   readMachineTypes,
   rentalBody,
@@ -91,7 +91,7 @@
         await sleep(this.runtime.clock, 1000 / this.maxCallsPerS);
       if (!isActive()) return null;
       const response = await this.send('GET', cloudPaths.list(after), null);
-      const page = response.status === 200 ? readMachineList(response.body) : null;
+      const page = response.status === 200 ? readMachinePage(response.body) : null;
       if (page) return page;
     }
     return null;
--- a/src/heartbeat-endpoint.ts
+++ b/src/heartbeat-endpoint.ts
@@ -8,7 +8,7 @@
 import type { Clock, Log } from './runtime.js';
 import type { Body } from './wire/cbor.js';
 import type { Heartbeat, WorkerCommand } from './wire/model.js';
-import { heartbeatResponse, readHeartbeat, redirectBody } from './wire/workers.js';
+import { heartbeatResponseBody, readHeartbeat, redirectBody } from './wire/workers.js';
 
 const UNAVAILABLE: ApiResponse = { status: 503, body: {}, retryAfterS: 1 };
 const MALFORMED: ApiResponse = { status: 400, body: { error: 'not a report' } };
@@ -72,7 +72,7 @@
 
   private renewal(heartbeat: Heartbeat, token: number, commands: WorkerCommand[]): ApiResponse {
     const withStops = this.deps.cancellations.withStops(heartbeat, commands);
-    return { status: 200, body: heartbeatResponse(token, withStops) };
+    return { status: 200, body: heartbeatResponseBody(token, withStops) };
   }
 
   private redirect(): ApiResponse {
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -73,7 +73,7 @@
 }
 
 /** Returns null if the body is not a page of the machine list. Skips machines without an id. */
-export function readMachineList(body: Body): MachinePage | null {
+export function readMachinePage(body: Body): MachinePage | null {
   if (!Array.isArray(body.stones)) return null;
   const machines: ListedMachine[] = [];
   for (const entry of body.stones) {
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -90,7 +90,7 @@
   };
 }
 
-function writeCommand(command: WorkerCommand): Body {
+function commandBody(command: WorkerCommand): Body {
   const base = {
     order: COMMAND_NAMES[command.op],
     sack: `${command.job}/${command.taskNumber}`,
@@ -100,16 +100,16 @@
 }
 
 /** Returns the body of the response to a heartbeat that renews the worker's lease. */
-export function heartbeatResponse(token: number, commands: WorkerCommand[]): Body {
-  return { warrant: toWireInteger(token), orders: commands.map(writeCommand) };
+export function heartbeatResponseBody(token: number, commands: WorkerCommand[]): Body {
+  return { warrant: toWireInteger(token), orders: commands.map(commandBody) };
 }
 
 /**
  * Returns the body of a request to a worker. The worker rejects a request for another incarnation, or with a lower
  * token than it has seen.
  */
-export function commandBody(token: number, incarnation: number, commands: WorkerCommand[]): Body {
-  return { ...heartbeatResponse(token, commands), turning: incarnation };
+export function commandsBody(token: number, incarnation: number, commands: WorkerCommand[]): Body {
+  return { ...heartbeatResponseBody(token, commands), turning: incarnation };
 }
 
 /** Returns the body of the response of a node that is not the leader. `leader` is null if it knows of no leader. */
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -2,7 +2,7 @@
 import type { HttpResponse, Runtime } from '../runtime.js';
 import { HTTP_STATUS } from '../wire/http-status.js';
 import type { Heartbeat, WorkerCommand } from '../wire/model.js';
-import { commandBody, readHeartbeat, workerPaths } from '../wire/workers.js';
+import { commandsBody, readHeartbeat, workerPaths } from '../wire/workers.js';
 import { type CommandBatch, EMPTY_BATCH, collectCommands, takeDueForgets } from './commands.js';
 import type { Machine } from './machine.js';
 import type { MachineTable } from './machine-table.js';
@@ -127,7 +127,7 @@
     machine.inFlight = { attempts: starts };
     this.inFlight++;
     if (failing) this.inFlightToFailing++;
-    const body = commandBody(table.tokenFor(machine), machine.incarnation || 1, commands);
+    const body = commandsBody(table.tokenFor(machine), machine.incarnation || 1, commands);
     const response = await runtime.http.send(
       machine.endpoint,
       'POST',
