--- a/src/autoscaler/cloud.ts
+++ b/src/autoscaler/cloud.ts
@@ -90,7 +90,7 @@
       while (isActive() && !this.callBudget.tryAcquire(1, CALLS_RESERVED_FROM_LISTS))
         await sleep(this.runtime.clock, 1000 / this.maxCallsPerS);
       if (!isActive()) return null;
-      const response = await this.send('GET', cloudPaths.list(after), null);
+      const response = await this.send('GET', cloudPaths.machineList(after), null);
       const page = response.status === 200 ? readMachinePage(response.body) : null;
       if (page) return page;
     }
@@ -106,7 +106,7 @@
     count: number,
   ): Promise<MachineRequestResult> {
     const body = rentalBody(requestName, type, zone, spot, count);
-    const response = await this.send('POST', cloudPaths.machines, body);
+    const response = await this.send('POST', cloudPaths.rental, body);
     const ids = response.status === 200 ? readRental(response.body) : null;
     if (ids) return { kind: 'granted', ids };
     if (response.status === 0) return { kind: 'indeterminate' };
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -117,7 +117,8 @@
 /** Paths of the cloud's API. */
 export const cloudPaths = {
   types: '/catalog',
-  machines: '/machines',
+  rental: '/machines',
   deletion: '/machines/delete',
-  list: (after: string) => `/machines?limit=${MACHINES_PER_PAGE}${after ? `&since=${after}` : ''}`,
+  machineList: (after: string) =>
+    `/machines?limit=${MACHINES_PER_PAGE}${after ? `&since=${after}` : ''}`,
 };
