--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -70,20 +70,21 @@
  * Reads the settings for this controller. One file serves all deployments: settings under `deployments` for the
  * controller's location override the common settings.
  */
-export function readOperatorSettings(input: unknown, location = ''): ReadSettings {
+export function readOperatorSettings(input: unknown, zone = ''): ReadSettings {
   const ajv = new Ajv({ useDefaults: true });
-  const isFile = ajv.compile(FILE_SCHEMA);
-  if (!isFile(input)) return invalid(isFile, '');
+  const validateFile = ajv.compile(FILE_SCHEMA);
+  if (!validateFile(input)) return invalid(validateFile, '');
   const { deployments = [], ...common } = input as OperatorFile;
-  const isSettings = ajv.compile(schema);
+  const validateSettings = ajv.compile(schema);
   let chosen: object = { ...common };
   // Validation fills in defaults, so it works on copies until the settings for this location are chosen.
-  if (!isSettings({ ...common })) return invalid(isSettings, '');
+  if (!validateSettings({ ...common })) return invalid(validateSettings, '');
   for (const [i, { locations, settings }] of deployments.entries()) {
-    if (!isSettings({ ...settings })) return invalid(isSettings, `deployments/${i}/settings/`);
-    if (locations.includes(location)) chosen = { ...common, ...settings };
+    if (!validateSettings({ ...settings }))
+      return invalid(validateSettings, `deployments/${i}/settings/`);
+    if (locations.includes(zone)) chosen = { ...common, ...settings };
   }
-  isSettings(chosen);
+  validateSettings(chosen);
   return { kind: 'valid', settings: chosen as OperatorSettings };
 }
 
--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -86,8 +86,8 @@
   const cloud = params.table('cloud');
   const machineLimits = params.table('machine_limits');
   return {
-    node: root.text('node_name'),
-    zone: root.text('location'),
+    node: root.string('node_name'),
+    zone: root.string('location'),
     listenAddress: root.address('listen'),
     peerBindAddress: root.address('peer_bind'),
     peers: root.tables('others').map(readPeer),
@@ -134,15 +134,15 @@
 
 function readPeer(table: SettingsTable): Peer {
   return {
-    name: table.text('node_name'),
-    zone: table.text('location'),
+    name: table.string('node_name'),
+    zone: table.string('location'),
     address: table.address('peer_addr'),
   };
 }
 
 function readTeam(table: SettingsTable): Team {
   return {
-    name: table.text('name'),
+    name: table.string('name'),
     cpus: table.number('cpus', 0),
     gpus: table.number('gpus', 0),
     cpusMax: zeroToInfinity(table.number('cpus_max', 0)),
@@ -157,8 +157,8 @@
 
 function readObjective(table: SettingsTable): Objective {
   return {
-    kind: table.text('kind'),
-    jobClass: table.textOrNull('class'),
+    kind: table.string('kind'),
+    jobClass: table.stringOrNull('class'),
     withinS: table.numberOrNull('within_s'),
   };
 }
--- a/src/settings/settings-table.ts
+++ b/src/settings/settings-table.ts
@@ -37,7 +37,7 @@
   }
 
   /** Returns a non-empty text. */
-  text(field: string): string {
+  string(field: string): string {
     const value = this.values[field];
     if (typeof value !== 'string' || value === '')
       throw new SettingsError(`${this.pathOf(field)}: must be a text`);
@@ -45,14 +45,14 @@
   }
 
   /** Returns a text, or null if the field is anything else. */
-  textOrNull(field: string): string | null {
+  stringOrNull(field: string): string | null {
     const value = this.values[field];
     return typeof value === 'string' ? value : null;
   }
 
   /** Returns an address in the form `HOST:PORT`. */
   address(field: string): string {
-    const value = this.text(field);
+    const value = this.string(field);
     const port = Number(/^[^:\s]+:(\d{1,5})$/.exec(value)?.[1]);
     if (!(port > 0 && port < 65536))
       throw new SettingsError(`${this.pathOf(field)}: must be HOST:PORT`);
--- a/src/wire/http-status.ts
+++ b/src/wire/http-status.ts
@@ -14,6 +14,6 @@
 } as const;
 
 /** Returns true if no response arrived in time or at all: the request may have been executed, or may yet be. */
-export function isNoResponse(reply: { status: number }): boolean {
-  return reply.status === 0;
+export function isNoResponse(response: { status: number }): boolean {
+  return response.status === 0;
 }
