--- a/src/settings/operator.ts
+++ b/src/settings/operator.ts
@@ -23,9 +23,12 @@
   drain_moves_per_round: number;
   /** Duration of the leader's lease in milliseconds. */
   leader_lease_ms: number;
-  /** Number of consecutive missed heartbeats after which a machine counts as unreachable. */
+  /** Time without a heartbeat, in heartbeat intervals, after which a machine counts as unreachable. */
   silent_reports: number;
-  /** Maximum number of unreachable machines deleted per round; higher in a large cluster. */
+  /**
+   * Maximum number of unreachable or faulty machines deleted per round. In a large cluster, a share of all machines
+   * applies instead if it is higher (see `deletion-budget.ts`).
+   */
   deletions_per_round: number;
   /** Seconds for which a surplus machine must be idle before it is deleted. Applies only if cost is kept low. */
   idle_return_s: number;
@@ -33,9 +36,12 @@
   spare_share: number;
   /** Timeout in milliseconds for the response of a worker to a command. */
   command_timeout_ms: number;
-  /** How features are enabled while controllers run different builds. */
+  /** Settings of the rollout, which enables features while controllers run different builds. */
   rollout: RolloutSettings;
-  /** Whether the leader or the holders of duties request and delete machines. */
+  /**
+   * Settings of the duties. `mode` selects whether the leader (`off`) or the holders of the duties (`on`) request and
+   * delete machines.
+   */
   duties: DutySettings;
 }
 
@@ -62,13 +68,13 @@
   deployments?: { locations: string[]; settings: object }[];
 }
 
-/** The settings, or a reason in one line that names the invalid field. */
+/** The settings, or the reason why they are invalid, in one line that names the invalid field. */
 export type ReadSettings =
   { kind: 'valid'; settings: OperatorSettings } | { kind: 'invalid'; reason: string };
 
 /**
- * Reads the settings for this controller. One file serves all deployments: settings under `deployments` for the
- * controller's location override the common settings.
+ * Reads the settings for a controller in `zone`. One file serves all deployments: settings under `deployments` whose
+ * `locations` include the zone override the common settings.
  */
 export function readOperatorSettings(input: unknown, zone = ''): ReadSettings {
   const ajv = new Ajv({ useDefaults: true });
@@ -77,13 +83,14 @@
   const { deployments = [], ...common } = input as OperatorFile;
   const validateSettings = ajv.compile(schema);
   let chosen: object = { ...common };
-  // Validation fills in defaults, so it works on copies until the settings for this location are chosen.
+  // Validation fills in defaults, so it works on copies until the settings for this zone are chosen.
   if (!validateSettings({ ...common })) return invalid(validateSettings, '');
   for (const [i, { locations, settings }] of deployments.entries()) {
     if (!validateSettings({ ...settings }))
       return invalid(validateSettings, `deployments/${i}/settings/`);
     if (locations.includes(zone)) chosen = { ...common, ...settings };
   }
+  // Fills in the defaults. The result is not needed: the parts of `chosen` were found valid above.
   validateSettings(chosen);
   return { kind: 'valid', settings: chosen as OperatorSettings };
 }
--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -13,12 +13,16 @@
   gpusMax: number;
 }
 
-/** An objective by which the platform is measured. */
+/** An objective that the platform sets for this program. */
 export interface Objective {
-  /** Unknown kinds are ignored. */
+  /**
+   * What the objective concerns. `finished`: jobs of a class finish within `withinS` seconds; `price` and `useful`: cost
+   * matters (see `cost-policy.ts`). All other kinds are ignored.
+   */
   kind: string;
-  /** Class of jobs that the objective concerns, or null. */
+  /** Class of the jobs that the objective concerns; null if it names none. */
   jobClass: string | null;
+  /** Time in seconds after submission within which such jobs should finish; null if the objective names none. */
   withinS: number | null;
 }
 
@@ -35,8 +39,9 @@
   node: string;
   /** The zone of this controller. */
   zone: string;
-  /** Address to listen on. All addresses have the form `HOST:PORT`. */
+  /** Address to listen on for users, workers and health checks. All addresses have the form `HOST:PORT`. */
   listenAddress: string;
+  /** Address to listen on for messages of the other controllers. */
   peerBindAddress: string;
   /** The other controllers. */
   peers: Peer[];
@@ -50,20 +55,20 @@
   heartbeatIntervalS: number;
   /** Duration of a worker's lease in seconds. */
   leaseS: number;
-  /** Time in seconds within which all tasks of a cancelled job must have ended. */
+  /** Time in seconds after a cancellation within which all tasks of the job must have exited. */
   cancelS: number;
   /** Seconds for which a task of a gang waits for the other tasks before it gives up. */
   gangWaitS: number;
   /** Time in seconds within which the tasks of a running gang detect the loss of one of them. */
   gangPeerS: number;
-  /** Limits of the state service on requests and on writes, for all controllers together. */
+  /** Limits of the state service on requests and on writes per second, for all controllers together. */
   stateRequestsPerS: number;
   stateWritesPerS: number;
   /** Maximum size of a stored value, in KiB of JSON. */
   maxValueKb: number;
   /** Maximum number of changes in a transaction. */
   maxTransactionOps: number;
-  /** Limit of the cloud for all controllers together. */
+  /** Limit of the cloud on requests per second, for all controllers together. */
   cloudCallsPerS: number;
   /** Maximum age of the cloud's list of machines in seconds. */
   listLagS: number;
--- a/src/settings/settings-table.ts
+++ b/src/settings/settings-table.ts
@@ -5,7 +5,7 @@
 
 type Values = Record<string, unknown>;
 
-/** A table and its path in the file. */
+/** A table of a settings file, with its path in the file for error messages. */
 export class SettingsTable {
   /** `path` is empty for the file's root. */
   constructor(
@@ -36,15 +36,15 @@
     return value.map((entry, i) => toTable(entry, `${path}[${i}]`));
   }
 
-  /** Returns a non-empty text. */
+  /** Returns a non-empty string. */
   string(field: string): string {
     const value = this.values[field];
     if (typeof value !== 'string' || value === '')
-      throw new SettingsError(`${this.pathOf(field)}: must be a text`);
+      throw new SettingsError(`${this.pathOf(field)}: must be a non-empty string`);
     return value;
   }
 
-  /** Returns a text, or null if the field is anything else. */
+  /** Returns a string, or null if the field is missing or of another type. */
   stringOrNull(field: string): string | null {
     const value = this.values[field];
     return typeof value === 'string' ? value : null;
@@ -68,7 +68,7 @@
     return value;
   }
 
-  /** Returns a number, or null if the field is anything else. */
+  /** Returns a number, or null if the field is missing or of another type. */
   numberOrNull(field: string): number | null {
     const value = this.values[field];
     return typeof value === 'number' ? value : null;
@@ -82,6 +82,6 @@
 
 function toTable(value: unknown, path: string): SettingsTable {
   if (typeof value !== 'object' || value === null || Array.isArray(value))
-    throw new SettingsError(`${path}: table is missing`);
+    throw new SettingsError(`${path}: must be a table`);
   return new SettingsTable(value as Values, path);
 }
