--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -16,7 +16,7 @@
 /** An objective that the platform sets for this program. */
 export interface Objective {
   /**
-   * What the objective concerns. `finished`: jobs of a class finish within `withinS` seconds; `price` and `useful`: cost
+   * What the objective concerns. `finished`: jobs of a class finish within `withinS` seconds. `price`, `useful`: cost
    * matters (see `cost-policy.ts`). All other kinds are ignored.
    */
   kind: string;
