--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -1,23 +1,24 @@
 /**
- * Attestations that nodes exchange, so that without the state service they still know two things: which cancellations
- * were confirmed, and that no other node has been elected. Each node periodically sends to all others what it confirmed
- * recently, the highest epoch it knows of, and for each other node the send time, by that node's clock, of the last
- * message received from it. A node that finds a send time of its own in an attestation knows that the attestation was
- * made after that time. Together the attestations of all nodes cover everything up to the earliest of these times.
+ * Attestations that controllers exchange, so that without the state service they still know two things: which
+ * cancellations were confirmed, and that no other controller has been elected. Each controller periodically sends to
+ * its peers, which are all other controllers, what it confirmed recently, the highest epoch it knows of, and for each
+ * peer the send time, by the peer's clock, of the last attestation received from it. A controller that finds a send time
+ * of its own in an attestation knows that the attestation was made after that time. Together the attestations of all
+ * peers cover everything up to the earliest of these times.
  */
 import { MAX_CLOCK_DRIFT } from '../runtime.js';
 import type { AttestationMessage } from './peer-messages.js';
 
-/** How long a confirmation is repeated in attestations: an attestation covers no longer period than this. */
+/** How long a confirmation is repeated in attestations: no attestation covers a longer period. */
 const CONFIRMATION_RETENTION_MS = 60_000;
 
-/** The sending process of a message and its send time by the sender's clock. */
+/** The process that sent an attestation, and the send time by its clock. */
 interface MessageOrigin {
   processId: string;
   sentAt: number;
 }
 
-/** What a peer's attestations cover. All times are of this node's clock. */
+/** What a peer's attestations cover. All times are of this controller's clock. */
 interface Coverage {
   processId: string;
   /** All cancellations that the peer confirmed between `from` and `to` are known here. */
@@ -28,15 +29,15 @@
   notElectedUntil: number;
 }
 
-/** Creates the attestations of this node and evaluates those of its peers. */
+/** Creates the attestations of this controller and evaluates those of its peers. */
 export class Attestations {
   private readonly coverageByPeer = new Map<string, Coverage>();
   private readonly lastReceived = new Map<string, MessageOrigin>();
-  /** When this node confirmed each cancellation, by job id, the oldest first. */
+  /** Time at which this controller last confirmed each cancellation, by job id, the oldest first. */
   private readonly confirmedAt = new Map<string, number>();
   private readonly startedAt: number;
 
-  /** `processId` distinguishes this process from earlier ones of the same node. */
+  /** `processId` distinguishes this process from earlier ones of the same controller. */
   constructor(
     private readonly self: string,
     private readonly processId: string,
@@ -52,7 +53,7 @@
     this.confirmedAt.set(id, this.now());
   }
 
-  /** Creates the message in which this node attests what it did until now. */
+  /** Creates the message in which this controller attests what it did until now. */
   attest(highestSeenEpoch: number, isCandidate: boolean): AttestationMessage {
     const now = this.now();
     this.dropOldConfirmations(now);
@@ -97,12 +98,12 @@
   }
 
   /**
-   * Returns the send time of the last message of this process that the peer had received, or null if it had received
-   * none.
+   * Returns the send time of the last attestation of this process that the peer had received, or null if it had
+   * received none.
    */
   private echoedTime({ heard }: AttestationMessage): number | null {
     const echo = Object.hasOwn(heard, this.self) ? heard[this.self] : null;
-    // Clocks of different processes are unrelated: a send time of an earlier process of this node has no meaning here.
+    // Clocks of different processes are unrelated: a send time of an earlier process of this controller is of no use.
     return echo && echo.life === this.processId ? echo.at : null;
   }
 
@@ -121,8 +122,8 @@
   }
 
   /**
-   * Returns the time until which no other node was elected after `epoch`, given that this node led in `epoch` until
-   * `leaseValidUntil`.
+   * Returns the time until which no other controller was elected after `epoch`, given that this one led in `epoch`
+   * until `leaseValidUntil`.
    */
   uncontestedUntil(epoch: number, leaseValidUntil: number): number {
     let until = Infinity;
--- a/src/peers/peer-message-handler.ts
+++ b/src/peers/peer-message-handler.ts
@@ -1,4 +1,4 @@
-/** Handling of the messages that a controller node receives from the other controllers. */
+/** Handling of the messages that a controller receives from the other controllers. */
 import type { HealthCheck } from '../health.js';
 import type { Cancellations } from '../jobs/cancellations.js';
 import type { Progress } from '../jobs/job-table.js';
@@ -14,24 +14,24 @@
   PeerMessage,
 } from './peer-messages.js';
 
-/** The components of the node that handle the contents of the messages. */
+/** The components of the controller that handle the contents of the messages. */
 export interface PeerMessageHandlerDependencies {
   clock: Clock;
-  /** Name of this node. */
+  /** Name of this controller. */
   self: string;
   health: HealthCheck;
   cancellations: Cancellations;
   attestations: Attestations;
   leaseExtender: LeaseExtender;
   rollout: Pick<ControllerRollout, 'recordBuild' | 'recordProcess'>;
-  /** The term in which this node leads, also while its leadership is suspended; null if it does not lead. */
+  /** The term in which this controller leads, also while its leadership is suspended; null if it does not lead. */
   term(): LeaderTerm | null;
   /** Receives the leader's progress counts of live jobs. */
   recordProgress(jobs: [string, Progress][]): void;
   broadcast(message: PeerMessage): void;
 }
 
-/** Handles messages in any order; they may be late. */
+/** Handles messages, which may be late and may arrive in any order. */
 export class PeerMessageHandler {
   constructor(private readonly deps: PeerMessageHandlerDependencies) {}
 
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -70,7 +70,7 @@
   upMs: number;
   /** Send time by the sender's clock. */
   at: number;
-  /** By node: process id and send time, by that node's clock, of the last message that the sender received from it. */
+  /** By peer: process id and send time, by the peer's clock, of the last attestation that the sender received. */
   heard: Record<string, { life: string; at: number }>;
   /** The highest epoch that the sender has seen, including its own. */
   claim: number;
@@ -80,7 +80,7 @@
   cancelled: string[];
 }
 
-/** Any message between controllers, discriminated by `t`. */
+/** Any message between controllers; `t` distinguishes the kinds. */
 export type PeerMessage =
   | ProgressMessage
   | LeaseExtensionRequestMessage
--- a/src/peers/peer-network.ts
+++ b/src/peers/peer-network.ts
@@ -1,4 +1,4 @@
-/** Connections between the controllers: each keeps one connection to every other, for the messages that it sends. */
+/** Connections between the controllers: each keeps one connection to every other, to send its messages. */
 import { type Server, type Socket, connect, createServer } from 'node:net';
 import { type Observable, Subject } from 'rxjs';
 import type { Runtime } from '../runtime.js';
--- a/src/peers/status-broadcasts.ts
+++ b/src/peers/status-broadcasts.ts
@@ -1,4 +1,4 @@
-/** The messages that a controller node periodically sends to the other controllers. */
+/** The messages that a controller periodically sends to the other controllers. */
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Leadership } from '../leadership/leadership.js';
 import { REQUEST_INTERVAL_MS } from '../leadership/lease-extension.js';
@@ -13,12 +13,12 @@
 /** The sources of the contents of the messages. */
 export interface StatusBroadcastsDependencies {
   clock: Clock;
-  /** Name of this node. */
+  /** Name of this controller. */
   self: string;
   store: Pick<StateStore, 'get' | 'unavailableForMs'>;
   leadership: Leadership;
   attestations: Attestations;
-  /** The term in which this node leads, also while its leadership is suspended; null if it does not lead. */
+  /** The term in which this controller leads, also while its leadership is suspended; null if it does not lead. */
   term(): LeaderTerm | null;
   broadcast(message: PeerMessage): void;
 }
@@ -44,6 +44,10 @@
     });
   }
 
+  /**
+   * Broadcasts whether the state service is available, the attestation and, unless this controller leads, a request for
+   * lease extension. All three are sent at the interval of such requests.
+   */
   private broadcastStatus(): void {
     const { clock, self, store, leadership, attestations } = this.deps;
     const served = store.unavailableForMs() === 0;
@@ -59,8 +63,8 @@
   }
 
   /**
-   * Sends a read to the state service, to notice when it is available again. There may be no other request to it while
-   * users are sent to other nodes and the watches hang.
+   * Sends a read to the state service, to notice when it is available again. There may be no other request to it in the
+   * meantime: users are sent to other controllers, and watch requests wait for their timeout.
    */
   private probeStateService(): void {
     if (this.isProbing) return;
