--- a/src/http/accept-queue.ts
+++ b/src/http/accept-queue.ts
@@ -14,7 +14,10 @@
 /** Dropping ends once no connection was dropped for this time: the queue is then empty. */
 const EMPTY_QUEUE_MS = 20;
 const MAX_DROPPING_MS = 1000;
-/** Node takes 0 as no limit. With 1, each new connection is dropped unread while another is open. */
+/**
+ * Not 0, which Node.js up to version 20 takes as no limit (from 21 on, it drops all connections). With 1, each new
+ * connection is dropped unread while another is open.
+ */
 const MAX_CONNECTIONS_WHILE_DROPPING = 1;
 
 type DroppingServer = Pick<Server, 'maxConnections' | 'on'>;
--- a/src/http/http-client.ts
+++ b/src/http/http-client.ts
@@ -14,7 +14,7 @@
 const MAX_CONNECTIONS_PER_SERVICE = 24;
 const AGENT_OPTIONS = { keepAlive: true, scheduling: 'lifo' as const };
 
-/** Services to keep connections to, and the limit on connections to workers. */
+/** The services that connections are kept open to, and the limit on connections to workers. */
 export interface HttpClientOptions {
   /** Addresses, as `host:port`, of the few services to which connections are kept open. All others are workers. */
   services: readonly string[];
@@ -23,8 +23,8 @@
 
 /**
  * Uses persistent connections with one request at a time on each (no pipelining). There are many workers, and each also
- * holds a connection of its own to this controller: connections to workers are therefore closed soon after use, or at
- * once while more than half of the sockets for them are in use.
+ * holds a connection of its own to this controller. Connections to workers are therefore closed soon after use, or at
+ * once while more than half of the connections allowed to workers are open.
  */
 export class HttpClient implements Http {
   private readonly serviceAgent = new Agent({
--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -41,8 +41,8 @@
 }
 
 /**
- * Serves heartbeats without express. The leader receives hundreds of heartbeats per second, which are most of its work,
- * and with express each costs three times as much.
+ * Handles heartbeat requests without express. The leader receives hundreds of heartbeats per second, which are most of
+ * its work, and with express each costs three times as much.
  */
 class HeartbeatHandler {
   private openConnections = 0;
@@ -96,8 +96,9 @@
   }
 
   /**
-   * Whether to close the connection after the response. There can be more workers than sockets: when sockets run short,
-   * a worker must reconnect for its next heartbeat. A worker that is sent to another controller is not expected back.
+   * Whether to close the connection after the response. There can be as many workers as sockets, or more: when
+   * sockets run short, a worker must reconnect for its next heartbeat. A worker that is sent to another controller is not
+   * expected back.
    */
   private mustClose(status: number): boolean {
     return status !== 200 || this.openConnections > this.maxKeptConnections;
--- a/src/http/socket-allocation.ts
+++ b/src/http/socket-allocation.ts
@@ -1,10 +1,13 @@
 /**
  * Allocation of the sockets that a process may hold. Each worker keeps a connection to the leader, and there can be as
- * many workers as sockets. So no worker can rely on keeping its connection, while sockets are always available for
- * users, health checks, the state service and the other controllers.
+ * many workers as sockets, or more. So no worker can rely on keeping its connection, while sockets are always available
+ * for users, health checks, the state service and the other controllers.
  */
 
-/** Limits on the sockets for each purpose; together they stay within the limit of the process. */
+/**
+ * Limits on the sockets for each purpose. Together they stay within the limit of the process if that is 50 or more;
+ * below, the minimum numbers of sockets add up to more than the limit.
+ */
 export interface SocketAllocation {
   /** Maximum number of accepted connections. */
   maxInbound: number;
@@ -18,15 +21,16 @@
   maxRequestsToWorkers: number;
 }
 
-/** Sockets for the state service, the cloud, the other controllers and listeners, limited to a share of all sockets. */
+/** Sockets for the state service, the cloud, the other controllers and listeners; at most the share that follows. */
 const RESERVED_FOR_SERVICES = 80;
+/** Share of all sockets, like the other shares unless stated otherwise. */
 const MAX_SHARE_FOR_SERVICES = 1 / 4;
 const SHARE_FOR_CONNECTIONS_TO_WORKERS = 0.17;
 const MIN_CONNECTIONS_TO_WORKERS = 8;
 const BACKLOG_SHARE = 1 / 8;
 const MAX_BACKLOG = 128;
 const MIN_INBOUND = 24;
-/** Share of the accepted connections. */
+/** Share of the maximum number of accepted connections. */
 const SHARE_OF_KEPT_WORKER_CONNECTIONS = 0.7;
 /** Less than 1, since the connection of an abandoned request remains for a moment. */
 const REQUESTS_PER_CONNECTION_TO_WORKERS = 0.65;
