--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -30,7 +30,7 @@
 } from '../wire/state.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Address of the state service, and the rate limits for all nodes together. */
+/** Address of the state service, and its rate limits for all controllers together. */
 export interface StateStoreOptions {
   address: string;
   /** Number of controllers that share the limits. */
@@ -46,13 +46,13 @@
 const WATCH_TIMEOUT_MARGIN_MS = 3000;
 
 /**
- * Minimum share of the limit for one node. Load is uneven (the leader writes, users concentrate on one node), so an
- * even share would leave most of the limit unused.
+ * Minimum share of the limit for one controller. Load is uneven (the leader writes, users concentrate on one
+ * controller), so an even share would leave most of the limit unused.
  */
 const MIN_SHARE_OF_LIMIT = 0.5;
-/** Share of the limit that is divided evenly among the nodes. */
+/** Share of the limit that is divided evenly among the controllers. */
 const EVENLY_DIVIDED_SHARE = 0.95;
-/** Share of the limit that one node may use in a burst. */
+/** Share of the limit that one controller may use in a burst. */
 const BURST_SHARE = 0.9;
 
 /** Creates a client with the limits from the platform settings. */
@@ -74,8 +74,10 @@
 }
 
 /**
- * Accesses the state service by its protocol. All nodes share the service's limits without coordination: each keeps to
- * its share, and lease renewals have precedence, since they do not wait for the budget.
+ * Accesses the state service by its protocol. All controllers share the service's limits without coordination: each
+ * keeps to its own budget. `get` and `compareAndSwap` fail at once, without a request, if the budget is used up. Scans,
+ * watches, all lease requests and urgent compare-and-swaps are sent in any case and charged to the budget, so that
+ * lease renewals have precedence.
  */
 export class StateStore implements StateAccess {
   private readonly reads: TokenBucket;
@@ -109,7 +111,10 @@
     return response;
   }
 
-  /** Returns for how long the service has been unavailable, in milliseconds; 0 if it responded to the last request. */
+  /**
+   * Returns for how long the service has been unavailable: the milliseconds since the last request that got a response
+   * other than 503 was sent, or 0 if no later request has failed.
+   */
   unavailableForMs(): number {
     return this.lastFailureAt > this.lastSuccessAt
       ? this.runtime.clock.now() - this.lastSuccessAt
@@ -139,7 +144,7 @@
     }
   }
 
-  /** `urgent` is for leadership: such a request is sent even if the budget is used up. */
+  /** `urgent` is for requests on leadership, which are sent even if the budget is used up. */
   async compareAndSwap(
     preconditions: Precondition[],
     mutations: Mutation[],
--- a/src/state-store/token-bucket.ts
+++ b/src/state-store/token-bucket.ts
@@ -33,7 +33,10 @@
     return true;
   }
 
-  /** Takes `count` tokens even if they are not available, for urgent requests; later callers wait for the refill. */
+  /**
+   * Takes `count` tokens even if they are not available, for requests that must not be delayed. Later calls of
+   * `tryAcquire` fail until the bucket is refilled.
+   */
   acquireUnconditionally(count = 1): void {
     this.refill();
     this.level -= count;
