--- a/src/wire/cbor.ts
+++ b/src/wire/cbor.ts
@@ -5,12 +5,12 @@
 
 const MAX_UINT32 = 0xffffffff;
 
-/** The body of a request or response: a map with text keys. */
+/** The body of a request or response: a map with string keys. */
 export type Body = Record<string, unknown>;
 
 /**
- * Converts integers above 32 bits to bigint. Otherwise they would be encoded as floats, which the other services treat
- * as amounts.
+ * Converts integers above 32 bits to bigint. Otherwise they would be encoded as floating-point numbers, which the other
+ * services treat as quantities, such as CPUs or seconds, and not as integers, such as versions or tokens.
  */
 export function toWireInteger(value: number): number | bigint {
   return value > MAX_UINT32 ? BigInt(value) : value;
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,4 +1,4 @@
-/** Requests and responses of the cloud: catalog, machine list, rentals and deletions. */
+/** Requests to the cloud and its responses: catalog, machine list, rentals and deletions. */
 import { type Body, isMap } from './cbor.js';
 import type { ListedMachine, ListedState, MachineType } from './model.js';
 import { isAmount, isText } from './validators.js';
@@ -68,7 +68,7 @@
 /** One page of the cloud's machine list, sorted by name. */
 export interface MachinePage {
   machines: ListedMachine[];
-  /** Whether the list continues after the last machine of this page. */
+  /** Whether the machine list continues after the last machine of this page. */
   more: boolean;
 }
 
--- a/src/wire/http-status.ts
+++ b/src/wire/http-status.ts
@@ -1,6 +1,6 @@
-/** HTTP status codes that this software distinguishes, and the check for a missing response. */
+/** Names of HTTP status codes, and the check for a missing response. */
 
-/** HTTP status codes under their names of RFC 9110. */
+/** HTTP status codes by their names in RFC 9110. */
 export const HTTP_STATUS = {
   ok: 200,
   created: 201,
@@ -13,7 +13,7 @@
   serviceUnavailable: 503,
 } as const;
 
-/** Returns true if no response arrived in time or at all: the request may have been executed, or may yet be. */
+/** Whether no response arrived, or not in time: the request may have been executed, or may yet be. */
 export function isNoResponse(response: { status: number }): boolean {
   return response.status === 0;
 }
--- a/src/wire/model.ts
+++ b/src/wire/model.ts
@@ -1,6 +1,9 @@
-/** The types used internally. The other modules of this folder convert them to and from the terms of the protocols. */
+/** The types that the rest of the program uses. The other modules of this folder convert them to and from bodies. */
 
-/** A `gang` is an array whose tasks run either all at the same time or not at all. */
+/**
+ * What the tasks of a job are. `array`: independent tasks, each of which runs to completion. `service`: replicas
+ * without an expected end. `gang`: an array whose tasks run either all at the same time or not at all.
+ */
 export type JobKind = 'array' | 'service' | 'gang';
 /** From the most to the least urgent: production (0), high (1), normal (2), idle (3). */
 export type Priority = 0 | 1 | 2 | 3;
@@ -52,10 +55,11 @@
   cpus: number;
   gpus: number;
   memoryGb: number;
-  /** Rate at which images are fetched. */
+  /** Rate at which images are fetched, in GB per second. */
   fetchGbPerS: number;
   price: number;
   spotPrice: number;
+  /** Seconds that a machine of this type takes to boot. */
   bootS: number;
   /** Zones in which machines of this type can be rented. */
   zones: string[];
@@ -64,8 +68,16 @@
 /** A task's state on its worker. A task of a gang is `waiting` until all tasks of the gang are ready. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 /**
- * Why a task exited. `peer_lost`: another task of its gang was lost. `incomplete`: the tasks of its gang were not all
- * ready in time.
+ * Why a task exited.
+ *
+ * - `done`: it completed successfully.
+ * - `stopped`: it was stopped before it completed.
+ * - `peer_lost`: another task of its gang was lost.
+ * - `incomplete`: the tasks of its gang were not all ready in time.
+ * - `error`: it failed; also stands for a cause that this build doesn't know.
+ * - `no_room`: the worker rejected its start because too few resources were free.
+ * - `busy`: the worker rejected its start because it already had an attempt of the same task.
+ * - `unknown`: the worker rejected its start because it did not know the task.
  */
 export type ExitCause =
   'done' | 'stopped' | 'peer_lost' | 'incomplete' | 'error' | 'no_room' | 'busy' | 'unknown';
@@ -98,7 +110,7 @@
   tasks: TaskStatus[];
 }
 
-/** A command to a worker for one task attempt. `forget`: to no longer report an exited attempt. */
+/** A command to a worker for one task attempt. `forget`: the worker no longer reports the attempt, which has exited. */
 export type WorkerCommand =
   | { op: 'start'; job: string; taskNumber: number; attempt: number }
   | { op: 'stop'; job: string; taskNumber: number; attempt: number; graceS: number }
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,4 +1,4 @@
-/** Requests and responses of the state service. */
+/** Requests to the state service and its responses. */
 import type {
   KeyValue,
   Mutation,
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -18,7 +18,7 @@
 const MAX_TYPES_PER_JOB = 100;
 const JOB_ID_PATTERN = /^run-[0-9]{1,18}$/;
 
-/** Whether the text is a valid job id. */
+/** Whether the string is a valid job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID_PATTERN.test(id);
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -25,6 +25,7 @@
   ended: 'exited',
 };
 
+/** By the names in the protocol: `peers` is a lost task of the same gang, `no_such` an unknown task. */
 const EXIT_CAUSES: Record<string, ExitCause> = {
   done: 'done',
   stopped: 'stopped',
@@ -54,7 +55,7 @@
   return { job: body.sack.slice(0, slash), taskNumber, attempt, state, cause };
 }
 
-/** Returns null if one of the entries can't be read. */
+/** Reads the list of task attempts in a heartbeat. Returns null if one of the entries can't be read. */
 function readTaskStatuses(list: unknown): TaskStatus[] | null {
   if (!Array.isArray(list)) return null;
   const tasks: TaskStatus[] = [];
@@ -66,7 +67,7 @@
   return tasks;
 }
 
-/** Returns null for a malformed heartbeat, which then changes nothing. */
+/** Reads a heartbeat. Returns null if it is malformed; it must then have no effect. */
 export function readHeartbeat(body: Body): Heartbeat | null {
   const { stone, endpoint, stone_kind: type, yard: zone, recall_s: noticeS } = body;
   const incarnation = toNumber(body.turning);
@@ -112,7 +113,7 @@
   return { ...heartbeatResponseBody(token, commands), turning: incarnation };
 }
 
-/** Returns the body of the response of a node that is not the leader. `leader` is null if it knows of no leader. */
+/** Returns the body of the response of a controller that is not the leader; `leader` is null if it knows of none. */
 export function redirectBody(leader: string | null): Body {
   return leader === null ? {} : { overseer: leader };
 }
