--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -97,8 +97,8 @@
 
   /**
    * Whether to close the connection after the response. There can be as many workers as sockets, or more: when
-   * sockets run short, a worker must reconnect for its next heartbeat. A worker that is sent to another controller is not
-   * expected back.
+   * sockets run short, a worker must reconnect for its next heartbeat. A worker that is sent to another controller is
+   * not expected back.
    */
   private mustClose(status: number): boolean {
     return status !== 200 || this.openConnections > this.maxKeptConnections;
--- a/src/peers/attestations.ts
+++ b/src/peers/attestations.ts
@@ -2,9 +2,9 @@
  * Attestations that controllers exchange, so that without the state service they still know two things: which
  * cancellations were confirmed, and that no other controller has been elected. Each controller periodically sends to
  * its peers, which are all other controllers, what it confirmed recently, the highest epoch it knows of, and for each
- * peer the send time, by the peer's clock, of the last attestation received from it. A controller that finds a send time
- * of its own in an attestation knows that the attestation was made after that time. Together the attestations of all
- * peers cover everything up to the earliest of these times.
+ * peer the send time, by the peer's clock, of the last attestation received from it. A controller that finds a send
+ * time of its own in an attestation knows that the attestation was made after that time. Together the attestations of
+ * all peers cover everything up to the earliest of these times.
  */
 import { MAX_CLOCK_DRIFT } from '../runtime.js';
 import type { AttestationMessage } from './peer-messages.js';
--- a/src/peers/peer-messages.ts
+++ b/src/peers/peer-messages.ts
@@ -20,7 +20,7 @@
   at: number;
 }
 
-/** Reports whether the state service serves the sender. */
+/** Reports whether the state service is available to the sender. */
 interface AvailabilityMessage {
   t: 'served';
   from: string;
--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -113,7 +113,7 @@
 
   /**
    * Returns for how long the service has been unavailable: the milliseconds since the last request that got a response
-   * other than 503 was sent, or 0 if no later request has failed.
+   * other than 503 was sent, or since this client was created if there was none; 0 if no later request has failed.
    */
   unavailableForMs(): number {
     return this.lastFailureAt > this.lastSuccessAt
