--- a/src/http/http-server.ts
+++ b/src/http/http-server.ts
@@ -13,18 +13,18 @@
 /** Workers and users send a request every few seconds: a connection that is idle for this time is most likely dead. */
 const IDLE_TIMEOUT_MS = 25_000;
 
-/** Creates the server for users, workers and health checks. Accepts at most the inbound share of `sockets`. */
-export function createHttpServer(node: ControllerNode, sockets: number, log: Log): Server {
-  const allocation = allocateSockets(sockets);
+/** Creates the server for users, workers and health checks. Accepts at most the inbound share of `socketLimit`. */
+export function createHttpServer(node: ControllerNode, socketLimit: number, log: Log): Server {
+  const allocation = allocateSockets(socketLimit);
   const userApp = createUserApp(node);
   const server = createServer((request, response) => {
-    if (isHeartbeat(request)) heartbeats.serve(request, response);
+    if (isHeartbeat(request)) heartbeats.handle(request, response);
     else userApp(request, response);
   });
   const queue = new AcceptQueue(server, allocation.maxInbound, log, (ms, callback) => {
     setTimeout(callback, ms);
   });
-  const heartbeats = new HeartbeatServer(
+  const heartbeats = new HeartbeatHandler(
     server,
     queue,
     allocation.maxKeptWorkerConnections,
@@ -41,10 +41,10 @@
 }
 
 /**
- * Serves heartbeats without express. The leader receives hundreds of heartbeats per second, which are most of its work,
- * and with express each costs three times as much.
+ * Handles heartbeat requests without express. The leader receives hundreds of heartbeats per second, which are most of
+ * its work, and with express each costs three times as much.
  */
-class HeartbeatServer {
+class HeartbeatHandler {
   private openConnections = 0;
   /** Connections on which at least one heartbeat was read. */
   private readonly knownSockets = new WeakSet<Socket>();
@@ -61,7 +61,7 @@
     });
   }
 
-  serve(request: IncomingMessage, response: ServerResponse): void {
+  handle(request: IncomingMessage, response: ServerResponse): void {
     readBody(request, (body) => {
       const { socket } = request;
       if (this.knownSockets.has(socket)) {
@@ -96,8 +96,9 @@
   }
 
   /**
-   * Whether to close the connection after the response. There can be more workers than sockets: when sockets run short,
-   * a worker must reconnect for its next heartbeat. A worker that is sent to another controller is not expected back.
+   * Whether to close the connection after the response. There can be as many workers as sockets, or more: when
+   * sockets run short, a worker must reconnect for its next heartbeat. A worker that is sent to another controller is
+   * not expected back.
    */
   private mustClose(status: number): boolean {
     return status !== 200 || this.openConnections > this.maxKeptConnections;
--- a/src/settings/platform.ts
+++ b/src/settings/platform.ts
@@ -13,12 +13,16 @@
   gpusMax: number;
 }
 
-/** An objective by which the platform is measured. */
+/** An objective that the platform sets for this program. */
 export interface Objective {
-  /** Unknown kinds are ignored. */
+  /**
+   * What the objective concerns. `finished`: jobs of a class finish within `withinS` seconds. `price`, `useful`: cost
+   * matters (see `cost-policy.ts`). All other kinds are ignored.
+   */
   kind: string;
-  /** Class of jobs that the objective concerns, or null. */
+  /** Class of the jobs that the objective concerns; null if it names none. */
   jobClass: string | null;
+  /** Time in seconds after submission within which such jobs should finish; null if the objective names none. */
   withinS: number | null;
 }
 
@@ -35,8 +39,9 @@
   node: string;
   /** The zone of this controller. */
   zone: string;
-  /** Address to listen on. All addresses have the form `HOST:PORT`. */
+  /** Address to listen on for users, workers and health checks. All addresses have the form `HOST:PORT`. */
   listenAddress: string;
+  /** Address to listen on for messages of the other controllers. */
   peerBindAddress: string;
   /** The other controllers. */
   peers: Peer[];
@@ -50,20 +55,20 @@
   heartbeatIntervalS: number;
   /** Duration of a worker's lease in seconds. */
   leaseS: number;
-  /** Time in seconds within which all tasks of a cancelled job must have ended. */
+  /** Time in seconds after a cancellation within which all tasks of the job must have exited. */
   cancelS: number;
   /** Seconds for which a task of a gang waits for the other tasks before it gives up. */
   gangWaitS: number;
   /** Time in seconds within which the tasks of a running gang detect the loss of one of them. */
   gangPeerS: number;
-  /** Limits of the state service on requests and on writes, for all controllers together. */
+  /** Limits of the state service on requests and on writes per second, for all controllers together. */
   stateRequestsPerS: number;
   stateWritesPerS: number;
   /** Maximum size of a stored value, in KiB of JSON. */
   maxValueKb: number;
   /** Maximum number of changes in a transaction. */
   maxTransactionOps: number;
-  /** Limit of the cloud for all controllers together. */
+  /** Limit of the cloud on requests per second, for all controllers together. */
   cloudCallsPerS: number;
   /** Maximum age of the cloud's list of machines in seconds. */
   listLagS: number;
@@ -86,8 +91,8 @@
   const cloud = params.table('cloud');
   const machineLimits = params.table('machine_limits');
   return {
-    node: root.text('node_name'),
-    zone: root.text('location'),
+    node: root.string('node_name'),
+    zone: root.string('location'),
     listenAddress: root.address('listen'),
     peerBindAddress: root.address('peer_bind'),
     peers: root.tables('others').map(readPeer),
@@ -134,15 +139,15 @@
 
 function readPeer(table: SettingsTable): Peer {
   return {
-    name: table.text('node_name'),
-    zone: table.text('location'),
+    name: table.string('node_name'),
+    zone: table.string('location'),
     address: table.address('peer_addr'),
   };
 }
 
 function readTeam(table: SettingsTable): Team {
   return {
-    name: table.text('name'),
+    name: table.string('name'),
     cpus: table.number('cpus', 0),
     gpus: table.number('gpus', 0),
     cpusMax: zeroToInfinity(table.number('cpus_max', 0)),
@@ -157,8 +162,8 @@
 
 function readObjective(table: SettingsTable): Objective {
   return {
-    kind: table.text('kind'),
-    jobClass: table.textOrNull('class'),
+    kind: table.string('kind'),
+    jobClass: table.stringOrNull('class'),
     withinS: table.numberOrNull('within_s'),
   };
 }
--- a/src/state-store/client.ts
+++ b/src/state-store/client.ts
@@ -30,8 +30,8 @@
 } from '../wire/state.js';
 import { TokenBucket } from './token-bucket.js';
 
-/** Address of the state service, and the rate limits for all nodes together. */
-export interface StateStoreLimits {
+/** Address of the state service, and its rate limits for all controllers together. */
+export interface StateStoreOptions {
   address: string;
   /** Number of controllers that share the limits. */
   nodes: number;
@@ -46,13 +46,13 @@
 const WATCH_TIMEOUT_MARGIN_MS = 3000;
 
 /**
- * Minimum share of the limit for one node. Load is uneven (the leader writes, users concentrate on one node), so an
- * even share would leave most of the limit unused.
+ * Minimum share of the limit for one controller. Load is uneven (the leader writes, users concentrate on one
+ * controller), so an even share would leave most of the limit unused.
  */
 const MIN_SHARE_OF_LIMIT = 0.5;
-/** Share of the limit that is divided evenly among the nodes. */
+/** Share of the limit that is divided evenly among the controllers. */
 const EVENLY_DIVIDED_SHARE = 0.95;
-/** Share of the limit that one node may use in a burst. */
+/** Share of the limit that one controller may use in a burst. */
 const BURST_SHARE = 0.9;
 
 /** Creates a client with the limits from the platform settings. */
@@ -65,17 +65,19 @@
   });
 }
 
-function sharedBucket(limitPerS: number, nodes: number, now: () => number): TokenBucket {
+function sharedBucket(limitPerS: number, controllerCount: number, now: () => number): TokenBucket {
   const ratePerS = Math.max(
     limitPerS * MIN_SHARE_OF_LIMIT,
-    (limitPerS * EVENLY_DIVIDED_SHARE) / nodes,
+    (limitPerS * EVENLY_DIVIDED_SHARE) / controllerCount,
   );
   return new TokenBucket(ratePerS, limitPerS * BURST_SHARE, now);
 }
 
 /**
- * Accesses the state service by its protocol. All nodes share the service's limits without coordination: each keeps to
- * its share, and lease renewals have precedence, since they do not wait for the budget.
+ * Accesses the state service by its protocol. All controllers share the service's limits without coordination: each
+ * keeps to its own budget. `get` and `compareAndSwap` fail at once, without a request, if the budget is used up. Scans,
+ * watches, all lease requests and urgent compare-and-swaps are sent in any case and charged to the budget, so that
+ * lease renewals have precedence.
  */
 export class StateStore implements StateAccess {
   private readonly reads: TokenBucket;
@@ -86,12 +88,12 @@
 
   constructor(
     private readonly runtime: Runtime,
-    private readonly limits: StateStoreLimits,
+    private readonly options: StateStoreOptions,
   ) {
     const now = () => runtime.clock.now();
     this.lastSuccessAt = now();
-    this.reads = sharedBucket(limits.rps, limits.nodes, now);
-    this.writes = sharedBucket(limits.writeRps, limits.nodes, now);
+    this.reads = sharedBucket(options.rps, options.nodes, now);
+    this.writes = sharedBucket(options.writeRps, options.nodes, now);
   }
 
   private async send(
@@ -102,14 +104,17 @@
   ): Promise<HttpResponse> {
     const { clock, http } = this.runtime;
     const sentAt = clock.now();
-    const response = await http.send(this.limits.address, method, path, body, timeoutMs);
+    const response = await http.send(this.options.address, method, path, body, timeoutMs);
     if (isNoResponse(response) || response.status === HTTP_STATUS.serviceUnavailable)
       this.lastFailureAt = sentAt;
     else this.lastSuccessAt = sentAt;
     return response;
   }
 
-  /** Returns for how long the service has been unavailable, in milliseconds; 0 if it responded to the last request. */
+  /**
+   * Returns for how long the service has been unavailable: the milliseconds since the last request that got a response
+   * other than 503 was sent, or since this client was created if there was none; 0 if no later request has failed.
+   */
   unavailableForMs(): number {
     return this.lastFailureAt > this.lastSuccessAt
       ? this.runtime.clock.now() - this.lastSuccessAt
@@ -139,7 +144,7 @@
     }
   }
 
-  /** `urgent` is for leadership: such a request is sent even if the budget is used up. */
+  /** `urgent` is for requests on leadership, which are sent even if the budget is used up. */
   async compareAndSwap(
     preconditions: Precondition[],
     mutations: Mutation[],
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,4 +1,4 @@
-/** Requests and responses of the cloud: catalog, machine list, rentals and deletions. */
+/** Requests to the cloud and its responses: catalog, machine list, rentals and deletions. */
 import { type Body, isMap } from './cbor.js';
 import type { ListedMachine, ListedState, MachineType } from './model.js';
 import { isAmount, isText } from './validators.js';
@@ -68,12 +68,12 @@
 /** One page of the cloud's machine list, sorted by name. */
 export interface MachinePage {
   machines: ListedMachine[];
-  /** Whether the list continues after the last machine of this page. */
+  /** Whether the machine list continues after the last machine of this page. */
   more: boolean;
 }
 
 /** Returns null if the body is not a page of the machine list. Skips machines without an id. */
-export function readMachineList(body: Body): MachinePage | null {
+export function readMachinePage(body: Body): MachinePage | null {
   if (!Array.isArray(body.stones)) return null;
   const machines: ListedMachine[] = [];
   for (const entry of body.stones) {
@@ -117,7 +117,8 @@
 /** Paths of the cloud's API. */
 export const cloudPaths = {
   types: '/catalog',
-  machines: '/machines',
+  rental: '/machines',
   deletion: '/machines/delete',
-  list: (after: string) => `/machines?limit=${MACHINES_PER_PAGE}${after ? `&since=${after}` : ''}`,
+  machineList: (after: string) =>
+    `/machines?limit=${MACHINES_PER_PAGE}${after ? `&since=${after}` : ''}`,
 };
