--- a/src/heartbeat-endpoint.ts
+++ b/src/heartbeat-endpoint.ts
@@ -61,10 +61,10 @@
   /** Whether this node, which does not lead now, may extend the worker's lease. See lease-extension.ts. */
   private mayExtendLease(term: LeaderTerm | null, heartbeat: Heartbeat): boolean {
     const { clock, leadership, attestations, leaseExtender } = this.deps;
-    const current = leadership.currentTerm();
-    if (!term || !current) return leaseExtender.mayRenew(heartbeat.token, clock.now());
+    const electedTerm = leadership.electedTerm();
+    if (!term || !electedTerm) return leaseExtender.mayRenew(heartbeat.token, clock.now());
     const uncontestedUntil = attestations.uncontestedUntil(
-      current.epoch,
+      electedTerm.epoch,
       leadership.leaseValidUntil(),
     );
     return term.mayExtendWhileSuspended(heartbeat, uncontestedUntil);
--- a/src/leadership/leader-record.ts
+++ b/src/leadership/leader-record.ts
@@ -16,7 +16,7 @@
 const ABSENT = 0;
 
 /** A term that began when this node won the election. */
-export interface LeadershipTerm {
+export interface ElectedTerm {
   /** Revision of the leader record: it increases from leader to leader. */
   epoch: number;
   /** Id of the lease that the record is attached to. */
@@ -31,7 +31,7 @@
 
 /** Result of a campaign. */
 export type CampaignResult =
-  | { kind: 'won'; term: LeadershipTerm }
+  | { kind: 'won'; term: ElectedTerm }
   /** The state service granted no lease. */
   | { kind: 'no-lease' }
   /** The record was not written, or may not have been. The lease is no longer needed. */
@@ -51,7 +51,7 @@
 }
 
 /** Precondition that holds while the term's record exists. Without a term it never holds, so nothing is written. */
-export function leaderRecordPrecondition(term: LeadershipTerm | null): Precondition {
+export function leaderRecordPrecondition(term: ElectedTerm | null): Precondition {
   return { key: LEADER_KEY, version: term?.epoch ?? UNATTAINABLE_VERSION };
 }
 
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -7,7 +7,7 @@
 import type { Heartbeat } from '../wire/model.js';
 import type { HeartbeatResponse } from './heartbeat-handler.js';
 import { LeaderComponents } from './leader-components.js';
-import type { LeadershipTerm } from './leader-record.js';
+import type { ElectedTerm } from './leader-record.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
 import type { LeaseExtensionGrant } from './lease-extension.js';
 import { intentConversion, restoreIntents } from './restored-intents.js';
@@ -26,7 +26,7 @@
 
   constructor(
     private readonly deps: LeaderTermDependencies,
-    term: LeadershipTerm,
+    term: ElectedTerm,
   ) {
     this.lifecycle = new TermLifecycle(term, deps.runtime.log, () => deps.isLeader());
     this.components = new LeaderComponents(deps, this.lifecycle);
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -7,7 +7,7 @@
 import {
   type CampaignResult,
   LEADER_KEY,
-  type LeadershipTerm,
+  type ElectedTerm,
   createLeaderRecord,
   leaderRecordPrecondition,
   readLeaderRecord,
@@ -52,7 +52,7 @@
 /** Callbacks for changes of this node's leadership. */
 export interface LeadershipEvents {
   /** A new term begins: the leader's tables must be rebuilt. */
-  elected(term: LeadershipTerm): void;
+  elected(term: ElectedTerm): void;
   /** The term has ended and cannot be resumed. */
   deposed(): void;
   /** This node leads again after a suspension, in the same term. */
@@ -77,7 +77,7 @@
       },
     },
   );
-  private term: LeadershipTerm | null = null;
+  private term: ElectedTerm | null = null;
   private validUntilMs = 0;
   private campaignNotBefore = 0;
   /** Name of the leader at the last read of the leader record; may be this node. */
@@ -133,7 +133,7 @@
     return this.machine.state === 'candidate';
   }
 
-  currentTerm(): LeadershipTerm | null {
+  electedTerm(): ElectedTerm | null {
     return this.term;
   }
 
@@ -245,7 +245,7 @@
     return timeMs + this.runtime.random() * jitterMs;
   }
 
-  private beginTerm(term: LeadershipTerm, leaseRequestedAt: number): void {
+  private beginTerm(term: ElectedTerm, leaseRequestedAt: number): void {
     this.term = term;
     this.highestEpoch = Math.max(this.highestEpoch, term.epoch);
     this.observedLeader = this.settings.node;
@@ -260,7 +260,7 @@
     this.validUntilMs = Math.max(this.validUntilMs, until);
   }
 
-  private async renewLoop(term: LeadershipTerm): Promise<void> {
+  private async renewLoop(term: ElectedTerm): Promise<void> {
     const { clock } = this.runtime;
     const timeoutMs = Math.max(MIN_RENEWAL_TIMEOUT_MS, this.ttlMs / 3);
     while (this.term === term) {
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -1,7 +1,7 @@
 /** The states of a leader's term, from its election to its end. */
 import type { Log } from '../runtime.js';
 import { StateMachine, type Transitions } from '../state-machine.js';
-import { type LeadershipTerm, TOKENS_PER_EPOCH } from './leader-record.js';
+import { type ElectedTerm, TOKENS_PER_EPOCH } from './leader-record.js';
 
 /**
  * - `recovering`: this node is reading the records of former leaders.
@@ -26,7 +26,7 @@
 
   /** `holdsLease` returns whether this node leads now, in this term and no later one. */
   constructor(
-    term: LeadershipTerm,
+    term: ElectedTerm,
     log: Log,
     private readonly holdsLease: () => boolean,
   ) {
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -8,7 +8,7 @@
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
-import type { LeadershipTerm } from './leader-record.js';
+import type { ElectedTerm } from './leader-record.js';
 import { LeaderTerm } from './leader-term.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
 import type { Leadership, LeadershipEvents } from './leadership.js';
@@ -45,11 +45,11 @@
     return this.term;
   }
 
-  elected(elected: LeadershipTerm): void {
+  elected(electedTerm: ElectedTerm): void {
     const { leadership, rollout } = this.deps;
-    const isCurrent = (): boolean => leadership.currentTerm() === elected;
+    const isCurrent = (): boolean => leadership.electedTerm() === electedTerm;
     const isLeader = (): boolean => leadership.isLeader() && isCurrent();
-    const term = new LeaderTerm(this.termDependencies(isLeader), elected);
+    const term = new LeaderTerm(this.termDependencies(isLeader), electedTerm);
     this.term = term;
     void term.run();
     rollout.coordinate({
