--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -25,7 +25,7 @@
   contact: WorkerContact;
   cycles: CycleScheduler;
   /** Whether this node leads now, in this term and no later one. */
-  holdsLease(): boolean;
+  holdsLeadership(): boolean;
 }
 
 /** A response to a heartbeat, which renews the worker's lease. */
@@ -48,7 +48,7 @@
    */
   handle(heartbeat: Heartbeat): HeartbeatResponse | null {
     const { clock, lifecycle, autoscaler } = this.deps;
-    if (!this.deps.holdsLease()) return null;
+    if (!this.deps.holdsLeadership()) return null;
     const now = clock.now();
     if (!lifecycle.isServing() || autoscaler.isDeleted(heartbeat.machine))
       return { token: lifecycle.baseToken, commands: [] };
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -249,7 +249,7 @@
       recovery: this.recovery,
       contact: this.contact,
       cycles: this.cycles,
-      holdsLease: () => this.deps.isLeader(),
+      holdsLeadership: () => this.deps.holdsLeadership(),
     });
   }
 
--- a/src/leadership/leader-term-dependencies.ts
+++ b/src/leadership/leader-term-dependencies.ts
@@ -17,7 +17,7 @@
   /** Time of day in milliseconds. */
   wallMs(): number;
   /** Whether this node leads now, in this term and no later one. */
-  isLeader(): boolean;
+  holdsLeadership(): boolean;
   /** Precondition of every write: it fails once the term has ended. */
   termPrecondition(): Precondition;
   /** Whether the job is known to be cancelled, even if its record did not state it at the last read. */
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -28,7 +28,7 @@
     private readonly deps: LeaderTermDependencies,
     term: ElectedTerm,
   ) {
-    this.lifecycle = new TermLifecycle(term, deps.runtime.log, () => deps.isLeader());
+    this.lifecycle = new TermLifecycle(term, deps.runtime.log, () => deps.holdsLeadership());
     this.components = new LeaderComponents(deps, this.lifecycle);
   }
 
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -24,11 +24,11 @@
   private readonly machine: StateMachine<LeaderTermState>;
   private requestCount = 0;
 
-  /** `holdsLease` returns whether this node leads now, in this term and no later one. */
+  /** `holdsLeadership` returns whether this node leads now, in this term and no later one. */
   constructor(
     term: ElectedTerm,
     log: Log,
-    private readonly holdsLease: () => boolean,
+    private readonly holdsLeadership: () => boolean,
   ) {
     const { epoch } = term;
     const baseToken = epoch * TOKENS_PER_EPOCH;
@@ -56,7 +56,7 @@
 
   /** Whether this node may act as the leader now. */
   isLeader(): boolean {
-    return this.isServing() && this.holdsLease();
+    return this.isServing() && this.holdsLeadership();
   }
 
   serve(): void {
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -48,12 +48,12 @@
   elected(electedTerm: ElectedTerm): void {
     const { leadership, rollout } = this.deps;
     const isCurrent = (): boolean => leadership.electedTerm() === electedTerm;
-    const isLeader = (): boolean => leadership.isLeader() && isCurrent();
-    const term = new LeaderTerm(this.termDependencies(isLeader), electedTerm);
+    const holdsLeadership = (): boolean => leadership.isLeader() && isCurrent();
+    const term = new LeaderTerm(this.termDependencies(holdsLeadership), electedTerm);
     this.term = term;
     void term.run();
     rollout.coordinate({
-      isLeader,
+      isLeader: holdsLeadership,
       isActive: isCurrent,
       leaderPrecondition: () => leadership.termPrecondition(),
       conversion: (targetLevel) => term.conversion(targetLevel),
@@ -69,7 +69,7 @@
     this.term?.resumed();
   }
 
-  private termDependencies(isLeader: () => boolean): LeaderTermDependencies {
+  private termDependencies(holdsLeadership: () => boolean): LeaderTermDependencies {
     const { runtime, settings, operator, store, leadership } = this.deps;
     const { machineTypes, cancellations, rollout, duties } = this.deps;
     return {
@@ -79,7 +79,7 @@
       store,
       types: machineTypes.types() ?? [],
       wallMs: () => this.deps.wallMs(),
-      isLeader,
+      holdsLeadership,
       termPrecondition: () => leadership.termPrecondition(),
       isCancelled: (id) => cancellations.has(id),
       cancellationsAreFresh: () => cancellations.ageMs() < CANCELLATIONS_MAX_AGE_MS,
