--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -144,7 +144,7 @@
       txnOps: settings.maxTransactionOps,
       valueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
-      leaderPrecondition: () => this.deps.termPrecondition(),
+      leaderPrecondition: () => this.deps.leaderPrecondition(),
       machinesStored: () => {
         this.cycles.request();
       },
@@ -161,7 +161,7 @@
       writeRps: settings.stateWritesPerS,
       valueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
-      leaderPrecondition: () => this.deps.termPrecondition(),
+      leaderPrecondition: () => this.deps.leaderPrecondition(),
       segmentPrecondition: () => this.deps.segmentPrecondition(),
       hasNoAttempts: (job) =>
         (job.createdInThisTerm || this.recovery.isComplete()) && job.attempts.size === 0,
@@ -174,7 +174,7 @@
   private openIntentLog(): IntentLog {
     return this.deps.duties.intentLog({
       isActive: () => !this.lifecycle.hasEnded(),
-      leaderPrecondition: () => this.deps.termPrecondition(),
+      leaderPrecondition: () => this.deps.leaderPrecondition(),
       nextRequestName: () => this.lifecycle.nextRequestName(this.deps.settings.node),
     });
   }
--- a/src/leadership/leader-term-dependencies.ts
+++ b/src/leadership/leader-term-dependencies.ts
@@ -19,7 +19,7 @@
   /** Whether this node leads now, in this term and no later one. */
   holdsLeadership(): boolean;
   /** Precondition of every write: it fails once the term has ended. */
-  termPrecondition(): Precondition;
+  leaderPrecondition(): Precondition;
   /** Whether the job is known to be cancelled, even if its record did not state it at the last read. */
   isCancelled(id: string): boolean;
   /** Whether this node's knowledge of cancellations is recent enough to start tasks. */
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -138,7 +138,7 @@
   }
 
   /** Precondition of every write of the leader: a write that arrives after the term has ended changes nothing. */
-  termPrecondition(): Precondition {
+  leaderPrecondition(): Precondition {
     return leaderRecordPrecondition(this.term);
   }
 
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -55,7 +55,7 @@
     rollout.coordinate({
       isLeader: holdsLeadership,
       isActive: isCurrent,
-      leaderPrecondition: () => leadership.termPrecondition(),
+      leaderPrecondition: () => leadership.leaderPrecondition(),
       conversion: (targetLevel) => term.conversion(targetLevel),
     });
   }
@@ -80,7 +80,7 @@
       types: machineTypes.types() ?? [],
       wallMs: () => this.deps.wallMs(),
       holdsLeadership,
-      termPrecondition: () => leadership.termPrecondition(),
+      leaderPrecondition: () => leadership.leaderPrecondition(),
       isCancelled: (id) => cancellations.has(id),
       cancellationsAreFresh: () => cancellations.ageMs() < CANCELLATIONS_MAX_AGE_MS,
       segmentPrecondition: () => rollout.writePrecondition(COMPACT_FINISHED_TASKS),
