--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -18,9 +18,9 @@
   /** Whether the term is serving; the feed ends when it no longer is. */
   isServing(): boolean;
   /** Called for each live record that is new or has changed. */
-  recordStored(id: string, value: unknown, version: number): void;
+  liveRecordStored(id: string, value: unknown, version: number): void;
   /** Called when the live record of a job was deleted. */
-  recordRemoved(job: Job): void;
+  liveRecordRemoved(job: Job): void;
   /** Called once after each batch of changes. */
   jobsChanged(): void;
 }
@@ -28,7 +28,7 @@
 /** Callbacks for stored records of finished tasks. */
 export interface FinishedRecordListener {
   /** Called for each record whose job is live. */
-  recordFound(job: Job, recordNumber: number): void;
+  finishedRecordFound(job: Job, recordNumber: number): void;
   /** Called for each record whose job has ended. */
   orphanFound(key: string): void;
 }
@@ -49,7 +49,7 @@
       const [id, recordNumber] = entry.key.slice(FINISHED_PREFIX.length).split('/');
       const job = this.deps.jobs.get(id);
       if (job) {
-        listener.recordFound(job, Number(recordNumber));
+        listener.finishedRecordFound(job, Number(recordNumber));
         this.loadFinished(job, Number(recordNumber), entry.value);
       } else if (!liveKeys.has(LIVE_PREFIX + id)) {
         listener.orphanFound(entry.key);
@@ -87,7 +87,7 @@
   }
 
   private applyStored({ key, value, version }: KeyValue): void {
-    this.deps.recordStored(key.slice(LIVE_PREFIX.length), value, version);
+    this.deps.liveRecordStored(key.slice(LIVE_PREFIX.length), value, version);
   }
 
   private applyEvent(event: WatchEvent): void {
@@ -96,7 +96,7 @@
       return;
     }
     const job = this.deps.jobs.get(event.key.slice(LIVE_PREFIX.length));
-    if (job && job.version < event.version) this.deps.recordRemoved(job);
+    if (job && job.version < event.version) this.deps.liveRecordRemoved(job);
   }
 
   /**
@@ -109,7 +109,7 @@
     const liveKeys = new Set(all.pairs.map((pair) => pair.key));
     for (const job of [...this.deps.jobs.all()])
       if (!liveKeys.has(LIVE_PREFIX + job.spec.id) && job.version <= all.revision)
-        this.deps.recordRemoved(job);
+        this.deps.liveRecordRemoved(job);
     for (const entry of all.pairs) this.applyStored(entry);
     this.deps.jobsChanged();
     return all.revision;
--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -42,7 +42,7 @@
    * Handles the deletion of a live record. Only the leader deletes live records, once the job has ended: this was a
    * write of this node, the response to which was lost.
    */
-  recordRemoved(job: Job): void {
+  liveRecordRemoved(job: Job): void {
     job.endState = 'ended';
     this.forgetJob(job);
   }
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -108,11 +108,11 @@
       store,
       jobs: this.jobs,
       isServing: () => this.lifecycle.isServing(),
-      recordStored: (id, value, version) => {
+      liveRecordStored: (id, value, version) => {
         this.intake.upsertJob(id, value, version);
       },
-      recordRemoved: (job) => {
-        this.intake.recordRemoved(job);
+      liveRecordRemoved: (job) => {
+        this.intake.liveRecordRemoved(job);
       },
       jobsChanged: () => {
         this.cycles.request();
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -83,7 +83,7 @@
     });
     restoreIntents(intents, this.components.intents, autoscaler);
     this.components.feed.load(jobs, finished, {
-      recordFound: (job, recordNumber) => {
+      finishedRecordFound: (job, recordNumber) => {
         completionWriter.noteWritten(job, recordNumber);
       },
       orphanFound: (key) => {
