--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -9,7 +9,7 @@
 import { LeaderComponents } from './leader-components.js';
 import type { ElectedTerm } from './leader-record.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
-import type { LeaseExtensionGrant } from './lease-extension.js';
+import type { LeaseExtensionResponse } from './lease-extension.js';
 import { intentConversion, restoreIntents } from './restored-intents.js';
 import { restoreMachines } from './restored-machines.js';
 import { type StoredState, logStoredState, readStoredState } from './stored-state.js';
@@ -125,7 +125,7 @@
   }
 
   /** Handles a follower's request to extend worker leases. Returns null if this node does not lead. */
-  handleLeaseExtensionRequest(peer: string): LeaseExtensionGrant | null {
+  handleLeaseExtensionRequest(peer: string): LeaseExtensionResponse | null {
     return this.components.leaseExtensions.handleRequest(peer);
   }
 
--- a/src/leadership/lease-extension-handler.ts
+++ b/src/leadership/lease-extension-handler.ts
@@ -6,7 +6,7 @@
 import type { Heartbeat } from '../wire/model.js';
 import type { MachineTable } from '../workers/machine-table.js';
 import { epochOfToken } from './leader-record.js';
-import type { LeaseExtensionGrant, LeaseExtensionGrants } from './lease-extension.js';
+import type { LeaseExtensionResponse, LeaseExtensionGrants } from './lease-extension.js';
 import type { LeaseMonitor } from './lease-monitor.js';
 import type { TermLifecycle } from './term-lifecycle.js';
 
@@ -26,7 +26,7 @@
   constructor(private readonly deps: LeaseExtensionHandlerDependencies) {}
 
   /** Handles a follower's request to extend leases. Returns null if this node does not lead. */
-  handleRequest(peer: string): LeaseExtensionGrant | null {
+  handleRequest(peer: string): LeaseExtensionResponse | null {
     const { clock, lifecycle, leaseMonitor, grants } = this.deps;
     if (!lifecycle.isLeader()) return null;
     const now = clock.now();
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -29,7 +29,7 @@
 }
 
 /** The leader's response to a request. */
-export interface LeaseExtensionGrant {
+export interface LeaseExtensionResponse {
   /** Epoch of the leader's term. */
   epoch: number;
   /** Whether the follower may extend leases. */
@@ -44,7 +44,11 @@
   constructor(private readonly extensionMs: number) {}
 
   /** `requestedAt`: time at which this node sent the request, by its own clock. */
-  recordGrant({ epoch, mayExtend }: LeaseExtensionGrant, requestedAt: number, now: number): void {
+  recordResponse(
+    { epoch, mayExtend }: LeaseExtensionResponse,
+    requestedAt: number,
+    now: number,
+  ): void {
     this.lastContactAt = Math.max(this.lastContactAt, now);
     if (!mayExtend) return;
     const until = requestedAt + this.extensionMs / MAX_CLOCK_DRIFT;
--- a/src/peers/peer-message-handler.ts
+++ b/src/peers/peer-message-handler.ts
@@ -73,7 +73,7 @@
     const { clock, self, leaseExtender } = this.deps;
     if (message.to !== self) return;
     const grant = { epoch: message.revision, mayExtend: message.keep };
-    leaseExtender.recordGrant(grant, message.at, clock.now());
+    leaseExtender.recordResponse(grant, message.at, clock.now());
   }
 
   private handleAttestation(message: AttestationMessage): void {
