--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -94,7 +94,7 @@
   }
 
   /** Whether contact with the peer was lost, but so recently that the peer may still hold a grant. */
-  isOutOfContact(peer: string, now: number): boolean {
+  hasRecentlyLostContact(peer: string, now: number): boolean {
     const lastContactAt = this.lastContactByPeer.get(peer);
     if (lastContactAt === undefined) return false;
     const sinceContactMs = now - lastContactAt;
--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -18,7 +18,7 @@
 ): Set<string> {
   const partitioned = new Set<string>();
   for (const peer of controllers.peers)
-    if (peer.zone !== controllers.zone && grants.isOutOfContact(peer.name, now))
+    if (peer.zone !== controllers.zone && grants.hasRecentlyLostContact(peer.name, now))
       partitioned.add(peer.zone);
   for (const peer of controllers.peers)
     if (grants.isInContact(peer.name, now)) partitioned.delete(peer.zone);
