--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -10,7 +10,7 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
 import type { LeaseExtensionGrants } from './lease-extension.js';
-import { leasesExtendableUntil, partitionedZones } from './partitioned-zones.js';
+import { zoneLeasesExtendableUntil, partitionedZones } from './partitioned-zones.js';
 import type { TermLifecycle } from './term-lifecycle.js';
 
 /** The components of the term that the autoscaler uses. */
@@ -49,7 +49,7 @@
     demand: () => context.demand(),
     partitionedZones: () => partitionedZones(settings, grants, runtime.clock.now()),
     leasesExtendableUntil: (zone) =>
-      leasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
+      zoneLeasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
     controllerZones: new Set([settings.zone, ...settings.peers.map((peer) => peer.zone)]),
     leaseS: settings.leaseS,
     isLagging: () => context.isLagging(),
--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -26,7 +26,7 @@
 }
 
 /** Returns until when controllers in the zone may extend worker leases there; null if the zone has no controllers. */
-export function leasesExtendableUntil(
+export function zoneLeasesExtendableUntil(
   zone: string,
   controllers: ControllerZones,
   grants: LeaseExtensionGrants,
