--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -64,7 +64,7 @@
  * validity of its lease by its own clock, from the time at which it requested the lease, less the maximum clock drift.
  */
 export class Leadership {
-  private readonly machine = new StateMachine<LeadershipState>(
+  private readonly stateMachine = new StateMachine<LeadershipState>(
     'leadership',
     TRANSITIONS,
     'follower',
@@ -106,15 +106,15 @@
 
   /** Whether this node may act as the leader now. Reads the clock at each call, since timers may fire late. */
   isLeader(): boolean {
-    if (this.machine.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
-      this.machine.transitionTo('suspended', 'lease may have expired');
-    return this.machine.state === 'leader';
+    if (this.stateMachine.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
+      this.stateMachine.transitionTo('suspended', 'lease may have expired');
+    return this.stateMachine.state === 'leader';
   }
 
   /** Name of the node to which workers should send heartbeats; null if it is not known. */
   leaderName(): string | null {
     if (this.isLeader()) return this.settings.node;
-    return this.machine.state === 'follower' && this.observedLeader !== this.settings.node
+    return this.stateMachine.state === 'follower' && this.observedLeader !== this.settings.node
       ? this.observedLeader
       : null;
   }
@@ -130,7 +130,7 @@
   }
 
   isCandidate(): boolean {
-    return this.machine.state === 'candidate';
+    return this.stateMachine.state === 'candidate';
   }
 
   electedTerm(): ElectedTerm | null {
@@ -163,7 +163,7 @@
     if (!term || this.isCandidate()) return;
     const backoffEndsAt = this.runtime.clock.now() + RESIGNED_BACKOFF_MS;
     this.campaignNotBefore = this.withJitter(backoffEndsAt, RESIGNED_BACKOFF_JITTER_MS);
-    this.machine.transitionTo('follower', reason);
+    this.stateMachine.transitionTo('follower', reason);
     await this.store.revokeLease(term.leaseId);
   }
 
@@ -208,8 +208,9 @@
   }
 
   private endTerm(reason: string): void {
-    const { state } = this.machine;
-    if (state === 'leader' || state === 'suspended') this.machine.transitionTo('follower', reason);
+    const { state } = this.stateMachine;
+    if (state === 'leader' || state === 'suspended')
+      this.stateMachine.transitionTo('follower', reason);
   }
 
   private async waitForChange(revision: number, waitMs: number): Promise<void> {
@@ -219,7 +220,7 @@
 
   private async campaign(): Promise<void> {
     const { clock } = this.runtime;
-    this.machine.transitionTo('candidate', 'no leader');
+    this.stateMachine.transitionTo('candidate', 'no leader');
     const sentAt = clock.now();
     const leaseId = await this.store.grantLease(this.ttlMs);
     const result: CampaignResult =
@@ -231,11 +232,11 @@
         this.beginTerm(result.term, sentAt);
         return;
       case 'no-lease':
-        this.machine.transitionTo('follower', 'state service granted no lease');
+        this.stateMachine.transitionTo('follower', 'state service granted no lease');
         await sleep(clock, this.withJitter(NO_LEASE_BACKOFF_MS, NO_LEASE_BACKOFF_JITTER_MS));
         return;
       case 'lost':
-        this.machine.transitionTo('follower', `campaign lost: ${result.outcome}`);
+        this.stateMachine.transitionTo('follower', `campaign lost: ${result.outcome}`);
         void this.store.revokeLease(result.leaseId);
         await sleep(clock, this.withJitter(LOST_BACKOFF_MS, LOST_BACKOFF_JITTER_MS));
     }
@@ -250,7 +251,7 @@
     this.highestEpoch = Math.max(this.highestEpoch, term.epoch);
     this.observedLeader = this.settings.node;
     this.extendValidity(leaseRequestedAt);
-    this.machine.transitionTo('leader', 'elected');
+    this.stateMachine.transitionTo('leader', 'elected');
     void this.renewLoop(term);
   }
 
@@ -269,7 +270,7 @@
       const sentAt = clock.now();
       const result = await this.store.renewLease(term.leaseId, this.ttlMs, timeoutMs);
       if (this.term !== term) return;
-      if (result === 'expired') this.machine.transitionTo('follower', 'lease expired');
+      if (result === 'expired') this.stateMachine.transitionTo('follower', 'lease expired');
       else if (result === 'renewed') this.leaseRenewed(sentAt);
     }
   }
@@ -278,7 +279,7 @@
     // Suspends the term first if the validity has ended: the renewal then resumes it.
     this.isLeader();
     this.extendValidity(sentAt);
-    if (this.machine.state === 'suspended' && this.runtime.clock.now() < this.validUntilMs)
-      this.machine.transitionTo('leader', 'lease is still valid');
+    if (this.stateMachine.state === 'suspended' && this.runtime.clock.now() < this.validUntilMs)
+      this.stateMachine.transitionTo('leader', 'lease is still valid');
   }
 }
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -21,7 +21,7 @@
   readonly epoch: number;
   /** The lowest token of the term: the token of a machine whose token was never advanced. */
   readonly baseToken: number;
-  private readonly machine: StateMachine<LeaderTermState>;
+  private readonly stateMachine: StateMachine<LeaderTermState>;
   private requestCount = 0;
 
   /** `holdsLeadership` returns whether this node leads now, in this term and no later one. */
@@ -34,7 +34,7 @@
     const baseToken = epoch * TOKENS_PER_EPOCH;
     this.epoch = epoch;
     this.baseToken = baseToken;
-    this.machine = new StateMachine('leader term', TRANSITIONS, 'recovering', {
+    this.stateMachine = new StateMachine('leader term', TRANSITIONS, 'recovering', {
       beforeTransition: (from, to) => {
         log.info({ from, to, epoch, token: baseToken }, 'leader term');
       },
@@ -42,16 +42,16 @@
   }
 
   isRecovering(): boolean {
-    return this.machine.state === 'recovering';
+    return this.stateMachine.state === 'recovering';
   }
 
   /** Whether the records were read and the term has not ended; the leadership may be suspended. */
   isServing(): boolean {
-    return this.machine.state === 'serving';
+    return this.stateMachine.state === 'serving';
   }
 
   hasEnded(): boolean {
-    return this.machine.state === 'ended';
+    return this.stateMachine.state === 'ended';
   }
 
   /** Whether this node may act as the leader now. */
@@ -60,11 +60,11 @@
   }
 
   serve(): void {
-    this.machine.transitionTo('serving', 'records were read');
+    this.stateMachine.transitionTo('serving', 'records were read');
   }
 
   end(): void {
-    this.machine.transitionTo('ended', 'leadership has ended');
+    this.stateMachine.transitionTo('ended', 'leadership has ended');
   }
 
   /** Returns a name for a request to the cloud that no node uses twice. */
--- a/src/state-machine.ts
+++ b/src/state-machine.ts
@@ -5,8 +5,8 @@
 
 /** A transition that the table does not list. It is always a bug in this program. */
 export class IllegalTransitionError extends Error {
-  constructor(machine: string, from: string, to: string) {
-    super(`${machine}: ${from} -> ${to}`);
+  constructor(stateMachineName: string, from: string, to: string) {
+    super(`${stateMachineName}: ${from} -> ${to}`);
     this.name = 'IllegalTransitionError';
   }
 }
