--- a/src/leadership/control-loop.ts
+++ b/src/leadership/control-loop.ts
@@ -55,7 +55,7 @@
   private doPeriodicWork(now: number): void {
     const { sender, placement, recovery, leaseMonitor, cycles } = this.deps;
     leaseMonitor.expire(now);
-    if (recovery.check(now)) cycles.request();
+    if (recovery.tryComplete(now)) cycles.request();
     this.deps.machineRecords.tick();
     this.deps.completionWriter.tick();
     this.deps.autoscaler.tick();
--- a/src/leadership/failover-recovery.ts
+++ b/src/leadership/failover-recovery.ts
@@ -15,7 +15,7 @@
   private complete = false;
   private loggedAt = -Infinity;
   private beganAt = 0;
-  /** Machines that were stored before the term. `check` removes those at the front that need not be awaited any more. */
+  /** Machines that were stored before the term. `tryComplete` removes those at the front that need not be awaited any more. */
   private readonly awaitingReconciliation = new Set<Machine>();
 
   constructor(
@@ -53,7 +53,7 @@
    * Returns true if this call completes the recovery. It is called for every heartbeat, so it stops at the first machine
    * that is still awaited: all calls together pass each machine once.
    */
-  check(now: number): boolean {
+  tryComplete(now: number): boolean {
     if (this.complete) return false;
     for (const machine of this.awaitingReconciliation) {
       if (this.isAwaited(machine)) {
--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -91,7 +91,7 @@
     table.applyHeartbeat(machine, heartbeat, now);
     if (machine.isReconciled()) machine.awaitingReconciliation = false;
     placement.heartbeatApplied(machine);
-    if (recovery.check(now)) cycles.request();
+    if (recovery.tryComplete(now)) cycles.request();
     // If resources were freed, the end of the attempt has already requested a cycle.
     if (!wasReconciled && machine.isReconciled()) cycles.request();
   }
--- a/test/failover-recovery.test.ts
+++ b/test/failover-recovery.test.ts
@@ -62,7 +62,7 @@
     machines.forEach((machine, i) => {
       assert.equal(recovery.isComplete(), false, `${i} machines have reported`);
       machine.awaitingReconciliation = false;
-      assert.equal(recovery.check(0), i === MACHINES - 1);
+      assert.equal(recovery.tryComplete(0), i === MACHINES - 1);
     });
     assert.ok(recovery.isComplete());
     // One read per report, one per machine, and one count of all machines for the log.
@@ -84,6 +84,6 @@
   );
   assert.equal(recovery.mayPlace(true, beganAt + LEASE_MS / 2 + 1), true);
   for (const machine of machines) machine.awaitingReconciliation = false;
-  assert.ok(recovery.check(beganAt + 200));
+  assert.ok(recovery.tryComplete(beganAt + 200));
   assert.equal(recovery.mayPlace(true, beganAt + 200), true, 'every machine is known');
 });
