--- a/src/leadership/event-loop-lag.ts
+++ b/src/leadership/event-loop-lag.ts
@@ -8,7 +8,7 @@
 /** A timer that fires later than this counts as lag. */
 const LAG_THRESHOLD_MS = 300;
 /** Time after a lag during which messages may still be unread. */
-const LAG_AFTERMATH_MS = 2500;
+const RECENT_LAG_MS = 2500;
 
 /** Measures how late a periodic timer fires. */
 export class EventLoopLag {
@@ -21,7 +21,7 @@
   ) {}
 
   /** Called when the timer has fired. Returns how many milliseconds late it fired. */
-  timerFired(now: number): number {
+  measure(now: number): number {
     const lateMs = now - this.firedAt - this.intervalMs;
     this.firedAt = now;
     if (lateMs > LAG_THRESHOLD_MS) {
@@ -31,8 +31,8 @@
     return lateMs;
   }
 
-  /** Whether the event loop lags now, or did within the last `LAG_AFTERMATH_MS`. */
+  /** Whether the event loop lags now, or did within the last `RECENT_LAG_MS`. */
   isLagging(now: number): boolean {
-    return now - this.laggedAt < LAG_AFTERMATH_MS;
+    return now - this.laggedAt < RECENT_LAG_MS;
   }
 }
