--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -17,7 +17,7 @@
 
 /** Reported until all records have been read. */
 const CONVERSION_UNKNOWN: Conversion = { kind: 'running', remaining: 1 };
-const RECOVERY_RETRY_MS = 200;
+const LOAD_RETRY_MS = 200;
 
 /** A leader's term from its election to its end: recovers the state that former leaders stored, then serves. */
 export class LeaderTerm {
@@ -35,12 +35,12 @@
   /** Recovers the stored state, retrying until this succeeds or the term ends, and then starts to serve. */
   async run(): Promise<void> {
     const { clock } = this.deps.runtime;
-    let revision = await this.recover();
-    while (revision === null && this.lifecycle.isRecovering()) {
-      await sleep(clock, RECOVERY_RETRY_MS);
-      revision = await this.recover();
+    let revision = await this.loadStoredState();
+    while (revision === null && this.lifecycle.isLoading()) {
+      await sleep(clock, LOAD_RETRY_MS);
+      revision = await this.loadStoredState();
     }
-    if (revision !== null && this.lifecycle.isRecovering()) this.serve(revision);
+    if (revision !== null && this.lifecycle.isLoading()) this.serve(revision);
   }
 
   private serve(revision: number): void {
@@ -58,7 +58,7 @@
    * Reads all records. Returns the revision after which changes must be followed. Returns null if the state service
    * could not be read or the term has ended.
    */
-  private async recover(): Promise<number | null> {
+  private async loadStoredState(): Promise<number | null> {
     const { store, duties, runtime } = this.deps;
     const { epoch, baseToken } = this.lifecycle;
     const beganAt = runtime.clock.now();
@@ -66,7 +66,7 @@
       store,
       duties.mayIntentsExist() ? this.components.intents : null,
     );
-    if (!stored || !this.lifecycle.isRecovering()) return null;
+    if (!stored || !this.lifecycle.isLoading()) return null;
     logStoredState(stored, beganAt, { epoch, token: baseToken }, runtime);
     this.restore(stored);
     return stored.revision;
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -41,7 +41,7 @@
     });
   }
 
-  isRecovering(): boolean {
+  isLoading(): boolean {
     return this.stateMachine.state === 'recovering';
   }
 
