--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -11,15 +11,15 @@
  * Progress of the conversion that leaves no intent open. While an intent is open, a node that cannot follow intents
  * must not lead.
  */
-export function intentConversion(log: IntentLog): Conversion {
-  const remaining = log.pendingCount();
+export function intentConversion(intentLog: IntentLog): Conversion {
+  const remaining = intentLog.pendingCount();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
 /** Follows the open intents to their outcome, and registers the machines they rent or delete with the autoscaler. */
 export function restoreIntents(
   intents: readonly StoredIntent[],
-  log: IntentLog,
+  intentLog: IntentLog,
   autoscaler: Autoscaler,
 ): void {
   for (const { value, version } of intents) {
@@ -27,7 +27,7 @@
     if (action.kind === 'delete') {
       const done =
         value.outcome !== null ||
-        log.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
+        intentLog.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
       autoscaler.restoreDeletion(action.machines, Promise.resolve(done));
     } else if (value.outcome === null) {
       const { type, zone, spot, count } = action;
@@ -36,7 +36,7 @@
         zone,
         spot,
         count,
-        log.awaitOutcome(id, version).then(toRequestResult),
+        intentLog.awaitOutcome(id, version).then(toRequestResult),
       );
     }
   }
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -27,14 +27,14 @@
   const machines = await store.scan(MACHINES_PREFIX);
   const jobs = machines && (await store.scan(LIVE_PREFIX));
   const finished = jobs && (await store.scan(FINISHED_PREFIX));
-  const openIntents = finished && (intents ? await intents.readAll() : []);
-  if (!machines || !jobs || !finished || !openIntents) return null;
+  const storedIntents = finished && (intents ? await intents.readAll() : []);
+  if (!machines || !jobs || !finished || !storedIntents) return null;
   const { revision } = jobs;
   return {
     machines: machines.pairs,
     jobs: jobs.pairs,
     finished: finished.pairs,
-    intents: openIntents,
+    intents: storedIntents,
     revision,
   };
 }
