--- a/src/process-runtime.ts
+++ b/src/process-runtime.ts
@@ -8,7 +8,7 @@
 
 const STDERR_FD = 2;
 
-const STEADY_CLOCK: Clock = {
+const MONOTONIC_CLOCK: Clock = {
   now: () => performance.now(),
   after: (ms, callback) => {
     const timer = setTimeout(callback, ms);
@@ -21,7 +21,7 @@
 /** Creates a runtime whose HTTP client keeps connections to the state service and the cloud open. */
 export function createProcessRuntime(settings: PlatformSettings, log: Log): Runtime {
   return {
-    clock: STEADY_CLOCK,
+    clock: MONOTONIC_CLOCK,
     http: new HttpClient({
       services: [settings.stateAddress, settings.cloudAddress],
       maxConnectionsToWorkers: allocateSockets(settings.maxSockets).maxToWorkers,
