--- a/src/health.ts
+++ b/src/health.ts
@@ -1,5 +1,5 @@
 /** Determines whether users' requests should be sent to a controller node. */
-import type { MachineTypeCatalogue } from './machine-type-catalogue.js';
+import type { MachineTypeCatalog } from './machine-type-catalog.js';
 import type { ControllerRollout } from './rollout/controller-rollout.js';
 import type { Clock } from './runtime.js';
 import type { StateStore } from './state-store/client.js';
@@ -22,7 +22,7 @@
   clock: Clock;
   store: Pick<StateStore, 'unavailableForMs'>;
   rollout: Pick<ControllerRollout, 'mayServe' | 'reason'>;
-  machineTypes: Pick<MachineTypeCatalogue, 'types'>;
+  machineTypes: Pick<MachineTypeCatalog, 'types'>;
   /** Whether the deployment has further controllers. */
   hasPeers: boolean;
 }
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -2,7 +2,7 @@
 import { COMPACT_FINISHED_TASKS } from '../build.js';
 import type { ControllerDuties } from '../duties/controller-duties.js';
 import type { Cancellations } from '../jobs/cancellations.js';
-import type { MachineTypeCatalogue } from '../machine-type-catalogue.js';
+import type { MachineTypeCatalog } from '../machine-type-catalog.js';
 import type { ControllerRollout } from '../rollout/controller-rollout.js';
 import type { Runtime } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
@@ -26,7 +26,7 @@
   operator: OperatorSettings;
   store: StateStore;
   leadership: Leadership;
-  machineTypes: MachineTypeCatalogue;
+  machineTypes: MachineTypeCatalog;
   cancellations: Cancellations;
   rollout: ControllerRollout;
   duties: ControllerDuties;
--- a/src/machine-type-catalogue.ts
+++ b/src/machine-type-catalog.ts
@@ -13,7 +13,7 @@
 const RETRY_JITTER_MS = 300;
 
 /** The machine types. They are read once, since they do not change while a process runs. */
-export class MachineTypeCatalogue {
+export class MachineTypeCatalog {
   private known: MachineType[] | null = null;
 
   constructor(
--- a/src/node.ts
+++ b/src/node.ts
@@ -14,7 +14,7 @@
 import { Leadership, type LeadershipEvents } from './leadership/leadership.js';
 import { LeaseExtender, leaseExtensionMs } from './leadership/lease-extension.js';
 import { TermSupervisor } from './leadership/term-supervisor.js';
-import { MachineTypeCatalogue } from './machine-type-catalogue.js';
+import { MachineTypeCatalog } from './machine-type-catalog.js';
 import { Attestations } from './peers/attestations.js';
 import { PeerMessageHandler } from './peers/peer-message-handler.js';
 import type { PeerMessage } from './peers/peer-messages.js';
@@ -64,7 +64,7 @@
   private readonly terms: TermSupervisor;
   private readonly duties: ControllerDuties;
   private readonly store: StateStore;
-  private readonly machineTypes: MachineTypeCatalogue;
+  private readonly machineTypes: MachineTypeCatalog;
   private readonly jobCache: JobCache;
   private readonly cancellations: Cancellations;
   private readonly attestations: Attestations;
@@ -86,7 +86,7 @@
     this.jobCache = this.createJobCache();
     this.leaseExtender = new LeaseExtender(leaseExtensionMs(settings.cancelS, settings.leaseS));
     const cloud = new Cloud(runtime, settings.cloudAddress, settings.cloudCallsPerS);
-    this.machineTypes = new MachineTypeCatalogue(runtime, this.store, cloud);
+    this.machineTypes = new MachineTypeCatalog(runtime, this.store, cloud);
     this.rollout = this.createRollout(processId);
     this.duties = this.createDuties(processId);
     this.leadership = this.createLeadership();
--- a/src/peers/status-broadcasts.ts
+++ b/src/peers/status-broadcasts.ts
@@ -2,7 +2,7 @@
 import type { LeaderTerm } from '../leadership/leader-term.js';
 import type { Leadership } from '../leadership/leadership.js';
 import { REQUEST_INTERVAL_MS } from '../leadership/lease-extension.js';
-import { MACHINE_TYPES_KEY } from '../machine-type-catalogue.js';
+import { MACHINE_TYPES_KEY } from '../machine-type-catalog.js';
 import type { Clock } from '../runtime.js';
 import type { StateStore } from '../state-store/client.js';
 import type { Attestations } from './attestations.js';
