--- a/src/heartbeat-endpoint.ts
+++ b/src/heartbeat-endpoint.ts
@@ -23,7 +23,7 @@
   cancellations: Cancellations;
   attestations: Attestations;
   leaseExtender: LeaseExtender;
-  /** Whether this process may serve at present. */
+  /** Whether this process can read the stored state. If not, any response might be wrong. */
   mayServe(): boolean;
   /** The term in which this node leads, or null; the leadership may be suspended. */
   term(): LeaderTerm | null;
--- a/src/leadership/leader-term-dependencies.ts
+++ b/src/leadership/leader-term-dependencies.ts
@@ -14,9 +14,9 @@
   operator: OperatorSettings;
   store: StateStore;
   types: MachineType[];
-  /** Time of day in milliseconds. */
+  /** Returns the wall-clock time in milliseconds since the Unix epoch. */
   wallMs(): number;
-  /** Whether this node leads now, in this term and no later one. */
+  /** Whether this node leads now, in this term and no later one. True also before the term serves. */
   holdsLeadership(): boolean;
   /** Precondition of every write: it fails once the term has ended. */
   leaderPrecondition(): Precondition;
@@ -24,7 +24,7 @@
   isCancelled(id: string): boolean;
   /** Whether this node's knowledge of cancellations is recent enough to start tasks. */
   cancellationsAreFresh(): boolean;
-  /** Precondition of writes of compressed segments, see `CompletionWriter`. Null: none may be written now. */
+  /** Precondition of writes of compressed segments, see `CompletionWriter`. Returns null if none may be written now. */
   segmentPrecondition(): Precondition | null;
   duties: Pick<ControllerDuties, 'mayIntentsExist' | 'usesIntents' | 'intentLog'>;
   /** Gives up the leadership. */
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -30,7 +30,7 @@
   cancellations: Cancellations;
   rollout: ControllerRollout;
   duties: ControllerDuties;
-  /** Time of day in milliseconds. */
+  /** Returns the wall-clock time in milliseconds since the Unix epoch. */
   wallMs(): number;
 }
 
--- a/src/node.ts
+++ b/src/node.ts
@@ -48,7 +48,7 @@
   runtime: Runtime;
   settings: PlatformSettings;
   operator: OperatorSettings;
-  /** Time of day in milliseconds. */
+  /** Returns the wall-clock time in milliseconds since the Unix epoch. */
   wallMs(): number;
   /** Sends a message to all other controllers. */
   broadcast(message: PeerMessage): void;
