--- a/src/leadership/failover-recovery.ts
+++ b/src/leadership/failover-recovery.ts
@@ -1,7 +1,8 @@
 /**
- * Determines when a new leader may act on jobs of former leaders: once every machine that was stored before its term
- * has reported the new token, was deleted, or its lease has expired. Until then, tasks of those jobs may run on machines
- * that have not sent a heartbeat to this leader yet.
+ * Determines when a new leader may act on jobs that were created before its term: once each machine that was stored
+ * before its term has reported the new token or been deleted, or its lease has expired. Until then, tasks of those jobs
+ * may run on machines that have not sent a heartbeat to this leader yet. The recovery begins once the stored state has
+ * been loaded.
  */
 import type { Log } from '../runtime.js';
 import type { Machine } from '../workers/machine.js';
@@ -15,7 +16,7 @@
   private complete = false;
   private loggedAt = -Infinity;
   private beganAt = 0;
-  /** Machines that were stored before the term. `tryComplete` removes those at the front that need not be awaited any more. */
+  /** Machines that were stored before the term. `tryComplete` removes those at the front that are no longer awaited. */
   private readonly awaitingReconciliation = new Set<Machine>();
 
   constructor(
@@ -31,6 +32,7 @@
     this.awaitingReconciliation.add(machine);
   }
 
+  /** Called when the term begins to serve: `mayPlace` limits its delay from then on. */
   begin(now: number): void {
     this.beganAt = now;
   }
@@ -44,14 +46,15 @@
     return this.complete || !isCongested || now - this.beganAt > this.leaseMs / 2;
   }
 
-  /** Whether every machine that may run tasks of former leaders is reconciled, deleted, or its lease has expired. */
+  /** Whether each machine that may run tasks of former leaders was reconciled or deleted, or its lease has expired. */
   isComplete(): boolean {
     return this.complete;
   }
 
   /**
-   * Returns true if this call completes the recovery. It is called for every heartbeat, so it stops at the first machine
-   * that is still awaited: all calls together pass each machine once.
+   * Removes machines that are no longer awaited, and completes the recovery if none is left. Returns true only in the
+   * call that completes it. It is called for every heartbeat, so it stops at the first machine that is still awaited:
+   * all calls together pass each machine once.
    */
   tryComplete(now: number): boolean {
     if (this.complete) return false;
--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -24,7 +24,7 @@
   recovery: FailoverRecovery;
   contact: WorkerContact;
   cycles: CycleScheduler;
-  /** Whether this node leads now, in this term and no later one. */
+  /** Whether this node leads now, in this term and no later one. True also before the term serves. */
   holdsLeadership(): boolean;
 }
 
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -41,7 +41,7 @@
   readonly sender: CommandSender;
   readonly machineRecords: MachineRecordStore;
   readonly completionWriter: CompletionWriter;
-  readonly intents: IntentLog;
+  readonly intentLog: IntentLog;
   readonly autoscaler: Autoscaler;
   readonly intake: JobIntake;
   readonly heartbeats: HeartbeatHandler;
@@ -74,7 +74,7 @@
     this.sender = this.createCommandSender();
     this.machineRecords = this.createMachineRecordStore();
     this.completionWriter = this.createCompletionWriter();
-    this.intents = this.openIntentLog();
+    this.intentLog = this.openIntentLog();
     this.autoscaler = this.createAutoscaler();
     this.placement = this.createPlacement();
     this.intake = this.createJobIntake();
@@ -184,7 +184,7 @@
     return createAutoscaler(this.deps, {
       lifecycle: this.lifecycle,
       table: this.table,
-      intents: this.intents,
+      intentLog: this.intentLog,
       grants: this.grants,
       leaseExtensionMs: this.leaseExtensionMs,
       demand: () => this.demand(),
@@ -219,6 +219,7 @@
       operator,
       jobs: this.jobs,
       table: this.table,
+      // Attempt numbers start at the term's lowest token, so that no two terms use the same number.
       attemptBase: this.lifecycle.baseToken,
       recoveryComplete: () => this.recovery.isComplete(),
       wallMs: () => this.deps.wallMs(),
--- a/src/leadership/leader-record.ts
+++ b/src/leadership/leader-record.ts
@@ -15,7 +15,7 @@
 /** Version that a precondition states for a key that does not exist. */
 const ABSENT = 0;
 
-/** A term that began when this node won the election. */
+/** Identifies a term that began when this node won the election; `LeaderTerm` does the term's work. */
 export interface ElectedTerm {
   /** Revision of the leader record: it increases from leader to leader. */
   epoch: number;
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -15,11 +15,13 @@
 import { type StoredState, logStoredState, readStoredState } from './stored-state.js';
 import { TermLifecycle } from './term-lifecycle.js';
 
-/** Reported until all records have been read. */
+/**
+ * Reported until all records have been read: the conversion is not known to be done. The count of 1 is a placeholder.
+ */
 const CONVERSION_UNKNOWN: Conversion = { kind: 'running', remaining: 1 };
 const LOAD_RETRY_MS = 200;
 
-/** A leader's term from its election to its end: recovers the state that former leaders stored, then serves. */
+/** A leader's term from its election to its end: loads the state that former leaders stored, then serves. */
 export class LeaderTerm {
   private readonly lifecycle: TermLifecycle;
   private readonly components: LeaderComponents;
@@ -32,7 +34,7 @@
     this.components = new LeaderComponents(deps, this.lifecycle);
   }
 
-  /** Recovers the stored state, retrying until this succeeds or the term ends, and then starts to serve. */
+  /** Loads the stored state, retrying until this succeeds or the term ends, and then starts to serve. */
   async run(): Promise<void> {
     const { clock } = this.deps.runtime;
     let revision = await this.loadStoredState();
@@ -64,7 +66,7 @@
     const beganAt = runtime.clock.now();
     const stored = await readStoredState(
       store,
-      duties.mayIntentsExist() ? this.components.intents : null,
+      duties.mayIntentsExist() ? this.components.intentLog : null,
     );
     if (!stored || !this.lifecycle.isLoading()) return null;
     logStoredState(stored, beganAt, { epoch, token: baseToken }, runtime);
@@ -81,7 +83,7 @@
       types: this.deps.types,
       now: this.deps.runtime.clock.now(),
     });
-    restoreIntents(intents, this.components.intents, autoscaler);
+    restoreIntents(intents, this.components.intentLog, autoscaler);
     this.components.feed.load(jobs, finished, {
       finishedRecordFound: (job, recordNumber) => {
         completionWriter.noteWritten(job, recordNumber);
@@ -112,10 +114,10 @@
   /** How far records of features above the target level have been converted back, while the level is lowered. */
   conversion(targetLevel: number): Conversion {
     if (!this.lifecycle.isServing()) return CONVERSION_UNKNOWN;
-    const { completionWriter, intents } = this.components;
+    const { completionWriter, intentLog } = this.components;
     return combinedConversion(targetLevel, {
       [COMPACT_FINISHED_TASKS]: () => completionWriter.conversion(),
-      [FENCED_DUTIES]: () => intentConversion(intents),
+      [FENCED_DUTIES]: () => intentConversion(intentLog),
     });
   }
 
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -119,7 +119,7 @@
       : null;
   }
 
-  /** Time on the local clock until which no other node can be elected, or have been elected, after this node. */
+  /** Time by the local clock before which no other node can have been elected after this one. */
   leaseValidUntil(): number {
     return this.validUntilMs;
   }
@@ -133,6 +133,7 @@
     return this.stateMachine.state === 'candidate';
   }
 
+  /** The term for which this node was elected, or null; the leadership may be suspended. */
   electedTerm(): ElectedTerm | null {
     return this.term;
   }
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -15,7 +15,7 @@
   autoscaler: Pick<Autoscaler, 'isHeartbeatOverdue' | 'isUnreachable' | 'isInPartitionedZone'>;
   /** Time in milliseconds, from a follower's request, for which it may extend leases. */
   leaseExtensionMs: number;
-  /** The time until which followers may have extended leases. */
+  /** Returns the time after which no follower has extended a lease in any zone. */
   leasesExtendableUntil(): number;
 }
 
@@ -51,8 +51,8 @@
       autoscaler.isUnreachable(machine, now - leaseExtensionMs / 4)
     )
       return true;
-    // Also while the recovery waits for a machine that does not respond: each grant would delay the recovery of all old
-    // jobs.
+    // Also while the recovery waits for a machine that does not respond: each grant would delay the recovery of all
+    // jobs that were created before the term.
     return machine.awaitingReconciliation && !machine.isReconciled() && machine.commandFailures > 0;
   }
 
--- a/src/leadership/restored-machines.ts
+++ b/src/leadership/restored-machines.ts
@@ -16,7 +16,8 @@
 }
 
 /**
- * Each machine must be reconciled before the leader acts on old jobs, since it may run tasks of a former leader.
+ * Each machine must be reconciled before the leader acts on jobs that were created before its term, since it may run
+ * their tasks.
  * Machines of a type that the cloud no longer offers are skipped.
  */
 export function restoreMachines(
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -4,7 +4,8 @@
 import { type ElectedTerm, TOKENS_PER_EPOCH } from './leader-record.js';
 
 /**
- * - `recovering`: this node is reading the records of former leaders.
+ * - `recovering`: this node is reading the records that former leaders stored. `FailoverRecovery` is a later phase: it
+ *   begins with `serving`.
  * - `serving`: this node acts as the leader.
  * - `ended`: another term may have begun, so this term may take no more actions.
  */
@@ -41,6 +42,7 @@
     });
   }
 
+  /** Whether the records are still being read: state `recovering`. */
   isLoading(): boolean {
     return this.stateMachine.state === 'recovering';
   }
@@ -54,7 +56,7 @@
     return this.stateMachine.state === 'ended';
   }
 
-  /** Whether this node may act as the leader now. */
+  /** Whether this node may act as the leader now: the term is serving and the leadership is not suspended. */
   isLeader(): boolean {
     return this.isServing() && this.holdsLeadership();
   }
