--- a/src/leadership/event-loop-lag.ts
+++ b/src/leadership/event-loop-lag.ts
@@ -20,7 +20,10 @@
     private readonly log: Log,
   ) {}
 
-  /** Called when the timer has fired. Returns how many milliseconds late it fired. */
+  /**
+   * Called each time the timer fires. Returns how many milliseconds late it fired, and logs and remembers a delay above
+   * `LAG_THRESHOLD_MS`.
+   */
   measure(now: number): number {
     const lateMs = now - this.firedAt - this.intervalMs;
     this.firedAt = now;
--- a/src/leadership/job-feed.ts
+++ b/src/leadership/job-feed.ts
@@ -15,7 +15,7 @@
   runtime: Runtime;
   store: StateStore;
   jobs: JobTable;
-  /** Whether the term is serving; the feed ends when it no longer is. */
+  /** Whether the term is serving; `follow` returns when it no longer is. */
   isServing(): boolean;
   /** Called for each live record that is new or has changed. */
   liveRecordStored(id: string, value: unknown, version: number): void;
@@ -29,11 +29,11 @@
 export interface FinishedRecordListener {
   /** Called for each record whose job is live. */
   finishedRecordFound(job: Job, recordNumber: number): void;
-  /** Called for each record whose job has ended. */
+  /** Called for each record whose job is in a terminal state. */
   orphanFound(key: string): void;
 }
 
-/** The leader's view of the live job records. */
+/** Reads the live job records for the leader and reports each change to them. */
 export class JobFeed {
   constructor(private readonly deps: JobFeedDependencies) {}
 
--- a/src/leadership/job-intake.ts
+++ b/src/leadership/job-intake.ts
@@ -1,4 +1,4 @@
-/** Adds live jobs to the leader's tables and removes them once they have ended. */
+/** Adds live jobs to the leader's tables and removes them once they are in a terminal state. */
 import type { Job } from '../jobs/job.js';
 import type { JobTable } from '../jobs/job-table.js';
 import { readLive } from '../jobs/records.js';
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Handles the deletion of a live record. Only the leader deletes live records, once the job has ended: this was a
-   * write of this node, the response to which was lost.
+   * Handles the deletion of a live record. Only the leader deletes live records, once the job is in a terminal state:
+   * the deletion was a write of this node whose response was lost.
    */
   liveRecordRemoved(job: Job): void {
     job.endState = 'ended';
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Removes a job that has ended. Called both when this node's own write succeeds and by the watch; the second call
-   * changes nothing.
+   * Removes a job that is in a terminal state. Called both when this node's own write succeeds and by the watch; the
+   * second call changes nothing.
    */
   forgetJob(job: Job): void {
     const { jobs, placement, cycles } = this.deps;
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -17,13 +17,13 @@
 export interface AutoscalerContext {
   lifecycle: TermLifecycle;
   table: MachineTable;
-  intents: IntentLog;
+  intentLog: IntentLog;
   grants: LeaseExtensionGrants;
   leaseExtensionMs: number;
   demand(): Demand;
   /** Whether this controller lags, so that heartbeats that seem to be missing may just be unread. */
   isLagging(): boolean;
-  /** Called when the machine no longer exists, nor anything that ran on it. */
+  /** Called when the machine no longer exists, and therefore none of the tasks on it. */
   machineDeleted(machine: Machine): void;
 }
 
@@ -62,10 +62,10 @@
 function createMachineActions(
   cloud: Cloud,
   { settings, duties }: LeaderTermDependencies,
-  { lifecycle, intents }: AutoscalerContext,
+  { lifecycle, intentLog }: AutoscalerContext,
 ): IntentActions {
   return new IntentActions({
-    log: intents,
+    log: intentLog,
     direct: new DirectActions(cloud, () => lifecycle.nextRequestName(settings.node)),
     usesIntents: () => duties.usesIntents(),
     valueBytes: settings.maxValueKb * 1024,
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -28,7 +28,7 @@
   return Math.max(0, Math.min(MAX_EXTENSION_MS, spareMs));
 }
 
-/** The leader's response to a request. */
+/** The leader's response to a follower's request to extend leases: a grant if `mayExtend`, and a refusal otherwise. */
 export interface LeaseExtensionResponse {
   /** Epoch of the leader's term. */
   epoch: number;
@@ -43,7 +43,7 @@
 
   constructor(private readonly extensionMs: number) {}
 
-  /** `requestedAt`: time at which this node sent the request, by its own clock. */
+  /** Records the leader's response. `requestedAt`: time at which this node sent the request, by its own clock. */
   recordResponse(
     { epoch, mayExtend }: LeaseExtensionResponse,
     requestedAt: number,
@@ -93,7 +93,10 @@
     return this.latestGrantAt + this.extensionMs * MAX_CLOCK_DRIFT;
   }
 
-  /** Whether contact with the peer was lost, but so recently that the peer may still hold a grant. */
+  /**
+   * Whether contact with the peer was lost so recently that the peer may still hold a grant. Returns false for a peer
+   * that has sent no request in this term.
+   */
   hasRecentlyLostContact(peer: string, now: number): boolean {
     const lastContactAt = this.lastContactByPeer.get(peer);
     if (lastContactAt === undefined) return false;
--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -25,7 +25,11 @@
   return partitioned;
 }
 
-/** Returns until when controllers in the zone may extend worker leases there; null if the zone has no controllers. */
+/**
+ * Returns the time until which controllers in the zone may extend worker leases there, counted from the latest contact
+ * with any of them. Returns `Infinity` for the leader's own zone, where the leader itself may renew leases at any time,
+ * and null if the zone has no controllers.
+ */
 export function zoneLeasesExtendableUntil(
   zone: string,
   controllers: ControllerZones,
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -8,15 +8,18 @@
 export type StoredIntent = Versioned<Intent>;
 
 /**
- * Progress of the conversion that leaves no intent open. While an intent is open, a node that cannot follow intents
- * must not lead.
+ * Returns how many intents still have no outcome, as a conversion that must be done before the feature level is lowered
+ * below that of intents: while an intent is open, a node that cannot follow intents must not lead.
  */
 export function intentConversion(intentLog: IntentLog): Conversion {
   const remaining = intentLog.pendingCount();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
-/** Follows the open intents to their outcome, and registers the machines they rent or delete with the autoscaler. */
+/**
+ * Registers the stored intents with the autoscaler: machines to delete, whether or not the intent has an outcome, and
+ * requests for machines that have none yet. Waits in the background for the outcomes of open intents.
+ */
 export function restoreIntents(
   intents: readonly StoredIntent[],
   intentLog: IntentLog,
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -22,12 +22,12 @@
 /** Returns null if the state service could not be read. `intents` is null if no intents can be stored. */
 export async function readStoredState(
   store: StateStore,
-  intents: IntentLog | null,
+  intentLog: IntentLog | null,
 ): Promise<StoredState | null> {
   const machines = await store.scan(MACHINES_PREFIX);
   const jobs = machines && (await store.scan(LIVE_PREFIX));
   const finished = jobs && (await store.scan(FINISHED_PREFIX));
-  const storedIntents = finished && (intents ? await intents.readAll() : []);
+  const storedIntents = finished && (intentLog ? await intentLog.readAll() : []);
   if (!machines || !jobs || !finished || !storedIntents) return null;
   const { revision } = jobs;
   return {
--- a/src/leadership/worker-contact.ts
+++ b/src/leadership/worker-contact.ts
@@ -3,7 +3,10 @@
  * another node should lead.
  */
 
-/** With at least this many machines, one or two late heartbeats are not mistaken for a loss of contact. */
+/**
+ * At least this many machines send heartbeats so often that a shorter timeout is conclusive: one or two late heartbeats
+ * are not mistaken for a loss of contact, since any machine's heartbeat restarts the timeout.
+ */
 const LARGE_FLEET_MACHINES = 30;
 const LARGE_FLEET_TIMEOUT_MS = 3500;
 const SMALL_FLEET_TIMEOUT_MS = 4000;
