--- a/src/build.ts
+++ b/src/build.ts
@@ -14,8 +14,8 @@
     name: COMPACT_FINISHED_TASKS,
     level: 2,
     covers: { records: ['d/JOB/NUMBER with numbers from 1000'], messages: [], decisions: [] },
-    // A build without the gate reads them as records without finished tasks: it restarts the tasks, and they exit
-    // immediately.
+    // A build from before feature levels reads them as records without finished tasks: it restarts the finished tasks,
+    // and they exit immediately.
     withoutGate: 'harmless',
     reversible: true,
   },
@@ -27,7 +27,7 @@
       messages: [],
       decisions: ['machines with an open intent to delete them take no work'],
     },
-    // A build without the gate would start tasks on machines that are about to be deleted.
+    // A build from before feature levels would start tasks on machines that are about to be deleted.
     withoutGate: 'unsafe',
     reversible: true,
   },
--- a/src/command-line.ts
+++ b/src/command-line.ts
@@ -48,7 +48,7 @@
   return program;
 }
 
-/** Makes commander throw errors to the caller, which ends the process. */
+/** Makes commander throw a `CommanderError` instead of exiting, and turns off its suggestions after an error. */
 function withoutExit(command: Command): Command {
   return command.showSuggestionAfterError(false).exitOverride();
 }
