--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -219,7 +219,6 @@
       operator,
       jobs: this.jobs,
       table: this.table,
-      // Attempt numbers start at the term's lowest token, so that no two terms use the same number.
       attemptBase: this.lifecycle.baseToken,
       recoveryComplete: () => this.recovery.isComplete(),
       wallMs: () => this.deps.wallMs(),
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -20,7 +20,10 @@
 /** The state machine of one term. All components of the term check it before they act. */
 export class TermLifecycle {
   readonly epoch: number;
-  /** The lowest token of the term: the token of a machine whose token was never advanced. */
+  /**
+   * The lowest token of the term: the token of a machine whose token was never advanced. Attempt numbers start at it too,
+   * so that no two terms use the same number.
+   */
   readonly baseToken: number;
   private readonly stateMachine: StateMachine<LeaderTermState>;
   private requestCount = 0;
