--- a/src/build.ts
+++ b/src/build.ts
@@ -1,4 +1,4 @@
-/** The build that this program declares to the rollout: its version, the feature levels it supports, and its features. */
+/** The build that this program declares to the rollout: version, supported feature levels, and features. */
 import { type Build, FeatureRegistry } from '@millring/rollout';
 import manifest from '../package.json' with { type: 'json' };
 
--- a/src/health.ts
+++ b/src/health.ts
@@ -28,9 +28,9 @@
 }
 
 /**
- * Checks the health of a node. If the state service is unavailable to this node only, the node can only refuse requests,
- * so users should be sent to another one. In an outage that affects all nodes, no other node can serve users either, and
- * nodes that stay healthy serve again as soon as it ends.
+ * Checks the health of a node. If the state service is unavailable to this node only, the node can only refuse
+ * requests, so users should be sent to another one. In an outage that affects all nodes, no other node can serve users
+ * either, and nodes that stay healthy serve again as soon as it ends.
  */
 export class HealthCheck {
   /** Last report of each other node on whether the state service serves it, with the time of receipt. */
--- a/src/leadership/cycle-scheduler.ts
+++ b/src/leadership/cycle-scheduler.ts
@@ -12,7 +12,7 @@
 /** Upper bound of the cycle duration that the delay is computed from. */
 const MAX_COUNTED_CYCLE_MS = 100;
 
-/** Runs requested cycles after a short delay, one at a time. Requests made while one is scheduled are merged into it. */
+/** Runs requested cycles after a short delay, one at a time. A request while one is scheduled is merged into it. */
 export class CycleScheduler {
   private isScheduled = false;
   private lastCycleMs = 0;
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -27,7 +27,7 @@
   machineDeleted(machine: Machine): void;
 }
 
-/** Creates an autoscaler that acts through intents if the cluster's feature level allows them, and directly otherwise. */
+/** Creates an autoscaler that acts through intents if the cluster's feature level allows them, or directly if not. */
 export function createAutoscaler(
   deps: LeaderTermDependencies,
   context: AutoscalerContext,
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -28,8 +28,8 @@
 import { WorkerContact } from './worker-contact.js';
 
 /**
- * The tables of one term, which are empty at first, and the components that act on them. Components refer to each other,
- * so callbacks look up components that are created later: no callback is called before the term runs.
+ * The tables of one term, which are empty at first, and the components that act on them. Components refer to each
+ * other, so callbacks look up components that are created later: no callback is called before the term runs.
  */
 export class LeaderComponents {
   readonly jobs = new JobTable();
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Called after a suspension. No other node can have led meanwhile, so the tables are still valid. Heartbeats that were
-   * missing during the suspension indicate no failure, so heartbeat timeouts start again.
+   * Called after a suspension. No other node can have led meanwhile, so the tables are still valid. Heartbeats that
+   * were missing during the suspension indicate no failure, so heartbeat timeouts start again.
    */
   resumed(): void {
     const { table, contact, cycles } = this.components;
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -38,7 +38,7 @@
  * - `candidate`: this node is campaigning.
  * - `leader`: this node's lease is guaranteed to be valid.
  * - `suspended`: the lease may have expired, so this node may not start work or respond to requests as the leader. If
- *   a renewal finds the lease still valid, no other node can have been elected meanwhile, and this node resumes its term.
+ *   a renewal finds the lease still valid, no other node can have been elected meanwhile: this node resumes its term.
  */
 export type LeadershipState = 'follower' | 'candidate' | 'leader' | 'suspended';
 
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -58,8 +58,9 @@
 
   /**
    * Whether this node may renew the lease of a worker that holds the given token. It also may in a new term, as long as
-   * the new leader is unreachable and the worker has no token from it: two zones may be partitioned, with the new leader
-   * in the other one. The new leader takes the grants of former leaders into account, see `LeaseExtensionGrants`.
+   * the new leader is unreachable and the worker has no token from it: two zones may be partitioned, with the new
+   * leader in the other one. The new leader takes the grants of former leaders into account, see
+   * `LeaseExtensionGrants`.
    */
   mayRenew(workerToken: number, now: number): boolean {
     const { grant } = this;
@@ -105,8 +106,8 @@
   }
 
   /**
-   * Time of the peer's last request. A peer that has sent none in this term may hold a grant from a former leader, so it
-   * is treated as if it had sent one when the term began.
+   * Time of the peer's last request. A peer that has sent none in this term may hold a grant from a former leader, so
+   * it is treated as if it had sent one when the term began.
    */
   lastContactAt(peer: string): number {
     return this.lastContactByPeer.get(peer) ?? this.termBeganAt;
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -21,8 +21,8 @@
 export class TermLifecycle {
   readonly epoch: number;
   /**
-   * The lowest token of the term: the token of a machine whose token was never advanced. Attempt numbers start at it too,
-   * so that no two terms use the same number.
+   * The lowest token of the term: the token of a machine whose token was never advanced. Attempt numbers start at it
+   * too, so that no two terms use the same number.
    */
   readonly baseToken: number;
   private readonly stateMachine: StateMachine<LeaderTermState>;
--- a/src/leadership/worker-contact.ts
+++ b/src/leadership/worker-contact.ts
@@ -1,6 +1,6 @@
 /**
- * Detects whether the leader still receives heartbeats. A leader that receives none is partitioned from the workers, and
- * another node should lead.
+ * Detects whether the leader still receives heartbeats. A leader that receives none is partitioned from the workers,
+ * and another node should lead.
  */
 
 /**
--- a/src/node.ts
+++ b/src/node.ts
@@ -1,4 +1,4 @@
-/** Creates and connects the components of a controller node, except sockets, so that tests can simulate whole clusters. */
+/** Creates and connects a controller node's components, except sockets, so that tests can simulate whole clusters. */
 import type { Build } from '@millring/rollout';
 import { Cloud } from './autoscaler/cloud.js';
 import { BUILD } from './build.js';
--- a/src/process-runtime.ts
+++ b/src/process-runtime.ts
@@ -31,7 +31,7 @@
   };
 }
 
-/** Creates a log of JSON lines on standard error that contain the node's name. `level`: a level of pino, or `silent`. */
+/** Creates a log of JSON lines with the node's name on standard error. `level`: a level of pino, or `silent`. */
 export function createLog(level: string, node: string): Log {
   return pino({ level, base: { node } }, pino.destination({ dest: STDERR_FD, sync: true }));
 }
--- a/src/runtime.ts
+++ b/src/runtime.ts
@@ -1,4 +1,4 @@
-/** Interfaces to time, network, log and random numbers. They are injected, so that tests can simulate whole clusters. */
+/** Interfaces to time, network, log and random numbers, injected so that tests can simulate whole clusters. */
 import type { Environment } from '@millring/state-access';
 import type { Body } from './wire/cbor.js';
 
--- a/src/state-machine.ts
+++ b/src/state-machine.ts
@@ -1,4 +1,4 @@
-/** State machines with explicit states, a table of the allowed transitions, and one function for every change of state. */
+/** State machines with explicit states, a table of the allowed transitions, and one function for all state changes. */
 
 /** For each state, the states that may follow it. */
 export type Transitions<State extends string> = Readonly<Record<State, readonly State[]>>;
@@ -21,6 +21,7 @@
 
 /** State machine of one object. */
 export class StateMachine<State extends string> {
+  /** `name` identifies the state machine in error messages. */
   constructor(
     private readonly name: string,
     private readonly transitions: Transitions<State>,
@@ -32,7 +33,10 @@
     return this.current;
   }
 
-  /** Does nothing if `next` is the current state. Throws an `IllegalTransitionError` if the transition is not allowed. */
+  /**
+   * Changes the state. Does nothing if `next` is the current state. Throws an `IllegalTransitionError` if the
+   * transition is not allowed. `reason` is passed to the listener.
+   */
   transitionTo(next: State, reason: string): void {
     const from = this.current;
     if (next === from) return;
