--- a/src/health.ts
+++ b/src/health.ts
@@ -1,5 +1,5 @@
 /** Determines whether users' requests should be sent to a controller node. */
-import type { MachineTypeCatalogue } from './machine-type-catalogue.js';
+import type { MachineTypeCatalog } from './machine-type-catalog.js';
 import type { ControllerRollout } from './rollout/controller-rollout.js';
 import type { Clock } from './runtime.js';
 import type { StateStore } from './state-store/client.js';
@@ -22,15 +22,15 @@
   clock: Clock;
   store: Pick<StateStore, 'unavailableForMs'>;
   rollout: Pick<ControllerRollout, 'mayServe' | 'reason'>;
-  machineTypes: Pick<MachineTypeCatalogue, 'types'>;
+  machineTypes: Pick<MachineTypeCatalog, 'types'>;
   /** Whether the deployment has further controllers. */
   hasPeers: boolean;
 }
 
 /**
- * Checks the health of a node. If the state service is unavailable to this node only, the node can only refuse requests,
- * so users should be sent to another one. In an outage that affects all nodes, no other node can serve users either, and
- * nodes that stay healthy serve again as soon as it ends.
+ * Checks the health of a node. If the state service is unavailable to this node only, the node can only refuse
+ * requests, so users should be sent to another one. In an outage that affects all nodes, no other node can serve users
+ * either, and nodes that stay healthy serve again as soon as it ends.
  */
 export class HealthCheck {
   /** Last report of each other node on whether the state service serves it, with the time of receipt. */
--- a/src/leadership/control-loop.ts
+++ b/src/leadership/control-loop.ts
@@ -45,7 +45,7 @@
     const { clock, lifecycle, sender, eventLoopLag } = this.deps;
     if (lifecycle.hasEnded()) return;
     const now = clock.now();
-    sender.timerFired(eventLoopLag.timerFired(now));
+    sender.timerFired(eventLoopLag.measure(now));
     if (lifecycle.isLeader()) this.doPeriodicWork(now);
     clock.after(TICK_MS, () => {
       this.tick();
@@ -55,7 +55,7 @@
   private doPeriodicWork(now: number): void {
     const { sender, placement, recovery, leaseMonitor, cycles } = this.deps;
     leaseMonitor.expire(now);
-    if (recovery.check(now)) cycles.request();
+    if (recovery.tryComplete(now)) cycles.request();
     this.deps.machineRecords.tick();
     this.deps.completionWriter.tick();
     this.deps.autoscaler.tick();
--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -24,8 +24,8 @@
   recovery: FailoverRecovery;
   contact: WorkerContact;
   cycles: CycleScheduler;
-  /** Whether this node leads now, in this term and no later one. */
-  holdsLease(): boolean;
+  /** Whether this node leads now, in this term and no later one. True also before the term serves. */
+  holdsLeadership(): boolean;
 }
 
 /** A response to a heartbeat, which renews the worker's lease. */
@@ -48,7 +48,7 @@
    */
   handle(heartbeat: Heartbeat): HeartbeatResponse | null {
     const { clock, lifecycle, autoscaler } = this.deps;
-    if (!this.deps.holdsLease()) return null;
+    if (!this.deps.holdsLeadership()) return null;
     const now = clock.now();
     if (!lifecycle.isServing() || autoscaler.isDeleted(heartbeat.machine))
       return { token: lifecycle.baseToken, commands: [] };
@@ -91,7 +91,7 @@
     table.applyHeartbeat(machine, heartbeat, now);
     if (machine.isReconciled()) machine.awaitingReconciliation = false;
     placement.heartbeatApplied(machine);
-    if (recovery.check(now)) cycles.request();
+    if (recovery.tryComplete(now)) cycles.request();
     // If resources were freed, the end of the attempt has already requested a cycle.
     if (!wasReconciled && machine.isReconciled()) cycles.request();
   }
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -10,24 +10,24 @@
 import type { MachineTable } from '../workers/machine-table.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
 import type { LeaseExtensionGrants } from './lease-extension.js';
-import { leasesExtendableUntil, partitionedZones } from './partitioned-zones.js';
+import { zoneLeasesExtendableUntil, partitionedZones } from './partitioned-zones.js';
 import type { TermLifecycle } from './term-lifecycle.js';
 
 /** The components of the term that the autoscaler uses. */
 export interface AutoscalerContext {
   lifecycle: TermLifecycle;
   table: MachineTable;
-  intents: IntentLog;
+  intentLog: IntentLog;
   grants: LeaseExtensionGrants;
   leaseExtensionMs: number;
   demand(): Demand;
   /** Whether this controller lags, so that heartbeats that seem to be missing may just be unread. */
   isLagging(): boolean;
-  /** Called when the machine no longer exists, nor anything that ran on it. */
+  /** Called when the machine no longer exists, and therefore none of the tasks on it. */
   machineDeleted(machine: Machine): void;
 }
 
-/** Creates an autoscaler that acts through intents if the cluster's feature level allows them, and directly otherwise. */
+/** Creates an autoscaler that acts through intents if the cluster's feature level allows them, or directly if not. */
 export function createAutoscaler(
   deps: LeaderTermDependencies,
   context: AutoscalerContext,
@@ -49,7 +49,7 @@
     demand: () => context.demand(),
     zonesOutOfContact: () => partitionedZones(settings, grants, runtime.clock.now()),
     leasesExtendableUntil: (zone) =>
-      leasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
+      zoneLeasesExtendableUntil(zone, settings, grants, leaseExtensionMs),
     controllerZones: new Set([settings.zone, ...settings.peers.map((peer) => peer.zone)]),
     leaseS: settings.leaseS,
     isLagging: () => context.isLagging(),
@@ -62,10 +62,10 @@
 function createMachineActions(
   cloud: Cloud,
   { settings, duties }: LeaderTermDependencies,
-  { lifecycle, intents }: AutoscalerContext,
+  { lifecycle, intentLog }: AutoscalerContext,
 ): IntentActions {
   return new IntentActions({
-    log: intents,
+    log: intentLog,
     direct: new DirectActions(cloud, () => lifecycle.nextRequestName(settings.node)),
     usesIntents: () => duties.usesIntents(),
     valueBytes: settings.maxValueKb * 1024,
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -28,8 +28,8 @@
 import { WorkerContact } from './worker-contact.js';
 
 /**
- * The tables of one term, which are empty at first, and the components that act on them. Components refer to each other,
- * so callbacks look up components that are created later: no callback is called before the term runs.
+ * The tables of one term, which are empty at first, and the components that act on them. Components refer to each
+ * other, so callbacks look up components that are created later: no callback is called before the term runs.
  */
 export class LeaderComponents {
   readonly jobs = new JobTable();
@@ -41,7 +41,7 @@
   readonly sender: CommandSender;
   readonly machineRecords: MachineRecordStore;
   readonly completionWriter: CompletionWriter;
-  readonly intents: IntentLog;
+  readonly intentLog: IntentLog;
   readonly autoscaler: Autoscaler;
   readonly intake: JobIntake;
   readonly heartbeats: HeartbeatHandler;
@@ -74,7 +74,7 @@
     this.sender = this.createCommandSender();
     this.machineRecords = this.createMachineRecordStore();
     this.completionWriter = this.createCompletionWriter();
-    this.intents = this.openIntentLog();
+    this.intentLog = this.openIntentLog();
     this.autoscaler = this.createAutoscaler();
     this.placement = this.createPlacement();
     this.intake = this.createJobIntake();
@@ -108,11 +108,11 @@
       store,
       jobs: this.jobs,
       isServing: () => this.lifecycle.isServing(),
-      recordStored: (id, value, version) => {
+      liveRecordStored: (id, value, version) => {
         this.intake.upsertJob(id, value, version);
       },
-      recordRemoved: (job) => {
-        this.intake.recordRemoved(job);
+      liveRecordRemoved: (job) => {
+        this.intake.liveRecordRemoved(job);
       },
       jobsChanged: () => {
         this.cycles.request();
@@ -144,7 +144,7 @@
       txnOps: settings.maxTransactionOps,
       valueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
-      leaderPrecondition: () => this.deps.termPrecondition(),
+      leaderPrecondition: () => this.deps.leaderPrecondition(),
       machinesStored: () => {
         this.cycles.request();
       },
@@ -161,7 +161,7 @@
       writeRps: settings.stateWritesPerS,
       valueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
-      leaderPrecondition: () => this.deps.termPrecondition(),
+      leaderPrecondition: () => this.deps.leaderPrecondition(),
       segmentPrecondition: () => this.deps.segmentPrecondition(),
       hasNoAttempts: (job) =>
         (job.createdInThisTerm || this.recovery.isComplete()) && job.attempts.size === 0,
@@ -174,7 +174,7 @@
   private openIntentLog(): IntentLog {
     return this.deps.duties.intentLog({
       isActive: () => !this.lifecycle.hasEnded(),
-      leaderPrecondition: () => this.deps.termPrecondition(),
+      leaderPrecondition: () => this.deps.leaderPrecondition(),
       nextRequestName: () => this.lifecycle.nextRequestName(this.deps.settings.node),
     });
   }
@@ -184,7 +184,7 @@
     return createAutoscaler(this.deps, {
       lifecycle: this.lifecycle,
       table: this.table,
-      intents: this.intents,
+      intentLog: this.intentLog,
       grants: this.grants,
       leaseExtensionMs: this.leaseExtensionMs,
       demand: () => this.demand(),
@@ -249,7 +249,7 @@
       recovery: this.recovery,
       contact: this.contact,
       cycles: this.cycles,
-      holdsLease: () => this.deps.isLeader(),
+      holdsLeadership: () => this.deps.holdsLeadership(),
     });
   }
 
--- a/src/leadership/leader-term.ts
+++ b/src/leadership/leader-term.ts
@@ -7,40 +7,42 @@
 import type { Heartbeat } from '../wire/model.js';
 import type { HeartbeatResponse } from './heartbeat-handler.js';
 import { LeaderComponents } from './leader-components.js';
-import type { LeadershipTerm } from './leader-record.js';
+import type { ElectedTerm } from './leader-record.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
-import type { LeaseExtensionGrant } from './lease-extension.js';
+import type { LeaseExtensionResponse } from './lease-extension.js';
 import { intentConversion, restoreIntents } from './restored-intents.js';
 import { restoreMachines } from './restored-machines.js';
 import { type StoredState, logStoredState, readStoredState } from './stored-state.js';
 import { TermLifecycle } from './term-lifecycle.js';
 
-/** Reported until all records have been read. */
+/**
+ * Reported until all records have been read: the conversion is not known to be done. The count of 1 is a placeholder.
+ */
 const CONVERSION_UNKNOWN: Conversion = { kind: 'running', remaining: 1 };
-const RECOVERY_RETRY_MS = 200;
+const LOAD_RETRY_MS = 200;
 
-/** A leader's term from its election to its end: recovers the state that former leaders stored, then serves. */
+/** A leader's term from its election to its end: loads the state that former leaders stored, then serves. */
 export class LeaderTerm {
   private readonly lifecycle: TermLifecycle;
   private readonly components: LeaderComponents;
 
   constructor(
     private readonly deps: LeaderTermDependencies,
-    term: LeadershipTerm,
+    term: ElectedTerm,
   ) {
-    this.lifecycle = new TermLifecycle(term, deps.runtime.log, () => deps.isLeader());
+    this.lifecycle = new TermLifecycle(term, deps.runtime.log, () => deps.holdsLeadership());
     this.components = new LeaderComponents(deps, this.lifecycle);
   }
 
-  /** Recovers the stored state, retrying until this succeeds or the term ends, and then starts to serve. */
+  /** Loads the stored state, retrying until this succeeds or the term ends, and then starts to serve. */
   async run(): Promise<void> {
     const { clock } = this.deps.runtime;
-    let revision = await this.recover();
-    while (revision === null && this.lifecycle.isRecovering()) {
-      await sleep(clock, RECOVERY_RETRY_MS);
-      revision = await this.recover();
+    let revision = await this.loadStoredState();
+    while (revision === null && this.lifecycle.isLoading()) {
+      await sleep(clock, LOAD_RETRY_MS);
+      revision = await this.loadStoredState();
     }
-    if (revision !== null && this.lifecycle.isRecovering()) this.serve(revision);
+    if (revision !== null && this.lifecycle.isLoading()) this.serve(revision);
   }
 
   private serve(revision: number): void {
@@ -58,15 +60,15 @@
    * Reads all records. Returns the revision after which changes must be followed. Returns null if the state service
    * could not be read or the term has ended.
    */
-  private async recover(): Promise<number | null> {
+  private async loadStoredState(): Promise<number | null> {
     const { store, duties, runtime } = this.deps;
     const { epoch, baseToken } = this.lifecycle;
     const beganAt = runtime.clock.now();
     const stored = await readStoredState(
       store,
-      duties.mayIntentsExist() ? this.components.intents : null,
+      duties.mayIntentsExist() ? this.components.intentLog : null,
     );
-    if (!stored || !this.lifecycle.isRecovering()) return null;
+    if (!stored || !this.lifecycle.isLoading()) return null;
     logStoredState(stored, beganAt, { epoch, token: baseToken }, runtime);
     this.restore(stored);
     return stored.revision;
@@ -81,9 +83,9 @@
       types: this.deps.types,
       now: this.deps.runtime.clock.now(),
     });
-    restoreIntents(intents, this.components.intents, autoscaler);
+    restoreIntents(intents, this.components.intentLog, autoscaler);
     this.components.feed.load(jobs, finished, {
-      recordFound: (job, recordNumber) => {
+      finishedRecordFound: (job, recordNumber) => {
         completionWriter.noteWritten(job, recordNumber);
       },
       orphanFound: (key) => {
@@ -98,8 +100,8 @@
   }
 
   /**
-   * Called after a suspension. No other node can have led meanwhile, so the tables are still valid. Heartbeats that were
-   * missing during the suspension indicate no failure, so heartbeat timeouts start again.
+   * Called after a suspension. No other node can have led meanwhile, so the tables are still valid. Heartbeats that
+   * were missing during the suspension indicate no failure, so heartbeat timeouts start again.
    */
   resumed(): void {
     const { table, contact, cycles } = this.components;
@@ -112,10 +114,10 @@
   /** How far records of features above the target level have been converted back, while the level is lowered. */
   conversion(targetLevel: number): Conversion {
     if (!this.lifecycle.isServing()) return CONVERSION_UNKNOWN;
-    const { completionWriter, intents } = this.components;
+    const { completionWriter, intentLog } = this.components;
     return combinedConversion(targetLevel, {
       [COMPACT_FINISHED_TASKS]: () => completionWriter.conversion(),
-      [FENCED_DUTIES]: () => intentConversion(intents),
+      [FENCED_DUTIES]: () => intentConversion(intentLog),
     });
   }
 
@@ -125,7 +127,7 @@
   }
 
   /** Handles a follower's request to extend worker leases. Returns null if this node does not lead. */
-  handleLeaseExtensionRequest(peer: string): LeaseExtensionGrant | null {
+  handleLeaseExtensionRequest(peer: string): LeaseExtensionResponse | null {
     return this.components.leaseExtensions.handleRequest(peer);
   }
 
--- a/src/leadership/leadership.ts
+++ b/src/leadership/leadership.ts
@@ -7,7 +7,7 @@
 import {
   type CampaignResult,
   LEADER_KEY,
-  type LeadershipTerm,
+  type ElectedTerm,
   createLeaderRecord,
   leaderRecordPrecondition,
   readLeaderRecord,
@@ -38,7 +38,7 @@
  * - `candidate`: this node is campaigning.
  * - `leader`: this node's lease is guaranteed to be valid.
  * - `suspended`: the lease may have expired, so this node may not start work or respond to requests as the leader. If
- *   a renewal finds the lease still valid, no other node can have been elected meanwhile, and this node resumes its term.
+ *   a renewal finds the lease still valid, no other node can have been elected meanwhile: this node resumes its term.
  */
 export type LeadershipState = 'follower' | 'candidate' | 'leader' | 'suspended';
 
@@ -52,7 +52,7 @@
 /** Callbacks for changes of this node's leadership. */
 export interface LeadershipEvents {
   /** A new term begins: the leader's tables must be rebuilt. */
-  elected(term: LeadershipTerm): void;
+  elected(term: ElectedTerm): void;
   /** The term has ended and cannot be resumed. */
   deposed(): void;
   /** This node leads again after a suspension, in the same term. */
@@ -64,7 +64,7 @@
  * validity of its lease by its own clock, from the time at which it requested the lease, less the maximum clock drift.
  */
 export class Leadership {
-  private readonly machine = new StateMachine<LeadershipState>(
+  private readonly stateMachine = new StateMachine<LeadershipState>(
     'leadership',
     TRANSITIONS,
     'follower',
@@ -77,7 +77,7 @@
       },
     },
   );
-  private term: LeadershipTerm | null = null;
+  private term: ElectedTerm | null = null;
   private validUntilMs = 0;
   private campaignNotBefore = 0;
   /** Name of the leader at the last read of the leader record; may be this node. */
@@ -106,20 +106,20 @@
 
   /** Whether this node may act as the leader now. Reads the clock at each call, since timers may fire late. */
   isLeader(): boolean {
-    if (this.machine.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
-      this.machine.transitionTo('suspended', 'lease may have expired');
-    return this.machine.state === 'leader';
+    if (this.stateMachine.state === 'leader' && this.runtime.clock.now() >= this.validUntilMs)
+      this.stateMachine.transitionTo('suspended', 'lease may have expired');
+    return this.stateMachine.state === 'leader';
   }
 
   /** Name of the node to which workers should send heartbeats; null if it is not known. */
   leaderName(): string | null {
     if (this.isLeader()) return this.settings.node;
-    return this.machine.state === 'follower' && this.observedLeader !== this.settings.node
+    return this.stateMachine.state === 'follower' && this.observedLeader !== this.settings.node
       ? this.observedLeader
       : null;
   }
 
-  /** Time on the local clock until which no other node can be elected, or have been elected, after this node. */
+  /** Time by the local clock before which no other node can have been elected after this one. */
   leaseValidUntil(): number {
     return this.validUntilMs;
   }
@@ -130,15 +130,16 @@
   }
 
   isCandidate(): boolean {
-    return this.machine.state === 'candidate';
+    return this.stateMachine.state === 'candidate';
   }
 
-  currentTerm(): LeadershipTerm | null {
+  /** The term for which this node was elected, or null; the leadership may be suspended. */
+  electedTerm(): ElectedTerm | null {
     return this.term;
   }
 
   /** Precondition of every write of the leader: a write that arrives after the term has ended changes nothing. */
-  termPrecondition(): Precondition {
+  leaderPrecondition(): Precondition {
     return leaderRecordPrecondition(this.term);
   }
 
@@ -163,7 +164,7 @@
     if (!term || this.isCandidate()) return;
     const backoffEndsAt = this.runtime.clock.now() + RESIGNED_BACKOFF_MS;
     this.campaignNotBefore = this.withJitter(backoffEndsAt, RESIGNED_BACKOFF_JITTER_MS);
-    this.machine.transitionTo('follower', reason);
+    this.stateMachine.transitionTo('follower', reason);
     await this.store.revokeLease(term.leaseId);
   }
 
@@ -208,8 +209,9 @@
   }
 
   private endTerm(reason: string): void {
-    const { state } = this.machine;
-    if (state === 'leader' || state === 'suspended') this.machine.transitionTo('follower', reason);
+    const { state } = this.stateMachine;
+    if (state === 'leader' || state === 'suspended')
+      this.stateMachine.transitionTo('follower', reason);
   }
 
   private async waitForChange(revision: number, waitMs: number): Promise<void> {
@@ -219,7 +221,7 @@
 
   private async campaign(): Promise<void> {
     const { clock } = this.runtime;
-    this.machine.transitionTo('candidate', 'no leader');
+    this.stateMachine.transitionTo('candidate', 'no leader');
     const sentAt = clock.now();
     const leaseId = await this.store.grantLease(this.ttlMs);
     const result: CampaignResult =
@@ -231,11 +233,11 @@
         this.beginTerm(result.term, sentAt);
         return;
       case 'no-lease':
-        this.machine.transitionTo('follower', 'state service granted no lease');
+        this.stateMachine.transitionTo('follower', 'state service granted no lease');
         await sleep(clock, this.withJitter(NO_LEASE_BACKOFF_MS, NO_LEASE_BACKOFF_JITTER_MS));
         return;
       case 'lost':
-        this.machine.transitionTo('follower', `campaign lost: ${result.outcome}`);
+        this.stateMachine.transitionTo('follower', `campaign lost: ${result.outcome}`);
         void this.store.revokeLease(result.leaseId);
         await sleep(clock, this.withJitter(LOST_BACKOFF_MS, LOST_BACKOFF_JITTER_MS));
     }
@@ -245,12 +247,12 @@
     return timeMs + this.runtime.random() * jitterMs;
   }
 
-  private beginTerm(term: LeadershipTerm, leaseRequestedAt: number): void {
+  private beginTerm(term: ElectedTerm, leaseRequestedAt: number): void {
     this.term = term;
     this.highestEpoch = Math.max(this.highestEpoch, term.epoch);
     this.observedLeader = this.settings.node;
     this.extendValidity(leaseRequestedAt);
-    this.machine.transitionTo('leader', 'elected');
+    this.stateMachine.transitionTo('leader', 'elected');
     void this.renewLoop(term);
   }
 
@@ -260,7 +262,7 @@
     this.validUntilMs = Math.max(this.validUntilMs, until);
   }
 
-  private async renewLoop(term: LeadershipTerm): Promise<void> {
+  private async renewLoop(term: ElectedTerm): Promise<void> {
     const { clock } = this.runtime;
     const timeoutMs = Math.max(MIN_RENEWAL_TIMEOUT_MS, this.ttlMs / 3);
     while (this.term === term) {
@@ -269,7 +271,7 @@
       const sentAt = clock.now();
       const result = await this.store.renewLease(term.leaseId, this.ttlMs, timeoutMs);
       if (this.term !== term) return;
-      if (result === 'expired') this.machine.transitionTo('follower', 'lease expired');
+      if (result === 'expired') this.stateMachine.transitionTo('follower', 'lease expired');
       else if (result === 'renewed') this.leaseRenewed(sentAt);
     }
   }
@@ -278,7 +280,7 @@
     // Suspends the term first if the validity has ended: the renewal then resumes it.
     this.isLeader();
     this.extendValidity(sentAt);
-    if (this.machine.state === 'suspended' && this.runtime.clock.now() < this.validUntilMs)
-      this.machine.transitionTo('leader', 'lease is still valid');
+    if (this.stateMachine.state === 'suspended' && this.runtime.clock.now() < this.validUntilMs)
+      this.stateMachine.transitionTo('leader', 'lease is still valid');
   }
 }
--- a/src/leadership/lease-extension.ts
+++ b/src/leadership/lease-extension.ts
@@ -28,8 +28,8 @@
   return Math.max(0, Math.min(MAX_EXTENSION_MS, spareMs));
 }
 
-/** The leader's response to a request. */
-export interface LeaseExtensionGrant {
+/** The leader's response to a follower's request to extend leases: a grant if `mayExtend`, and a refusal otherwise. */
+export interface LeaseExtensionResponse {
   /** Epoch of the leader's term. */
   epoch: number;
   /** Whether the follower may extend leases. */
@@ -43,8 +43,12 @@
 
   constructor(private readonly extensionMs: number) {}
 
-  /** `requestedAt`: time at which this node sent the request, by its own clock. */
-  recordGrant({ epoch, mayExtend }: LeaseExtensionGrant, requestedAt: number, now: number): void {
+  /** Records the leader's response. `requestedAt`: time at which this node sent the request, by its own clock. */
+  recordResponse(
+    { epoch, mayExtend }: LeaseExtensionResponse,
+    requestedAt: number,
+    now: number,
+  ): void {
     this.lastContactAt = Math.max(this.lastContactAt, now);
     if (!mayExtend) return;
     const until = requestedAt + this.extensionMs / MAX_CLOCK_DRIFT;
@@ -54,8 +58,9 @@
 
   /**
    * Whether this node may renew the lease of a worker that holds the given token. It also may in a new term, as long as
-   * the new leader is unreachable and the worker has no token from it: two zones may be partitioned, with the new leader
-   * in the other one. The new leader takes the grants of former leaders into account, see `LeaseExtensionGrants`.
+   * the new leader is unreachable and the worker has no token from it: two zones may be partitioned, with the new
+   * leader in the other one. The new leader takes the grants of former leaders into account, see
+   * `LeaseExtensionGrants`.
    */
   mayRenew(workerToken: number, now: number): boolean {
     const { grant } = this;
@@ -89,8 +94,11 @@
     return this.latestGrantAt + this.extensionMs * MAX_CLOCK_DRIFT;
   }
 
-  /** Whether contact with the peer was lost, but so recently that the peer may still hold a grant. */
-  isOutOfContact(peer: string, now: number): boolean {
+  /**
+   * Whether contact with the peer was lost so recently that the peer may still hold a grant. Returns false for a peer
+   * that has sent no request in this term.
+   */
+  hasRecentlyLostContact(peer: string, now: number): boolean {
     const lastContactAt = this.lastContactByPeer.get(peer);
     if (lastContactAt === undefined) return false;
     const sinceContactMs = now - lastContactAt;
@@ -98,8 +106,8 @@
   }
 
   /**
-   * Time of the peer's last request. A peer that has sent none in this term may hold a grant from a former leader, so it
-   * is treated as if it had sent one when the term began.
+   * Time of the peer's last request. A peer that has sent none in this term may hold a grant from a former leader, so
+   * it is treated as if it had sent one when the term began.
    */
   lastContactAt(peer: string): number {
     return this.lastContactByPeer.get(peer) ?? this.termBeganAt;
--- a/src/leadership/partitioned-zones.ts
+++ b/src/leadership/partitioned-zones.ts
@@ -18,15 +18,19 @@
 ): Set<string> {
   const partitioned = new Set<string>();
   for (const peer of controllers.peers)
-    if (peer.zone !== controllers.zone && grants.isOutOfContact(peer.name, now))
+    if (peer.zone !== controllers.zone && grants.hasRecentlyLostContact(peer.name, now))
       partitioned.add(peer.zone);
   for (const peer of controllers.peers)
     if (grants.isInContact(peer.name, now)) partitioned.delete(peer.zone);
   return partitioned;
 }
 
-/** Returns until when controllers in the zone may extend worker leases there; null if the zone has no controllers. */
-export function leasesExtendableUntil(
+/**
+ * Returns the time until which controllers in the zone may extend worker leases there, counted from the latest contact
+ * with any of them. Returns `Infinity` for the leader's own zone, where the leader itself may renew leases at any time,
+ * and null if the zone has no controllers.
+ */
+export function zoneLeasesExtendableUntil(
   zone: string,
   controllers: ControllerZones,
   grants: LeaseExtensionGrants,
--- a/src/leadership/restored-intents.ts
+++ b/src/leadership/restored-intents.ts
@@ -8,18 +8,21 @@
 export type StoredIntent = Versioned<Intent>;
 
 /**
- * Progress of the conversion that leaves no intent open. While an intent is open, a node that cannot follow intents
- * must not lead.
+ * Returns how many intents still have no outcome, as a conversion that must be done before the feature level is lowered
+ * below that of intents: while an intent is open, a node that cannot follow intents must not lead.
  */
-export function intentConversion(log: IntentLog): Conversion {
-  const remaining = log.pendingCount();
+export function intentConversion(intentLog: IntentLog): Conversion {
+  const remaining = intentLog.pendingCount();
   return remaining > 0 ? { kind: 'running', remaining } : { kind: 'done' };
 }
 
-/** Follows the open intents to their outcome, and registers the machines they rent or delete with the autoscaler. */
+/**
+ * Registers the stored intents with the autoscaler: machines to delete, whether or not the intent has an outcome, and
+ * requests for machines that have none yet. Waits in the background for the outcomes of open intents.
+ */
 export function restoreIntents(
   intents: readonly StoredIntent[],
-  log: IntentLog,
+  intentLog: IntentLog,
   autoscaler: Autoscaler,
 ): void {
   for (const { value, version } of intents) {
@@ -27,7 +30,7 @@
     if (action.kind === 'delete') {
       const done =
         value.outcome !== null ||
-        log.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
+        intentLog.awaitOutcome(id, version).then(({ kind }) => kind === 'resolved');
       autoscaler.restoreDeletion(action.machines, Promise.resolve(done));
     } else if (value.outcome === null) {
       const { type, zone, spot, count } = action;
@@ -36,7 +39,7 @@
         zone,
         spot,
         count,
-        log.awaitOutcome(id, version).then(toRequestResult),
+        intentLog.awaitOutcome(id, version).then(toRequestResult),
       );
     }
   }
--- a/src/leadership/stored-state.ts
+++ b/src/leadership/stored-state.ts
@@ -22,19 +22,19 @@
 /** Returns null if the state service could not be read. `intents` is null if no intents can be stored. */
 export async function readStoredState(
   store: StateStore,
-  intents: IntentLog | null,
+  intentLog: IntentLog | null,
 ): Promise<StoredState | null> {
   const machines = await store.scan(MACHINES_PREFIX);
   const jobs = machines && (await store.scan(LIVE_PREFIX));
   const finished = jobs && (await store.scan(FINISHED_PREFIX));
-  const openIntents = finished && (intents ? await intents.readAll() : []);
-  if (!machines || !jobs || !finished || !openIntents) return null;
+  const storedIntents = finished && (intentLog ? await intentLog.readAll() : []);
+  if (!machines || !jobs || !finished || !storedIntents) return null;
   const { revision } = jobs;
   return {
     machines: machines.pairs,
     jobs: jobs.pairs,
     finished: finished.pairs,
-    intents: openIntents,
+    intents: storedIntents,
     revision,
   };
 }
--- a/src/leadership/term-lifecycle.ts
+++ b/src/leadership/term-lifecycle.ts
@@ -1,10 +1,11 @@
 /** The states of a leader's term, from its election to its end. */
 import type { Log } from '../runtime.js';
 import { StateMachine, type Transitions } from '../state-machine.js';
-import { type LeadershipTerm, TOKENS_PER_EPOCH } from './leader-record.js';
+import { type ElectedTerm, TOKENS_PER_EPOCH } from './leader-record.js';
 
 /**
- * - `recovering`: this node is reading the records of former leaders.
+ * - `recovering`: this node is reading the records that former leaders stored. `FailoverRecovery` is a later phase: it
+ *   begins with `serving`.
  * - `serving`: this node acts as the leader.
  * - `ended`: another term may have begun, so this term may take no more actions.
  */
@@ -19,52 +20,56 @@
 /** The state machine of one term. All components of the term check it before they act. */
 export class TermLifecycle {
   readonly epoch: number;
-  /** The lowest token of the term: the token of a machine whose token was never advanced. */
+  /**
+   * The lowest token of the term: the token of a machine whose token was never advanced. Attempt numbers start at it
+   * too, so that no two terms use the same number.
+   */
   readonly baseToken: number;
-  private readonly machine: StateMachine<LeaderTermState>;
+  private readonly stateMachine: StateMachine<LeaderTermState>;
   private requestCount = 0;
 
-  /** `holdsLease` returns whether this node leads now, in this term and no later one. */
+  /** `holdsLeadership` returns whether this node leads now, in this term and no later one. */
   constructor(
-    term: LeadershipTerm,
+    term: ElectedTerm,
     log: Log,
-    private readonly holdsLease: () => boolean,
+    private readonly holdsLeadership: () => boolean,
   ) {
     const { epoch } = term;
     const baseToken = epoch * TOKENS_PER_EPOCH;
     this.epoch = epoch;
     this.baseToken = baseToken;
-    this.machine = new StateMachine('leader term', TRANSITIONS, 'recovering', {
+    this.stateMachine = new StateMachine('leader term', TRANSITIONS, 'recovering', {
       beforeTransition: (from, to) => {
         log.info({ from, to, epoch, token: baseToken }, 'leader term');
       },
     });
   }
 
-  isRecovering(): boolean {
-    return this.machine.state === 'recovering';
+  /** Whether the records are still being read: state `recovering`. */
+  isLoading(): boolean {
+    return this.stateMachine.state === 'recovering';
   }
 
   /** Whether the records were read and the term has not ended; the leadership may be suspended. */
   isServing(): boolean {
-    return this.machine.state === 'serving';
+    return this.stateMachine.state === 'serving';
   }
 
   hasEnded(): boolean {
-    return this.machine.state === 'ended';
+    return this.stateMachine.state === 'ended';
   }
 
-  /** Whether this node may act as the leader now. */
+  /** Whether this node may act as the leader now: the term is serving and the leadership is not suspended. */
   isLeader(): boolean {
-    return this.isServing() && this.holdsLease();
+    return this.isServing() && this.holdsLeadership();
   }
 
   serve(): void {
-    this.machine.transitionTo('serving', 'records were read');
+    this.stateMachine.transitionTo('serving', 'records were read');
   }
 
   end(): void {
-    this.machine.transitionTo('ended', 'leadership has ended');
+    this.stateMachine.transitionTo('ended', 'leadership has ended');
   }
 
   /** Returns a name for a request to the cloud that no node uses twice. */
--- a/src/leadership/term-supervisor.ts
+++ b/src/leadership/term-supervisor.ts
@@ -2,13 +2,13 @@
 import { COMPACT_FINISHED_TASKS } from '../build.js';
 import type { ControllerDuties } from '../duties/controller-duties.js';
 import type { Cancellations } from '../jobs/cancellations.js';
-import type { MachineTypeCatalogue } from '../machine-type-catalogue.js';
+import type { MachineTypeCatalog } from '../machine-type-catalog.js';
 import type { ControllerRollout } from '../rollout/controller-rollout.js';
 import type { Runtime } from '../runtime.js';
 import type { OperatorSettings } from '../settings/operator.js';
 import type { PlatformSettings } from '../settings/platform.js';
 import type { StateStore } from '../state-store/client.js';
-import type { LeadershipTerm } from './leader-record.js';
+import type { ElectedTerm } from './leader-record.js';
 import { LeaderTerm } from './leader-term.js';
 import type { LeaderTermDependencies } from './leader-term-dependencies.js';
 import type { Leadership, LeadershipEvents } from './leadership.js';
@@ -26,11 +26,11 @@
   operator: OperatorSettings;
   store: StateStore;
   leadership: Leadership;
-  machineTypes: MachineTypeCatalogue;
+  machineTypes: MachineTypeCatalog;
   cancellations: Cancellations;
   rollout: ControllerRollout;
   duties: ControllerDuties;
-  /** Time of day in milliseconds. */
+  /** Returns the wall-clock time in milliseconds since the Unix epoch. */
   wallMs(): number;
 }
 
@@ -45,17 +45,17 @@
     return this.term;
   }
 
-  elected(elected: LeadershipTerm): void {
+  elected(electedTerm: ElectedTerm): void {
     const { leadership, rollout } = this.deps;
-    const isCurrent = (): boolean => leadership.currentTerm() === elected;
-    const isLeader = (): boolean => leadership.isLeader() && isCurrent();
-    const term = new LeaderTerm(this.termDependencies(isLeader), elected);
+    const isCurrent = (): boolean => leadership.electedTerm() === electedTerm;
+    const holdsLeadership = (): boolean => leadership.isLeader() && isCurrent();
+    const term = new LeaderTerm(this.termDependencies(holdsLeadership), electedTerm);
     this.term = term;
     void term.run();
     rollout.coordinate({
-      isLeader,
+      isLeader: holdsLeadership,
       isActive: isCurrent,
-      leaderPrecondition: () => leadership.termPrecondition(),
+      leaderPrecondition: () => leadership.leaderPrecondition(),
       conversion: (targetLevel) => term.conversion(targetLevel),
     });
   }
@@ -69,7 +69,7 @@
     this.term?.resumed();
   }
 
-  private termDependencies(isLeader: () => boolean): LeaderTermDependencies {
+  private termDependencies(holdsLeadership: () => boolean): LeaderTermDependencies {
     const { runtime, settings, operator, store, leadership } = this.deps;
     const { machineTypes, cancellations, rollout, duties } = this.deps;
     return {
@@ -79,8 +79,8 @@
       store,
       types: machineTypes.types() ?? [],
       wallMs: () => this.deps.wallMs(),
-      isLeader,
-      termPrecondition: () => leadership.termPrecondition(),
+      holdsLeadership,
+      leaderPrecondition: () => leadership.leaderPrecondition(),
       isCancelled: (id) => cancellations.has(id),
       cancellationsAreFresh: () => cancellations.ageMs() < CANCELLATIONS_MAX_AGE_MS,
       segmentPrecondition: () => rollout.writePrecondition(COMPACT_FINISHED_TASKS),
--- a/src/process-runtime.ts
+++ b/src/process-runtime.ts
@@ -8,7 +8,7 @@
 
 const STDERR_FD = 2;
 
-const STEADY_CLOCK: Clock = {
+const MONOTONIC_CLOCK: Clock = {
   now: () => performance.now(),
   after: (ms, callback) => {
     const timer = setTimeout(callback, ms);
@@ -21,7 +21,7 @@
 /** Creates a runtime whose HTTP client keeps connections to the state service and the cloud open. */
 export function createProcessRuntime(settings: PlatformSettings, log: Log): Runtime {
   return {
-    clock: STEADY_CLOCK,
+    clock: MONOTONIC_CLOCK,
     http: new HttpClient({
       services: [settings.stateAddress, settings.cloudAddress],
       maxConnectionsToWorkers: allocateSockets(settings.maxSockets).maxConnectionsToWorkers,
@@ -31,7 +31,7 @@
   };
 }
 
-/** Creates a log of JSON lines on standard error that contain the node's name. `level`: a level of pino, or `silent`. */
+/** Creates a log of JSON lines with the node's name on standard error. `level`: a level of pino, or `silent`. */
 export function createLog(level: string, node: string): Log {
   return pino({ level, base: { node } }, pino.destination({ dest: STDERR_FD, sync: true }));
 }
