--- a/packages/duties/src/holder-record.ts
+++ b/packages/duties/src/holder-record.ts
@@ -24,7 +24,7 @@
 }
 
 /** The holder record of one duty. */
-export class DutyHolderRecord {
+export class HolderRecordWriter {
   constructor(
     private readonly duty: Duty,
     private readonly deps: HolderRecordDependencies,
--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -1,7 +1,7 @@
 /** One duty in one controller process: acquires it, determines at any time whether it is held, and releases it. */
 import { type Precondition, sleep } from '@millring/state-access';
 import type { Duty } from './duty.js';
-import { DutyHolderRecord, type HolderRecordDependencies } from './holder-record.js';
+import { HolderRecordWriter, type HolderRecordDependencies } from './holder-record.js';
 import { type HolderState, isAllowedTransition } from './holder-state.js';
 import type { Membership } from './membership.js';
 import { Permit, StaleTokenError } from './permit.js';
@@ -57,13 +57,13 @@
   private inFlight = 0;
   private readonly counts: HolderCounters = { acquired: 0, refused: 0 };
   private removeOrphanNotBefore = 0;
-  private readonly record: DutyHolderRecord;
+  private readonly recordWriter: HolderRecordWriter;
 
   constructor(
     readonly duty: Duty,
     private readonly deps: HolderDependencies,
   ) {
-    this.record = new DutyHolderRecord(duty, deps);
+    this.recordWriter = new HolderRecordWriter(duty, deps);
   }
 
   /** The state after the last transition. Unlike `isHeld`, this does not check the clock. */
@@ -178,9 +178,9 @@
     const { membership } = this.deps;
     const leaseId = membership.currentLease();
     if (!this.isVacant() || leaseId === null || !membership.isValid()) return;
-    if (this.record.isTokenUnreadable()) return;
+    if (this.recordWriter.isTokenUnreadable()) return;
     this.transitionTo('acquiring', 'the duty is vacant');
-    const claim = await this.record.claim(leaseId);
+    const claim = await this.recordWriter.claim(leaseId);
     // Without a response the claim may already be stored, or may still be stored: see `removeOrphanedClaim`.
     if (claim === null) {
       this.transitionTo('vacant', 'the claim failed or got no response');
@@ -201,7 +201,7 @@
       return;
     if (now < this.removeOrphanNotBefore) return;
     this.removeOrphanNotBefore = now + ORPHAN_RETRY_MS;
-    await this.record.remove(entry.version);
+    await this.recordWriter.remove(entry.version);
   }
 
   /**
@@ -226,7 +226,7 @@
    */
   private async removeOwnRecord(): Promise<boolean> {
     if (this.deps.membership.currentLease() !== this.grant?.leaseId) return true;
-    const result = await this.record.remove(this.grant.version);
+    const result = await this.recordWriter.remove(this.grant.version);
     return result.kind === 'committed' || result.kind === 'conflict';
   }
 }
