--- a/packages/duties/src/duty-balancer.ts
+++ b/packages/duties/src/duty-balancer.ts
@@ -30,7 +30,7 @@
 
 /** Its methods must be called several times a second. */
 export class DutyBalancer {
-  private readonly vacantSince = new Map<Duty, number>();
+  private readonly delayStartsAt = new Map<Duty, number>();
   /** When this process was last observed to hold the duty, by the steady clock. */
   private readonly lastHeldAt = new Map<Duty, number>();
   private lastMovedAt: number;
@@ -62,17 +62,17 @@
     const now = this.deps.environment.clock.now();
     if (holder.isHeld()) this.lastHeldAt.set(duty, now);
     if (!holder.isVacant()) {
-      this.vacantSince.delete(duty);
+      this.delayStartsAt.delete(duty);
       if (holder.state() === 'vacant') void holder.removeOrphanedClaim();
       return;
     }
     if (!this.deps.duties.includes(duty)) return;
     if (!this.deps.members.isSelfKnownFor(JOIN_DELAY_MS, now)) return;
-    const since = this.vacantSince.get(duty) ?? now;
-    this.vacantSince.set(duty, since);
-    if (now - since < this.delayMs(duty, now)) return;
+    const delayStart = this.delayStartsAt.get(duty) ?? now;
+    this.delayStartsAt.set(duty, delayStart);
+    if (now - delayStart < this.delayMs(duty, now)) return;
     this.lastMovedAt = now;
-    this.vacantSince.set(duty, now + ACQUIRE_RETRY_MS);
+    this.delayStartsAt.set(duty, now + ACQUIRE_RETRY_MS);
     void holder.acquire();
   }
 
