--- a/packages/duties/src/duty-assignment.ts
+++ b/packages/duties/src/duty-assignment.ts
@@ -2,7 +2,7 @@
 import { DUTIES, type Duty } from './duty.js';
 
 /** The properties of a member that the assignment of duties depends on. */
-export interface MemberView {
+export interface MemberStatus {
   name: string;
   /** Whether it has been a member for long enough to be considered reliable. */
   settled: boolean;
@@ -23,7 +23,7 @@
  */
 const MIN_LOAD_DIFFERENCE = 2;
 
-function loadOf(member: MemberView): number {
+function loadOf(member: MemberStatus): number {
   return member.heldCount + (member.isLeader ? LEADER_LOAD_IN_DUTIES : 0);
 }
 
@@ -31,11 +31,11 @@
  * Sorts the members that may hold the duty: settled members first, then by ascending load. The order of members that
  * tie differs between duties.
  */
-function rankCandidates(duty: Duty, members: readonly MemberView[]): MemberView[] {
+function rankCandidates(duty: Duty, members: readonly MemberStatus[]): MemberStatus[] {
   const offset = DUTIES.indexOf(duty);
   const eligible = members.filter((member) => member.duties.includes(duty));
   const names = eligible.map((member) => member.name).sort();
-  const position = (member: MemberView): number =>
+  const position = (member: MemberStatus): number =>
     (names.indexOf(member.name) + offset) % names.length;
   return eligible.sort(
     (a, b) =>
@@ -51,7 +51,7 @@
 export function acquisitionDelayMs(
   duty: Duty,
   self: string,
-  members: readonly MemberView[],
+  members: readonly MemberStatus[],
   settleMs: number,
 ): number {
   const ranked = rankCandidates(duty, members);
@@ -66,7 +66,7 @@
 export function dutyToHandOver(
   self: string,
   held: readonly Duty[],
-  members: readonly MemberView[],
+  members: readonly MemberStatus[],
 ): Duty | null {
   const own = members.find((member) => member.name === self);
   if (!own || held.length === 0) return null;
--- a/packages/duties/src/duty-balancer.ts
+++ b/packages/duties/src/duty-balancer.ts
@@ -50,7 +50,7 @@
     const now = environment.clock.now();
     if (now - this.lastMovedAt < rebalanceMs) return;
     const held = DUTIES.filter((duty) => holders.get(duty)?.isHeld());
-    const duty = dutyToHandOver(self, held, members.memberViews());
+    const duty = dutyToHandOver(self, held, members.memberStatuses());
     if (duty === null) return;
     this.lastMovedAt = now;
     void holders.get(duty)?.release('handed over to balance the duties');
@@ -82,9 +82,9 @@
    */
   private delayMs(duty: Duty, now: number): number {
     const { members, self, settleMs } = this.deps;
-    const views = members.memberViews();
-    const delayMs = acquisitionDelayMs(duty, self, views, settleMs);
+    const statuses = members.memberStatuses();
+    const delayMs = acquisitionDelayMs(duty, self, statuses, settleMs);
     const wasHeldRecently = now - (this.lastHeldAt.get(duty) ?? -Infinity) < settleMs;
-    return wasHeldRecently && views.length > 1 ? delayMs + settleMs : delayMs;
+    return wasHeldRecently && statuses.length > 1 ? delayMs + settleMs : delayMs;
   }
 }
--- a/packages/duties/src/member-tracker.ts
+++ b/packages/duties/src/member-tracker.ts
@@ -1,7 +1,7 @@
 /** Tracks which controller processes are members, and since when. */
 import type { Environment } from '@millring/state-access';
 import { DUTIES, type Duty } from './duty.js';
-import type { MemberView } from './duty-assignment.js';
+import type { MemberStatus } from './duty-assignment.js';
 import type { DutiesView } from './view.js';
 
 /** Dependencies of `MemberTracker`: components of the process and values of the settings. */
@@ -54,7 +54,7 @@
   }
 
   /** The known members, with the properties that the assignment of duties depends on. */
-  memberViews(): MemberView[] {
+  memberStatuses(): MemberStatus[] {
     const { environment, settleMs } = this.deps;
     const now = environment.clock.now();
     const leader = this.deps.leader();
--- a/packages/duties/test/duty-assignment.test.ts
+++ b/packages/duties/test/duty-assignment.test.ts
@@ -2,15 +2,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Duty } from '../src/duty.js';
-import { type MemberView, acquisitionDelayMs, dutyToHandOver } from '../src/duty-assignment.js';
+import { type MemberStatus, acquisitionDelayMs, dutyToHandOver } from '../src/duty-assignment.js';
 
 const SETTLE_MS = 10_000;
 
-function member(name: string, overrides: Partial<MemberView> = {}): MemberView {
+function member(name: string, overrides: Partial<MemberStatus> = {}): MemberStatus {
   return { name, settled: true, isLeader: false, duties: DUTIES, heldCount: 0, ...overrides };
 }
 
-function ranking(duty: Duty, members: MemberView[]): string[] {
+function ranking(duty: Duty, members: MemberStatus[]): string[] {
   const delays = members.map(({ name }) => ({
     name,
     ms: acquisitionDelayMs(duty, name, members, SETTLE_MS),
@@ -57,7 +57,7 @@
     ['n1', []],
     ['n2', []],
   ] as [string, Duty[]][]);
-  const views = (): MemberView[] =>
+  const views = (): MemberStatus[] =>
     [...holds].map(([name, duties]) =>
       member(name, { heldCount: duties.length, isLeader: name === 'n2' }),
     );
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -20,4 +20,4 @@
 export { type ParticipantState } from './participant-state.js';
 export { type ClusterLevel, LEVEL_KEY } from './records.js';
 export { type RolloutSettings } from './settings.js';
-export { type ClusterView, type ControllerView } from './view.js';
+export { type ClusterView, type ControllerStatus } from './view.js';
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -22,7 +22,7 @@
  * - `announced`: the controller has a valid announcement. `version` is the version of its record.
  * - `missing`: the controller may run any build, since nothing can be inferred from a missing announcement.
  */
-export type ControllerView =
+export type ControllerStatus =
   | { kind: 'announced'; announcement: Announcement; version: number }
   | { kind: 'missing'; reason: string };
 
@@ -39,7 +39,7 @@
   /** Version of the level's record; 0 if no level is stored yet. */
   levelVersion: number;
   /** All configured controllers by name. */
-  controllers: Map<string, ControllerView>;
+  controllers: Map<string, ControllerStatus>;
   ignored: IgnoredRecord[];
 }
 
@@ -87,7 +87,7 @@
   controller: string,
   announcement: KeyValue | undefined,
   incarnation: KeyValue | undefined,
-): ControllerView {
+): ControllerStatus {
   if (!announcement) return { kind: 'missing', reason: 'has not announced itself' };
   const read = parseAnnouncement(announcement.value);
   if (read.kind === 'invalid')
@@ -105,7 +105,10 @@
   return { kind: 'announced', announcement: read.value, version: announcement.version };
 }
 
-function checkProcess(view: ControllerView, reportedProcess: string | undefined): ControllerView {
+function checkProcess(
+  view: ControllerStatus,
+  reportedProcess: string | undefined,
+): ControllerStatus {
   if (
     view.kind === 'missing' ||
     reportedProcess === undefined ||
@@ -144,7 +147,7 @@
 
 /** Returns a text that names the first controller that has not confirmed the latest change; null if all have. */
 export function findUnacknowledged(view: ClusterView): string | null {
-  const isBehind = (state: ControllerView): boolean =>
+  const isBehind = (state: ControllerStatus): boolean =>
     state.kind === 'announced' && state.announcement.acknowledged !== view.level.change;
   const behind = [...view.controllers].find(([, state]) => isBehind(state));
   return findMissing(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -1,7 +1,7 @@
 /** Implements `millring rollout ...`, by which operators inspect and change the cluster's feature level. */
 import {
   type ClusterLevel,
-  type ControllerView,
+  type ControllerStatus,
   type OperatorResult,
   RolloutOperator,
   type StatusResult,
@@ -91,7 +91,7 @@
   return lines.join('\n');
 }
 
-function describeController(state: ControllerView, level: ClusterLevel): string {
+function describeController(state: ControllerStatus, level: ClusterLevel): string {
   if (state.kind === 'missing') return state.reason;
   const { build, incarnation, acknowledged } = state.announcement;
   const hasConfirmed = acknowledged === level.change || level.state === 'stable';
