--- a/packages/duties/src/membership.ts
+++ b/packages/duties/src/membership.ts
@@ -20,7 +20,7 @@
 }
 
 /** Steady clocks of different machines drift apart by at most this factor. */
-const MAX_CLOCK_DRIFT_FACTOR = 1.001;
+const MAX_CLOCK_DRIFT = 1.001;
 /** Allowance for the time between reading the clock and acting on the result. */
 const VALIDITY_MARGIN_MS = 20;
 const RENEWALS_PER_LEASE = 4;
@@ -60,13 +60,13 @@
     this.state = 'member';
     const term = ++this.term;
     const { environment, leaseMs } = this.deps;
-    while (this.isMemberInTerm(term)) {
+    while (this.isCurrentJoin(term)) {
       if (this.leaseId === null && !(await this.join(term))) {
         await sleep(environment, RETRY_MS * (1 + environment.random()));
         continue;
       }
       await sleep(environment, leaseMs / RENEWALS_PER_LEASE);
-      if (this.isMemberInTerm(term)) await this.renew();
+      if (this.isCurrentJoin(term)) await this.renew();
     }
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Returns false to the loop of an earlier term that slept while this process left and joined again. */
-  private isMemberInTerm(term: number): boolean {
+  private isCurrentJoin(term: number): boolean {
     return this.state === 'member' && this.term === term;
   }
 
@@ -94,7 +94,7 @@
       [],
       [{ put: memberKey(self), value: { process, duties: [...duties] }, lease: leaseId }],
     );
-    if (result.kind === 'committed' && this.isMemberInTerm(term)) {
+    if (result.kind === 'committed' && this.isCurrentJoin(term)) {
       this.leaseId = leaseId;
       this.extendValidity(sentAt);
       return true;
@@ -108,7 +108,7 @@
    * maximum clock drift and `VALIDITY_MARGIN_MS`.
    */
   private extendValidity(sentAt: number): void {
-    const validForMs = this.deps.leaseMs / MAX_CLOCK_DRIFT_FACTOR - VALIDITY_MARGIN_MS;
+    const validForMs = this.deps.leaseMs / MAX_CLOCK_DRIFT - VALIDITY_MARGIN_MS;
     this.validUntil = Math.max(this.validUntil, sentAt + validForMs);
   }
 
