--- a/packages/duties/src/membership.ts
+++ b/packages/duties/src/membership.ts
@@ -35,7 +35,7 @@
   private validUntil = -Infinity;
   private state: MembershipState = 'out';
   /** Number of times that this process has joined. */
-  private term = 0;
+  private joinCount = 0;
 
   constructor(private readonly deps: MembershipDependencies) {}
 
@@ -58,15 +58,15 @@
   async run(): Promise<void> {
     if (this.state !== 'out') return;
     this.state = 'member';
-    const term = ++this.term;
+    const joinNumber = ++this.joinCount;
     const { environment, leaseMs } = this.deps;
-    while (this.isCurrentJoin(term)) {
-      if (this.leaseId === null && !(await this.join(term))) {
+    while (this.isCurrentJoin(joinNumber)) {
+      if (this.leaseId === null && !(await this.join(joinNumber))) {
         await sleep(environment, RETRY_MS * (1 + environment.random()));
         continue;
       }
       await sleep(environment, leaseMs / RENEWALS_PER_LEASE);
-      if (this.isCurrentJoin(term)) await this.renew();
+      if (this.isCurrentJoin(joinNumber)) await this.renew();
     }
   }
 
@@ -81,11 +81,11 @@
   }
 
   /** Returns false to the loop of an earlier term that slept while this process left and joined again. */
-  private isCurrentJoin(term: number): boolean {
-    return this.state === 'member' && this.term === term;
+  private isCurrentJoin(joinNumber: number): boolean {
+    return this.state === 'member' && this.joinCount === joinNumber;
   }
 
-  private async join(term: number): Promise<boolean> {
+  private async join(joinNumber: number): Promise<boolean> {
     const { environment, store, self, process, leaseMs, duties } = this.deps;
     const sentAt = environment.clock.now();
     const leaseId = await store.grantLease(leaseMs);
@@ -94,7 +94,7 @@
       [],
       [{ put: memberKey(self), value: { process, duties: [...duties] }, lease: leaseId }],
     );
-    if (result.kind === 'committed' && this.isCurrentJoin(term)) {
+    if (result.kind === 'committed' && this.isCurrentJoin(joinNumber)) {
       this.leaseId = leaseId;
       this.extendValidity(sentAt);
       return true;
