--- a/packages/duties/src/first-seen-tracker.ts
+++ b/packages/duties/src/first-seen-tracker.ts
@@ -8,13 +8,13 @@
   }
 
   /** Records the name as first seen at `now`, unless it is recorded already. */
-  record(name: string, now: number): void {
-    if (!this.seenAt.has(name)) this.seenAt.set(name, now);
+  record(id: string, now: number): void {
+    if (!this.seenAt.has(id)) this.seenAt.set(id, now);
   }
 
   /** Removes the names that no longer belong to the set. */
-  retain(belongs: (name: string) => boolean): void {
-    for (const name of this.seenAt.keys()) if (!belongs(name)) this.seenAt.delete(name);
+  retain(belongs: (id: string) => boolean): void {
+    for (const id of this.seenAt.keys()) if (!belongs(id)) this.seenAt.delete(id);
   }
 
   /** Time in milliseconds since the earliest name was first seen; 0 if there is none. */
@@ -24,8 +24,6 @@
 
   /** Returns the names first seen at least `durationMs` ago, in the order in which they were first seen. */
   knownForAtLeast(durationMs: number, now: number): string[] {
-    return [...this.seenAt]
-      .filter(([, seenAt]) => now - seenAt >= durationMs)
-      .map(([name]) => name);
+    return [...this.seenAt].filter(([, seenAt]) => now - seenAt >= durationMs).map(([id]) => id);
   }
 }
--- a/src/duties/cloud-provider.ts
+++ b/src/duties/cloud-provider.ts
@@ -19,9 +19,9 @@
     return this.cloud.tryAcquireCall();
   }
 
-  async rent(_permit: Permit, request: string, action: RentAction): Promise<RentResult> {
+  async rent(_permit: Permit, requestId: string, action: RentAction): Promise<RentResult> {
     const { type, zone, spot, count } = action;
-    const result = await this.cloud.requestMachines(request, type, zone, spot, count);
+    const result = await this.cloud.requestMachines(requestId, type, zone, spot, count);
     switch (result.kind) {
       case 'granted':
         return { kind: 'rented', machines: result.ids };
--- a/src/duties/intent-actions.ts
+++ b/src/duties/intent-actions.ts
@@ -11,11 +11,11 @@
 /** Size of a deletion record without the machine ids. */
 const RECORD_OVERHEAD_BYTES = 320;
 /** Size of the quotes and the comma around each machine id. */
-const NAME_OVERHEAD_BYTES = 3;
+const ID_OVERHEAD_BYTES = 3;
 
 /** Dependencies of `IntentActions` on the leader. */
 export interface IntentActionsDependencies {
-  log: IntentLog;
+  intentLog: IntentLog;
   /** Used while intents can't be used. */
   direct: DirectActions;
   /** Whether all controllers that may lead support intents, and this controller is configured to use them. */
@@ -39,13 +39,13 @@
     if (!this.deps.usesIntents()) return this.deps.direct.requestMachines(pool, count);
     const { type, zone, spot } = pool;
     return toRequestResult(
-      await this.deps.log.open('rent', { kind: 'rent', type: type.name, zone, spot, count }),
+      await this.deps.intentLog.open('rent', { kind: 'rent', type: type.name, zone, spot, count }),
     );
   }
 
   async deleteMachines(ids: string[], purpose: DeletionPurpose): Promise<boolean> {
     if (!this.deps.usesIntents()) return this.deps.direct.deleteMachines(ids);
-    const result = await this.deps.log.open(purpose, { kind: 'delete', machines: ids });
+    const result = await this.deps.intentLog.open(purpose, { kind: 'delete', machines: ids });
     return result.kind === 'resolved' && result.outcome.kind === 'deleted';
   }
 
@@ -53,7 +53,7 @@
     if (!this.deps.usesIntents()) return this.deps.direct.maxDeletions();
     const longest = Math.max(1, ...ids.map((id) => id.length));
     const fitting = Math.floor(
-      (this.deps.valueBytes - RECORD_OVERHEAD_BYTES) / (longest + NAME_OVERHEAD_BYTES),
+      (this.deps.valueBytes - RECORD_OVERHEAD_BYTES) / (longest + ID_OVERHEAD_BYTES),
     );
     return Math.max(1, Math.min(MAX_MACHINES_PER_DELETION, fitting));
   }
--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -65,7 +65,7 @@
   { lifecycle, intents }: AutoscalerContext,
 ): IntentActions {
   return new IntentActions({
-    log: intents,
+    intentLog: intents,
     direct: new DirectActions(cloud, () => lifecycle.nextRequestName(settings.node)),
     usesIntents: () => duties.usesIntents(),
     valueBytes: settings.maxValueKb * 1024,
