--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -87,13 +87,15 @@
     z.refine((intent) => isActionOfDuty(intent.duty, intent.action.kind), {
       error: 'action does not fit duty',
     }),
-    z.refine(({ outcome, token: by }) => (outcome === null) === (by === null), {
+    z.refine(({ outcome, token: intentToken }) => (outcome === null) === (intentToken === null), {
       error: 'outcome and token go together',
     }),
   );
 
-function isActionOfDuty(owner: Duty, action: 'rent' | 'delete'): boolean {
-  return action === 'rent' ? owner === 'rent' : owner === 'return' || owner === 'reclaim';
+function isActionOfDuty(intentDuty: Duty, action: 'rent' | 'delete'): boolean {
+  return action === 'rent'
+    ? intentDuty === 'rent'
+    : intentDuty === 'return' || intentDuty === 'reclaim';
 }
 
 /** The holder of a duty. The record's version is a precondition of every write that the holder makes as such. */
