--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -75,7 +75,7 @@
    * after its record was removed, performing it again changes nothing.
    */
   open(duty: Duty, action: IntentAction): Promise<IntentResult> {
-    return this.countWhilePending(this.store(duty, action));
+    return this.trackPending(this.store(duty, action));
   }
 
   private async store(duty: Duty, action: IntentAction): Promise<IntentResult> {
@@ -97,8 +97,9 @@
         [...preconditions, { key, version: 0 }],
         [{ put: key, value: intent }],
       );
-      if (result.kind === 'committed') return this.awaitInView(id, result.revision);
-      if (result.kind === 'conflict' && result.failed.includes(key)) return this.awaitStored(id);
+      if (result.kind === 'committed') return this.awaitOutcomeInView(id, result.revision);
+      if (result.kind === 'conflict' && result.failed.includes(key))
+        return this.awaitOutcomeIfStored(id);
       // Once one of the other preconditions fails it never holds again, for this request or for one still in flight.
       if (result.kind === 'conflict' || result.kind === 'invalid') return { kind: 'not-stored' };
       mayBeStored ||= result.kind === 'indeterminate';
@@ -108,10 +109,10 @@
     return { kind: 'indeterminate' };
   }
 
-  private async awaitStored(id: string): Promise<IntentResult> {
+  private async awaitOutcomeIfStored(id: string): Promise<IntentResult> {
     while (this.deps.isActive()) {
       const read = await this.deps.store.get(intentKey(id));
-      if (read.kind === 'found') return this.awaitInView(id, read.entry.version);
+      if (read.kind === 'found') return this.awaitOutcomeInView(id, read.entry.version);
       if (read.kind === 'absent') return { kind: 'indeterminate' };
       await sleep(this.deps.environment, RETRY_MS);
     }
@@ -128,17 +129,17 @@
 
   /** Waits for the outcome of an intent that was stored with `version`. */
   async awaitOutcome(id: string, version: number): Promise<IntentResult> {
-    return this.countWhilePending(this.awaitInView(id, version));
+    return this.trackPending(this.awaitOutcomeInView(id, version));
   }
 
-  private async countWhilePending(operation: Promise<IntentResult>): Promise<IntentResult> {
+  private async trackPending(operation: Promise<IntentResult>): Promise<IntentResult> {
     this.pending++;
     const result = await operation;
     this.pending--;
     return result;
   }
 
-  private async awaitInView(id: string, version: number): Promise<IntentResult> {
+  private async awaitOutcomeInView(id: string, version: number): Promise<IntentResult> {
     const { environment, view } = this.deps;
     while (this.deps.isActive()) {
       const entry = view.intent(id);
--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -32,7 +32,7 @@
 }
 
 /** A leader's term, in which the leader decides what the holders of duties do. */
-export interface DecidingTerm {
+export interface IntentTerm {
   /** Whether the term has not ended; true also while the leader is suspended. */
   isActive(): boolean;
   /** Returns a precondition that holds only during the term. */
@@ -80,7 +80,7 @@
   }
 
   /** Creates the intent log of a leader for its term. */
-  intentLog(term: DecidingTerm): IntentLog {
+  intentLog(term: IntentTerm): IntentLog {
     return new IntentLog({
       environment: packageEnvironment(this.deps),
       store: this.deps.store,
