--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -60,7 +60,7 @@
   settings: RolloutSettings,
 ): string | null {
   const target = view.level.active + 1;
-  const unsafe = registry.atLevel(target).find((feature) => feature.withoutGate === 'unsafe');
+  const unsafe = registry.atLevel(target).find((feature) => feature.withoutLevels === 'unsafe');
   if (unsafe && !settings.ungated_builds_retired)
     return `${unsafe.name} would be misread by builds from before levels, and ungated_builds_retired is not set`;
   if (registry.atLevel(target).length === 0) return `no feature comes with level ${target}`;
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -37,7 +37,7 @@
    * itself. `harmless`: it treats the format as missing information, which violates no rule. `unsafe`: it would misread
    * the format.
    */
-  withoutGate: 'harmless' | 'unsafe';
+  withoutLevels: 'harmless' | 'unsafe';
   /** Whether the feature's records can be rewritten in the format of the level below. */
   reversible: boolean;
 }
--- a/packages/rollout/test/cluster-level.test.ts
+++ b/packages/rollout/test/cluster-level.test.ts
@@ -26,7 +26,7 @@
   name: `f${level}`,
   level,
   covers: { records: [], messages: [], decisions: [] },
-  withoutGate: 'harmless',
+  withoutLevels: 'harmless',
   reversible: true,
 });
 
--- a/packages/rollout/test/decide.test.ts
+++ b/packages/rollout/test/decide.test.ts
@@ -32,7 +32,7 @@
     name: `f${level}`,
     level,
     covers,
-    withoutGate: 'harmless',
+    withoutLevels: 'harmless',
     reversible: true,
     ...overrides,
   };
@@ -189,7 +189,7 @@
 });
 
 test('a feature that builds without levels would misread is not proposed until such builds are retired', () => {
-  const registry = new FeatureRegistry([feature(2, { withoutGate: 'unsafe' })]);
+  const registry = new FeatureRegistry([feature(2, { withoutLevels: 'unsafe' })]);
   const view = new Records(sameBuild(build(2))).view();
   assert.match(obstacleToPropose(view, registry, SETTINGS) ?? '', /misread/);
   assert.equal(
--- a/src/build.ts
+++ b/src/build.ts
@@ -16,7 +16,7 @@
     covers: { records: ['d/JOB/NUMBER with numbers from 1000'], messages: [], decisions: [] },
     // A build without the gate reads them as records without finished tasks: it restarts the tasks, and they exit
     // immediately.
-    withoutGate: 'harmless',
+    withoutLevels: 'harmless',
     reversible: true,
   },
   {
@@ -28,7 +28,7 @@
       decisions: ['machines with an open intent to delete them take no work'],
     },
     // A build without the gate would start tasks on machines that are about to be deleted.
-    withoutGate: 'unsafe',
+    withoutLevels: 'unsafe',
     reversible: true,
   },
 ]);
