--- a/packages/rollout/src/coordinator.ts
+++ b/packages/rollout/src/coordinator.ts
@@ -13,7 +13,12 @@
   type StateAccess,
   sleep,
 } from '@millring/state-access';
-import { type ClusterView, announcementPreconditions, obstacleToRaise, readView } from './view.js';
+import {
+  type ClusterView,
+  announcementPreconditions,
+  announcementObstacle,
+  readView,
+} from './view.js';
 
 /** Dependencies of the coordinator on the leader and on the settings. */
 export interface CoordinatorDependencies {
@@ -120,7 +125,10 @@
   }
 
   private capableForMs(view: ClusterView): number {
-    if (view.level.state !== 'stable' || obstacleToRaise(view, view.level.active + 1) !== null) {
+    if (
+      view.level.state !== 'stable' ||
+      announcementObstacle(view, view.level.active + 1) !== null
+    ) {
       this.capablePeriod = null;
       return 0;
     }
--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -6,10 +6,10 @@
   type ClusterView,
   buildsDiffer,
   buildsOf,
-  findIncapable,
-  obstacleToRaise,
+  incapableReason,
+  announcementObstacle,
   startedWith,
-  findUnacknowledged,
+  unacknowledgedReason,
 } from './view.js';
 
 /** How far the records of features above the target level have been converted back. */
@@ -54,7 +54,7 @@
 }
 
 /** Returns why neither the leader nor an operator can raise the level by one; null if it can be raised. */
-export function obstacleToPropose(
+export function obstacleToRaise(
   view: ClusterView,
   registry: FeatureRegistry,
   settings: RolloutSettings,
@@ -64,7 +64,7 @@
   if (unsafe && !settings.ungated_builds_retired)
     return `${unsafe.name} would be misread by builds from before levels, and ungated_builds_retired is not set`;
   if (registry.atLevel(target).length === 0) return `no feature comes with level ${target}`;
-  return obstacleToRaise(view, target);
+  return announcementObstacle(view, target);
 }
 
 function decideStable(input: DecisionInput): Decision {
@@ -73,7 +73,7 @@
   const { held } = view.level;
   if (held && buildsDiffer(held.builds, view))
     return advanceWith(input, { type: 'release' }, false);
-  const obstacle = obstacleToPropose(view, registry, settings);
+  const obstacle = obstacleToRaise(view, registry, settings);
   if (obstacle !== null) return wait(obstacle);
   if (held?.target === view.level.active + 1)
     return wait(`level ${held.target} was given up with these builds: ${held.reason}`);
@@ -86,10 +86,10 @@
 function decideRaising(input: DecisionInput): Decision {
   const { view } = input;
   const target = view.level.target ?? view.level.active;
-  const waitingFor = findUnacknowledged(view);
+  const waitingFor = unacknowledgedReason(view);
   const reason =
-    findIncapable(view, target, canRaiseTo) ??
-    findRestarting(input) ??
+    incapableReason(view, target, canRaiseTo) ??
+    restartReason(input) ??
     stallReason(input, waitingFor);
   if (reason !== null)
     return advanceWith(input, { type: 'abort', reason, builds: buildsOf(view) }, false);
@@ -115,9 +115,9 @@
 function decideLowering(input: DecisionInput): Decision {
   const { view, conversion } = input;
   const target = view.level.target ?? view.level.active;
-  const waitingFor = findUnacknowledged(view);
+  const waitingFor = unacknowledgedReason(view);
   const reason =
-    findIncapable(view, target, canRead) ??
+    incapableReason(view, target, canRead) ??
     (conversion.kind === 'refused' ? conversion.reason : stallReason(input, waitingFor));
   if (reason !== null) return advanceWith(input, { type: 'keep', reason }, false);
   if (waitingFor !== null) return wait(waitingFor);
@@ -136,7 +136,7 @@
   return `no progress for ${stall_s} s: ${waitingFor}`;
 }
 
-function findRestarting({ view, settings }: DecisionInput): string | null {
+function restartReason({ view, settings }: DecisionInput): string | null {
   for (const [controller, state] of view.controllers) {
     if (state.kind === 'missing') continue;
     if (!Object.hasOwn(view.level.startedWith, controller)) continue;
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -3,7 +3,7 @@
  * changes of the level.
  */
 import { type LevelEvent, type UnstampedEvent, advance } from './cluster-level.js';
-import { obstacleToPropose } from './decide.js';
+import { obstacleToRaise } from './decide.js';
 import { type FeatureRegistry, canRead } from './levels.js';
 import { type ClusterLevel, LEVEL_KEY, ROLLOUT_PREFIX, parseClusterLevel } from './records.js';
 import type { RolloutSettings } from './settings.js';
@@ -11,7 +11,7 @@
 import {
   type ClusterView,
   announcementPreconditions,
-  findIncapable,
+  incapableReason,
   readView,
   startedWith,
   buildsOf,
@@ -64,7 +64,7 @@
     const result = readView(read.pairs, this.deps.controllers);
     if (result.kind === 'invalid') return { kind: 'refused', reason: result.reason };
     const { view } = result;
-    return { kind: 'status', view, obstacle: obstacleToPropose(view, registry, settings) };
+    return { kind: 'status', view, obstacle: obstacleToRaise(view, registry, settings) };
   }
 
   /** Starts to raise the level by one. */
@@ -95,7 +95,7 @@
           kind: 'refused',
           reason: `records of ${irreversible.name} can't be converted back`,
         };
-      const unable = findIncapable(view, active - 1, canRead);
+      const unable = incapableReason(view, active - 1, canRead);
       if (unable !== null) return { kind: 'refused', reason: unable };
       return this.event(
         { type: 'lower', target: active - 1, reason: 'lowered by an operator' },
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -122,19 +122,19 @@
 }
 
 /** Returns the first reason why the level can't be raised to `target` with these controllers, or null if it can. */
-export function obstacleToRaise(view: ClusterView, target: number): string | null {
-  return findMissing(view) ?? findIncapable(view, target, canRaiseTo);
+export function announcementObstacle(view: ClusterView, target: number): string | null {
+  return missingReason(view) ?? incapableReason(view, target, canRaiseTo);
 }
 
 /** Returns a text that names the first controller that has not announced itself; null if all have. */
-function findMissing(view: ClusterView): string | null {
+function missingReason(view: ClusterView): string | null {
   for (const [controller, state] of view.controllers)
     if (state.kind === 'missing') return `${controller} ${state.reason}`;
   return null;
 }
 
 /** Returns a text that names the first controller known to run a build that is not capable of `target`, or null. */
-export function findIncapable(
+export function incapableReason(
   view: ClusterView,
   target: number,
   isCapable: typeof canRaiseTo | typeof canRead,
@@ -146,11 +146,11 @@
 }
 
 /** Returns a text that names the first controller that has not confirmed the latest change; null if all have. */
-export function findUnacknowledged(view: ClusterView): string | null {
+export function unacknowledgedReason(view: ClusterView): string | null {
   const isBehind = (state: ControllerStatus): boolean =>
     state.kind === 'announced' && state.announcement.acknowledged !== view.level.change;
   const behind = [...view.controllers].find(([, state]) => isBehind(state));
-  return findMissing(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
+  return missingReason(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
 }
 
 /** Returns the builds of the controllers that have announced themselves, in their stored form. */
--- a/packages/rollout/test/decide.test.ts
+++ b/packages/rollout/test/decide.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type LevelEvent, advance } from '../src/cluster-level.js';
-import { type DecisionInput, decide, obstacleToPropose } from '../src/decide.js';
+import { type DecisionInput, decide, obstacleToRaise } from '../src/decide.js';
 import { type Build, type Feature, FeatureRegistry, FeatureRegistryError } from '../src/levels.js';
 import {
   type Announcement,
@@ -191,12 +191,12 @@
 test('a feature that builds without levels would misread is not proposed until such builds are retired', () => {
   const registry = new FeatureRegistry([feature(2, { withoutLevels: 'unsafe' })]);
   const view = new Records(sameBuild(build(2))).view();
-  assert.match(obstacleToPropose(view, registry, SETTINGS) ?? '', /misread/);
+  assert.match(obstacleToRaise(view, registry, SETTINGS) ?? '', /misread/);
   assert.equal(
-    obstacleToPropose(view, registry, { ...SETTINGS, ungated_builds_retired: true }),
+    obstacleToRaise(view, registry, { ...SETTINGS, ungated_builds_retired: true }),
     null,
   );
-  assert.match(obstacleToPropose(view, new FeatureRegistry([]), SETTINGS) ?? '', /no feature/);
+  assert.match(obstacleToRaise(view, new FeatureRegistry([]), SETTINGS) ?? '', /no feature/);
 });
 
 test('lowering is abandoned if a controller cannot read the target, records cannot be converted or it stalls', () => {
