--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -8,7 +8,7 @@
   buildsOf,
   incapableReason,
   announcementObstacle,
-  startedWith,
+  startsOf,
   unacknowledgedReason,
 } from './view.js';
 
@@ -80,7 +80,7 @@
   const leftMs = settings.soak_s * 1000 - input.capableForMs;
   if (leftMs > 0)
     return wait(`all controllers can raise the level; soaking for ${settings.soak_s} s`);
-  return advanceWith(input, { type: 'propose', startedWith: startedWith(view) }, true);
+  return advanceWith(input, { type: 'propose', startedWith: startsOf(view) }, true);
 }
 
 function decideRaising(input: DecisionInput): Decision {
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -13,7 +13,7 @@
   announcementPreconditions,
   incapableReason,
   readView,
-  startedWith,
+  startsOf,
   buildsOf,
 } from './view.js';
 
@@ -71,7 +71,7 @@
   activate(): Promise<OperatorResult> {
     return this.change((view, obstacle) => {
       if (obstacle !== null) return { kind: 'refused', reason: obstacle };
-      return this.event({ type: 'propose', startedWith: startedWith(view) }, true);
+      return this.event({ type: 'propose', startedWith: startsOf(view) }, true);
     });
   }
 
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -65,19 +65,19 @@
     : { kind: 'valid' as const, value: INITIAL_LEVEL };
   if (level.kind === 'invalid') return { kind: 'invalid', reason: `${LEVEL_KEY}: ${level.reason}` };
   const ignored: IgnoredRecord[] = [];
-  const views = controllers.map((controller) => {
+  const statuses = controllers.map((controller) => {
     const announcement = byKey.get(announcementKey(controller));
-    const view = readController(controller, announcement, byKey.get(incarnationKey(controller)));
-    if (announcement && view.kind === 'missing')
-      ignored.push({ key: announcement.key, version: announcement.version, reason: view.reason });
-    return [controller, checkProcess(view, processes.get(controller))] as const;
+    const status = readController(controller, announcement, byKey.get(incarnationKey(controller)));
+    if (announcement && status.kind === 'missing')
+      ignored.push({ key: announcement.key, version: announcement.version, reason: status.reason });
+    return [controller, applyReportedProcess(status, processes.get(controller))] as const;
   });
   return {
     kind: 'valid',
     view: {
       level: level.value,
       levelVersion: levelPair?.version ?? 0,
-      controllers: new Map(views),
+      controllers: new Map(statuses),
       ignored,
     },
   };
@@ -105,16 +105,16 @@
   return { kind: 'announced', announcement: read.value, version: announcement.version };
 }
 
-function checkProcess(
-  view: ControllerStatus,
+function applyReportedProcess(
+  status: ControllerStatus,
   reportedProcess: string | undefined,
 ): ControllerStatus {
   if (
-    view.kind === 'missing' ||
+    status.kind === 'missing' ||
     reportedProcess === undefined ||
-    reportedProcess === view.announcement.process
+    reportedProcess === status.announcement.process
   )
-    return view;
+    return status;
   return {
     kind: 'missing',
     reason: 'it runs as another process than the one that announced itself',
@@ -175,7 +175,7 @@
 }
 
 /** Returns the incarnation and build of each announced controller, with which a change of the level is started. */
-export function startedWith(view: ClusterView): StartedWith {
+export function startsOf(view: ClusterView): StartedWith {
   const started: StartedWith = {};
   for (const [controller, state] of view.controllers)
     if (state.kind === 'announced')
