--- a/packages/rollout/src/build-text.ts
+++ b/packages/rollout/src/build-text.ts
@@ -7,11 +7,11 @@
 }
 
 /** Returns the form for lists and log fields. */
-export function summarizeBuild({ version, reads, writes }: Build): string {
+export function listedBuildText({ version, reads, writes }: Build): string {
   return `${version}, reads ${reads.from} to ${reads.to}, writes ${writes}`;
 }
 
 /** Returns the form for reasons, which follows a verb such as "runs". */
-export function describeBuild({ version, reads, writes }: Build): string {
+export function buildPhrase({ version, reads, writes }: Build): string {
   return `build ${version}, which reads levels ${reads.from} to ${reads.to} and writes up to ${writes}`;
 }
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,5 +1,5 @@
 /** Feature levels of a cluster whose controllers are upgraded one at a time. See docs/rollout.md. */
-export { summarizeBuild } from './build-text.js';
+export { listedBuildText } from './build-text.js';
 export { type FeatureMode } from './cluster-level.js';
 export { RolloutCoordinator, type CoordinatorDependencies } from './coordinator.js';
 export { type Conversion } from './decide.js';
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -4,7 +4,7 @@
  */
 import type { Environment, Precondition, StateAccess } from '@millring/state-access';
 import { Announcer } from './announcer.js';
-import { describeBuild } from './build-text.js';
+import { buildPhrase } from './build-text.js';
 import { type FeatureMode, modeOf } from './cluster-level.js';
 import { type KnownLevel, LevelWatch } from './level-watch.js';
 import { type Build, type FeatureRegistry, canRead } from './levels.js';
@@ -134,7 +134,7 @@
     const { active, state, target } = level;
     if (this.announcer.isReplaced()) return;
     if (!canRead(build, active)) {
-      this.serving.exclude(`the cluster's level is ${active}, and this is ${describeBuild(build)}`);
+      this.serving.exclude(`the cluster's level is ${active}, and this is ${buildPhrase(build)}`);
       return;
     }
     const change = target === null ? state : `${state} -> ${target}`;
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -1,5 +1,5 @@
 /** The cluster as the stored records show it: its feature level, and which controllers have announced themselves. */
-import { describeBuild, storedBuildText } from './build-text.js';
+import { buildPhrase, storedBuildText } from './build-text.js';
 import { canRaiseTo, type canRead } from './levels.js';
 import {
   type Announcement,
@@ -141,7 +141,7 @@
 ): string | null {
   for (const [controller, state] of view.controllers)
     if (state.kind === 'announced' && !isCapable(state.announcement.build, target))
-      return `${controller} runs ${describeBuild(state.announcement.build)}`;
+      return `${controller} runs ${buildPhrase(state.announcement.build)}`;
   return null;
 }
 
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -5,7 +5,7 @@
   type OperatorResult,
   RolloutOperator,
   type StatusResult,
-  summarizeBuild,
+  listedBuildText,
 } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 import {
@@ -96,5 +96,5 @@
   const { build, incarnation, acknowledged } = state.announcement;
   const hasConfirmed = acknowledged === level.change || level.state === 'stable';
   const remark = hasConfirmed ? '' : ', has not confirmed yet';
-  return `build ${summarizeBuild(build)}, start ${incarnation}${remark}`;
+  return `build ${listedBuildText(build)}, start ${incarnation}${remark}`;
 }
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -6,7 +6,7 @@
   type FeatureMode,
   RolloutCoordinator,
   RolloutParticipant,
-  summarizeBuild,
+  listedBuildText,
 } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
@@ -142,7 +142,7 @@
     const { from, process, version, reads, writes } = message;
     this.recordProcess(from, process);
     const [lowest, highest] = reads;
-    const build = summarizeBuild({ version, reads: { from: lowest, to: highest }, writes });
+    const build = listedBuildText({ version, reads: { from: lowest, to: highest }, writes });
     if (this.loggedBuilds.get(from) === build) return;
     this.loggedBuilds.set(from, build);
     this.deps.runtime.log.info(
