--- a/packages/rollout/src/cluster-level.ts
+++ b/packages/rollout/src/cluster-level.ts
@@ -40,68 +40,72 @@
 function stepFor(level: ClusterLevel, event: LevelEvent): Step {
   switch (event.type) {
     case 'propose':
-      return propose(level, event.startedWith);
+      return onPropose(level, event.startedWith);
     case 'acknowledged':
-      return acknowledged(level);
+      return onAcknowledged(level);
     case 'abort':
-      return abort(level, event.reason, event.builds);
+      return onAbort(level, event.reason, event.builds);
     case 'aborted':
-      return aborted(level);
+      return onAborted(level);
     case 'lower':
-      return lower(level, event.target, event.reason);
+      return onLower(level, event.target, event.reason);
     case 'converted':
-      return converted(level, event.builds);
+      return onConverted(level, event.builds);
     case 'keep':
-      return keep(level, event.reason);
+      return onKeep(level, event.reason);
     case 'release':
-      return release(level);
+      return onRelease(level);
   }
 }
 
-function propose(level: ClusterLevel, startedWith: StartedWith): Step {
-  if (level.state !== 'stable') return refused(changeInProgressReason(level));
-  return fields({ state: 'preparing', target: level.active + 1, startedWith, held: null });
+function onPropose(level: ClusterLevel, startedWith: StartedWith): Step {
+  if (level.state !== 'stable') return refusal(changeInProgressReason(level));
+  return changedFields({ state: 'preparing', target: level.active + 1, startedWith, held: null });
 }
 
-function acknowledged({ state, active }: ClusterLevel): Step {
-  if (state === 'preparing') return fields({ state: 'activating' });
-  if (state === 'activating') return fields({ ...stable(active + 1), held: null });
-  return refused(notRaisingReason(state));
+function onAcknowledged({ state, active }: ClusterLevel): Step {
+  if (state === 'preparing') return changedFields({ state: 'activating' });
+  if (state === 'activating') return changedFields({ ...stableFields(active + 1), held: null });
+  return refusal(notRaisingReason(state));
 }
 
-function abort(level: ClusterLevel, reason: string, announced: Builds): Step {
+function onAbort(level: ClusterLevel, reason: string, announced: Builds): Step {
   const { state, active, startedWith } = level;
-  if (state !== 'preparing' && state !== 'activating') return refused(notRaisingReason(state));
+  if (state !== 'preparing' && state !== 'activating') return refusal(notRaisingReason(state));
   const held = { target: active + 1, builds: lastKnownBuilds(startedWith, announced), reason };
-  return fields({ state: 'aborting', reason, held });
+  return changedFields({ state: 'aborting', reason, held });
 }
 
-function aborted({ state, active, reason }: ClusterLevel): Step {
-  if (state !== 'aborting') return refused(`nothing is being aborted: the level is ${state}`);
-  return fields({ ...stable(active), reason });
+function onAborted({ state, active, reason }: ClusterLevel): Step {
+  if (state !== 'aborting') return refusal(`nothing is being aborted: the level is ${state}`);
+  return changedFields({ ...stableFields(active), reason });
 }
 
-function lower(level: ClusterLevel, target: number, reason: string): Step {
+function onLower(level: ClusterLevel, target: number, reason: string): Step {
   const { state, active } = level;
-  if (state !== 'stable') return refused(changeInProgressReason(level));
+  if (state !== 'stable') return refusal(changeInProgressReason(level));
   if (target < BASE_LEVEL || target >= active)
-    return refused(`the level is ${active}: it can't be lowered to ${target}`);
-  return fields({ state: 'lowering', target, reason });
+    return refusal(`the level is ${active}: it can't be lowered to ${target}`);
+  return changedFields({ state: 'lowering', target, reason });
 }
 
-function converted({ state, target, reason }: ClusterLevel, builds: Builds): Step {
-  if (state !== 'lowering' || target === null) return refused(NOT_LOWERING);
-  return fields({ ...stable(target), reason, held: heldAfterLowering(target, builds) });
+function onConverted({ state, target, reason }: ClusterLevel, builds: Builds): Step {
+  if (state !== 'lowering' || target === null) return refusal(NOT_LOWERING);
+  return changedFields({
+    ...stableFields(target),
+    reason,
+    held: heldAfterLowering(target, builds),
+  });
 }
 
-function keep({ state, active }: ClusterLevel, reason: string): Step {
-  if (state !== 'lowering') return refused(NOT_LOWERING);
-  return fields({ ...stable(active), reason });
+function onKeep({ state, active }: ClusterLevel, reason: string): Step {
+  if (state !== 'lowering') return refusal(NOT_LOWERING);
+  return changedFields({ ...stableFields(active), reason });
 }
 
-function release({ state, held }: ClusterLevel): Step {
-  if (state !== 'stable' || held === null) return refused('nothing is held');
-  return fields({ held: null });
+function onRelease({ state, held }: ClusterLevel): Step {
+  if (state !== 'stable' || held === null) return refusal('nothing is held');
+  return changedFields({ held: null });
 }
 
 const NOT_LOWERING = 'nothing is being lowered';
@@ -110,11 +114,11 @@
   return `nothing is being raised: the level is ${state}`;
 }
 
-function fields(changed: Partial<ClusterLevel>): Step {
+function changedFields(changed: Partial<ClusterLevel>): Step {
   return { kind: 'fields', fields: changed };
 }
 
-function refused(reason: string): Step {
+function refusal(reason: string): Step {
   return { kind: 'refused', reason };
 }
 
@@ -125,7 +129,9 @@
   return { ...builds, ...announced };
 }
 
-function stable(active: number): Pick<ClusterLevel, 'state' | 'active' | 'target' | 'startedWith'> {
+function stableFields(
+  active: number,
+): Pick<ClusterLevel, 'state' | 'active' | 'target' | 'startedWith'> {
   return { state: 'stable', active, target: null, startedWith: {} };
 }
 
