--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -103,12 +103,12 @@
  */
 function decideAborting(input: DecisionInput): Decision {
   const { view } = input;
-  const unconfirmed = [...view.controllers].find(
+  const unacknowledged = [...view.controllers].find(
     ([, state]) =>
       state.kind === 'announced' && state.announcement.acknowledged !== view.level.change,
   );
-  if (unconfirmed && sinceChangeMs(input) < input.settings.stall_s * 1000)
-    return wait(`${unconfirmed[0]} has not confirmed yet`);
+  if (unacknowledged && sinceChangeMs(input) < input.settings.stall_s * 1000)
+    return wait(`${unacknowledged[0]} has not confirmed yet`);
   return advanceWith(input, { type: 'aborted' }, false);
 }
 
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -94,7 +94,7 @@
 function describeController(state: ControllerStatus, level: ClusterLevel): string {
   if (state.kind === 'missing') return state.reason;
   const { build, incarnation, acknowledged } = state.announcement;
-  const hasConfirmed = acknowledged === level.change || level.state === 'stable';
-  const remark = hasConfirmed ? '' : ', has not confirmed yet';
+  const hasAcknowledged = acknowledged === level.change || level.state === 'stable';
+  const remark = hasAcknowledged ? '' : ', has not confirmed yet';
   return `build ${listedBuildText(build)}, start ${incarnation}${remark}`;
 }
--- a/src/rollout/conversions.ts
+++ b/src/rollout/conversions.ts
@@ -3,13 +3,13 @@
 import { FEATURES } from '../build.js';
 
 /** Functions that return how far a feature's records have been converted back, by feature name. */
-export type Conversions = Record<string, () => Conversion>;
+export type ConversionsByFeature = Record<string, () => Conversion>;
 
 /**
  * Combines the conversions of all features above the target: the first refusal, or else the total of remaining
  * records.
  */
-export function combinedConversion(target: number, conversions: Conversions): Conversion {
+export function combinedConversion(target: number, conversions: ConversionsByFeature): Conversion {
   let remaining = 0;
   for (const [feature, conversion] of Object.entries(conversions)) {
     if (FEATURES.get(feature).level <= target) continue;
