--- a/packages/rollout/src/participant-state.ts
+++ b/packages/rollout/src/participant-state.ts
@@ -21,7 +21,7 @@
 /** Holds the state of the process. Every change of state goes through `transitionTo`, which logs it. */
 export class ServingState {
   private state: ParticipantState = 'joining';
-  private why = 'the cluster level is not known yet';
+  private currentReason = 'the cluster level is not known yet';
 
   /** `onServingChanged` is called whenever the result of `mayServe` changes. */
   constructor(
@@ -40,24 +40,24 @@
 
   /** Returns the reason for the current state. */
   reason(): string {
-    return this.why;
+    return this.currentReason;
   }
 
   /** Does nothing if the state stays the same. Throws if the state machine does not allow the transition. */
-  transitionTo(next: ParticipantState, why: string): void {
+  transitionTo(next: ParticipantState, reason: string): void {
     if (next === this.state) return;
     if (!ALLOWED_TRANSITIONS[this.state].includes(next))
       throw new Error(`rollout participant: ${this.state} -> ${next}`);
     const mayServeBefore = this.mayServe();
-    this.log.info({ from: this.state, to: next, why }, 'rollout');
+    this.log.info({ from: this.state, to: next, why: reason }, 'rollout');
     this.state = next;
-    this.why = why;
+    this.currentReason = reason;
     if (mayServeBefore !== this.mayServe()) this.onServingChanged(this.mayServe());
   }
 
   /** Excludes the process. Replaces the reason if the process is already excluded. */
-  exclude(why: string): void {
-    this.why = why;
-    this.transitionTo('excluded', why);
+  exclude(reason: string): void {
+    this.currentReason = reason;
+    this.transitionTo('excluded', reason);
   }
 }
