--- a/packages/duties/src/cleaner.ts
+++ b/packages/duties/src/cleaner.ts
@@ -11,7 +11,7 @@
   environment: Environment;
   store: StateAccess;
   view: DutiesView;
-  /** The holder of the duty `clean-up`. */
+  /** This process's `DutyHolder` of the duty `clean-up`. */
   holder: DutyHolder;
   /** Time in milliseconds for which the record of a resolved intent is kept. */
   retentionMs: number;
@@ -21,7 +21,7 @@
 
 const REMOVAL_INTERVAL_MS = 1000;
 
-/** Removes records in batches of at most one transaction. */
+/** Removes the records of resolved intents after their retention time, in batches of at most one transaction. */
 export class IntentCleaner {
   private readonly resolved = new FirstSeenTracker();
   private isRemoving = false;
--- a/packages/duties/src/duty-assignment.ts
+++ b/packages/duties/src/duty-assignment.ts
@@ -18,8 +18,8 @@
 /** Delay between successive candidates, so that each has time to acquire a duty before the next one tries. */
 const DELAY_PER_RANK_MS = 400;
 /**
- * Smallest difference in load, in duties, at which a duty is moved. The duty pauses during a move, so the move must
- * improve the balance by more than one duty.
+ * Smallest difference in load, in duties, at which a duty is moved. With a difference of 1, a move would only swap the
+ * two loads, and the duty pauses during a move.
  */
 const MIN_LOAD_DIFFERENCE = 2;
 
--- a/packages/duties/src/duty-balancer.ts
+++ b/packages/duties/src/duty-balancer.ts
@@ -9,7 +9,7 @@
 export interface DutyBalancerDependencies {
   environment: Environment;
   members: MemberTracker;
-  /** The holders of all duties, in the order of `DUTIES`. */
+  /** This process's `DutyHolder` of every duty, in the order of `DUTIES`. */
   holders: ReadonlyMap<Duty, DutyHolder>;
   /** Name of this controller. */
   self: string;
@@ -28,10 +28,17 @@
  */
 const JOIN_DELAY_MS = 1000;
 
-/** Its methods must be called several times a second. */
+/**
+ * Acquires vacant duties for this process and hands duties over to other members. Its methods must be called several
+ * times a second.
+ */
 export class DutyBalancer {
+  /**
+   * Time by the monotonic clock from which the delay before this process acquires a vacant duty counts. After an
+   * attempt, it is `ACQUIRE_RETRY_MS` in the future.
+   */
   private readonly delayStartsAt = new Map<Duty, number>();
-  /** When this process was last observed to hold the duty, by the steady clock. */
+  /** When this process was last observed to hold the duty, by the monotonic clock. */
   private readonly lastHeldAt = new Map<Duty, number>();
   private lastMovedAt: number;
 
@@ -39,7 +46,7 @@
     this.lastMovedAt = deps.environment.clock.now();
   }
 
-  /** Refreshes all holders and acquires each vacant duty for which this process's delay has passed. */
+  /** Refreshes the states of all duties and acquires each vacant duty for which this process's delay has passed. */
   acquireVacant(): void {
     for (const holder of this.deps.holders.values()) this.acquireIfDue(holder);
   }
@@ -77,8 +84,9 @@
   }
 
   /**
-   * Returns the delay before this process acquires the duty. A process that held the duty within the last `settleMs`
-   * waits for another `settleMs` if there are other members: the duty was taken from it for a reason.
+   * Returns the delay in milliseconds before this process acquires the duty. If it held the duty within the last
+   * `settleMs`, it waits for another `settleMs`, so that another member can acquire the duty first. This applies
+   * however the duty was given up or lost, but not if there is no other member.
    */
   private delayMs(duty: Duty, now: number): number {
     const { members, self, settleMs } = this.deps;
--- a/packages/duties/src/duty.ts
+++ b/packages/duties/src/duty.ts
@@ -1,4 +1,4 @@
-/** The duties: singleton tasks, each performed by exactly one controller at a time. */
+/** The duties: kinds of work for the whole cluster, each performed by at most one controller at a time. */
 
 /**
  * - `rent`: requests machines from the cloud.
--- a/packages/duties/src/executor.ts
+++ b/packages/duties/src/executor.ts
@@ -13,6 +13,7 @@
   store: StateAccess;
   view: DutiesView;
   provider: MachineProvider;
+  /** Returns this process's `DutyHolder` of the duty. */
   holderOf(duty: Duty): DutyHolder;
 }
 
@@ -25,7 +26,7 @@
 interface Execution {
   isInFlight: boolean;
   failures: number;
-  /** Time of the next attempt at the earliest, by the steady clock. */
+  /** Time of the next attempt at the earliest, by the monotonic clock. */
   notBefore: number;
   /** The outcome reported by the provider, until it is stored; null before that. */
   outcome: Outcome | null;
@@ -33,7 +34,7 @@
 
 /**
  * Repeats each open intent with exponential backoff until its outcome is stored. Repetition is harmless: the provider
- * fulfills each request name only once, and no task runs on a machine that an intent deletes.
+ * fulfills each request id only once, and no task runs on a machine that an intent deletes.
  */
 export class IntentExecutor {
   private readonly executions = new Map<string, Execution>();
--- a/packages/duties/src/holder-record.ts
+++ b/packages/duties/src/holder-record.ts
@@ -4,7 +4,7 @@
 import { type HolderRecord, holdKey, holderKey, tokenKey } from './records.js';
 import type { DutiesView } from './view.js';
 
-/** Dependencies of `DutyHolderRecord`: components of the process. */
+/** Dependencies of `HolderRecordWriter`: components of the process. */
 export interface HolderRecordDependencies {
   environment: Environment;
   store: StateAccess;
@@ -23,7 +23,7 @@
   version: number;
 }
 
-/** The holder record of one duty. */
+/** Writes the holder record and the fencing token of one duty. */
 export class HolderRecordWriter {
   constructor(
     private readonly duty: Duty,
--- a/packages/duties/src/holder-state.ts
+++ b/packages/duties/src/holder-state.ts
@@ -3,7 +3,7 @@
 /**
  * - `vacant`: this process does not hold the duty.
  * - `acquiring`: a claim was sent and its result is not known yet.
- * - `held`: the lease is guaranteed to be valid, by this process's own steady clock.
+ * - `held`: the lease is guaranteed to be valid, by this process's own monotonic clock.
  * - `suspended`: the lease may have expired, so no action may be performed; it may still turn out to be valid.
  * - `releasing`: an orderly hand-over is in progress; no new action is started.
  * - `lost`: this process no longer holds the duty, without having released it.
--- a/packages/duties/src/holder.ts
+++ b/packages/duties/src/holder.ts
@@ -1,4 +1,4 @@
-/** One duty in one controller process: acquires it, determines at any time whether it is held, and releases it. */
+/** One duty in one controller process, which may or may not hold it: acquires the duty, checks it and releases it. */
 import { type Precondition, sleep } from '@millring/state-access';
 import type { Duty } from './duty.js';
 import { HolderRecordWriter, type HolderRecordDependencies } from './holder-record.js';
@@ -15,13 +15,13 @@
 /**
  * The result of an action.
  *
- * - `not-held`: the action was not started, because the duty is not guaranteed to be held.
- * - `stale`: the provider rejected the action, because this holder was replaced.
+ * - `not-held`: the action was not started, because this process is not guaranteed to hold the duty.
+ * - `stale`: the provider rejected the action, because another process has acquired the duty since.
  */
 export type PerformResult<T> =
   { kind: 'performed'; value: T } | { kind: 'not-held' } | { kind: 'stale' };
 
-/** The claim and the lease under which the duty is held. */
+/** The claim and the lease under which this process holds the duty. */
 interface Grant {
   /** The fencing token. */
   token: number;
@@ -34,7 +34,7 @@
 export interface HolderCounters {
   /** Number of times that this process acquired the duty. */
   acquired: number;
-  /** Number of actions rejected because this holder had been replaced. */
+  /** Number of actions rejected because another holder had replaced this process. */
   refused: number;
 }
 
@@ -50,7 +50,10 @@
 /** Maximum time that a release waits for actions in flight, which end within the timeouts of their requests. */
 const MAX_DRAIN_MS = 6000;
 
-/** The state machine of a duty. Every change of state goes through `transitionTo`. */
+/**
+ * The state of one duty in this process. A process has one `DutyHolder` for every duty, also for those that it does not
+ * hold. Every change of state goes through `transitionTo`.
+ */
 export class DutyHolder {
   private current: HolderState = 'vacant';
   private grant: Grant | null = null;
@@ -76,7 +79,10 @@
     return this.counts;
   }
 
-  /** Whether the duty is held now. Each call checks the clock, since timers fire late after a pause of the process. */
+  /**
+   * Whether this process holds the duty now. Each call checks the clock, since timers fire late after a pause of the
+   * process.
+   */
   isHeld(): boolean {
     if (this.current === 'held' && !this.hasValidLease())
       this.transitionTo('suspended', 'the lease may have expired');
@@ -111,9 +117,9 @@
   }
 
   /**
-   * Performs an action if the duty is held; there is no other way to act. The duty is checked immediately before the
-   * action starts. If it is lost between this check and the arrival of a request, the receiver must reject the request,
-   * based on the permit's token or precondition.
+   * Performs an action if this process holds the duty; there is no other way to act. The duty is checked immediately
+   * before the action starts. If it is lost between this check and the arrival of a request, the receiver must reject
+   * the request, based on the permit's token or precondition.
    */
   async perform<T>(action: (permit: Permit) => Promise<T>): Promise<PerformResult<T>> {
     if (!this.isHeld() || !this.grant) return { kind: 'not-held' };
--- a/packages/duties/src/index.ts
+++ b/packages/duties/src/index.ts
@@ -1,4 +1,4 @@
-/** Duties performed by exactly one controller at a time, under leases and fencing tokens. See docs/duties.md. */
+/** Duties, each performed by at most one controller at a time, under leases and fencing tokens. See docs/duties.md. */
 export { DUTIES, type Duty, isDuty } from './duty.js';
 export { type DutyHolder, type PerformResult } from './holder.js';
 export { IntentLog, type IntentLogDependencies, type IntentResult } from './intent-log.js';
--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -1,6 +1,6 @@
 /**
- * A write-ahead log of decisions. The decider stores an intent before any action is taken, then waits for the outcome,
- * which the holder of the duty stores.
+ * A write-ahead log of the leader's decisions. The leader stores an intent before any action is taken, then waits for
+ * the outcome, which the holder of the duty stores.
  */
 import {
   type Environment,
@@ -19,18 +19,18 @@
 } from './records.js';
 import type { DutiesView, Versioned } from './view.js';
 
-/** Dependencies of `IntentLog`, supplied by the decider. */
+/** Dependencies of `IntentLog`, supplied by the leader. */
 export interface IntentLogDependencies {
   environment: Environment;
   store: StateAccess;
   /** The view that this controller's `DutyMember` keeps up to date. */
   view: DutiesView;
-  /** Whether the decider's term has not ended. */
+  /** Whether the leader's term has not ended. */
   isActive(): boolean;
-  /** Returns a new id on each call. Ids are never reused by any decider. */
+  /** Returns a new id on each call. Ids are never reused by any leader. */
   newId(): string;
   /**
-   * The preconditions for storing a new intent: the decider's term and the cluster's feature level. Returns null if no
+   * The preconditions for storing a new intent: the leader's term and the cluster's feature level. Returns null if no
    * intent may be opened now.
    */
   preconditions(): Precondition[] | null;
@@ -41,7 +41,7 @@
  *
  * - `resolved`: a holder has stored the outcome.
  * - `not-stored`: the intent is guaranteed not to be stored, so no action will be taken.
- * - `indeterminate`: the decider's term has ended or the record no longer exists; whether the action was performed must
+ * - `indeterminate`: the leader's term has ended or the record no longer exists; whether the action was performed must
  *   be read from the cloud's list of machines.
  */
 export type IntentResult =
@@ -50,7 +50,7 @@
 const RETRY_MS = 200;
 const VIEW_POLL_MS = 50;
 
-/** The intent log of one decider for one term. */
+/** The intent log of one leader for one term. */
 export class IntentLog {
   /** Number of intents whose outcome is being waited for. */
   private pending = 0;
@@ -109,6 +109,10 @@
     return { kind: 'indeterminate' };
   }
 
+  /**
+   * Waits for the outcome of an intent whose key exists, since an earlier copy of the write was executed. Returns
+   * `indeterminate` if the record has been removed.
+   */
   private async awaitOutcomeIfStored(id: string): Promise<IntentResult> {
     while (this.deps.isActive()) {
       const read = await this.deps.store.get(intentKey(id));
@@ -120,8 +124,8 @@
   }
 
   /**
-   * Number of intents whose outcome this decider waits for. These are all open intents, since it restored those of
-   * earlier deciders.
+   * Number of intents whose outcome this leader waits for. These are all open intents if the leader has called
+   * `awaitOutcome` for each open intent of earlier leaders, as returned by `readAll`.
    */
   pendingCount(): number {
     return this.pending;
@@ -132,6 +136,7 @@
     return this.trackPending(this.awaitOutcomeInView(id, version));
   }
 
+  /** Counts the operation as pending until it ends. */
   private async trackPending(operation: Promise<IntentResult>): Promise<IntentResult> {
     this.pending++;
     const result = await operation;
@@ -139,6 +144,7 @@
     return result;
   }
 
+  /** Polls the view until it contains the outcome, or is at least as new as `version` without containing the intent. */
   private async awaitOutcomeInView(id: string, version: number): Promise<IntentResult> {
     const { environment, view } = this.deps;
     while (this.deps.isActive()) {
--- a/packages/duties/src/member-tracker.ts
+++ b/packages/duties/src/member-tracker.ts
@@ -21,13 +21,13 @@
 interface KnownMember {
   process: string;
   duties: readonly Duty[];
-  /** When this process first saw the member, by the steady clock. */
+  /** When this process first saw the member, by the monotonic clock. */
   since: number;
 }
 
 /**
- * The time of a membership counts from when this process first saw the member, so that clocks of different machines are
- * never compared.
+ * The members that this process knows. The time of a membership counts from when this process first saw the member, so
+ * that clocks of different machines are never compared.
  */
 export class MemberTracker {
   private readonly known = new Map<string, KnownMember>();
--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -40,7 +40,8 @@
   refused: number;
   openIntents: number;
   /**
-   * Time in milliseconds since this process first saw the oldest open intent, by its steady clock; 0 if none is open.
+   * Time in milliseconds since this process first saw the oldest open intent, by its monotonic clock; 0 if none is
+   * open.
    */
   oldestOpenMs: number;
 }
--- a/packages/duties/src/membership.ts
+++ b/packages/duties/src/membership.ts
@@ -1,6 +1,6 @@
 /**
- * One lease for each controller process that takes part in the duties. The records of the duties that the process holds
- * are attached to this lease.
+ * The membership of a controller process that takes part in the duties. Each membership has one lease, to which the
+ * member record and the records of the duties that the process holds are attached.
  */
 import { type Environment, type StateAccess, sleep } from '@millring/state-access';
 import type { Duty } from './duty.js';
@@ -19,7 +19,7 @@
   duties: readonly Duty[];
 }
 
-/** Steady clocks of different machines drift apart by at most this factor. */
+/** Monotonic clocks of different machines drift apart by at most this factor. */
 const MAX_CLOCK_DRIFT = 1.001;
 /** Allowance for the time between reading the clock and acting on the result. */
 const VALIDITY_MARGIN_MS = 20;
@@ -31,7 +31,7 @@
 /** Maintains the process's lease and member record, and determines until when the lease is guaranteed to be valid. */
 export class Membership {
   private leaseId: number | null = null;
-  /** Time by the steady clock until which the lease is guaranteed to be valid. */
+  /** Time by the monotonic clock until which the lease is guaranteed to be valid. */
   private validUntil = -Infinity;
   private state: MembershipState = 'out';
   /** Number of times that this process has joined. */
@@ -80,7 +80,7 @@
     this.state = 'out';
   }
 
-  /** Returns false to the loop of an earlier term that slept while this process left and joined again. */
+  /** Returns false to the loop of an earlier membership that slept while this process left and joined again. */
   private isCurrentJoin(joinNumber: number): boolean {
     return this.state === 'member' && this.joinCount === joinNumber;
   }
--- a/packages/duties/src/operator.ts
+++ b/packages/duties/src/operator.ts
@@ -28,7 +28,7 @@
   /** Set while the duty is on hold, so that no controller may hold it. */
   hold: HoldRecord | null;
   openIntents: number;
-  /** When the oldest open intent was opened, by the time of day of its decider; null if none is open. */
+  /** Time of day in milliseconds at the leader when the oldest open intent was opened; null if none is open. */
   oldestOpenedMs: number | null;
 }
 
@@ -36,7 +36,8 @@
  * The result of a change. Part of the commands' JSON output.
  *
  * - `refused`: nothing was changed.
- * - `unreachable`: the state service could not be reached or did not respond; whether the change was made is unknown.
+ * - `unreachable`: the state service could not be reached, did not respond or did not accept the request. Without a
+ *   response, whether the change was made is unknown.
  */
 export type DutyResult =
   { kind: 'done'; text: string } | { kind: 'refused'; reason: string } | { kind: 'unreachable' };
@@ -77,7 +78,7 @@
     const value: HoldRecord = { by: this.deps.by, sinceMs: this.deps.wallMs() };
     const preconditions: Precondition[] = [{ key: holdKey(duty), version: 0 }];
     const changes: Mutation[] = [{ put: holdKey(duty), value }];
-    // A record that can't be read is removed as well: this build knows no holder that would act on it.
+    // A holder record that can't be read is removed as well: without the record, no process holds the duty.
     if (holder.kind !== 'absent') {
       preconditions.push({ key: holderKey(duty), version: holder.version });
       changes.push({ remove: holderKey(duty) });
--- a/packages/duties/src/permit.ts
+++ b/packages/duties/src/permit.ts
@@ -1,10 +1,13 @@
-/** Permits, which prove to an action of a duty that its holder was checked and supply the fencing token. */
+/**
+ * Permits, which are issued for actions of a duty only after its holder was checked. They contain the fencing token.
+ */
 import type { Precondition } from '@millring/state-access';
 import type { Duty } from './duty.js';
 
 /**
  * A permit for one action of a duty. Only a `DutyHolder` creates permits (the package's index exports the type alone),
- * each for the duration of one action. Code that requires a permit therefore can't act unless the holder was checked.
+ * each for the duration of one action. Code that requires a permit therefore can't act unless this process was checked
+ * to hold the duty.
  */
 export class Permit {
   readonly #precondition: Precondition;
--- a/packages/duties/src/provider.ts
+++ b/packages/duties/src/provider.ts
@@ -25,8 +25,11 @@
 export interface MachineProvider {
   /** Takes one call from the call budget. Returns false if none is left at the moment. */
   tryAcquireCall(): boolean;
-  /** Rents machines. Repeating the same `request` rents no further machines and returns the same response. */
+  /**
+   * Rents machines. Repeating a request with the same `requestId` rents no further machines and returns the same
+   * response.
+   */
   rent(permit: Permit, requestId: string, action: RentAction): Promise<RentResult>;
-  /** Deletes machines. Names that the provider does not know, or no longer knows, are ignored. */
+  /** Deletes the machines with these ids. Ids that the provider does not know, or no longer knows, are ignored. */
   delete(permit: Permit, machines: readonly string[]): Promise<DeleteResult>;
 }
--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -25,7 +25,7 @@
 export const holdKey = (duty: Duty): string => HOLDS_PREFIX + duty;
 /** Key of a member record, which is attached to the lease of the process that wrote it. */
 export const memberKey = (controller: string): string => MEMBERS_PREFIX + controller;
-/** Key of an intent, which is attached to no lease: it must outlive its decider and its holder. */
+/** Key of an intent, which is attached to no lease: it must outlive the leader and the holder. */
 export const intentKey = (id: string): string => INTENTS_PREFIX + id;
 
 const MAX_NAME_LENGTH = 200;
@@ -76,7 +76,7 @@
     id: name,
     duty,
     action: z.discriminatedUnion('kind', [rentSchema, deleteSchema]),
-    /** Time of day in milliseconds at the decider. Only shown to operators; no decision depends on it. */
+    /** Time of day in milliseconds at the leader. Only shown to operators; no decision depends on it. */
     openedMs: z.number(),
     /** Null while the intent is open. */
     outcome: z.nullable(outcomeSchema),
--- a/packages/duties/src/view.ts
+++ b/packages/duties/src/view.ts
@@ -26,8 +26,8 @@
 }
 
 /**
- * The record stored under one key. `unreadable`: it exists, but this build does not understand it and must not replace
- * it.
+ * The record stored under one key. `unreadable`: it exists, but this build does not understand it, and its controller
+ * must not replace it. An operator's command may remove it.
  */
 export type Entry<T> =
   | { kind: 'absent' }
--- a/packages/duties/test/records.test.ts
+++ b/packages/duties/test/records.test.ts
@@ -64,7 +64,7 @@
   assert.equal(view.knownRevision(), 5);
 });
 
-test('a lost or suspended duty cannot be held without being acquired or confirmed again', () => {
+test('the state machine of a duty rejects invalid transitions, and allows a suspended duty to become held or lost', () => {
   const forbidden: [HolderState, HolderState][] = [
     ['vacant', 'held'],
     ['lost', 'held'],
--- a/packages/state-access/src/index.ts
+++ b/packages/state-access/src/index.ts
@@ -104,7 +104,7 @@
 /** Clock, randomness and log, supplied by the caller so that tests can run whole clusters in virtual time. */
 export interface Environment {
   clock: {
-    /** Steady time in milliseconds. */
+    /** Time of a monotonic clock in milliseconds. */
     now(): number;
     /** Calls `callback` after `ms` milliseconds, unless the returned function is called before. */
     after(ms: number, callback: () => void): () => void;
--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -1,6 +1,6 @@
 /**
- * Connects a controller process to the duties. The process is always a member; while it leads, it also decides what the
- * holders of duties do.
+ * Connects a controller process to the duties. The process is a member while the feature level allows intents and the
+ * process may serve, unless it is outside the rollout. While it leads, it also decides what the holders of duties do.
  */
 import type { Precondition } from '@millring/state-access';
 import { DutyMember, type DutySettings, IntentLog } from '@millring/duties';
@@ -31,13 +31,13 @@
   leader(): string | null;
 }
 
-/** A leader's term, in which the leader decides what the holders of duties do. */
+/** The leader's term, as used by its intent log. */
 export interface IntentTerm {
   /** Whether the term has not ended; true also while the leader is suspended. */
   isActive(): boolean;
   /** Returns a precondition that holds only during the term. */
   leaderPrecondition(): Precondition;
-  /** Returns a new name on each call, which is never used again by any controller. */
+  /** Returns a new request id on each call, which is never used again by any controller. */
   nextRequestName(): string;
 }
 
@@ -61,12 +61,18 @@
     });
   }
 
-  /** Starts the member. Must be called once the rollout has been joined. */
+  /**
+   * Starts the member, unless the rollout is off and this controller has never taken part in it. Must be called once
+   * the rollout has been joined.
+   */
   run(): void {
     if (this.deps.rollout.isParticipating()) this.member.run();
   }
 
-  /** Whether intents may be stored. If so, a leader must read them before it decides anything. */
+  /**
+   * Whether stored intents can exist, since this or another controller may write them at the current feature level. If
+   * so, a leader must read them before it decides anything.
+   */
   mayIntentsExist(): boolean {
     return this.deps.rollout.mode(FENCED_DUTIES) !== 'off';
   }
@@ -95,7 +101,10 @@
   }
 }
 
-/** Without duties, a controller still watches the records, since it may become leader, but holds no duty. */
+/**
+ * Returns the settings of the member. With `mode` off, `held_here` is empty: the controller holds no duty, but still
+ * watches the records, since it may become leader.
+ */
 function holdingSettings(settings: DutySettings): DutySettings {
   return settings.mode === 'on' ? settings : { ...settings, held_here: [] };
 }
--- a/src/duties/intent-actions.ts
+++ b/src/duties/intent-actions.ts
@@ -30,7 +30,7 @@
 export class IntentActions implements MachineActions {
   constructor(private readonly deps: IntentActionsDependencies) {}
 
-  /** Always returns true with intents, since the duty holder has its own budget of cloud calls. */
+  /** Always returns true with intents, since the holder of the duty has its own budget of cloud calls. */
   tryAcquireCall(): boolean {
     return this.deps.usesIntents() || this.deps.direct.tryAcquireCall();
   }
