--- a/packages/rollout/src/announcer.ts
+++ b/packages/rollout/src/announcer.ts
@@ -26,7 +26,7 @@
   build: Build;
   /** Duration of the announcement's lease in milliseconds, for which the announcement can outlive its process. */
   leaseMs: number;
-  /** Returns the level to confirm; null while it is not known. */
+  /** Returns the level to acknowledge; null while it is not known. */
   level(): ClusterLevel | null;
   /** Called once, when a newer process of the same controller is found to have registered. */
   onReplaced(): void;
@@ -42,7 +42,9 @@
 export type Registration = 'registered' | 'unregistered' | 'failed';
 
 const RENEWALS_PER_LEASE = 3;
-/** Longest sleep of the renewal loop: a level change that needs a confirmation is noticed within this time. */
+/**
+ * Longest sleep of the renewal loop, 1800 ms: a level change that needs an acknowledgement is noticed within this time.
+ */
 const MAX_SLEEP_MS = 2 * MIN_PAUSE_MS * RENEWALS_PER_LEASE;
 
 const NEVER_REGISTERED: Incarnation = { incarnation: 0, process: '' };
@@ -53,7 +55,7 @@
   private incarnationVersion = 0;
   private leaseId: number | null = null;
   private announcementVersion = 0;
-  /** Number of the level change that the stored announcement confirms; -1 before the first confirmation. */
+  /** Number of the level change that the stored announcement acknowledges; -1 before the first acknowledgement. */
   private acknowledgedChange = -1;
   private replaced = false;
   private isAnnouncing = false;
@@ -124,7 +126,7 @@
     }
   }
 
-  /** Must be called after each change of the level. Confirms the change immediately if it needs a confirmation. */
+  /** Must be called after each change of the level. Acknowledges the change immediately if that is needed. */
   announceIfNeeded(): void {
     if (this.needsToAcknowledge()) void this.announce();
   }
@@ -133,7 +135,7 @@
     return this.needsToAcknowledge() || this.leaseId === null;
   }
 
-  /** Whether the current level change still has to be confirmed. A stable level needs no confirmation. */
+  /** Whether the current level change still has to be acknowledged. A stable level needs no acknowledgement. */
   private needsToAcknowledge(): boolean {
     const level = this.deps.level();
     return level !== null && level.state !== 'stable' && level.change !== this.acknowledgedChange;
--- a/packages/rollout/src/cluster-level.ts
+++ b/packages/rollout/src/cluster-level.ts
@@ -2,7 +2,18 @@
 import { BASE_LEVEL, type Feature } from './levels.js';
 import type { Builds, ClusterLevel, HeldTarget, StartedWith } from './records.js';
 
-/** An event caused by the controller or operator `by` at `atMs`, the time of day in milliseconds. */
+/**
+ * An event caused by the controller or operator `by` at `atMs`, the time of day in milliseconds.
+ *
+ * - `propose`: starts a raise of the level by one, in the state `preparing`.
+ * - `acknowledged`: all controllers have acknowledged the latest step of the raise; starts the next step, or ends it.
+ * - `abort`: starts to abort the raise, and holds its target.
+ * - `aborted`: ends the abort.
+ * - `lower`: starts to lower the level.
+ * - `converted`: ends the lowering at the target, since all records above it have been converted back.
+ * - `keep`: abandons the lowering and keeps the active level.
+ * - `release`: ends the hold of a target, which may then be proposed automatically again.
+ */
 export type LevelEvent = { by: string; atMs: number } & (
   | { type: 'propose'; startedWith: StartedWith }
   | { type: 'acknowledged' }
@@ -139,7 +150,9 @@
   return `a change is under way: ${level.state} ${level.active} -> ${level.target ?? level.active}`;
 }
 
-/** Holds the level above the target. Otherwise the automatic mode would immediately raise the level again. */
+/**
+ * Returns a hold of the level above the target. Otherwise the automatic mode would immediately raise the level again.
+ */
 function heldAfterLowering(target: number, builds: Builds): HeldTarget {
   return { target: target + 1, builds, reason: 'lowered by an operator' };
 }
@@ -152,7 +165,7 @@
  * - `on`: the controller writes the format.
  *
  * The modes of two serving controllers never differ by two steps: the next step is taken only after all controllers
- * have confirmed the previous one.
+ * have acknowledged the previous one.
  */
 export type FeatureMode = 'off' | 'tolerated' | 'on';
 
--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -12,7 +12,10 @@
   unacknowledgedReason,
 } from './view.js';
 
-/** How far the records of features above the target level have been converted back. */
+/**
+ * How far the records of features above the target level have been converted back. `refused`: the records of a feature
+ * can't be converted back, for this reason.
+ */
 export type Conversion =
   { kind: 'running'; remaining: number } | { kind: 'done' } | { kind: 'refused'; reason: string };
 
@@ -53,7 +56,10 @@
   }
 }
 
-/** Returns why neither the leader nor an operator can raise the level by one; null if it can be raised. */
+/**
+ * Returns why neither the leader nor an operator can raise the level by one; null if it can be raised. Checks the
+ * features of the next level, then the announcements of all controllers.
+ */
 export function obstacleToRaise(
   view: ClusterView,
   registry: FeatureRegistry,
@@ -98,7 +104,7 @@
 }
 
 /**
- * Waits for the confirmations of announced controllers only, for at most `stall_s`. Nothing has been written at the
+ * Waits for the acknowledgements of announced controllers only, for at most `stall_s`. Nothing has been written at the
  * target level yet, so a missing controller must not delay the end of the abort.
  */
 function decideAborting(input: DecisionInput): Decision {
@@ -136,6 +142,7 @@
   return `no progress for ${stall_s} s: ${waitingFor}`;
 }
 
+/** Returns a text that names the first controller that has restarted too often during the raise; null if none has. */
 function restartReason({ view, settings }: DecisionInput): string | null {
   for (const [controller, state] of view.controllers) {
     if (state.kind === 'missing') continue;
--- a/packages/rollout/src/levels.ts
+++ b/packages/rollout/src/levels.ts
@@ -1,6 +1,7 @@
 /**
  * Feature levels. A level is an integer. Raising the cluster's level by one turns on the features registered for the
- * new level. Each build declares which levels it can read and the highest level that it can write.
+ * new level. Each build declares which levels it can read and the highest level that it can write. A build that
+ * predates this package declares nothing; it is called a build without feature levels.
  */
 
 /**
@@ -33,9 +34,9 @@
   /** What the feature changes, for operators and reviewers. */
   covers: { records: string[]; messages: string[]; decisions: string[] };
   /**
-   * How a build that predates this package interprets the feature's format. Such a build can't refuse to serve by
-   * itself. `harmless`: it treats the format as missing information, which violates no rule. `unsafe`: it would misread
-   * the format.
+   * How a build without feature levels interprets the feature's format. Such a build can't refuse to serve by itself.
+   * `harmless`: it treats the format as missing information, which violates no rule. `unsafe`: it would misread the
+   * format.
    */
   withoutLevels: 'harmless' | 'unsafe';
   /** Whether the feature's records can be rewritten in the format of the level below. */
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -35,7 +35,8 @@
  *
  * - `done`: the change is stored, and the leader continues it.
  * - `refused`: nothing was changed.
- * - `unreachable`: the state service was unreachable or did not respond. Whether the change is stored is unknown.
+ * - `unreachable`: the state service was unreachable, did not respond or did not accept the request. Without a response,
+ *   whether the change is stored is unknown.
  */
 export type OperatorResult =
   | { kind: 'done'; level: ClusterLevel }
@@ -52,7 +53,10 @@
   | { kind: 'event'; event: LevelEvent; requiresUnchangedAnnouncements: boolean }
   | { kind: 'refused'; reason: string };
 
-/** Reads the records again for each change. A change fails if the records it depends on change meanwhile. */
+/**
+ * The operators' commands on the feature level. Each command reads the records again. A change fails if the records it
+ * depends on change meanwhile.
+ */
 export class RolloutOperator {
   constructor(private readonly deps: OperatorDependencies) {}
 
@@ -67,7 +71,7 @@
     return { kind: 'status', view, obstacle: obstacleToRaise(view, registry, settings) };
   }
 
-  /** Starts to raise the level by one. */
+  /** Proposes to raise the level by one; the leader continues the raise. */
   activate(): Promise<OperatorResult> {
     return this.change((view, obstacle) => {
       if (obstacle !== null) return { kind: 'refused', reason: obstacle };
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -1,6 +1,6 @@
 /**
  * A controller process as a participant of the rollout. It registers its incarnation, announces its build, applies and
- * confirms each change of the cluster's feature level, and determines whether it may serve.
+ * acknowledges each change of the cluster's feature level, and determines whether it may serve.
  */
 import type { Environment, Precondition, StateAccess } from '@millring/state-access';
 import { Announcer } from './announcer.js';
@@ -72,7 +72,7 @@
     return this.serving.mayServe();
   }
 
-  /** Returns the reason why this process does not serve, for `/healthz`. */
+  /** Returns the reason for the process's state. `/healthz` reports it while the process does not serve. */
   reason(): string {
     return this.serving.reason();
   }
--- a/packages/rollout/src/records.ts
+++ b/packages/rollout/src/records.ts
@@ -38,6 +38,7 @@
   incarnation: z.int().check(z.gte(1)),
   process: name,
   build,
+  /** Number of the level change that the process last applied, see `change` of the level; 0 before the first one. */
   acknowledged: count,
 });
 
@@ -53,12 +54,19 @@
 const levelSchema = z
   .object({
     state: z.enum(['stable', 'preparing', 'activating', 'aborting', 'lowering']),
+    /** The level in force. */
     active: level,
+    /** The level that the change in progress leads to, or led to before it was aborted; null while `stable`. */
     target: z.nullable(level),
+    /** Number of the latest change of this record. Controllers acknowledge a change by this number. */
     change: count,
+    /** The controller or operator that made the latest change. */
     changedBy: z.string(),
+    /** Time of day in milliseconds when the latest change was made. */
     sinceMs: z.number(),
+    /** Why a raise was aborted, a lowering was started or a lowering was abandoned; null after any other change. */
     reason: z.nullable(z.string()),
+    /** The controllers when the raise in progress was started; empty if there is none. */
     startedWith: startSchema,
     held: z.nullable(heldSchema),
   })
@@ -78,9 +86,9 @@
  * The cluster's feature level, stored as a single record.
  *
  * - `stable`: `active` is in force, and no change is in progress.
- * - `preparing`: every controller is asked to confirm that it can read and write `target`.
- * - `activating`: all have confirmed this. Every controller is asked to confirm that it expects formats of `target` at
- *   any time. Nothing is written in these formats yet.
+ * - `preparing`: every controller is asked to acknowledge that it can read and write `target`.
+ * - `activating`: all have acknowledged this. Every controller is asked to acknowledge that it expects formats of
+ *   `target` at any time. Nothing is written in these formats yet.
  * - `aborting`: the raise to `target` is abandoned, and `active` remains in force.
  * - `lowering`: nothing above `target` is written any more, and stored records above it are converted back.
  */
--- a/packages/rollout/src/settings.ts
+++ b/packages/rollout/src/settings.ts
@@ -19,8 +19,8 @@
   /** Duration of an announcement's lease in seconds, for which the announcement can outlive its process. */
   announcement_lease_s: number;
   /**
-   * Whether it is guaranteed that no build that predates the rollout's level check can return. Required for features
-   * that such a build would misread.
+   * Whether it is guaranteed that no build without feature levels, which does not check the cluster's level, can
+   * return. Required for features that such a build would misread.
    */
   ungated_builds_retired: boolean;
 }
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -105,6 +105,7 @@
   return { kind: 'announced', announcement: read.value, version: announcement.version };
 }
 
+/** Returns `missing` if the controller last reported another process id than it announced, otherwise `status`. */
 function applyReportedProcess(
   status: ControllerStatus,
   reportedProcess: string | undefined,
@@ -121,7 +122,10 @@
   };
 }
 
-/** Returns the first reason why the level can't be raised to `target` with these controllers, or null if it can. */
+/**
+ * Returns the first reason why the controllers' announcements don't allow a raise of the level to `target`, or null if
+ * they do.
+ */
 export function announcementObstacle(view: ClusterView, target: number): string | null {
   return missingReason(view) ?? incapableReason(view, target, canRaiseTo);
 }
@@ -145,7 +149,10 @@
   return null;
 }
 
-/** Returns a text that names the first controller that has not confirmed the latest change; null if all have. */
+/**
+ * Returns a text that names the first controller that is missing or has not acknowledged the latest change; null if
+ * there is none.
+ */
 export function unacknowledgedReason(view: ClusterView): string | null {
   const isBehind = (state: ControllerStatus): boolean =>
     state.kind === 'announced' && state.announcement.acknowledged !== view.level.change;
--- a/packages/rollout/test/cluster-level.test.ts
+++ b/packages/rollout/test/cluster-level.test.ts
@@ -38,7 +38,7 @@
   return next.level;
 }
 
-test('any events yield valid records, count each change and move no feature by more than one mode', () => {
+test('each allowed event yields a valid record, increments its change number and moves features by at most one mode', () => {
   fc.assert(
     fc.property(fc.array(fc.constantFrom(...EVENTS), { maxLength: 60 }), (events) => {
       let level = INITIAL_LEVEL;
@@ -60,7 +60,7 @@
   );
 });
 
-test('raising the level takes two confirmations, and the feature is not on before the second', () => {
+test('raising the level takes two acknowledgements, and the feature is not on before the second', () => {
   const preparing = expectChanged(INITIAL_LEVEL, EVENTS[0]);
   const activating = expectChanged(preparing, EVENTS[1]);
   const raised = expectChanged(activating, EVENTS[1]);
--- a/packages/rollout/test/decide.test.ts
+++ b/packages/rollout/test/decide.test.ts
@@ -111,7 +111,7 @@
     };
   }
 
-  /** Applies the decision and lets every controller confirm it. Returns the type of the event, or `wait`. */
+  /** Applies the decision and lets every controller acknowledge it. Returns the type of the event, or `wait`. */
   applyDecision(
     builds: Build[],
     overrides: Partial<DecisionInput> = {},
@@ -188,7 +188,7 @@
   assert.ok(released.kind === 'advance' && released.event.type === 'release');
 });
 
-test('a feature that builds without levels would misread is not proposed until such builds are retired', () => {
+test('a feature that builds without feature levels would misread is not proposed until such builds are retired', () => {
   const registry = new FeatureRegistry([feature(2, { withoutLevels: 'unsafe' })]);
   const view = new Records(sameBuild(build(2))).view();
   assert.match(obstacleToRaise(view, registry, SETTINGS) ?? '', /misread/);
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -76,7 +76,10 @@
     if (this.deps.operator.rollout.mode !== 'off') this.broadcastBuild();
   }
 
-  /** Whether this process takes part in the rollout, so that its feature level may change. */
+  /**
+   * Whether this process is not outside the rollout: false only if the rollout is off and this controller has never
+   * taken part in it. True also while the process joins or is excluded.
+   */
   isParticipating(): boolean {
     return !this.participant.isOutside();
   }
@@ -86,7 +89,7 @@
     return this.participant.mayServe();
   }
 
-  /** Returns the reason why this process does not serve. */
+  /** See `RolloutParticipant.reason`. */
   reason(): string {
     return this.participant.reason();
   }
@@ -132,7 +135,10 @@
     });
   }
 
-  /** Must be called when another controller was heard; builds without the rollout also report their process id. */
+  /**
+   * Must be called when another controller has sent its process id in an attestation, which builds without feature
+   * levels also send.
+   */
   recordProcess(controller: string, process: string): void {
     this.processes.set(controller, process);
   }
--- a/src/rollout/conversions.ts
+++ b/src/rollout/conversions.ts
@@ -6,8 +6,8 @@
 export type ConversionsByFeature = Record<string, () => Conversion>;
 
 /**
- * Combines the conversions of all features above the target: the first refusal, or else the total of remaining
- * records.
+ * Combines the conversions of all features above the target: returns the first one that is `refused`, or else the total
+ * of remaining records.
  */
 export function combinedConversion(target: number, conversions: ConversionsByFeature): Conversion {
   let remaining = 0;
