--- a/packages/duties/src/member.ts
+++ b/packages/duties/src/member.ts
@@ -35,9 +35,11 @@
 export interface DutyCounters {
   /** The duties that this process holds. */
   held: Duty[];
+  /** Number of times that this process acquired a duty. */
   acquired: number;
   /** Number of actions that were rejected because another holder had replaced this process. */
   refused: number;
+  /** Number of stored intents without an outcome, of all duties. */
   openIntents: number;
   /**
    * Time in milliseconds since this process first saw the oldest open intent, by its monotonic clock; 0 if none is
--- a/packages/duties/src/operator.ts
+++ b/packages/duties/src/operator.ts
@@ -27,6 +27,7 @@
   token: number;
   /** Set while the duty is on hold, so that no controller may hold it. */
   hold: HoldRecord | null;
+  /** Number of the duty's intents without a stored outcome. */
   openIntents: number;
   /** Time of day in milliseconds at the leader when the oldest open intent was opened; null if none is open. */
   oldestOpenedMs: number | null;
--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -98,7 +98,7 @@
     : intentDuty === 'return' || intentDuty === 'reclaim';
 }
 
-/** The holder of a duty. The record's version is a precondition of every write that the holder makes as such. */
+/** The holder of a duty. The record's version is a precondition of every write that the holder makes for the duty. */
 export type HolderRecord = z.infer<typeof holderSchema>;
 /** The latest fencing token of a duty. It only ever increases. */
 export type TokenRecord = z.infer<typeof tokenSchema>;
--- a/packages/duties/src/view.ts
+++ b/packages/duties/src/view.ts
@@ -79,7 +79,7 @@
   }
 }
 
-/** A view of the stored records that all components of a member read. `RecordWatch` keeps it up to date. */
+/** A cache of the stored records, read by all components of a member. `RecordWatch` keeps it up to date. */
 export class DutiesView {
   private readonly holderSection = new RecordSection<HolderRecord>(HOLDERS_PREFIX, parseHolder);
   private readonly tokenSection = new RecordSection<TokenRecord>(TOKENS_PREFIX, parseToken);
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -35,8 +35,8 @@
  *
  * - `done`: the change is stored, and the leader continues it.
  * - `refused`: nothing was changed.
- * - `unreachable`: the state service was unreachable, did not respond or did not accept the request. Without a response,
- *   whether the change is stored is unknown.
+ * - `unreachable`: the state service was unreachable, did not respond or did not accept the request. Without a
+ *   response, whether the change is stored is unknown.
  */
 export type OperatorResult =
   | { kind: 'done'; level: ClusterLevel }
