--- a/src/duties/controller-duties.ts
+++ b/src/duties/controller-duties.ts
@@ -13,7 +13,7 @@
 import type { StateStore } from '../state-store/client.js';
 import { CloudProvider } from './cloud-provider.js';
 
-/** Share of the cloud's calls for the duty holders on all controllers together; the leader's lists need the rest. */
+/** Share of the cloud's calls for the duties on all controllers together; the leader's list calls need the rest. */
 const HOLDERS_CALL_SHARE = 0.9;
 
 /** Dependencies of the duties on the controller process. */
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -34,7 +34,7 @@
   onExcluded(): void;
 }
 
-/** A leader's term, in which the leader raises and lowers the cluster's feature level. */
+/** The leader's term, as used by the coordinator of the rollout. */
 export interface CoordinatedTerm {
   /** Whether this controller is guaranteed to be the leader at this moment. */
   isLeader(): boolean;
@@ -51,7 +51,7 @@
   private readonly participant: RolloutParticipant;
   /** Process id that each other controller last reported of itself. */
   private readonly processes = new Map<string, string>();
-  /** Last logged build summary of each other controller. */
+  /** Text of the build that was last logged for each other controller. */
   private readonly loggedBuilds = new Map<string, string>();
 
   constructor(private readonly deps: ControllerRolloutDependencies) {
