--- a/packages/duties/src/duty-balancer.ts
+++ b/packages/duties/src/duty-balancer.ts
@@ -9,7 +9,7 @@
 export interface DutyBalancerDependencies {
   environment: Environment;
   members: MemberTracker;
-  /** The holders of all duties, in the order of `DUTIES`. */
+  /** This process's `DutyHolder` of every duty, in the order of `DUTIES`. */
   holders: ReadonlyMap<Duty, DutyHolder>;
   /** Name of this controller. */
   self: string;
@@ -28,10 +28,17 @@
  */
 const JOIN_DELAY_MS = 1000;
 
-/** Its methods must be called several times a second. */
+/**
+ * Acquires vacant duties for this process and hands duties over to other members. Its methods must be called several
+ * times a second.
+ */
 export class DutyBalancer {
-  private readonly vacantSince = new Map<Duty, number>();
-  /** When this process was last observed to hold the duty, by the steady clock. */
+  /**
+   * Time by the monotonic clock from which the delay before this process acquires a vacant duty counts. After an
+   * attempt, it is `ACQUIRE_RETRY_MS` in the future.
+   */
+  private readonly delayStartsAt = new Map<Duty, number>();
+  /** When this process was last observed to hold the duty, by the monotonic clock. */
   private readonly lastHeldAt = new Map<Duty, number>();
   private lastMovedAt: number;
 
@@ -39,7 +46,7 @@
     this.lastMovedAt = deps.environment.clock.now();
   }
 
-  /** Refreshes all holders and acquires each vacant duty for which this process's delay has passed. */
+  /** Refreshes the states of all duties and acquires each vacant duty for which this process's delay has passed. */
   acquireVacant(): void {
     for (const holder of this.deps.holders.values()) this.acquireIfDue(holder);
   }
@@ -50,7 +57,7 @@
     const now = environment.clock.now();
     if (now - this.lastMovedAt < rebalanceMs) return;
     const held = DUTIES.filter((duty) => holders.get(duty)?.isHeld());
-    const duty = dutyToHandOver(self, held, members.memberViews());
+    const duty = dutyToHandOver(self, held, members.memberStatuses());
     if (duty === null) return;
     this.lastMovedAt = now;
     void holders.get(duty)?.release('handed over to balance the duties');
@@ -62,29 +69,30 @@
     const now = this.deps.environment.clock.now();
     if (holder.isHeld()) this.lastHeldAt.set(duty, now);
     if (!holder.isVacant()) {
-      this.vacantSince.delete(duty);
+      this.delayStartsAt.delete(duty);
       if (holder.state() === 'vacant') void holder.removeOrphanedClaim();
       return;
     }
     if (!this.deps.duties.includes(duty)) return;
     if (!this.deps.members.isSelfKnownFor(JOIN_DELAY_MS, now)) return;
-    const since = this.vacantSince.get(duty) ?? now;
-    this.vacantSince.set(duty, since);
-    if (now - since < this.delayMs(duty, now)) return;
+    const delayStart = this.delayStartsAt.get(duty) ?? now;
+    this.delayStartsAt.set(duty, delayStart);
+    if (now - delayStart < this.delayMs(duty, now)) return;
     this.lastMovedAt = now;
-    this.vacantSince.set(duty, now + ACQUIRE_RETRY_MS);
+    this.delayStartsAt.set(duty, now + ACQUIRE_RETRY_MS);
     void holder.acquire();
   }
 
   /**
-   * Returns the delay before this process acquires the duty. A process that held the duty within the last `settleMs`
-   * waits for another `settleMs` if there are other members: the duty was taken from it for a reason.
+   * Returns the delay in milliseconds before this process acquires the duty. If it held the duty within the last
+   * `settleMs`, it waits for another `settleMs`, so that another member can acquire the duty first. This applies
+   * however the duty was given up or lost, but not if there is no other member.
    */
   private delayMs(duty: Duty, now: number): number {
     const { members, self, settleMs } = this.deps;
-    const views = members.memberViews();
-    const delayMs = acquisitionDelayMs(duty, self, views, settleMs);
+    const statuses = members.memberStatuses();
+    const delayMs = acquisitionDelayMs(duty, self, statuses, settleMs);
     const wasHeldRecently = now - (this.lastHeldAt.get(duty) ?? -Infinity) < settleMs;
-    return wasHeldRecently && views.length > 1 ? delayMs + settleMs : delayMs;
+    return wasHeldRecently && statuses.length > 1 ? delayMs + settleMs : delayMs;
   }
 }
--- a/packages/duties/src/intent-log.ts
+++ b/packages/duties/src/intent-log.ts
@@ -1,6 +1,6 @@
 /**
- * A write-ahead log of decisions. The decider stores an intent before any action is taken, then waits for the outcome,
- * which the holder of the duty stores.
+ * A write-ahead log of the leader's decisions. The leader stores an intent before any action is taken, then waits for
+ * the outcome, which the holder of the duty stores.
  */
 import {
   type Environment,
@@ -19,18 +19,18 @@
 } from './records.js';
 import type { DutiesView, Versioned } from './view.js';
 
-/** Dependencies of `IntentLog`, supplied by the decider. */
+/** Dependencies of `IntentLog`, supplied by the leader. */
 export interface IntentLogDependencies {
   environment: Environment;
   store: StateAccess;
   /** The view that this controller's `DutyMember` keeps up to date. */
   view: DutiesView;
-  /** Whether the decider's term has not ended. */
+  /** Whether the leader's term has not ended. */
   isActive(): boolean;
-  /** Returns a new id on each call. Ids are never reused by any decider. */
+  /** Returns a new id on each call. Ids are never reused by any leader. */
   newId(): string;
   /**
-   * The preconditions for storing a new intent: the decider's term and the cluster's feature level. Returns null if no
+   * The preconditions for storing a new intent: the leader's term and the cluster's feature level. Returns null if no
    * intent may be opened now.
    */
   preconditions(): Precondition[] | null;
@@ -41,7 +41,7 @@
  *
  * - `resolved`: a holder has stored the outcome.
  * - `not-stored`: the intent is guaranteed not to be stored, so no action will be taken.
- * - `indeterminate`: the decider's term has ended or the record no longer exists; whether the action was performed must
+ * - `indeterminate`: the leader's term has ended or the record no longer exists; whether the action was performed must
  *   be read from the cloud's list of machines.
  */
 export type IntentResult =
@@ -50,7 +50,7 @@
 const RETRY_MS = 200;
 const VIEW_POLL_MS = 50;
 
-/** The intent log of one decider for one term. */
+/** The intent log of one leader for one term. */
 export class IntentLog {
   /** Number of intents whose outcome is being waited for. */
   private pending = 0;
@@ -75,7 +75,7 @@
    * after its record was removed, performing it again changes nothing.
    */
   open(duty: Duty, action: IntentAction): Promise<IntentResult> {
-    return this.countWhilePending(this.store(duty, action));
+    return this.trackPending(this.store(duty, action));
   }
 
   private async store(duty: Duty, action: IntentAction): Promise<IntentResult> {
@@ -97,8 +97,9 @@
         [...preconditions, { key, version: 0 }],
         [{ put: key, value: intent }],
       );
-      if (result.kind === 'committed') return this.awaitInView(id, result.revision);
-      if (result.kind === 'conflict' && result.failed.includes(key)) return this.awaitStored(id);
+      if (result.kind === 'committed') return this.awaitOutcomeInView(id, result.revision);
+      if (result.kind === 'conflict' && result.failed.includes(key))
+        return this.awaitOutcomeIfStored(id);
       // Once one of the other preconditions fails it never holds again, for this request or for one still in flight.
       if (result.kind === 'conflict' || result.kind === 'invalid') return { kind: 'not-stored' };
       mayBeStored ||= result.kind === 'indeterminate';
@@ -108,10 +109,14 @@
     return { kind: 'indeterminate' };
   }
 
-  private async awaitStored(id: string): Promise<IntentResult> {
+  /**
+   * Waits for the outcome of an intent whose key exists, since an earlier copy of the write was executed. Returns
+   * `indeterminate` if the record has been removed.
+   */
+  private async awaitOutcomeIfStored(id: string): Promise<IntentResult> {
     while (this.deps.isActive()) {
       const read = await this.deps.store.get(intentKey(id));
-      if (read.kind === 'found') return this.awaitInView(id, read.entry.version);
+      if (read.kind === 'found') return this.awaitOutcomeInView(id, read.entry.version);
       if (read.kind === 'absent') return { kind: 'indeterminate' };
       await sleep(this.deps.environment, RETRY_MS);
     }
@@ -119,8 +124,8 @@
   }
 
   /**
-   * Number of intents whose outcome this decider waits for. These are all open intents, since it restored those of
-   * earlier deciders.
+   * Number of intents whose outcome this leader waits for. These are all open intents if the leader has called
+   * `awaitOutcome` for each open intent of earlier leaders, as returned by `readAll`.
    */
   pendingCount(): number {
     return this.pending;
@@ -128,17 +133,19 @@
 
   /** Waits for the outcome of an intent that was stored with `version`. */
   async awaitOutcome(id: string, version: number): Promise<IntentResult> {
-    return this.countWhilePending(this.awaitInView(id, version));
+    return this.trackPending(this.awaitOutcomeInView(id, version));
   }
 
-  private async countWhilePending(operation: Promise<IntentResult>): Promise<IntentResult> {
+  /** Counts the operation as pending until it ends. */
+  private async trackPending(operation: Promise<IntentResult>): Promise<IntentResult> {
     this.pending++;
     const result = await operation;
     this.pending--;
     return result;
   }
 
-  private async awaitInView(id: string, version: number): Promise<IntentResult> {
+  /** Polls the view until it contains the outcome, or is at least as new as `version` without containing the intent. */
+  private async awaitOutcomeInView(id: string, version: number): Promise<IntentResult> {
     const { environment, view } = this.deps;
     while (this.deps.isActive()) {
       const entry = view.intent(id);
--- a/packages/duties/src/member-tracker.ts
+++ b/packages/duties/src/member-tracker.ts
@@ -1,7 +1,7 @@
 /** Tracks which controller processes are members, and since when. */
 import type { Environment } from '@millring/state-access';
 import { DUTIES, type Duty } from './duty.js';
-import type { MemberView } from './duty-assignment.js';
+import type { MemberStatus } from './duty-assignment.js';
 import type { DutiesView } from './view.js';
 
 /** Dependencies of `MemberTracker`: components of the process and values of the settings. */
@@ -21,13 +21,13 @@
 interface KnownMember {
   process: string;
   duties: readonly Duty[];
-  /** When this process first saw the member, by the steady clock. */
+  /** When this process first saw the member, by the monotonic clock. */
   since: number;
 }
 
 /**
- * The time of a membership counts from when this process first saw the member, so that clocks of different machines are
- * never compared.
+ * The members that this process knows. The time of a membership counts from when this process first saw the member, so
+ * that clocks of different machines are never compared.
  */
 export class MemberTracker {
   private readonly known = new Map<string, KnownMember>();
@@ -54,7 +54,7 @@
   }
 
   /** The known members, with the properties that the assignment of duties depends on. */
-  memberViews(): MemberView[] {
+  memberStatuses(): MemberStatus[] {
     const { environment, settleMs } = this.deps;
     const now = environment.clock.now();
     const leader = this.deps.leader();
--- a/packages/duties/src/membership.ts
+++ b/packages/duties/src/membership.ts
@@ -1,6 +1,6 @@
 /**
- * One lease for each controller process that takes part in the duties. The records of the duties that the process holds
- * are attached to this lease.
+ * The membership of a controller process that takes part in the duties. Each membership has one lease, to which the
+ * member record and the records of the duties that the process holds are attached.
  */
 import { type Environment, type StateAccess, sleep } from '@millring/state-access';
 import type { Duty } from './duty.js';
@@ -19,8 +19,8 @@
   duties: readonly Duty[];
 }
 
-/** Steady clocks of different machines drift apart by at most this factor. */
-const MAX_CLOCK_DRIFT_FACTOR = 1.001;
+/** Monotonic clocks of different machines drift apart by at most this factor. */
+const MAX_CLOCK_DRIFT = 1.001;
 /** Allowance for the time between reading the clock and acting on the result. */
 const VALIDITY_MARGIN_MS = 20;
 const RENEWALS_PER_LEASE = 4;
@@ -31,11 +31,11 @@
 /** Maintains the process's lease and member record, and determines until when the lease is guaranteed to be valid. */
 export class Membership {
   private leaseId: number | null = null;
-  /** Time by the steady clock until which the lease is guaranteed to be valid. */
+  /** Time by the monotonic clock until which the lease is guaranteed to be valid. */
   private validUntil = -Infinity;
   private state: MembershipState = 'out';
   /** Number of times that this process has joined. */
-  private term = 0;
+  private joinCount = 0;
 
   constructor(private readonly deps: MembershipDependencies) {}
 
@@ -58,15 +58,15 @@
   async run(): Promise<void> {
     if (this.state !== 'out') return;
     this.state = 'member';
-    const term = ++this.term;
+    const joinNumber = ++this.joinCount;
     const { environment, leaseMs } = this.deps;
-    while (this.isMemberInTerm(term)) {
-      if (this.leaseId === null && !(await this.join(term))) {
+    while (this.isCurrentJoin(joinNumber)) {
+      if (this.leaseId === null && !(await this.join(joinNumber))) {
         await sleep(environment, RETRY_MS * (1 + environment.random()));
         continue;
       }
       await sleep(environment, leaseMs / RENEWALS_PER_LEASE);
-      if (this.isMemberInTerm(term)) await this.renew();
+      if (this.isCurrentJoin(joinNumber)) await this.renew();
     }
   }
 
@@ -80,12 +80,12 @@
     this.state = 'out';
   }
 
-  /** Returns false to the loop of an earlier term that slept while this process left and joined again. */
-  private isMemberInTerm(term: number): boolean {
-    return this.state === 'member' && this.term === term;
+  /** Returns false to the loop of an earlier membership that slept while this process left and joined again. */
+  private isCurrentJoin(joinNumber: number): boolean {
+    return this.state === 'member' && this.joinCount === joinNumber;
   }
 
-  private async join(term: number): Promise<boolean> {
+  private async join(joinNumber: number): Promise<boolean> {
     const { environment, store, self, process, leaseMs, duties } = this.deps;
     const sentAt = environment.clock.now();
     const leaseId = await store.grantLease(leaseMs);
@@ -94,7 +94,7 @@
       [],
       [{ put: memberKey(self), value: { process, duties: [...duties] }, lease: leaseId }],
     );
-    if (result.kind === 'committed' && this.isMemberInTerm(term)) {
+    if (result.kind === 'committed' && this.isCurrentJoin(joinNumber)) {
       this.leaseId = leaseId;
       this.extendValidity(sentAt);
       return true;
@@ -108,7 +108,7 @@
    * maximum clock drift and `VALIDITY_MARGIN_MS`.
    */
   private extendValidity(sentAt: number): void {
-    const validForMs = this.deps.leaseMs / MAX_CLOCK_DRIFT_FACTOR - VALIDITY_MARGIN_MS;
+    const validForMs = this.deps.leaseMs / MAX_CLOCK_DRIFT - VALIDITY_MARGIN_MS;
     this.validUntil = Math.max(this.validUntil, sentAt + validForMs);
   }
 
--- a/packages/duties/src/records.ts
+++ b/packages/duties/src/records.ts
@@ -25,7 +25,7 @@
 export const holdKey = (duty: Duty): string => HOLDS_PREFIX + duty;
 /** Key of a member record, which is attached to the lease of the process that wrote it. */
 export const memberKey = (controller: string): string => MEMBERS_PREFIX + controller;
-/** Key of an intent, which is attached to no lease: it must outlive its decider and its holder. */
+/** Key of an intent, which is attached to no lease: it must outlive the leader and the holder. */
 export const intentKey = (id: string): string => INTENTS_PREFIX + id;
 
 const MAX_NAME_LENGTH = 200;
@@ -76,7 +76,7 @@
     id: name,
     duty,
     action: z.discriminatedUnion('kind', [rentSchema, deleteSchema]),
-    /** Time of day in milliseconds at the decider. Only shown to operators; no decision depends on it. */
+    /** Time of day in milliseconds at the leader. Only shown to operators; no decision depends on it. */
     openedMs: z.number(),
     /** Null while the intent is open. */
     outcome: z.nullable(outcomeSchema),
@@ -87,16 +87,18 @@
     z.refine((intent) => isActionOfDuty(intent.duty, intent.action.kind), {
       error: 'action does not fit duty',
     }),
-    z.refine(({ outcome, token: by }) => (outcome === null) === (by === null), {
+    z.refine(({ outcome, token: intentToken }) => (outcome === null) === (intentToken === null), {
       error: 'outcome and token go together',
     }),
   );
 
-function isActionOfDuty(owner: Duty, action: 'rent' | 'delete'): boolean {
-  return action === 'rent' ? owner === 'rent' : owner === 'return' || owner === 'reclaim';
+function isActionOfDuty(intentDuty: Duty, action: 'rent' | 'delete'): boolean {
+  return action === 'rent'
+    ? intentDuty === 'rent'
+    : intentDuty === 'return' || intentDuty === 'reclaim';
 }
 
-/** The holder of a duty. The record's version is a precondition of every write that the holder makes as such. */
+/** The holder of a duty. The record's version is a precondition of every write that the holder makes for the duty. */
 export type HolderRecord = z.infer<typeof holderSchema>;
 /** The latest fencing token of a duty. It only ever increases. */
 export type TokenRecord = z.infer<typeof tokenSchema>;
--- a/packages/rollout/src/cluster-level.ts
+++ b/packages/rollout/src/cluster-level.ts
@@ -2,7 +2,18 @@
 import { BASE_LEVEL, type Feature } from './levels.js';
 import type { Builds, ClusterLevel, HeldTarget, StartedWith } from './records.js';
 
-/** An event caused by the controller or operator `by` at `atMs`, the time of day in milliseconds. */
+/**
+ * An event caused by the controller or operator `by` at `atMs`, the time of day in milliseconds.
+ *
+ * - `propose`: starts a raise of the level by one, in the state `preparing`.
+ * - `acknowledged`: all controllers have acknowledged the latest step of the raise; starts the next step, or ends it.
+ * - `abort`: starts to abort the raise, and holds its target.
+ * - `aborted`: ends the abort.
+ * - `lower`: starts to lower the level.
+ * - `converted`: ends the lowering at the target, since all records above it have been converted back.
+ * - `keep`: abandons the lowering and keeps the active level.
+ * - `release`: ends the hold of a target, which may then be proposed automatically again.
+ */
 export type LevelEvent = { by: string; atMs: number } & (
   | { type: 'propose'; startedWith: StartedWith }
   | { type: 'acknowledged' }
@@ -40,68 +51,72 @@
 function stepFor(level: ClusterLevel, event: LevelEvent): Step {
   switch (event.type) {
     case 'propose':
-      return propose(level, event.startedWith);
+      return onPropose(level, event.startedWith);
     case 'acknowledged':
-      return acknowledged(level);
+      return onAcknowledged(level);
     case 'abort':
-      return abort(level, event.reason, event.builds);
+      return onAbort(level, event.reason, event.builds);
     case 'aborted':
-      return aborted(level);
+      return onAborted(level);
     case 'lower':
-      return lower(level, event.target, event.reason);
+      return onLower(level, event.target, event.reason);
     case 'converted':
-      return converted(level, event.builds);
+      return onConverted(level, event.builds);
     case 'keep':
-      return keep(level, event.reason);
+      return onKeep(level, event.reason);
     case 'release':
-      return release(level);
+      return onRelease(level);
   }
 }
 
-function propose(level: ClusterLevel, startedWith: StartedWith): Step {
-  if (level.state !== 'stable') return refused(changeInProgressReason(level));
-  return fields({ state: 'preparing', target: level.active + 1, startedWith, held: null });
+function onPropose(level: ClusterLevel, startedWith: StartedWith): Step {
+  if (level.state !== 'stable') return refusal(changeInProgressReason(level));
+  return changedFields({ state: 'preparing', target: level.active + 1, startedWith, held: null });
 }
 
-function acknowledged({ state, active }: ClusterLevel): Step {
-  if (state === 'preparing') return fields({ state: 'activating' });
-  if (state === 'activating') return fields({ ...stable(active + 1), held: null });
-  return refused(notRaisingReason(state));
+function onAcknowledged({ state, active }: ClusterLevel): Step {
+  if (state === 'preparing') return changedFields({ state: 'activating' });
+  if (state === 'activating') return changedFields({ ...stableFields(active + 1), held: null });
+  return refusal(notRaisingReason(state));
 }
 
-function abort(level: ClusterLevel, reason: string, announced: Builds): Step {
+function onAbort(level: ClusterLevel, reason: string, announced: Builds): Step {
   const { state, active, startedWith } = level;
-  if (state !== 'preparing' && state !== 'activating') return refused(notRaisingReason(state));
+  if (state !== 'preparing' && state !== 'activating') return refusal(notRaisingReason(state));
   const held = { target: active + 1, builds: lastKnownBuilds(startedWith, announced), reason };
-  return fields({ state: 'aborting', reason, held });
+  return changedFields({ state: 'aborting', reason, held });
 }
 
-function aborted({ state, active, reason }: ClusterLevel): Step {
-  if (state !== 'aborting') return refused(`nothing is being aborted: the level is ${state}`);
-  return fields({ ...stable(active), reason });
+function onAborted({ state, active, reason }: ClusterLevel): Step {
+  if (state !== 'aborting') return refusal(`nothing is being aborted: the level is ${state}`);
+  return changedFields({ ...stableFields(active), reason });
 }
 
-function lower(level: ClusterLevel, target: number, reason: string): Step {
+function onLower(level: ClusterLevel, target: number, reason: string): Step {
   const { state, active } = level;
-  if (state !== 'stable') return refused(changeInProgressReason(level));
+  if (state !== 'stable') return refusal(changeInProgressReason(level));
   if (target < BASE_LEVEL || target >= active)
-    return refused(`the level is ${active}: it can't be lowered to ${target}`);
-  return fields({ state: 'lowering', target, reason });
+    return refusal(`the level is ${active}: it can't be lowered to ${target}`);
+  return changedFields({ state: 'lowering', target, reason });
 }
 
-function converted({ state, target, reason }: ClusterLevel, builds: Builds): Step {
-  if (state !== 'lowering' || target === null) return refused(NOT_LOWERING);
-  return fields({ ...stable(target), reason, held: heldAfterLowering(target, builds) });
+function onConverted({ state, target, reason }: ClusterLevel, builds: Builds): Step {
+  if (state !== 'lowering' || target === null) return refusal(NOT_LOWERING);
+  return changedFields({
+    ...stableFields(target),
+    reason,
+    held: heldAfterLowering(target, builds),
+  });
 }
 
-function keep({ state, active }: ClusterLevel, reason: string): Step {
-  if (state !== 'lowering') return refused(NOT_LOWERING);
-  return fields({ ...stable(active), reason });
+function onKeep({ state, active }: ClusterLevel, reason: string): Step {
+  if (state !== 'lowering') return refusal(NOT_LOWERING);
+  return changedFields({ ...stableFields(active), reason });
 }
 
-function release({ state, held }: ClusterLevel): Step {
-  if (state !== 'stable' || held === null) return refused('nothing is held');
-  return fields({ held: null });
+function onRelease({ state, held }: ClusterLevel): Step {
+  if (state !== 'stable' || held === null) return refusal('nothing is held');
+  return changedFields({ held: null });
 }
 
 const NOT_LOWERING = 'nothing is being lowered';
@@ -110,11 +125,11 @@
   return `nothing is being raised: the level is ${state}`;
 }
 
-function fields(changed: Partial<ClusterLevel>): Step {
+function changedFields(changed: Partial<ClusterLevel>): Step {
   return { kind: 'fields', fields: changed };
 }
 
-function refused(reason: string): Step {
+function refusal(reason: string): Step {
   return { kind: 'refused', reason };
 }
 
@@ -125,7 +140,9 @@
   return { ...builds, ...announced };
 }
 
-function stable(active: number): Pick<ClusterLevel, 'state' | 'active' | 'target' | 'startedWith'> {
+function stableFields(
+  active: number,
+): Pick<ClusterLevel, 'state' | 'active' | 'target' | 'startedWith'> {
   return { state: 'stable', active, target: null, startedWith: {} };
 }
 
@@ -133,7 +150,9 @@
   return `a change is under way: ${level.state} ${level.active} -> ${level.target ?? level.active}`;
 }
 
-/** Holds the level above the target. Otherwise the automatic mode would immediately raise the level again. */
+/**
+ * Returns a hold of the level above the target. Otherwise the automatic mode would immediately raise the level again.
+ */
 function heldAfterLowering(target: number, builds: Builds): HeldTarget {
   return { target: target + 1, builds, reason: 'lowered by an operator' };
 }
@@ -146,7 +165,7 @@
  * - `on`: the controller writes the format.
  *
  * The modes of two serving controllers never differ by two steps: the next step is taken only after all controllers
- * have confirmed the previous one.
+ * have acknowledged the previous one.
  */
 export type FeatureMode = 'off' | 'tolerated' | 'on';
 
--- a/packages/rollout/src/decide.ts
+++ b/packages/rollout/src/decide.ts
@@ -6,13 +6,16 @@
   type ClusterView,
   buildsDiffer,
   buildsOf,
-  findIncapable,
-  obstacleToRaise,
-  startedWith,
-  findUnacknowledged,
+  incapableReason,
+  announcementObstacle,
+  startsOf,
+  unacknowledgedReason,
 } from './view.js';
 
-/** How far the records of features above the target level have been converted back. */
+/**
+ * How far the records of features above the target level have been converted back. `refused`: the records of a feature
+ * can't be converted back, for this reason.
+ */
 export type Conversion =
   { kind: 'running'; remaining: number } | { kind: 'done' } | { kind: 'refused'; reason: string };
 
@@ -53,18 +56,21 @@
   }
 }
 
-/** Returns why neither the leader nor an operator can raise the level by one; null if it can be raised. */
-export function obstacleToPropose(
+/**
+ * Returns why neither the leader nor an operator can raise the level by one; null if it can be raised. Checks the
+ * features of the next level, then the announcements of all controllers.
+ */
+export function obstacleToRaise(
   view: ClusterView,
   registry: FeatureRegistry,
   settings: RolloutSettings,
 ): string | null {
   const target = view.level.active + 1;
-  const unsafe = registry.atLevel(target).find((feature) => feature.withoutGate === 'unsafe');
+  const unsafe = registry.atLevel(target).find((feature) => feature.withoutLevels === 'unsafe');
   if (unsafe && !settings.ungated_builds_retired)
     return `${unsafe.name} would be misread by builds from before levels, and ungated_builds_retired is not set`;
   if (registry.atLevel(target).length === 0) return `no feature comes with level ${target}`;
-  return obstacleToRaise(view, target);
+  return announcementObstacle(view, target);
 }
 
 function decideStable(input: DecisionInput): Decision {
@@ -73,23 +79,23 @@
   const { held } = view.level;
   if (held && buildsDiffer(held.builds, view))
     return advanceWith(input, { type: 'release' }, false);
-  const obstacle = obstacleToPropose(view, registry, settings);
+  const obstacle = obstacleToRaise(view, registry, settings);
   if (obstacle !== null) return wait(obstacle);
   if (held?.target === view.level.active + 1)
     return wait(`level ${held.target} was given up with these builds: ${held.reason}`);
   const leftMs = settings.soak_s * 1000 - input.capableForMs;
   if (leftMs > 0)
     return wait(`all controllers can raise the level; soaking for ${settings.soak_s} s`);
-  return advanceWith(input, { type: 'propose', startedWith: startedWith(view) }, true);
+  return advanceWith(input, { type: 'propose', startedWith: startsOf(view) }, true);
 }
 
 function decideRaising(input: DecisionInput): Decision {
   const { view } = input;
   const target = view.level.target ?? view.level.active;
-  const waitingFor = findUnacknowledged(view);
+  const waitingFor = unacknowledgedReason(view);
   const reason =
-    findIncapable(view, target, canRaiseTo) ??
-    findRestarting(input) ??
+    incapableReason(view, target, canRaiseTo) ??
+    restartReason(input) ??
     stallReason(input, waitingFor);
   if (reason !== null)
     return advanceWith(input, { type: 'abort', reason, builds: buildsOf(view) }, false);
@@ -98,26 +104,26 @@
 }
 
 /**
- * Waits for the confirmations of announced controllers only, for at most `stall_s`. Nothing has been written at the
+ * Waits for the acknowledgements of announced controllers only, for at most `stall_s`. Nothing has been written at the
  * target level yet, so a missing controller must not delay the end of the abort.
  */
 function decideAborting(input: DecisionInput): Decision {
   const { view } = input;
-  const unconfirmed = [...view.controllers].find(
+  const unacknowledged = [...view.controllers].find(
     ([, state]) =>
       state.kind === 'announced' && state.announcement.acknowledged !== view.level.change,
   );
-  if (unconfirmed && sinceChangeMs(input) < input.settings.stall_s * 1000)
-    return wait(`${unconfirmed[0]} has not confirmed yet`);
+  if (unacknowledged && sinceChangeMs(input) < input.settings.stall_s * 1000)
+    return wait(`${unacknowledged[0]} has not confirmed yet`);
   return advanceWith(input, { type: 'aborted' }, false);
 }
 
 function decideLowering(input: DecisionInput): Decision {
   const { view, conversion } = input;
   const target = view.level.target ?? view.level.active;
-  const waitingFor = findUnacknowledged(view);
+  const waitingFor = unacknowledgedReason(view);
   const reason =
-    findIncapable(view, target, canRead) ??
+    incapableReason(view, target, canRead) ??
     (conversion.kind === 'refused' ? conversion.reason : stallReason(input, waitingFor));
   if (reason !== null) return advanceWith(input, { type: 'keep', reason }, false);
   if (waitingFor !== null) return wait(waitingFor);
@@ -136,7 +142,8 @@
   return `no progress for ${stall_s} s: ${waitingFor}`;
 }
 
-function findRestarting({ view, settings }: DecisionInput): string | null {
+/** Returns a text that names the first controller that has restarted too often during the raise; null if none has. */
+function restartReason({ view, settings }: DecisionInput): string | null {
   for (const [controller, state] of view.controllers) {
     if (state.kind === 'missing') continue;
     if (!Object.hasOwn(view.level.startedWith, controller)) continue;
--- a/packages/rollout/src/index.ts
+++ b/packages/rollout/src/index.ts
@@ -1,5 +1,5 @@
 /** Feature levels of a cluster whose controllers are upgraded one at a time. See docs/rollout.md. */
-export { summarizeBuild } from './build-text.js';
+export { listedBuildText } from './build-text.js';
 export { type FeatureMode } from './cluster-level.js';
 export { RolloutCoordinator, type CoordinatorDependencies } from './coordinator.js';
 export { type Conversion } from './decide.js';
@@ -20,4 +20,4 @@
 export { type ParticipantState } from './participant-state.js';
 export { type ClusterLevel, LEVEL_KEY } from './records.js';
 export { type RolloutSettings } from './settings.js';
-export { type ClusterView, type ControllerView } from './view.js';
+export { type ClusterView, type ControllerStatus } from './view.js';
--- a/packages/rollout/src/operator.ts
+++ b/packages/rollout/src/operator.ts
@@ -3,7 +3,7 @@
  * changes of the level.
  */
 import { type LevelEvent, type UnstampedEvent, advance } from './cluster-level.js';
-import { obstacleToPropose } from './decide.js';
+import { obstacleToRaise } from './decide.js';
 import { type FeatureRegistry, canRead } from './levels.js';
 import { type ClusterLevel, LEVEL_KEY, ROLLOUT_PREFIX, parseClusterLevel } from './records.js';
 import type { RolloutSettings } from './settings.js';
@@ -11,9 +11,9 @@
 import {
   type ClusterView,
   announcementPreconditions,
-  findIncapable,
+  incapableReason,
   readView,
-  startedWith,
+  startsOf,
   buildsOf,
 } from './view.js';
 
@@ -35,7 +35,8 @@
  *
  * - `done`: the change is stored, and the leader continues it.
  * - `refused`: nothing was changed.
- * - `unreachable`: the state service was unreachable or did not respond. Whether the change is stored is unknown.
+ * - `unreachable`: the state service was unreachable, did not respond or did not accept the request. Without a
+ *   response, whether the change is stored is unknown.
  */
 export type OperatorResult =
   | { kind: 'done'; level: ClusterLevel }
@@ -52,7 +53,10 @@
   | { kind: 'event'; event: LevelEvent; requiresUnchangedAnnouncements: boolean }
   | { kind: 'refused'; reason: string };
 
-/** Reads the records again for each change. A change fails if the records it depends on change meanwhile. */
+/**
+ * The operators' commands on the feature level. Each command reads the records again. A change fails if the records it
+ * depends on change meanwhile.
+ */
 export class RolloutOperator {
   constructor(private readonly deps: OperatorDependencies) {}
 
@@ -64,14 +68,14 @@
     const result = readView(read.pairs, this.deps.controllers);
     if (result.kind === 'invalid') return { kind: 'refused', reason: result.reason };
     const { view } = result;
-    return { kind: 'status', view, obstacle: obstacleToPropose(view, registry, settings) };
+    return { kind: 'status', view, obstacle: obstacleToRaise(view, registry, settings) };
   }
 
-  /** Starts to raise the level by one. */
+  /** Proposes to raise the level by one; the leader continues the raise. */
   activate(): Promise<OperatorResult> {
     return this.change((view, obstacle) => {
       if (obstacle !== null) return { kind: 'refused', reason: obstacle };
-      return this.event({ type: 'propose', startedWith: startedWith(view) }, true);
+      return this.event({ type: 'propose', startedWith: startsOf(view) }, true);
     });
   }
 
@@ -95,7 +99,7 @@
           kind: 'refused',
           reason: `records of ${irreversible.name} can't be converted back`,
         };
-      const unable = findIncapable(view, active - 1, canRead);
+      const unable = incapableReason(view, active - 1, canRead);
       if (unable !== null) return { kind: 'refused', reason: unable };
       return this.event(
         { type: 'lower', target: active - 1, reason: 'lowered by an operator' },
--- a/packages/rollout/src/participant.ts
+++ b/packages/rollout/src/participant.ts
@@ -1,10 +1,10 @@
 /**
  * A controller process as a participant of the rollout. It registers its incarnation, announces its build, applies and
- * confirms each change of the cluster's feature level, and determines whether it may serve.
+ * acknowledges each change of the cluster's feature level, and determines whether it may serve.
  */
 import type { Environment, Precondition, StateAccess } from '@millring/state-access';
 import { Announcer } from './announcer.js';
-import { describeBuild } from './build-text.js';
+import { buildPhrase } from './build-text.js';
 import { type FeatureMode, modeOf } from './cluster-level.js';
 import { type KnownLevel, LevelWatch } from './level-watch.js';
 import { type Build, type FeatureRegistry, canRead } from './levels.js';
@@ -72,7 +72,7 @@
     return this.serving.mayServe();
   }
 
-  /** Returns the reason why this process does not serve, for `/healthz`. */
+  /** Returns the reason for the process's state. `/healthz` reports it while the process does not serve. */
   reason(): string {
     return this.serving.reason();
   }
@@ -134,7 +134,7 @@
     const { active, state, target } = level;
     if (this.announcer.isReplaced()) return;
     if (!canRead(build, active)) {
-      this.serving.exclude(`the cluster's level is ${active}, and this is ${describeBuild(build)}`);
+      this.serving.exclude(`the cluster's level is ${active}, and this is ${buildPhrase(build)}`);
       return;
     }
     const change = target === null ? state : `${state} -> ${target}`;
--- a/packages/rollout/src/view.ts
+++ b/packages/rollout/src/view.ts
@@ -1,5 +1,5 @@
 /** The cluster as the stored records show it: its feature level, and which controllers have announced themselves. */
-import { describeBuild, storedBuildText } from './build-text.js';
+import { buildPhrase, storedBuildText } from './build-text.js';
 import { canRaiseTo, type canRead } from './levels.js';
 import {
   type Announcement,
@@ -22,7 +22,7 @@
  * - `announced`: the controller has a valid announcement. `version` is the version of its record.
  * - `missing`: the controller may run any build, since nothing can be inferred from a missing announcement.
  */
-export type ControllerView =
+export type ControllerStatus =
   | { kind: 'announced'; announcement: Announcement; version: number }
   | { kind: 'missing'; reason: string };
 
@@ -39,7 +39,7 @@
   /** Version of the level's record; 0 if no level is stored yet. */
   levelVersion: number;
   /** All configured controllers by name. */
-  controllers: Map<string, ControllerView>;
+  controllers: Map<string, ControllerStatus>;
   ignored: IgnoredRecord[];
 }
 
@@ -65,19 +65,19 @@
     : { kind: 'valid' as const, value: INITIAL_LEVEL };
   if (level.kind === 'invalid') return { kind: 'invalid', reason: `${LEVEL_KEY}: ${level.reason}` };
   const ignored: IgnoredRecord[] = [];
-  const views = controllers.map((controller) => {
+  const statuses = controllers.map((controller) => {
     const announcement = byKey.get(announcementKey(controller));
-    const view = readController(controller, announcement, byKey.get(incarnationKey(controller)));
-    if (announcement && view.kind === 'missing')
-      ignored.push({ key: announcement.key, version: announcement.version, reason: view.reason });
-    return [controller, checkProcess(view, processes.get(controller))] as const;
+    const status = readController(controller, announcement, byKey.get(incarnationKey(controller)));
+    if (announcement && status.kind === 'missing')
+      ignored.push({ key: announcement.key, version: announcement.version, reason: status.reason });
+    return [controller, applyReportedProcess(status, processes.get(controller))] as const;
   });
   return {
     kind: 'valid',
     view: {
       level: level.value,
       levelVersion: levelPair?.version ?? 0,
-      controllers: new Map(views),
+      controllers: new Map(statuses),
       ignored,
     },
   };
@@ -87,7 +87,7 @@
   controller: string,
   announcement: KeyValue | undefined,
   incarnation: KeyValue | undefined,
-): ControllerView {
+): ControllerStatus {
   if (!announcement) return { kind: 'missing', reason: 'has not announced itself' };
   const read = parseAnnouncement(announcement.value);
   if (read.kind === 'invalid')
@@ -105,49 +105,59 @@
   return { kind: 'announced', announcement: read.value, version: announcement.version };
 }
 
-function checkProcess(view: ControllerView, reportedProcess: string | undefined): ControllerView {
+/** Returns `missing` if the controller last reported another process id than it announced, otherwise `status`. */
+function applyReportedProcess(
+  status: ControllerStatus,
+  reportedProcess: string | undefined,
+): ControllerStatus {
   if (
-    view.kind === 'missing' ||
+    status.kind === 'missing' ||
     reportedProcess === undefined ||
-    reportedProcess === view.announcement.process
+    reportedProcess === status.announcement.process
   )
-    return view;
+    return status;
   return {
     kind: 'missing',
     reason: 'it runs as another process than the one that announced itself',
   };
 }
 
-/** Returns the first reason why the level can't be raised to `target` with these controllers, or null if it can. */
-export function obstacleToRaise(view: ClusterView, target: number): string | null {
-  return findMissing(view) ?? findIncapable(view, target, canRaiseTo);
+/**
+ * Returns the first reason why the controllers' announcements don't allow a raise of the level to `target`, or null if
+ * they do.
+ */
+export function announcementObstacle(view: ClusterView, target: number): string | null {
+  return missingReason(view) ?? incapableReason(view, target, canRaiseTo);
 }
 
 /** Returns a text that names the first controller that has not announced itself; null if all have. */
-function findMissing(view: ClusterView): string | null {
+function missingReason(view: ClusterView): string | null {
   for (const [controller, state] of view.controllers)
     if (state.kind === 'missing') return `${controller} ${state.reason}`;
   return null;
 }
 
 /** Returns a text that names the first controller known to run a build that is not capable of `target`, or null. */
-export function findIncapable(
+export function incapableReason(
   view: ClusterView,
   target: number,
   isCapable: typeof canRaiseTo | typeof canRead,
 ): string | null {
   for (const [controller, state] of view.controllers)
     if (state.kind === 'announced' && !isCapable(state.announcement.build, target))
-      return `${controller} runs ${describeBuild(state.announcement.build)}`;
+      return `${controller} runs ${buildPhrase(state.announcement.build)}`;
   return null;
 }
 
-/** Returns a text that names the first controller that has not confirmed the latest change; null if all have. */
-export function findUnacknowledged(view: ClusterView): string | null {
-  const isBehind = (state: ControllerView): boolean =>
+/**
+ * Returns a text that names the first controller that is missing or has not acknowledged the latest change; null if
+ * there is none.
+ */
+export function unacknowledgedReason(view: ClusterView): string | null {
+  const isBehind = (state: ControllerStatus): boolean =>
     state.kind === 'announced' && state.announcement.acknowledged !== view.level.change;
   const behind = [...view.controllers].find(([, state]) => isBehind(state));
-  return findMissing(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
+  return missingReason(view) ?? (behind ? `${behind[0]} has not confirmed yet` : null);
 }
 
 /** Returns the builds of the controllers that have announced themselves, in their stored form. */
@@ -172,7 +182,7 @@
 }
 
 /** Returns the incarnation and build of each announced controller, with which a change of the level is started. */
-export function startedWith(view: ClusterView): StartedWith {
+export function startsOf(view: ClusterView): StartedWith {
   const started: StartedWith = {};
   for (const [controller, state] of view.controllers)
     if (state.kind === 'announced')
--- a/src/rollout/command-line.ts
+++ b/src/rollout/command-line.ts
@@ -1,11 +1,11 @@
 /** Implements `millring rollout ...`, by which operators inspect and change the cluster's feature level. */
 import {
   type ClusterLevel,
-  type ControllerView,
+  type ControllerStatus,
   type OperatorResult,
   RolloutOperator,
   type StatusResult,
-  summarizeBuild,
+  listedBuildText,
 } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 import {
@@ -91,10 +91,10 @@
   return lines.join('\n');
 }
 
-function describeController(state: ControllerView, level: ClusterLevel): string {
+function describeController(state: ControllerStatus, level: ClusterLevel): string {
   if (state.kind === 'missing') return state.reason;
   const { build, incarnation, acknowledged } = state.announcement;
-  const hasConfirmed = acknowledged === level.change || level.state === 'stable';
-  const remark = hasConfirmed ? '' : ', has not confirmed yet';
-  return `build ${summarizeBuild(build)}, start ${incarnation}${remark}`;
+  const hasAcknowledged = acknowledged === level.change || level.state === 'stable';
+  const remark = hasAcknowledged ? '' : ', has not confirmed yet';
+  return `build ${listedBuildText(build)}, start ${incarnation}${remark}`;
 }
--- a/src/rollout/controller-rollout.ts
+++ b/src/rollout/controller-rollout.ts
@@ -6,7 +6,7 @@
   type FeatureMode,
   RolloutCoordinator,
   RolloutParticipant,
-  summarizeBuild,
+  listedBuildText,
 } from '@millring/rollout';
 import { FEATURES } from '../build.js';
 import type { PeerMessage } from '../peers/peer-messages.js';
@@ -34,7 +34,7 @@
   onExcluded(): void;
 }
 
-/** A leader's term, in which the leader raises and lowers the cluster's feature level. */
+/** The leader's term, as used by the coordinator of the rollout. */
 export interface CoordinatedTerm {
   /** Whether this controller is guaranteed to be the leader at this moment. */
   isLeader(): boolean;
@@ -51,7 +51,7 @@
   private readonly participant: RolloutParticipant;
   /** Process id that each other controller last reported of itself. */
   private readonly processes = new Map<string, string>();
-  /** Last logged build summary of each other controller. */
+  /** Text of the build that was last logged for each other controller. */
   private readonly loggedBuilds = new Map<string, string>();
 
   constructor(private readonly deps: ControllerRolloutDependencies) {
@@ -76,7 +76,10 @@
     if (this.deps.operator.rollout.mode !== 'off') this.broadcastBuild();
   }
 
-  /** Whether this process takes part in the rollout, so that its feature level may change. */
+  /**
+   * Whether this process is not outside the rollout: false only if the rollout is off and this controller has never
+   * taken part in it. True also while the process joins or is excluded.
+   */
   isParticipating(): boolean {
     return !this.participant.isOutside();
   }
@@ -86,7 +89,7 @@
     return this.participant.mayServe();
   }
 
-  /** Returns the reason why this process does not serve. */
+  /** See `RolloutParticipant.reason`. */
   reason(): string {
     return this.participant.reason();
   }
@@ -132,7 +135,10 @@
     });
   }
 
-  /** Must be called when another controller was heard; builds without the rollout also report their process id. */
+  /**
+   * Must be called when another controller has sent its process id in an attestation, which builds without feature
+   * levels also send.
+   */
   recordProcess(controller: string, process: string): void {
     this.processes.set(controller, process);
   }
@@ -142,7 +148,7 @@
     const { from, process, version, reads, writes } = message;
     this.recordProcess(from, process);
     const [lowest, highest] = reads;
-    const build = summarizeBuild({ version, reads: { from: lowest, to: highest }, writes });
+    const build = listedBuildText({ version, reads: { from: lowest, to: highest }, writes });
     if (this.loggedBuilds.get(from) === build) return;
     this.loggedBuilds.set(from, build);
     this.deps.runtime.log.info(
