--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -7,8 +7,8 @@
 /** Records of a job's finished tasks that a batch writes. */
 export interface BatchedProgress {
   job: Job;
-  /** Chunks of tasks that the records make durable. */
-  chunks: number[];
+  /** Blocks of tasks that the records make durable. */
+  blocks: number[];
   layout: Layout;
   /** Number of finished tasks of the job when the records were created. */
   finishedCount: number;
@@ -67,8 +67,8 @@
     return failedKeys.some((key) => key === liveKey(job.spec.id) || key === this.levelKey);
   }
 
-  covers(job: Job, chunk: number): boolean {
-    return this.progress.some((entry) => entry.job === job && entry.chunks.includes(chunk));
+  covers(job: Job, block: number): boolean {
+    return this.progress.some((entry) => entry.job === job && entry.blocks.includes(block));
   }
 
   /** Size of the largest segment in bytes of JSON, or 0 if there is none. */
--- a/src/jobs/finished-records.ts
+++ b/src/jobs/finished-records.ts
@@ -8,7 +8,7 @@
 import {
   FINEST_SPLIT,
   type Layout,
-  TASKS_PER_CHUNK,
+  TASKS_PER_BLOCK,
   isSegment,
   segmentNumber,
   tasksPerSegment,
@@ -20,15 +20,15 @@
   value: unknown;
 }
 
-/** The records for one chunk of tasks, and all chunks that they cover completely. */
-export interface ChunkRecords {
+/** The records for one block of tasks, and all blocks that they cover completely. */
+export interface BlockRecords {
   kind: 'fits';
   records: FinishedRecord[];
-  chunks: number[];
+  blocks: number[];
 }
 
 /** `too-large`: a record of this layout does not fit into a value. */
-export type ChunkRecordsResult = ChunkRecords | { kind: 'too-large' };
+export type BlockRecordsResult = BlockRecords | { kind: 'too-large' };
 
 /** The content of a record: one bit per task, starting at `firstTask`. */
 export type FinishedRecordContent =
@@ -44,40 +44,40 @@
 type Segment = z.infer<typeof segmentSchema>;
 
 /**
- * Returns the records that make a chunk of tasks durable. `finished` has one bit per task of the whole job.
+ * Returns the records that make a block of tasks durable. `finished` has one bit per task of the whole job.
  * `valueBytes` is the maximum size of a value, in bytes of JSON. Segments of the finest split are assumed to fit.
  */
-export function recordsOfChunk(
+export function recordsOfBlock(
   finished: Uint8Array,
   tasks: number,
-  chunk: number,
+  block: number,
   layout: Layout,
   valueBytes: number,
-): ChunkRecordsResult {
+): BlockRecordsResult {
   if (layout.kind === 'chunks')
     return {
       kind: 'fits',
-      records: [{ number: chunk, value: packChunk(finished, chunk) }],
-      chunks: [chunk],
+      records: [{ number: block, value: packChunk(finished, block) }],
+      blocks: [block],
     };
   const size = tasksPerSegment(layout.split);
   const records: FinishedRecord[] = [];
-  const first = Math.floor((chunk * TASKS_PER_CHUNK) / size);
-  const end = Math.min(tasks, (chunk + 1) * TASKS_PER_CHUNK);
+  const first = Math.floor((block * TASKS_PER_BLOCK) / size);
+  const end = Math.min(tasks, (block + 1) * TASKS_PER_BLOCK);
   for (let segment = first; segment * size < end; segment++) {
     const value = packSegment(finished, segment * size, Math.min(size, tasks - segment * size));
     if (layout.split < FINEST_SPLIT && JSON.stringify(value).length > valueBytes)
       return { kind: 'too-large' };
     records.push({ number: segmentNumber(layout.split, segment), value });
   }
-  const chunks = chunksWithin(first * size, Math.max(size, TASKS_PER_CHUNK), tasks);
-  return { kind: 'fits', records, chunks };
+  const blocks = blocksWithin(first * size, Math.max(size, TASKS_PER_BLOCK), tasks);
+  return { kind: 'fits', records, blocks };
 }
 
-/** Encodes a chunk as text, since bodies contain no binary values. */
-function packChunk(finished: Uint8Array, chunk: number): string {
-  const bytesPerChunk = TASKS_PER_CHUNK / 8;
-  const bits = finished.subarray(chunk * bytesPerChunk, (chunk + 1) * bytesPerChunk);
+/** Encodes a block as text, since bodies contain no binary values. */
+function packChunk(finished: Uint8Array, block: number): string {
+  const bytesPerBlock = TASKS_PER_BLOCK / 8;
+  const bits = finished.subarray(block * bytesPerBlock, (block + 1) * bytesPerBlock);
   return Buffer.from(bits).toString('base64');
 }
 
@@ -86,11 +86,11 @@
   return { from, tasks, deflated: Buffer.from(deflateSync(bits)).toString('base64') };
 }
 
-function chunksWithin(from: number, size: number, tasks: number): number[] {
-  const chunks: number[] = [];
-  for (let task = from; task < Math.min(tasks, from + size); task += TASKS_PER_CHUNK)
-    chunks.push(task / TASKS_PER_CHUNK);
-  return chunks;
+function blocksWithin(from: number, size: number, tasks: number): number[] {
+  const blocks: number[] = [];
+  for (let task = from; task < Math.min(tasks, from + size); task += TASKS_PER_BLOCK)
+    blocks.push(task / TASKS_PER_BLOCK);
+  return blocks;
 }
 
 /** Reads a record. The tasks of an unreadable one count as unfinished, which is safe: they are started again. */
@@ -113,10 +113,10 @@
   }
 }
 
-function readChunk(chunk: number, value: unknown): FinishedRecordContent {
+function readChunk(block: number, value: unknown): FinishedRecordContent {
   if (typeof value !== 'string') return unreadable('not a string');
   const bits = Buffer.from(value, 'base64');
-  return { kind: 'readable', firstTask: chunk * TASKS_PER_CHUNK, bits };
+  return { kind: 'readable', firstTask: block * TASKS_PER_BLOCK, bits };
 }
 
 function unreadable(reason: string): FinishedRecordContent {
--- a/src/jobs/finished-tasks.ts
+++ b/src/jobs/finished-tasks.ts
@@ -1,18 +1,18 @@
 /** The finished tasks of a job, one bit per task, and those that are not stored yet. */
-import { TASKS_PER_CHUNK } from './record-layout.js';
+import { TASKS_PER_BLOCK } from './record-layout.js';
 
 const BITS_PER_BYTE = 8;
 
-function chunkOf(taskNumber: number): number {
-  return Math.floor(taskNumber / TASKS_PER_CHUNK);
+function blockOf(taskNumber: number): number {
+  return Math.floor(taskNumber / TASKS_PER_BLOCK);
 }
 
-/** The finished tasks of one job. They are stored chunk by chunk; a finished task never becomes unfinished. */
+/** The finished tasks of one job. They are stored block by block; a finished task never becomes unfinished. */
 export class FinishedTasks {
   /** One bit per task, the lowest bit of each byte first. */
   readonly bits: Uint8Array;
-  /** Chunks with tasks that are not durable yet, with the time at which the first of these tasks finished. */
-  readonly dirtyChunks = new Map<number, number>();
+  /** Blocks with tasks that are not durable yet, with the time at which the first of these tasks finished. */
+  readonly dirtyBlocks = new Map<number, number>();
   private setCount = 0;
 
   constructor(private readonly tasks: number) {
@@ -35,27 +35,27 @@
     return true;
   }
 
-  /** Marks the chunk of a finished task that no record contains yet. */
+  /** Marks the block of a finished task that no record contains yet. */
   markDirty(taskNumber: number, now: number): void {
-    const chunk = chunkOf(taskNumber);
-    if (!this.dirtyChunks.has(chunk)) this.dirtyChunks.set(chunk, now);
+    const block = blockOf(taskNumber);
+    if (!this.dirtyBlocks.has(block)) this.dirtyBlocks.set(block, now);
   }
 
-  /** Marks all finished tasks to be written again. Returns the chunks that contain any of them. */
+  /** Marks all finished tasks to be written again. Returns the blocks that contain any of them. */
   markAllDirty(now: number): Set<number> {
-    const chunks = new Set<number>();
-    const bytesPerChunk = TASKS_PER_CHUNK / BITS_PER_BYTE;
-    for (let chunk = 0; chunk * TASKS_PER_CHUNK < this.tasks; chunk++) {
-      const bytes = this.bits.subarray(chunk * bytesPerChunk, (chunk + 1) * bytesPerChunk);
+    const blocks = new Set<number>();
+    const bytesPerBlock = TASKS_PER_BLOCK / BITS_PER_BYTE;
+    for (let block = 0; block * TASKS_PER_BLOCK < this.tasks; block++) {
+      const bytes = this.bits.subarray(block * bytesPerBlock, (block + 1) * bytesPerBlock);
       if (!bytes.some((byte) => byte !== 0)) continue;
-      chunks.add(chunk);
-      if (!this.dirtyChunks.has(chunk)) this.dirtyChunks.set(chunk, now);
+      blocks.add(block);
+      if (!this.dirtyBlocks.has(block)) this.dirtyBlocks.set(block, now);
     }
-    return chunks;
+    return blocks;
   }
 
   /** Whether a stored record contains the task, so that a new leader knows that it is finished. */
   isDurable(taskNumber: number): boolean {
-    return this.has(taskNumber) && !this.dirtyChunks.has(chunkOf(taskNumber));
+    return this.has(taskNumber) && !this.dirtyBlocks.has(blockOf(taskNumber));
   }
 }
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/progress-records.ts
@@ -1,6 +1,6 @@
 /** The stored records of finished tasks of each live job, and the layout of the next ones. */
 import { type Conversion } from '@millring/rollout';
-import { type ChunkRecords, recordsOfChunk } from './finished-records.js';
+import { type BlockRecords, recordsOfBlock } from './finished-records.js';
 import type { Job } from './job.js';
 import type { JobTable } from './job-table.js';
 import {
@@ -19,8 +19,8 @@
   /** Numbers of all records that are stored, or may be. */
   numbers: Set<number>;
   /**
-   * Chunks not yet written in this layout since it was chosen; null if this leader has not chosen it. Tasks that finish
-   * later are in no record of another layout, so their chunks need not be waited for.
+   * Blocks not yet written in this layout since it was chosen; null if this leader has not chosen it. Tasks that finish
+   * later are in no record of another layout, so their blocks need not be waited for.
    */
   toRewrite: Set<number> | null;
 }
@@ -78,7 +78,7 @@
   chooseLayout(job: Job, segmentsAllowed: boolean, now: number): void {
     const usesSegments = this.usesSegments(job);
     if (usesSegments && !segmentsAllowed) this.switchLayout(job, CHUNK_LAYOUT, now);
-    const hasProgress = job.finished.dirtyChunks.size > 0;
+    const hasProgress = job.finished.dirtyBlocks.size > 0;
     if (!usesSegments && segmentsAllowed && hasProgress && mayUseSegments(job.spec.tasks))
       this.switchLayout(job, { kind: 'segments', split: 0 }, now);
   }
@@ -89,13 +89,13 @@
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
-  /** Returns the records that make a chunk durable, or null if one did not fit: the job's later records are smaller. */
-  recordsFor(job: Job, chunk: number, now: number): ChunkRecords | null {
+  /** Returns the records that make a block durable, or null if one did not fit: the job's later records are smaller. */
+  recordsFor(job: Job, block: number, now: number): BlockRecords | null {
     const { layout } = this.recordsOf(job);
-    const result = recordsOfChunk(
+    const result = recordsOfBlock(
       job.finished.bits,
       job.spec.tasks,
-      chunk,
+      block,
       layout,
       this.valueBytes,
     );
@@ -118,11 +118,11 @@
     return [];
   }
 
-  /** Notes that chunks were written in a layout. */
-  noteDurable(job: Job, chunks: number[], layout: Layout): void {
+  /** Notes that blocks were written in a layout. */
+  noteDurable(job: Job, blocks: number[], layout: Layout): void {
     const records = this.recordsOf(job);
     if (!isSameLayout(records.layout, layout)) return;
-    for (const chunk of chunks) records.toRewrite?.delete(chunk);
+    for (const block of blocks) records.toRewrite?.delete(block);
   }
 
   layoutOf(job: Job): Layout {
--- a/src/jobs/progress-writer.ts
+++ b/src/jobs/progress-writer.ts
@@ -38,22 +38,22 @@
     now: number,
   ): void {
     this.records.chooseLayout(job, segmentPrecondition !== null, now);
-    for (const [chunk, since] of job.finished.dirtyChunks)
-      if (now - since >= PROGRESS_DELAY_MS && !batch.covers(job, chunk))
-        this.addChunk(batch, job, chunk, now);
+    for (const [block, since] of job.finished.dirtyBlocks)
+      if (now - since >= PROGRESS_DELAY_MS && !batch.covers(job, block))
+        this.addBlock(batch, job, block, now);
     if (segmentPrecondition && this.records.usesSegments(job) && batch.jobs.has(job))
       batch.requireLevel(segmentPrecondition);
     this.addSuperseded(batch, job, now);
   }
 
-  private addChunk(batch: CompletionBatch, job: Job, chunk: number, now: number): void {
+  private addBlock(batch: CompletionBatch, job: Job, block: number, now: number): void {
     // Compression takes time, so the checks that may make it unnecessary come first.
     if (!batch.hasRoom(1) || !this.budget.tryAcquire(0, 1)) return;
-    const chunkRecords = this.records.recordsFor(job, chunk, now);
-    if (!chunkRecords || !batch.hasRoom(chunkRecords.records.length)) return;
-    this.budget.acquireUnconditionally(chunkRecords.records.length);
+    const blockRecords = this.records.recordsFor(job, block, now);
+    if (!blockRecords || !batch.hasRoom(blockRecords.records.length)) return;
+    this.budget.acquireUnconditionally(blockRecords.records.length);
     batch.add(
-      chunkRecords.records.map(({ number, value }): Mutation => ({
+      blockRecords.records.map(({ number, value }): Mutation => ({
         put: finishedKey(job.spec.id, number),
         value,
       })),
@@ -61,9 +61,9 @@
     batch.requireJob(job);
     const layout = this.records.layoutOf(job);
     const { finishedCount } = job;
-    batch.progress.push({ job, chunks: chunkRecords.chunks, layout, finishedCount });
+    batch.progress.push({ job, blocks: blockRecords.blocks, layout, finishedCount });
     // Noted before the response: a record written without a response must be removed with the job, too.
-    for (const record of chunkRecords.records) this.records.noteWritten(job, record.number);
+    for (const record of blockRecords.records) this.records.noteWritten(job, record.number);
   }
 
   private addSuperseded(batch: CompletionBatch, job: Job, now: number): void {
@@ -75,13 +75,13 @@
     }
   }
 
-  /** Handles a committed batch. Its chunks stay dirty until then, so that machines keep the results until durable. */
+  /** Handles a committed batch. Its blocks stay dirty until then, so that machines keep the results until durable. */
   committed(batch: CompletionBatch, now: number): void {
-    for (const { job, chunks, layout, finishedCount } of batch.progress) {
-      this.records.noteDurable(job, chunks, layout);
-      for (const chunk of chunks) {
-        if (job.finishedCount === finishedCount) job.finished.dirtyChunks.delete(chunk);
-        else if (job.finished.dirtyChunks.has(chunk)) job.finished.dirtyChunks.set(chunk, now);
+    for (const { job, blocks, layout, finishedCount } of batch.progress) {
+      this.records.noteDurable(job, blocks, layout);
+      for (const block of blocks) {
+        if (job.finishedCount === finishedCount) job.finished.dirtyBlocks.delete(block);
+        else if (job.finished.dirtyBlocks.has(block)) job.finished.dirtyBlocks.set(block, now);
       }
     }
     for (const { job, recordNumber } of batch.superseded)
--- a/src/jobs/record-layout.ts
+++ b/src/jobs/record-layout.ts
@@ -8,7 +8,7 @@
  */
 
 /** Fits into the smallest maximum size of a value that settings allow. */
-export const TASKS_PER_CHUNK = 8192;
+export const TASKS_PER_BLOCK = 8192;
 
 /** Fits into the smallest maximum size of a value that settings allow, however random the bits. */
 const TASKS_PER_SMALLEST_SEGMENT = 2048;
@@ -65,7 +65,7 @@
 
 /** Maximum size of a chunk of a job with `tasks` tasks, in bytes of JSON. */
 export function maxChunkBytes(tasks: number): number {
-  const bytes = Math.ceil(Math.min(tasks, TASKS_PER_CHUNK) / 8);
+  const bytes = Math.ceil(Math.min(tasks, TASKS_PER_BLOCK) / 8);
   const base64Length = Math.ceil(bytes / 3) * 4;
   const quotes = 2;
   return base64Length + quotes;
--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -2,12 +2,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { readFinishedRecord, recordsOfChunk } from '../src/jobs/finished-records.js';
+import { readFinishedRecord, recordsOfBlock } from '../src/jobs/finished-records.js';
 import type { Job } from '../src/jobs/job.js';
 import { JobTable } from '../src/jobs/job-table.js';
 import { TrackedJob } from '../src/jobs/tracked-job.js';
 import { ProgressRecords } from '../src/jobs/progress-records.js';
-import { CHUNK_LAYOUT, type Layout, TASKS_PER_CHUNK } from '../src/jobs/record-layout.js';
+import { CHUNK_LAYOUT, type Layout, TASKS_PER_BLOCK } from '../src/jobs/record-layout.js';
 import { MAX_TASKS } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
 import type { TaskAttempt } from '../src/workers/task-attempt.js';
@@ -20,9 +20,9 @@
 /** Packs all chunks of the job in the layout, and loads the records into a job without finished tasks. */
 function storeAndLoad(job: Job, layout: Layout, valueBytes = Infinity): Job {
   const loaded = new TrackedJob<TaskAttempt>(1, job.spec, 1, 0, true, 0);
-  for (let chunk = 0; chunk * TASKS_PER_CHUNK < job.spec.tasks; chunk++) {
-    const made = recordsOfChunk(job.finished.bits, job.spec.tasks, chunk, layout, valueBytes);
-    assert.ok(made.kind === 'fits' && made.chunks.includes(chunk));
+  for (let chunk = 0; chunk * TASKS_PER_BLOCK < job.spec.tasks; chunk++) {
+    const made = recordsOfBlock(job.finished.bits, job.spec.tasks, chunk, layout, valueBytes);
+    assert.ok(made.kind === 'fits' && made.blocks.includes(chunk));
     for (const { number, value } of made.records) {
       const read = readFinishedRecord(number, value);
       assert.ok(read.kind === 'readable');
@@ -35,8 +35,8 @@
 test('task numbers finished in any order are restored chunk by chunk from their records, in every layout', () => {
   fc.assert(
     fc.property(
-      fc.integer({ min: 1, max: 3 * TASKS_PER_CHUNK }),
-      fc.array(fc.nat(3 * TASKS_PER_CHUNK - 1), { maxLength: 60 }),
+      fc.integer({ min: 1, max: 3 * TASKS_PER_BLOCK }),
+      fc.array(fc.nat(3 * TASKS_PER_BLOCK - 1), { maxLength: 60 }),
       fc.constantFrom(...LAYOUTS),
       (count, list, layout) => {
         const original = new TrackedJob<TaskAttempt>(0, spec({ tasks: count }), 1, 0, true, 0);
@@ -56,18 +56,18 @@
     seed: 3,
     numRuns: 1,
   })[0];
-  for (let chunk = 0; chunk * TASKS_PER_CHUNK < MAX_TASKS; chunk++) {
-    const made = recordsOfChunk(random, MAX_TASKS, chunk, { kind: 'segments', split: 6 }, 512);
+  for (let chunk = 0; chunk * TASKS_PER_BLOCK < MAX_TASKS; chunk++) {
+    const made = recordsOfBlock(random, MAX_TASKS, chunk, { kind: 'segments', split: 6 }, 512);
     assert.ok(made.kind === 'fits');
     for (const { value } of made.records) assert.ok(JSON.stringify(value).length <= 512);
   }
-  const coarse = recordsOfChunk(random, MAX_TASKS, 0, { kind: 'segments', split: 0 }, 512);
+  const coarse = recordsOfBlock(random, MAX_TASKS, 0, { kind: 'segments', split: 0 }, 512);
   assert.equal(coarse.kind, 'too-large');
 });
 
 // A build from before feature levels reads text only and would take a text for a chunk, so a segment must not be text.
 test('a segment is stored as an object, not as text', () => {
-  const made = recordsOfChunk(
+  const made = recordsOfBlock(
     new Uint8Array(2000).fill(255),
     16_000,
     0,
@@ -92,7 +92,7 @@
   for (const [number, value] of wrong)
     assert.equal(readFinishedRecord(number, value).kind, 'unreadable');
   // Unpacks to more, or fewer, tasks than the record claims to cover.
-  const made = recordsOfChunk(
+  const made = recordsOfBlock(
     new Uint8Array(1024).fill(255),
     8192,
     0,
@@ -113,7 +113,7 @@
   job.loadFinished(0, new Uint8Array([1]));
   for (const number of [0, 1000]) records.noteWritten(job, number);
   assert.deepEqual(records.supersededRecords(job, 5), []);
-  assert.deepEqual([...job.finished.dirtyChunks.keys()], [0]);
+  assert.deepEqual([...job.finished.dirtyBlocks.keys()], [0]);
   assert.deepEqual(records.supersededRecords(job, 5), [], 'not before the chunk is written');
   records.noteDurable(job, [0], CHUNK_LAYOUT);
   assert.deepEqual(records.supersededRecords(job, 5), [], 'nor after a write in the other layout');
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -5,11 +5,11 @@
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { build as histogram } from 'hdr-histogram-js';
-import { recordsOfChunk } from '../src/jobs/finished-records.js';
+import { recordsOfBlock } from '../src/jobs/finished-records.js';
 import {
   CHUNK_LAYOUT,
   type Layout,
-  TASKS_PER_CHUNK,
+  TASKS_PER_BLOCK,
   finerLayout,
 } from '../src/jobs/record-layout.js';
 import { ControllerProcesses } from './sim/controller-processes.js';
@@ -100,8 +100,8 @@
   layout: Layout,
 ): { records: number; bytes: number } {
   const values = new Map<number, number>();
-  for (let chunk = 0; chunk * TASKS_PER_CHUNK < tasks; chunk++) {
-    const made = recordsOfChunk(finished, tasks, chunk, layout, VALUE_BYTES);
+  for (let chunk = 0; chunk * TASKS_PER_BLOCK < tasks; chunk++) {
+    const made = recordsOfBlock(finished, tasks, chunk, layout, VALUE_BYTES);
     if (made.kind === 'too-large') return storedSize(finished, tasks, finerLayout(layout));
     for (const { number, value } of made.records) values.set(number, JSON.stringify(value).length);
   }
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -90,7 +90,7 @@
   const job = new TrackedJob<TaskAttempt>(0, spec(), 1, 0, true, 0);
   job.finish(3, 100);
   assert.equal(job.isDurable(3), false);
-  job.finished.dirtyChunks.clear();
+  job.finished.dirtyBlocks.clear();
   assert.deepEqual([job.isDurable(3), job.isDurable(4)], [true, false]);
 });
 
