--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -5,7 +5,7 @@
 import { FINISHED_PREFIX, liveKey } from './records.js';
 
 /** Records of a job's finished tasks that a batch writes. */
-export interface BatchedProgress {
+export interface BatchedFinishedRecords {
   job: Job;
   /** Blocks of tasks that the records make durable. */
   blocks: number[];
@@ -14,14 +14,14 @@
   finishedCount: number;
 }
 
-/** Moves of jobs to their terminal state, progress of other jobs, and removals of obsolete records. */
+/** Moves of jobs to their terminal state, finished tasks of other jobs, and removals of obsolete records. */
 export class CompletionBatch {
   readonly preconditions: Precondition[];
   readonly mutations: Mutation[] = [];
   /** Jobs whose records are preconditions of the batch. */
   readonly jobs = new Set<Job>();
   readonly terminalJobs: Job[] = [];
-  readonly progress: BatchedProgress[] = [];
+  readonly finishedRecords: BatchedFinishedRecords[] = [];
   /** Keys of records that the batch removes because their job is terminal. */
   readonly orphanedKeys: string[] = [];
   /** Records of live jobs that the batch removes because other records contain their tasks. */
@@ -68,7 +68,7 @@
   }
 
   covers(job: Job, block: number): boolean {
-    return this.progress.some((entry) => entry.job === job && entry.blocks.includes(block));
+    return this.finishedRecords.some((entry) => entry.job === job && entry.blocks.includes(block));
   }
 
   /** Size of the largest segment in bytes of JSON, or 0 if there is none. */
--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -6,8 +6,8 @@
 import { CompletionBatch } from './completion-batch.js';
 import type { Job } from './job.js';
 import type { JobTable } from './job-table.js';
-import { ProgressRecords } from './progress-records.js';
-import { ProgressWriter } from './progress-writer.js';
+import { FinishedRecordTable } from './finished-record-table.js';
+import { FinishedRecordWriter } from './finished-record-writer.js';
 import { isSegment } from './record-layout.js';
 import { terminalKey, finishedKey, liveKey } from './records.js';
 
@@ -53,8 +53,8 @@
 /** Stores the finished tasks that the leader knows, in compact form and in batches, with terminal jobs first. */
 export class CompletionWriter {
   private writing = false;
-  private readonly records: ProgressRecords;
-  private readonly progress: ProgressWriter;
+  private readonly records: FinishedRecordTable;
+  private readonly finishedRecordWriter: FinishedRecordWriter;
   /** Earliest time of the next write for a job, by the job's index. */
   private readonly notBefore = new Map<number, number>();
   /** Keys of stored records of finished tasks whose job is terminal. */
@@ -64,8 +64,12 @@
 
   constructor(private readonly deps: CompletionWriterDependencies) {
     this.maxMutations = deps.txnOps;
-    this.records = new ProgressRecords(deps.jobs, deps.valueBytes);
-    this.progress = new ProgressWriter(this.records, deps.runtime.clock, deps.writeRps);
+    this.records = new FinishedRecordTable(deps.jobs, deps.valueBytes);
+    this.finishedRecordWriter = new FinishedRecordWriter(
+      this.records,
+      deps.runtime.clock,
+      deps.writeRps,
+    );
   }
 
   /** Notes that a record of the job's finished tasks is stored. */
@@ -97,7 +101,7 @@
       this.deps.txnOps * PRECONDITIONS_PER_MUTATION,
     );
     this.addTerminalJobs(batch, now);
-    this.addProgress(batch, now);
+    this.addFinishedRecords(batch, now);
     this.addOrphans(batch);
     if (batch.mutations.length > 0) void this.write(batch);
   }
@@ -127,11 +131,11 @@
     ];
   }
 
-  private addProgress(batch: CompletionBatch, now: number): void {
+  private addFinishedRecords(batch: CompletionBatch, now: number): void {
     const segmentPrecondition = this.deps.segmentPrecondition();
     for (const job of this.deps.jobs.all()) {
       if (job.jobCancelled || job.isComplete() || this.mustWait(job, now)) continue;
-      this.progress.addTo(batch, job, segmentPrecondition, now);
+      this.finishedRecordWriter.addTo(batch, job, segmentPrecondition, now);
     }
   }
 
@@ -159,7 +163,7 @@
   }
 
   private committed(batch: CompletionBatch): void {
-    this.progress.committed(batch, this.deps.runtime.clock.now());
+    this.finishedRecordWriter.committed(batch, this.deps.runtime.clock.now());
     for (const key of batch.orphanedKeys) this.orphanedKeys.delete(key);
     for (const job of batch.terminalJobs) this.jobEnded(job, batch);
   }
--- a/src/jobs/progress-records.ts
+++ b/src/jobs/finished-record-table.ts
@@ -26,7 +26,7 @@
 }
 
 /** The stored records of finished tasks of all live jobs. */
-export class ProgressRecords {
+export class FinishedRecordTable {
   private readonly byJob = new Map<number, JobRecords>();
 
   constructor(
@@ -78,8 +78,8 @@
   chooseLayout(job: Job, segmentsAllowed: boolean, now: number): void {
     const usesSegments = this.usesSegments(job);
     if (usesSegments && !segmentsAllowed) this.switchLayout(job, CHUNK_LAYOUT, now);
-    const hasProgress = job.finished.dirtyBlocks.size > 0;
-    if (!usesSegments && segmentsAllowed && hasProgress && mayUseSegments(job.spec.tasks))
+    const hasDirtyBlocks = job.finished.dirtyBlocks.size > 0;
+    if (!usesSegments && segmentsAllowed && hasDirtyBlocks && mayUseSegments(job.spec.tasks))
       this.switchLayout(job, { kind: 'segments', split: 0 }, now);
   }
 
--- a/src/jobs/progress-writer.ts
+++ b/src/jobs/finished-record-writer.ts
@@ -4,33 +4,33 @@
 import { TokenBucket } from '../state-store/token-bucket.js';
 import type { CompletionBatch } from './completion-batch.js';
 import type { Job } from './job.js';
-import type { ProgressRecords } from './progress-records.js';
+import type { FinishedRecordTable } from './finished-record-table.js';
 import { finishedKey } from './records.js';
 
 /**
- * Progress is written rarely: a job that completes does not need it, and a new leader learns what it has not read from
+ * Finished tasks are written rarely: a job that completes does not need it, and a new leader learns what it has not read from
  * the machines, which keep results until they receive a forget command, or by a start that finishes at once. So it uses
  * a small share of the mutations, which are more urgent for submissions, terminal jobs and machines.
  */
-const PROGRESS_DELAY_MS = 5000;
-const PROGRESS_SHARE_OF_WRITES = 0.2;
+const WRITE_DELAY_MS = 5000;
+const SHARE_OF_WRITES = 0.2;
 const MIN_RATE_PER_S = 0.5;
 const MIN_BURST = 2;
 
-/** Adds the progress of jobs to batches, within its own rate limit. */
-export class ProgressWriter {
+/** Adds the finished tasks of jobs to batches, within its own rate limit. */
+export class FinishedRecordWriter {
   private readonly budget: TokenBucket;
 
   constructor(
-    private readonly records: ProgressRecords,
+    private readonly records: FinishedRecordTable,
     clock: Clock,
     writeRps: number,
   ) {
-    const ratePerS = Math.max(MIN_RATE_PER_S, writeRps * PROGRESS_SHARE_OF_WRITES);
+    const ratePerS = Math.max(MIN_RATE_PER_S, writeRps * SHARE_OF_WRITES);
     this.budget = new TokenBucket(ratePerS, Math.max(MIN_BURST, ratePerS), () => clock.now());
   }
 
-  /** Adds the progress of a job to a batch. `segmentPrecondition` is null while no segments may be written. */
+  /** Adds the finished tasks of a job to a batch. `segmentPrecondition` is null while no segments may be written. */
   addTo(
     batch: CompletionBatch,
     job: Job,
@@ -39,7 +39,7 @@
   ): void {
     this.records.chooseLayout(job, segmentPrecondition !== null, now);
     for (const [block, since] of job.finished.dirtyBlocks)
-      if (now - since >= PROGRESS_DELAY_MS && !batch.covers(job, block))
+      if (now - since >= WRITE_DELAY_MS && !batch.covers(job, block))
         this.addBlock(batch, job, block, now);
     if (segmentPrecondition && this.records.usesSegments(job) && batch.jobs.has(job))
       batch.requireLevel(segmentPrecondition);
@@ -61,7 +61,7 @@
     batch.requireJob(job);
     const layout = this.records.layoutOf(job);
     const { finishedCount } = job;
-    batch.progress.push({ job, blocks: blockRecords.blocks, layout, finishedCount });
+    batch.finishedRecords.push({ job, blocks: blockRecords.blocks, layout, finishedCount });
     // Noted before the response: a record written without a response must be removed with the job, too.
     for (const record of blockRecords.records) this.records.noteWritten(job, record.number);
   }
@@ -77,7 +77,7 @@
 
   /** Handles a committed batch. Its blocks stay dirty until then, so that machines keep the results until durable. */
   committed(batch: CompletionBatch, now: number): void {
-    for (const { job, blocks, layout, finishedCount } of batch.progress) {
+    for (const { job, blocks, layout, finishedCount } of batch.finishedRecords) {
       this.records.noteDurable(job, blocks, layout);
       for (const block of blocks) {
         if (job.finishedCount === finishedCount) job.finished.dirtyBlocks.delete(block);
--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -6,7 +6,7 @@
 import type { Job } from '../src/jobs/job.js';
 import { JobTable } from '../src/jobs/job-table.js';
 import { TrackedJob } from '../src/jobs/tracked-job.js';
-import { ProgressRecords } from '../src/jobs/progress-records.js';
+import { FinishedRecordTable } from '../src/jobs/finished-record-table.js';
 import { CHUNK_LAYOUT, type Layout, TASKS_PER_BLOCK } from '../src/jobs/record-layout.js';
 import { MAX_TASKS } from '../src/wire/model.js';
 import { spec } from './sim/job-spec.js';
@@ -109,7 +109,7 @@
 test('records in the old layout are superseded only after their content has been written in the new one', () => {
   const jobs = new JobTable();
   const job = jobs.add(spec({ tasks: 20_000 }), 1, 0, true, 0);
-  const records = new ProgressRecords(jobs, 4096);
+  const records = new FinishedRecordTable(jobs, 4096);
   job.loadFinished(0, new Uint8Array([1]));
   for (const number of [0, 1000]) records.noteWritten(job, number);
   assert.deepEqual(records.supersededRecords(job, 5), []);
