--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -122,7 +122,7 @@
   private terminalMutations(job: Job): Mutation[] {
     const { id, tasks } = job.spec;
     const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_JOB_END);
-    const recordNumbers = [...this.records.numbersOf(job)].slice(0, maxRecords);
+    const recordNumbers = [...this.records.recordNumbersOf(job)].slice(0, maxRecords);
     const value = { state: job.jobCancelled ? 'cancelled' : 'done', tasks };
     return [
       { remove: liveKey(id) },
@@ -169,7 +169,7 @@
   }
 
   private jobEnded(job: Job, batch: CompletionBatch): void {
-    for (const number of this.records.numbersOf(job)) {
+    for (const number of this.records.recordNumbersOf(job)) {
       const key = finishedKey(job.spec.id, number);
       if (!batch.removes(key)) this.orphanedKeys.add(key);
     }
--- a/src/jobs/finished-record-table.ts
+++ b/src/jobs/finished-record-table.ts
@@ -37,7 +37,7 @@
 
   /** Notes a record that is or may be stored: one written without a response must be removed with the job, too. */
   noteWritten(job: Job, recordNumber: number): void {
-    const records = this.recordsOf(job);
+    const records = this.entryOf(job);
     records.numbers.add(recordNumber);
     const layout = layoutOf(recordNumber);
     if (
@@ -47,7 +47,7 @@
       records.layout = layout;
   }
 
-  private recordsOf(job: Job): JobRecords {
+  private entryOf(job: Job): JobRecords {
     let records = this.byJob.get(job.index);
     if (!records) {
       records = { layout: CHUNK_LAYOUT, numbers: new Set(), toRewrite: null };
@@ -56,7 +56,7 @@
     return records;
   }
 
-  numbersOf(job: Job): Iterable<number> {
+  recordNumbersOf(job: Job): Iterable<number> {
     return this.byJob.get(job.index)?.numbers ?? [];
   }
 
@@ -84,14 +84,14 @@
   }
 
   private switchLayout(job: Job, layout: Layout, now: number): void {
-    const records = this.recordsOf(job);
+    const records = this.entryOf(job);
     records.layout = layout;
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
   /** Returns the records that make a block durable, or null if one did not fit: the job's later records are smaller. */
-  recordsFor(job: Job, block: number, now: number): BlockRecords | null {
-    const { layout } = this.recordsOf(job);
+  encodeBlock(job: Job, block: number, now: number): BlockRecords | null {
+    const { layout } = this.entryOf(job);
     const result = recordsOfBlock(
       job.finished.bits,
       job.spec.tasks,
@@ -120,13 +120,13 @@
 
   /** Notes that blocks were written in a layout. */
   noteDurable(job: Job, blocks: number[], layout: Layout): void {
-    const records = this.recordsOf(job);
+    const records = this.entryOf(job);
     if (!isSameLayout(records.layout, layout)) return;
     for (const block of blocks) records.toRewrite?.delete(block);
   }
 
-  layoutOf(job: Job): Layout {
-    return this.recordsOf(job).layout;
+  currentLayout(job: Job): Layout {
+    return this.entryOf(job).layout;
   }
 
   /** Limits the size of values to half the size of a refused one. */
@@ -138,7 +138,7 @@
   conversion(): Conversion {
     let remaining = 0;
     for (const job of this.jobs.all()) {
-      const segments = [...this.numbersOf(job)].filter(isSegment).length;
+      const segments = [...this.recordNumbersOf(job)].filter(isSegment).length;
       if (segments === 0) continue;
       if (maxChunkBytes(job.spec.tasks) > this.valueBytes)
         return {
--- a/src/jobs/finished-record-writer.ts
+++ b/src/jobs/finished-record-writer.ts
@@ -49,7 +49,7 @@
   private addBlock(batch: CompletionBatch, job: Job, block: number, now: number): void {
     // Compression takes time, so the checks that may make it unnecessary come first.
     if (!batch.hasRoom(1) || !this.budget.tryAcquire(0, 1)) return;
-    const blockRecords = this.records.recordsFor(job, block, now);
+    const blockRecords = this.records.encodeBlock(job, block, now);
     if (!blockRecords || !batch.hasRoom(blockRecords.records.length)) return;
     this.budget.acquireUnconditionally(blockRecords.records.length);
     batch.add(
@@ -59,7 +59,7 @@
       })),
     );
     batch.requireJob(job);
-    const layout = this.records.layoutOf(job);
+    const layout = this.records.currentLayout(job);
     const { finishedCount } = job;
     batch.finishedRecords.push({ job, blocks: blockRecords.blocks, layout, finishedCount });
     // Noted before the response: a record written without a response must be removed with the job, too.
