--- a/src/leadership/heartbeat-handler.ts
+++ b/src/leadership/heartbeat-handler.ts
@@ -54,12 +54,12 @@
       return { token: lifecycle.baseToken, commands: [] };
     const machine = this.findOrAddMachine(heartbeat, now);
     // A duplicate or reordered heartbeat must neither be applied nor count as a renewal of the lease.
-    if (!machine || !isNewer(heartbeat, machine, machine.lastHeartbeatSequence)) return null;
+    if (!machine || !isNewer(heartbeat, machine, machine.lastRequestSequence)) return null;
     machine.leaseRenewedAt = now;
     if (machine.commandFailures > 0) machine.nextSendAt = Math.min(machine.nextSendAt, now);
     this.apply(machine, heartbeat);
     if (heartbeat.incarnation === machine.incarnation)
-      machine.lastHeartbeatSequence = heartbeat.sequence;
+      machine.lastRequestSequence = heartbeat.sequence;
     return this.respond(machine, now);
   }
 
@@ -84,7 +84,8 @@
   apply(machine: Machine, heartbeat: Heartbeat): void {
     const { clock, table, placement, recovery, contact, cycles } = this.deps;
     const now = clock.now();
-    if (!isNewer(heartbeat, machine, machine.lastSequence) || !table.contains(machine)) return;
+    if (!isNewer(heartbeat, machine, machine.lastAppliedSequence) || !table.contains(machine))
+      return;
     machine.lastHeardAt = now;
     contact.recordHeartbeat(now);
     const wasReconciled = machine.isReconciled();
--- a/src/workers/heartbeat-applier.ts
+++ b/src/workers/heartbeat-applier.ts
@@ -19,7 +19,7 @@
    * reported the raised token.
    */
   apply(machine: Machine, heartbeat: Heartbeat, now: number): boolean {
-    if (!isNewer(heartbeat, machine, machine.lastSequence)) return false;
+    if (!isNewer(heartbeat, machine, machine.lastAppliedSequence)) return false;
     if (heartbeat.incarnation > machine.incarnation)
       this.beginIncarnation(machine, heartbeat.incarnation, now);
     applyMachineStatus(machine, heartbeat, now);
@@ -39,7 +39,7 @@
   private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
     this.lifecycle.removeAll(machine, now);
     machine.incarnation = incarnation;
-    machine.lastHeartbeatSequence = -1;
+    machine.lastRequestSequence = -1;
     // The lease of the new incarnation counts from its beginning, which was no later than now.
     machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
   }
@@ -70,7 +70,7 @@
 
 function applyMachineStatus(machine: Machine, heartbeat: Heartbeat, now: number): void {
   const { preemptionNoticeS } = heartbeat;
-  machine.lastSequence = heartbeat.sequence;
+  machine.lastAppliedSequence = heartbeat.sequence;
   recordShownToken(machine, heartbeat.token, now);
   machine.endpoint = heartbeat.endpoint;
   machine.reported = true;
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -180,8 +180,8 @@
     if (machine.reported) {
       // From now on only a newer incarnation counts: a delayed heartbeat of the old one lists tasks that were killed.
       machine.incarnation++;
-      machine.lastSequence = -1;
-      machine.lastHeartbeatSequence = -1;
+      machine.lastAppliedSequence = -1;
+      machine.lastRequestSequence = -1;
     }
     machine.leaseRenewedAt = now;
     machine.reported = false;
--- a/src/workers/tracked-machine.ts
+++ b/src/workers/tracked-machine.ts
@@ -27,11 +27,11 @@
  * they occupy. Code uses the type `Machine`. Times are in milliseconds of the monotonic clock.
  */
 export class TrackedMachine<Attempt> {
-  /** The worker's incarnation. Heartbeats of lower ones are outdated, as are those of this one up to `lastSequence`. */
+  /** The worker's incarnation. Heartbeats of lower ones are outdated, as are those of this one up to `lastAppliedSequence`. */
   incarnation = 0;
-  lastSequence = -1;
+  lastAppliedSequence = -1;
   /** Sequence of the newest heartbeat that the worker sent itself in this incarnation: a lower one is a late copy. */
-  lastHeartbeatSequence = -1;
+  lastRequestSequence = -1;
   /** When new information was last received from the worker itself. */
   lastHeardAt: number;
   /** Whether a heartbeat was received since the machine was added, or since its lease expired. */
--- a/test/sim/autoscaler-harness.ts
+++ b/test/sim/autoscaler-harness.ts
@@ -131,7 +131,7 @@
       zone: machine.zone,
       spot: false,
       incarnation: 1,
-      sequence: machine.lastSequence + 1,
+      sequence: machine.lastAppliedSequence + 1,
       token: 100,
       preemptionNoticeS: null,
       tasks: [],
