--- a/src/workers/fencing-tokens.ts
+++ b/src/workers/fencing-tokens.ts
@@ -31,18 +31,19 @@
       return this.tokenFor(machine);
     }
     const isDue = now - machine.tokenConfirmedAt > intervalMs;
-    if (isDue && !machine.inFlight && machine.shownToken >= this.tokenFor(machine))
+    if (isDue && !machine.inFlight && machine.reportedToken >= this.tokenFor(machine))
       this.advance(machine);
     const token = this.tokenFor(machine);
-    if (machine.shownToken < token) machine.pendingTokenAck = { token, since: now, heartbeats: 0 };
+    if (machine.reportedToken < token)
+      machine.pendingTokenAck = { token, since: now, heartbeats: 0 };
     return token;
   }
 }
 
 /** Records a token that a heartbeat contained, so that the machine has seen it. */
-export function recordShownToken(machine: Machine, token: number, now: number): void {
-  machine.shownToken = Math.max(machine.shownToken, token);
-  if (!machine.pendingTokenAck || machine.shownToken < machine.pendingTokenAck.token) return;
+export function recordReportedToken(machine: Machine, token: number, now: number): void {
+  machine.reportedToken = Math.max(machine.reportedToken, token);
+  if (!machine.pendingTokenAck || machine.reportedToken < machine.pendingTokenAck.token) return;
   machine.pendingTokenAck = null;
   machine.tokenConfirmedAt = now;
 }
--- a/src/workers/heartbeat-applier.ts
+++ b/src/workers/heartbeat-applier.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../jobs/job.js';
 import type { Heartbeat, TaskStatus } from '../wire/model.js';
 import type { AttemptLifecycle } from './attempt-lifecycle.js';
-import { recordShownToken } from './fencing-tokens.js';
+import { recordReportedToken } from './fencing-tokens.js';
 import type { Machine } from './machine.js';
 import { TaskAttempt, attemptKey } from './task-attempt.js';
 
@@ -71,7 +71,7 @@
 function applyMachineStatus(machine: Machine, heartbeat: Heartbeat, now: number): void {
   const { preemptionNoticeS } = heartbeat;
   machine.lastAppliedSequence = heartbeat.sequence;
-  recordShownToken(machine, heartbeat.token, now);
+  recordReportedToken(machine, heartbeat.token, now);
   machine.endpoint = heartbeat.endpoint;
   machine.reported = true;
   machine.leaseExpired = false;
@@ -86,6 +86,6 @@
     inFlight ||
     !attempt.startSent ||
     attempt.fencedByToken === 0 ||
-    machine.shownToken < attempt.fencedByToken
+    machine.reportedToken < attempt.fencedByToken
   );
 }
--- a/src/workers/tracked-machine.ts
+++ b/src/workers/tracked-machine.ts
@@ -44,7 +44,7 @@
   awaitingReconciliation = false;
 
   /** Highest token that the machine has reported. */
-  shownToken = 0;
+  reportedToken = 0;
   /** Token that the machine must report before its heartbeats count as complete. */
   requiredToken: number;
   /** Difference of the machine's token to the leader's base token. */
@@ -106,7 +106,7 @@
 
   /** Whether the machine has reported the required token, which invalidates all commands sent with lower ones. */
   isReconciled(): boolean {
-    return this.reported && this.shownToken >= this.requiredToken;
+    return this.reported && this.reportedToken >= this.requiredToken;
   }
 
   /** Whether heartbeats arrive, but responses are lost or ignored, so that the heartbeats prove nothing. */
--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -79,7 +79,7 @@
     await harness.advance(1, () => true);
     for (const machine of harness.table.all()) {
       const token = harness.table.requestTokenAck(machine, harness.now, LEASE_S * 500);
-      if (machine.id !== 'b4') machine.shownToken = token;
+      if (machine.id !== 'b4') machine.reportedToken = token;
     }
   }
   assert.deepEqual([...harness.deleted], ['b4']);
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -29,7 +29,7 @@
     return Object.assign(machine, {
       stored: true,
       reported: true,
-      shownToken: 100,
+      reportedToken: 100,
     } satisfies Partial<Machine>);
   };
   const gang = new TrackedJob<TaskAttempt>(
@@ -167,7 +167,7 @@
     Object.assign(machine, {
       stored: true,
       reported: true,
-      shownToken: 100,
+      reportedToken: 100,
     } satisfies Partial<Machine>);
   }
 }
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -103,7 +103,7 @@
   Object.assign(machine, {
     stored: true,
     reported: true,
-    shownToken: TOKEN,
+    reportedToken: TOKEN,
   } satisfies Partial<Machine>);
   for (let task = 0; task < tasks; task++) table.addAttempt(machine, 'run-1', job, task, task, 0);
   return {
@@ -156,7 +156,7 @@
 test('tasks that a machine reports with an older token are no proof of a violation', () => {
   const { machine, audit, errors } = createAuditSetup(10, 7);
   for (const attempt of machine.attempts.values()) attempt.state = 'running';
-  machine.shownToken = TOKEN - 1;
+  machine.reportedToken = TOKEN - 1;
   audit.tick(0);
   assert.equal(errors.length, 0);
 });
