--- a/src/workers/fencing-tokens.ts
+++ b/src/workers/fencing-tokens.ts
@@ -30,7 +30,7 @@
       machine.pendingTokenAck.heartbeats++;
       return this.tokenFor(machine);
     }
-    const isDue = now - machine.tokenConfirmedAt > intervalMs;
+    const isDue = now - machine.tokenAcknowledgedAt > intervalMs;
     if (isDue && !machine.inFlight && machine.reportedToken >= this.tokenFor(machine))
       this.advance(machine);
     const token = this.tokenFor(machine);
@@ -45,5 +45,5 @@
   machine.reportedToken = Math.max(machine.reportedToken, token);
   if (!machine.pendingTokenAck || machine.reportedToken < machine.pendingTokenAck.token) return;
   machine.pendingTokenAck = null;
-  machine.tokenConfirmedAt = now;
+  machine.tokenAcknowledgedAt = now;
 }
--- a/src/workers/tracked-machine.ts
+++ b/src/workers/tracked-machine.ts
@@ -51,7 +51,7 @@
   tokenOffset = 0;
   pendingTokenAck: PendingTokenAck | null = null;
   /** When the machine last confirmed a pending token, which proves that responses reach it. */
-  tokenConfirmedAt: number;
+  tokenAcknowledgedAt: number;
 
   /** Whether the machine is stored, so that a new leader would find it. Only then may commands be sent to it. */
   stored = false;
@@ -101,7 +101,7 @@
     this.lastHeardAt = now;
     this.leaseRenewedAt = now;
     this.emptySince = now;
-    this.tokenConfirmedAt = now;
+    this.tokenAcknowledgedAt = now;
   }
 
   /** Whether the machine has reported the required token, which invalidates all commands sent with lower ones. */
