--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -107,7 +107,7 @@
   if (attempt.job) attempt.job.running++;
   // Tasks started under a former leader are already running when they are discovered: timed from here, they would
   // seem shorter than they are, and all others slow.
-  if (!attempt.discovered) attempt.runningSince = now;
+  if (!attempt.startTimeUnknown) attempt.runningSince = now;
 }
 
 function recordIfEmpty(machine: Machine, now: number): void {
--- a/src/workers/heartbeat-applier.ts
+++ b/src/workers/heartbeat-applier.ts
@@ -56,7 +56,7 @@
     const job = this.findJob(task.job) ?? null;
     const attempt = new TaskAttempt(machine, task.job, job, task.taskNumber, task.attempt, now);
     attempt.startSent = true;
-    attempt.discovered = task.state !== 'fetching' && task.state !== 'waiting';
+    attempt.startTimeUnknown = task.state !== 'fetching' && task.state !== 'waiting';
     return this.lifecycle.insert(attempt);
   }
 }
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -61,7 +61,7 @@
   stopSentAt = -Infinity;
   forgetSentAt = -Infinity;
   /** Whether the attempt was first seen in a heartbeat, past fetching and waiting, and not started by this leader. */
-  discovered = false;
+  startTimeUnknown = false;
   /** When it began to run; 0 if it does not run yet, or if it already ran when discovered (the time is unknown). */
   runningSince = 0;
   /** When a gang task was first reported as waiting. */
