--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -207,7 +207,7 @@
 
   private forgetMachine(machine: Machine): void {
     this.table.remove(machine, this.deps.runtime.clock.now());
-    this.machineRecords.machineRemoved(machine);
+    this.machineRecords.removeRecord(machine);
     this.cycles.request();
   }
 
--- a/src/leadership/lease-monitor.ts
+++ b/src/leadership/lease-monitor.ts
@@ -33,7 +33,7 @@
       log.info({ id: machine.id }, 'worker lease expired');
       table.expireLease(machine, now);
       // The record is removed so that no later leader waits for this machine.
-      machineRecords.machineRemoved(machine);
+      machineRecords.removeRecord(machine);
     }
   }
 
--- a/src/workers/machine-record-store.ts
+++ b/src/workers/machine-record-store.ts
@@ -57,7 +57,7 @@
   }
 
   /** Removes a machine that has no tasks any more. None may be placed on it before it is stored again. */
-  machineRemoved(machine: Machine): void {
+  removeRecord(machine: Machine): void {
     machine.stored = false;
     this.pages.remove(machine.id, this.deps.runtime.clock.now());
   }
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -96,7 +96,7 @@
   await run(1);
   const machine = add('i-2');
   // Removed while the write that contains it is in flight.
-  machineRecords.machineRemoved(machine);
+  machineRecords.removeRecord(machine);
   machine.reported = false;
   await run(1);
   assert.equal(machine.stored, false);
@@ -106,6 +106,6 @@
   await run(2);
   assert.equal(machine.stored, true);
   assert.deepEqual(stored(), ['i-1', 'i-2']);
-  machineRecords.machineRemoved(machine);
+  machineRecords.removeRecord(machine);
   assert.equal(machine.stored, false);
 });
