--- a/src/autoscaler/idle-machines.ts
+++ b/src/autoscaler/idle-machines.ts
@@ -13,7 +13,7 @@
 
 function runsService(machine: Machine): boolean {
   for (const attempt of machine.attempts.values())
-    if (attempt.onMachine() && attempt.job?.spec.kind === 'service') return true;
+    if (attempt.mayBeOnMachine() && attempt.job?.spec.kind === 'service') return true;
   return false;
 }
 
--- a/src/placement/machine-candidates.ts
+++ b/src/placement/machine-candidates.ts
@@ -52,7 +52,7 @@
   if (fits(spec, cpus, gpus, memoryGb)) return [];
   const candidates = [...machine.attempts.values()].filter(
     (attempt) =>
-      attempt.onMachine() &&
+      attempt.mayBeOnMachine() &&
       !attempt.startUnacknowledged &&
       !attempt.stop &&
       attempt.job !== null &&
--- a/src/placement/machine-drain.ts
+++ b/src/placement/machine-drain.ts
@@ -55,7 +55,8 @@
     for (const attempt of [...machine.attempts.values()]) {
       if (budget <= 0) return;
       const { job } = attempt;
-      if (!attempt.onMachine() || attempt.stop || attempt.startUnacknowledged || !job) continue;
+      if (!attempt.mayBeOnMachine() || attempt.stop || attempt.startUnacknowledged || !job)
+        continue;
       if (this.endsInTime(attempt, job, progress.leftMs, now)) continue;
       if (this.moveAway(attempt, job, progress)) budget--;
     }
--- a/src/placement/placement.ts
+++ b/src/placement/placement.ts
@@ -134,7 +134,7 @@
     if (machine.preemptionDeadline !== null && !machine.drainReason) machine.drainReason = 'notice';
     const now = this.deps.runtime.clock.now();
     for (const attempt of [...machine.attempts.values()]) {
-      if (!attempt.onMachine() || attempt.stop) continue;
+      if (!attempt.mayBeOnMachine() || attempt.stop) continue;
       const reason = obsoleteReason(attempt);
       if (reason !== null) this.stopper.stop(attempt, 0, reason);
       else if (attempt.job?.spec.kind === 'gang') this.gangs.attemptReported(attempt.job, attempt);
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -114,7 +114,8 @@
 function slotsWithoutArrays(gang: Job, machine: Machine): number {
   let cpus = machine.freeCpus();
   for (const attempt of machine.attempts.values())
-    if (attempt.onMachine() && attempt.job?.spec.kind === 'array') cpus += attempt.job.spec.cpus;
+    if (attempt.mayBeOnMachine() && attempt.job?.spec.kind === 'array')
+      cpus += attempt.job.spec.cpus;
   return Math.floor(cpus / Math.max(gang.spec.cpus, ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE);
 }
 
--- a/src/placement/usage-audit.ts
+++ b/src/placement/usage-audit.ts
@@ -63,7 +63,7 @@
     // machine where it runs now.
     const isReconciled = machine.isReconciled();
     for (const attempt of machine.attempts.values()) {
-      if (!attempt.job || !attempt.onMachine()) continue;
+      if (!attempt.job || !attempt.mayBeOnMachine()) continue;
       const { spec } = attempt.job;
       const recount = recountOf(teams, spec.team);
       addTo(recount.charged, spec);
--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -111,6 +111,6 @@
 }
 
 function recordIfEmpty(machine: Machine, now: number): void {
-  for (const attempt of machine.attempts.values()) if (attempt.onMachine()) return;
+  for (const attempt of machine.attempts.values()) if (attempt.mayBeOnMachine()) return;
   machine.emptySince = now;
 }
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -39,7 +39,7 @@
   const commands = machine.inFlight ? [] : takeDueForgets(machine, now);
   if (commands.length > 0) table.advanceToken(machine);
   for (const attempt of machine.attempts.values())
-    if (attempt.stop && attempt.onMachine())
+    if (attempt.stop && attempt.mayBeOnMachine())
       commands.push({ op: 'stop', ...refOf(attempt), graceS: attempt.stop.graceS });
   return commands;
 }
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -78,7 +78,7 @@
     readonly createdAt: number,
   ) {}
 
-  onMachine(): boolean {
+  mayBeOnMachine(): boolean {
     return this.state !== 'exited' && this.state !== 'removed';
   }
 }
