--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -46,7 +46,7 @@
     at: Math.round(at),
     team: attempt.job?.spec.team ?? '',
     task: `${attempt.jobId}/${attempt.taskNumber}`,
-    attempt: attempt.attempt,
+    attempt: attempt.attemptNumber,
     machine: attempt.machine.id,
   };
 }
--- a/src/placement/gang-state.ts
+++ b/src/placement/gang-state.ts
@@ -20,8 +20,9 @@
 export function gangState(job: Job): GangState {
   const attempts = attemptsOf(job);
   if (attempts.length === 0) return 'absent';
-  const { attempt: number } = attempts[0];
-  const isMixed = attempts.length > job.attempts.size || attempts.some((a) => a.attempt !== number);
+  const { attemptNumber: number } = attempts[0];
+  const isMixed =
+    attempts.length > job.attempts.size || attempts.some((a) => a.attemptNumber !== number);
   const isStopped = attempts.some((a) => a.stop !== null && !a.stop.replaced);
   if (isMixed || isStopped || job.gangAttemptAborted) return 'stopping';
   const hasBegun = attempts.some((a) => a.state === 'running' || a.state === 'saving');
@@ -30,7 +31,7 @@
 
 /** Attempt number by which workers recognize tasks of the same start of the gang; null if no task is on a machine. */
 export function gangAttempt(job: Job): number | null {
-  return attemptsOf(job)[0]?.attempt ?? null;
+  return attemptsOf(job)[0]?.attemptNumber ?? null;
 }
 
 /** Numbers of the tasks that have no attempt on any machine. */
--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -28,7 +28,10 @@
 
   insert(attempt: TaskAttempt): TaskAttempt {
     const { machine } = attempt;
-    machine.attempts.set(attemptKey(attempt.jobId, attempt.taskNumber, attempt.attempt), attempt);
+    machine.attempts.set(
+      attemptKey(attempt.jobId, attempt.taskNumber, attempt.attemptNumber),
+      attempt,
+    );
     accountResources(attempt, 1);
     this.events.attemptAdded(attempt);
     this.backlog.markPending(machine);
@@ -64,7 +67,7 @@
    * incarnation, or the machine no longer exists.
    */
   remove(attempt: TaskAttempt, now: number): void {
-    const key = attemptKey(attempt.jobId, attempt.taskNumber, attempt.attempt);
+    const key = attemptKey(attempt.jobId, attempt.taskNumber, attempt.attemptNumber);
     // The replacement of a gang task has the same key: a late event of the replaced task must not remove it.
     if (attempt.machine.attempts.get(key) === attempt) attempt.machine.attempts.delete(key);
     this.transitionTo(attempt, 'removed', now);
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -24,7 +24,7 @@
 };
 
 function refOf(attempt: TaskAttempt): { job: string; taskNumber: number; attempt: number } {
-  return { job: attempt.jobId, taskNumber: attempt.taskNumber, attempt: attempt.attempt };
+  return { job: attempt.jobId, taskNumber: attempt.taskNumber, attempt: attempt.attemptNumber };
 }
 
 /**
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -74,7 +74,7 @@
     readonly job: TrackedJob<TaskAttempt> | null,
     readonly taskNumber: number,
     /** Number of the attempt. A replaced task of a gang is started again under the same number. */
-    readonly attempt: number,
+    readonly attemptNumber: number,
     readonly createdAt: number,
   ) {}
 
