--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -52,7 +52,7 @@
     attempt.state = next;
     attempt.startUnacknowledged = false;
     if (isFinal) this.afterFinalTransition(attempt, now);
-    else if (next === 'waiting' || next === 'running') recordImagePresent(attempt, next, now);
+    else if (next === 'waiting' || next === 'running') recordWaitingOrRunning(attempt, next, now);
   }
 
   private afterFinalTransition(attempt: TaskAttempt, now: number): void {
@@ -101,7 +101,11 @@
 }
 
 /** Records that the machine has the attempt's image, since the task waits for its gang or runs. */
-function recordImagePresent(attempt: TaskAttempt, state: 'waiting' | 'running', now: number): void {
+function recordWaitingOrRunning(
+  attempt: TaskAttempt,
+  state: 'waiting' | 'running',
+  now: number,
+): void {
   if (attempt.job) attempt.machine.images.add(attempt.job.spec.image);
   if (state === 'waiting') {
     attempt.waitingSince = now;
