--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -66,10 +66,10 @@
     );
   }
 
-  /** Sends all pending commands. With `all`, also those that are to be repeated, or waited for a condition. */
-  flushPending(all: boolean): void {
+  /** Sends all pending commands. With `includeOutstanding`, also those that are to be repeated, or waited for a condition. */
+  flushPending(includeOutstanding: boolean): void {
     const { table } = this.deps;
-    for (const machine of all ? table.backlog.outstanding : table.backlog.pending) {
+    for (const machine of includeOutstanding ? table.backlog.outstanding : table.backlog.pending) {
       if (this.inFlight >= this.deps.maxInFlight) return;
       this.flush(machine);
     }
