--- a/src/leadership/control-loop.ts
+++ b/src/leadership/control-loop.ts
@@ -45,7 +45,7 @@
     const { clock, lifecycle, sender, eventLoopLag } = this.deps;
     if (lifecycle.hasEnded()) return;
     const now = clock.now();
-    sender.timerFired(eventLoopLag.timerFired(now));
+    sender.recordTimerDelay(eventLoopLag.timerFired(now));
     if (lifecycle.isLeader()) this.doPeriodicWork(now);
     clock.after(TICK_MS, () => {
       this.tick();
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -50,8 +50,8 @@
   }
 
   /** Called at regular intervals. The delay of the timer shows whether this controller keeps up. */
-  timerFired(lateMs: number): void {
-    this.probes.timerFired(lateMs);
+  recordTimerDelay(lateMs: number): void {
+    this.probes.recordTimerDelay(lateMs);
   }
 
   /** Whether this controller is overloaded; responses may then wait unread for longer than timers are late. */
--- a/src/workers/probe-window.ts
+++ b/src/workers/probe-window.ts
@@ -9,7 +9,7 @@
 /** A timer that fires later than this counts as late; responses have waited at least as long. */
 const LATE_TIMER_MS = 120;
 /** Number of consecutive timers on time after which this controller is no longer congested. */
-const MIN_TIMERS_ON_TIME = 10;
+const MIN_FIRINGS_ON_TIME = 10;
 
 /**
  * Congestion window for probes. After a failover every machine is probed; with hundreds of machines, a small controller
@@ -20,7 +20,7 @@
 export class ProbeWindow {
   private readonly maxWindow: number;
   private window: number;
-  private timersOnTime = MIN_TIMERS_ON_TIME;
+  private firingsOnTime = MIN_FIRINGS_ON_TIME;
 
   constructor(maxRequests: number) {
     this.maxWindow = Math.max(MIN_WINDOW, Math.floor(maxRequests * MAX_WINDOW_SHARE));
@@ -36,16 +36,16 @@
    * delayed much longer than the timer.
    */
   isCongested(): boolean {
-    return this.timersOnTime < MIN_TIMERS_ON_TIME;
+    return this.firingsOnTime < MIN_FIRINGS_ON_TIME;
   }
 
-  timerFired(lateMs: number): void {
+  recordTimerDelay(lateMs: number): void {
     if (lateMs > LATE_TIMER_MS) {
-      this.timersOnTime = 0;
+      this.firingsOnTime = 0;
       this.window = Math.max(MIN_WINDOW, this.window >> 1);
       return;
     }
-    this.timersOnTime++;
+    this.firingsOnTime++;
     this.window = Math.min(this.maxWindow, this.window + WINDOW_INCREASE);
   }
 }
--- a/test/probe-window.test.ts
+++ b/test/probe-window.test.ts
@@ -11,13 +11,13 @@
   const probes = new ProbeWindow(REQUESTS);
   const initialSize = probes.size();
   assert.equal(probes.isCongested(), false);
-  probes.timerFired(LATE_MS);
+  probes.recordTimerDelay(LATE_MS);
   assert.ok(probes.size() <= initialSize / 2 && probes.isCongested());
-  for (let i = 0; i < 50; i++) probes.timerFired(LATE_MS);
+  for (let i = 0; i < 50; i++) probes.recordTimerDelay(LATE_MS);
   assert.ok(probes.size() > 0, 'unreachable machines are still probed');
   let previousSize = probes.size();
   for (let i = 0; i < 50; i++) {
-    probes.timerFired(ON_TIME_MS);
+    probes.recordTimerDelay(ON_TIME_MS);
     assert.ok(
       probes.size() >= previousSize && probes.size() - previousSize <= REQUESTS / 8,
       'the window grows in small steps',
@@ -33,6 +33,6 @@
 
 test('the probe window of a node with a low request limit stays within that limit', () => {
   const probes = new ProbeWindow(10);
-  for (let i = 0; i < 20; i++) probes.timerFired(ON_TIME_MS);
+  for (let i = 0; i < 20; i++) probes.recordTimerDelay(ON_TIME_MS);
   assert.ok(probes.size() >= 1 && probes.size() <= 10);
 });
