--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -131,7 +131,7 @@
       applyHeartbeat: (machine, heartbeat) => {
         this.heartbeats.apply(machine, heartbeat);
       },
-      mayStart: () => this.deps.cancellationsAreFresh(),
+      cancellationsAreFresh: () => this.deps.cancellationsAreFresh(),
     });
   }
 
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -19,7 +19,7 @@
   /** Maximum number of concurrent requests; the limit leaves sockets and CPU time to users and heartbeats. */
   maxInFlight: number;
   /** Whether the known cancellations are recent enough to start tasks. */
-  mayStart(): boolean;
+  cancellationsAreFresh(): boolean;
   /** Called with the heartbeat that a response contains. */
   applyHeartbeat(machine: Machine, heartbeat: Heartbeat): void;
 }
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -63,7 +63,7 @@
 /** Returns the stops and starts that are due, and marks the stops as sent. */
 export function collectCommands(
   machine: Machine,
-  conditions: { mayStart(): boolean },
+  conditions: { cancellationsAreFresh(): boolean },
   now: number,
 ): CommandBatch {
   const stopCommands: WorkerCommand[] = [];
@@ -77,7 +77,7 @@
       if (isStopDue(attempt, now)) stopCommands.push(takeStop(attempt, attempt.stop, now));
     } else if (!attempt.startSent && !attempt.stop) {
       nothingOutstanding = false;
-      if (!machine.isReconciled() || !conditions.mayStart()) continue;
+      if (!machine.isReconciled() || !conditions.cancellationsAreFresh()) continue;
       starts.add(attempt);
       startCommands.push({ op: 'start', ...refOf(attempt) });
     }
