--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -56,7 +56,7 @@
   private readonly records: FinishedRecordTable;
   private readonly finishedRecordWriter: FinishedRecordWriter;
   /** Earliest time of the next write for a job, by the job's index. */
-  private readonly notBefore = new Map<number, number>();
+  private readonly nextWriteAt = new Map<number, number>();
   /** Keys of stored records of finished tasks whose job is terminal. */
   private readonly orphanedKeys = new Set<string>();
   /** Maximum number of mutations of one batch; reduced after a batch was refused because of its size. */
@@ -148,7 +148,7 @@
   }
 
   private mustWait(job: Job, now: number): boolean {
-    return (this.notBefore.get(job.index) ?? 0) > now;
+    return (this.nextWriteAt.get(job.index) ?? 0) > now;
   }
 
   private async write(batch: CompletionBatch): Promise<void> {
@@ -174,7 +174,7 @@
       if (!batch.removes(key)) this.orphanedKeys.add(key);
     }
     this.records.forget(job);
-    this.notBefore.delete(job.index);
+    this.nextWriteAt.delete(job.index);
     this.deps.jobEnded(job);
   }
 
@@ -184,7 +184,7 @@
     // After a conflict or a missing response, the watch reports the actual state of these jobs.
     for (const job of batch.jobs)
       if (result.kind !== 'conflict' || batch.concerns(result.failed, job))
-        this.notBefore.set(job.index, now + RETRY_DELAY_MS[result.kind]);
+        this.nextWriteAt.set(job.index, now + RETRY_DELAY_MS[result.kind]);
   }
 
   /**
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -39,9 +39,9 @@
   private readonly queue: TaskQueue;
   private startableCount: number;
   /** When a task of the job was last started, or else when the job became known. */
-  startedAt: number;
+  lastStartAt: number;
   /** Earliest time of the job's next start after failures. */
-  notBefore = 0;
+  nextStartAt = 0;
   failures = 0;
   /** Machines (by index) on which a task of this job failed since one last succeeded. */
   readonly failedOn = new Set<number>();
@@ -64,7 +64,7 @@
     readonly createdInThisTerm: boolean,
     now: number,
   ) {
-    this.startedAt = now;
+    this.lastStartAt = now;
     this.finished = new FinishedTasks(spec.tasks);
     this.queue = new TaskQueue(spec.tasks, this);
     this.startableCount = spec.tasks;
--- a/src/placement/attempt-accounting.ts
+++ b/src/placement/attempt-accounting.ts
@@ -56,7 +56,7 @@
     if (job.spec.kind === 'gang') gangs.attemptEnded(job, attempt);
     if (cause === 'error' || cause === 'unknown') this.taskFailed(job, attempt, now);
     if (cause === 'no_room' || cause === 'busy')
-      job.notBefore = Math.max(job.notBefore, now + REJECTED_START_RETRY_MS);
+      job.nextStartAt = Math.max(job.nextStartAt, now + REJECTED_START_RETRY_MS);
   }
 
   private taskSucceeded(job: Job, attempt: TaskAttempt, now: number): void {
--- a/src/placement/failure-tracking.ts
+++ b/src/placement/failure-tracking.ts
@@ -25,7 +25,7 @@
   machine.failedJobs.add(job.index);
   if (job.failedOn.size >= MACHINES_BEFORE_JOB_IS_AT_FAULT) clearMachineFailures(job, table);
   const backoffMs = INITIAL_BACKOFF_MS * 2 ** Math.min(job.failures, MAX_BACKOFF_DOUBLINGS);
-  job.notBefore = now + Math.min(MAX_BACKOFF_MS, backoffMs);
+  job.nextStartAt = now + Math.min(MAX_BACKOFF_MS, backoffMs);
   if (machine.failedJobs.size < JOBS_BEFORE_MACHINE_IS_FAULTY || machine.drainReason) return false;
   machine.drainReason = 'faulty';
   return true;
@@ -45,5 +45,5 @@
 
 /** Reopens the machines on which the job failed once: if no other machine is left, the job must not wait forever. */
 export function expireFailedMachines(job: Job, now: number): void {
-  if (job.failedOn.size > 0 && now - job.startedAt > FAILED_MACHINES_TTL_MS) job.failedOn.clear();
+  if (job.failedOn.size > 0 && now - job.lastStartAt > FAILED_MACHINES_TTL_MS) job.failedOn.clear();
 }
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -57,7 +57,7 @@
   /** Whether the job is a waiting gang that has found no capacity for longer than `RESERVE_AFTER_MS`. */
   isOverdue(job: Job): boolean {
     if (job.spec.kind !== 'gang' || job.attempts.size > 0) return false;
-    return this.deps.now() - job.startedAt > RESERVE_AFTER_MS;
+    return this.deps.now() - job.lastStartAt > RESERVE_AFTER_MS;
   }
 
   /** Starts all tasks of a gang, or the missing tasks of one that is starting. */
@@ -68,7 +68,7 @@
       this.abortAttempt(gang, 'gang-member-lost');
       return 'not-now';
     }
-    gang.notBefore = this.deps.now() + RETRY_INTERVAL_MS;
+    gang.nextStartAt = this.deps.now() + RETRY_INTERVAL_MS;
     const placement = this.placeMissing(gang, options);
     // A part of a gang must not occupy capacity that other jobs, or the gang as a whole, could use.
     if (state === 'starting' && placement !== 'placed')
@@ -88,7 +88,7 @@
       const victims = this.addAllOrNone(gang, tasks, candidates, attempt);
       if (!victims) continue;
       for (const victim of victims) this.stopNow(victim, 'preempted');
-      gang.startedAt = this.deps.now();
+      gang.lastStartAt = this.deps.now();
       return 'placed';
     }
     return 'no-capacity';
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -58,7 +58,7 @@
 
   /** CPUs under the team's limit that an array leaves to the next service of its team. */
   serviceHeadroom(job: Job, now: number): number {
-    if (job.spec.kind !== 'array' || now - job.startedAt > SERVICE_HEADROOM_MS) return 0;
+    if (job.spec.kind !== 'array' || now - job.lastStartAt > SERVICE_HEADROOM_MS) return 0;
     return this.serviceCpus.get(job.spec.team) ?? 0;
   }
 
@@ -106,7 +106,7 @@
   }
 
   private ignoresReservations(job: Job, now: number): boolean {
-    return now - job.startedAt > MAX_YIELD_MS;
+    return now - job.lastStartAt > MAX_YIELD_MS;
   }
 }
 
--- a/src/placement/scheduling-cycle-runner.ts
+++ b/src/placement/scheduling-cycle-runner.ts
@@ -87,7 +87,7 @@
   private waitingJobs(now: number, recoveryComplete: boolean): Job[] {
     return [...this.deps.jobs.all()].filter(
       (job) =>
-        job.pending() > 0 && job.notBefore <= now && (job.createdInThisTerm || recoveryComplete),
+        job.pending() > 0 && job.nextStartAt <= now && (job.createdInThisTerm || recoveryComplete),
     );
   }
 
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -67,7 +67,7 @@
   private prefersSpot(job: Job, now: number): boolean {
     const { kind, spot } = job.spec;
     if (kind !== 'array' || !spot || this.deps.guaranteed.has(job)) return false;
-    return now - job.startedAt <= SPOT_PREFERENCE_MS;
+    return now - job.lastStartAt <= SPOT_PREFERENCE_MS;
   }
 
   /** The job's equivalence class in this cycle: if one job of a class finds no machine, no other job of it does. */
@@ -110,7 +110,7 @@
     if (!choice) return null;
     const { machine, victims } = choice;
     for (const victim of victims) stopper.stop(victim, 0, 'preempted');
-    job.startedAt = cycle.now;
+    job.lastStartAt = cycle.now;
     table.addAttempt(machine, job.spec.id, job, taskNumber, this.deps.nextAttempt(), cycle.now);
     candidates.recordPlacement(machine);
     if (!machine.spot) cycle.spareOrdinaryCpus -= job.spec.cpus;
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -79,7 +79,7 @@
     all: () => [machine].values(),
   } satisfies Partial<MachineTable> as unknown as MachineTable;
   assert.equal(recordFailure(job, machine, table, 1000), false);
-  assert.ok(job.notBefore > 1000 && job.failedOn.has(4));
+  assert.ok(job.nextStartAt > 1000 && job.failedOn.has(4));
   expireFailedMachines(job, 20_000);
   assert.ok(job.failedOn.has(4), 'other machines are tried first');
   expireFailedMachines(job, 31_000);
