--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -28,11 +28,11 @@
   segmentPrecondition(): Precondition | null;
   /** Whether no attempt of the job can be on any machine: only then may a cancelled job become terminal. */
   hasNoAttempts(job: Job): boolean;
-  jobEnded(job: Job): void;
+  jobBecameTerminal(job: Job): void;
 }
 
 /** A job that becomes terminal has one record removed and another put. */
-const MUTATIONS_PER_JOB_END = 2;
+const MUTATIONS_PER_TERMINAL_JOB = 2;
 /** The state service allows this many preconditions per mutation of a compare-and-swap. */
 const PRECONDITIONS_PER_MUTATION = 4;
 
@@ -121,7 +121,7 @@
   /** Records of a large job that exceed one batch are removed later: no node reads them once the job is terminal. */
   private terminalMutations(job: Job): Mutation[] {
     const { id, tasks } = job.spec;
-    const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_JOB_END);
+    const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_TERMINAL_JOB);
     const recordNumbers = [...this.records.recordNumbersOf(job)].slice(0, maxRecords);
     const value = { state: job.jobCancelled ? 'cancelled' : 'done', tasks };
     return [
@@ -165,17 +165,17 @@
   private committed(batch: CompletionBatch): void {
     this.finishedRecordWriter.committed(batch, this.deps.runtime.clock.now());
     for (const key of batch.orphanedKeys) this.orphanedKeys.delete(key);
-    for (const job of batch.terminalJobs) this.jobEnded(job, batch);
+    for (const job of batch.terminalJobs) this.jobBecameTerminal(job, batch);
   }
 
-  private jobEnded(job: Job, batch: CompletionBatch): void {
+  private jobBecameTerminal(job: Job, batch: CompletionBatch): void {
     for (const number of this.records.recordNumbersOf(job)) {
       const key = finishedKey(job.spec.id, number);
       if (!batch.removes(key)) this.orphanedKeys.add(key);
     }
     this.records.forget(job);
     this.nextWriteAt.delete(job.index);
-    this.deps.jobEnded(job);
+    this.deps.jobBecameTerminal(job);
   }
 
   private failed(batch: CompletionBatch, result: Failure): void {
@@ -195,8 +195,8 @@
     const { length } = batch.mutations;
     const largestBytes = batch.largestSegmentBytes();
     if (largestBytes > 0) this.records.noteValueRefused(largestBytes);
-    if (length > MUTATIONS_PER_JOB_END)
-      this.maxMutations = Math.max(MUTATIONS_PER_JOB_END, length >> 1);
+    if (length > MUTATIONS_PER_TERMINAL_JOB)
+      this.maxMutations = Math.max(MUTATIONS_PER_TERMINAL_JOB, length >> 1);
     else for (const key of batch.orphanedKeys) this.orphanedKeys.delete(key);
   }
 }
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -36,9 +36,9 @@
     if (!(await this.cache.refresh())) return { kind: 'unavailable' };
     const live = this.cache.get(id);
     if (live) return { kind: 'live', ...live };
-    const ended = await this.store.get(terminalKey(id));
-    if (ended.kind !== 'found') return { kind: ended.kind };
-    const record = readTerminal(ended.entry.value);
+    const terminal = await this.store.get(terminalKey(id));
+    if (terminal.kind !== 'found') return { kind: terminal.kind };
+    const record = readTerminal(terminal.entry.value);
     if (!record) return { kind: 'unavailable' };
     this.cacheTerminal(id, record);
     return { kind: 'ended', ...record };
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -165,7 +165,7 @@
       segmentPrecondition: () => this.deps.segmentPrecondition(),
       hasNoAttempts: (job) =>
         (job.createdInThisTerm || this.recovery.isComplete()) && job.attempts.size === 0,
-      jobEnded: (job) => {
+      jobBecameTerminal: (job) => {
         this.intake.forgetJob(job);
       },
     });
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -107,7 +107,7 @@
     leaderPrecondition: () => ({ key: 'boss', version: cluster.state.items.get('boss')!.version }),
     segmentPrecondition: () => null,
     hasNoAttempts: () => true,
-    jobEnded: (endedJob) => {
+    jobBecameTerminal: (endedJob) => {
       jobs.remove(endedJob);
     },
   });
