--- a/src/jobs/finished-record-table.ts
+++ b/src/jobs/finished-record-table.ts
@@ -42,7 +42,7 @@
     const layout = layoutOf(recordNumber);
     if (
       layout.kind === 'segments' &&
-      (records.layout.kind === 'chunks' || layout.split > records.layout.split)
+      (records.layout.kind === 'chunks' || layout.splitLevel > records.layout.splitLevel)
     )
       records.layout = layout;
   }
@@ -80,7 +80,7 @@
     if (usesSegments && !segmentsAllowed) this.switchLayout(job, CHUNK_LAYOUT, now);
     const hasDirtyBlocks = job.finished.dirtyBlocks.size > 0;
     if (!usesSegments && segmentsAllowed && hasDirtyBlocks && mayUseSegments(job.spec.tasks))
-      this.switchLayout(job, { kind: 'segments', split: 0 }, now);
+      this.switchLayout(job, { kind: 'segments', splitLevel: 0 }, now);
   }
 
   private switchLayout(job: Job, layout: Layout, now: number): void {
--- a/src/jobs/finished-records.ts
+++ b/src/jobs/finished-records.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod/mini';
 import { MAX_TASKS } from '../wire/model.js';
 import {
-  FINEST_SPLIT,
+  MAX_SPLIT_LEVEL,
   type Layout,
   TASKS_PER_BLOCK,
   isSegment,
@@ -60,15 +60,15 @@
       records: [{ number: block, value: packChunk(finished, block) }],
       blocks: [block],
     };
-  const size = tasksPerSegment(layout.split);
+  const size = tasksPerSegment(layout.splitLevel);
   const records: FinishedRecord[] = [];
   const first = Math.floor((block * TASKS_PER_BLOCK) / size);
   const end = Math.min(tasks, (block + 1) * TASKS_PER_BLOCK);
   for (let segment = first; segment * size < end; segment++) {
     const value = packSegment(finished, segment * size, Math.min(size, tasks - segment * size));
-    if (layout.split < FINEST_SPLIT && JSON.stringify(value).length > valueBytes)
+    if (layout.splitLevel < MAX_SPLIT_LEVEL && JSON.stringify(value).length > valueBytes)
       return { kind: 'too-large' };
-    records.push({ number: segmentNumber(layout.split, segment), value });
+    records.push({ number: segmentNumber(layout.splitLevel, segment), value });
   }
   const blocks = blocksWithin(first * size, Math.max(size, TASKS_PER_BLOCK), tasks);
   return { kind: 'fits', records, blocks };
--- a/src/jobs/record-layout.ts
+++ b/src/jobs/record-layout.ts
@@ -13,13 +13,13 @@
 /** Fits into the smallest maximum size of a value that settings allow, however random the bits. */
 const TASKS_PER_SMALLEST_SEGMENT = 2048;
 /** The split with the smallest segments. */
-export const FINEST_SPLIT = 6;
+export const MAX_SPLIT_LEVEL = 6;
 /** Chunks have lower numbers. A build without support for segments removes segments with the job like any chunk. */
 const FIRST_SEGMENT_NUMBER = 1000;
-const NUMBERS_PER_SPLIT = 100;
+const NUMBERS_PER_SPLIT_LEVEL = 100;
 
 /** Layout of a job's records. `split`: how often one segment that covers all the tasks a job may have is halved. */
-export type Layout = { kind: 'chunks' } | { kind: 'segments'; split: number };
+export type Layout = { kind: 'chunks' } | { kind: 'segments'; splitLevel: number };
 
 /** The layout that all versions support. */
 export const CHUNK_LAYOUT: Layout = { kind: 'chunks' };
@@ -35,32 +35,32 @@
 }
 
 /** Returns the record number of a segment. */
-export function segmentNumber(split: number, segment: number): number {
-  return FIRST_SEGMENT_NUMBER + split * NUMBERS_PER_SPLIT + segment;
+export function segmentNumber(splitLevel: number, segment: number): number {
+  return FIRST_SEGMENT_NUMBER + splitLevel * NUMBERS_PER_SPLIT_LEVEL + segment;
 }
 
 /** Number of tasks that each segment of a split covers. */
-export function tasksPerSegment(split: number): number {
-  return TASKS_PER_SMALLEST_SEGMENT << (FINEST_SPLIT - split);
+export function tasksPerSegment(splitLevel: number): number {
+  return TASKS_PER_SMALLEST_SEGMENT << (MAX_SPLIT_LEVEL - splitLevel);
 }
 
 /** Returns the layout of the record with this number. */
 export function layoutOf(recordNumber: number): Layout {
   if (!isSegment(recordNumber)) return CHUNK_LAYOUT;
-  const split = Math.floor((recordNumber - FIRST_SEGMENT_NUMBER) / NUMBERS_PER_SPLIT);
-  return { kind: 'segments', split };
+  const splitLevel = Math.floor((recordNumber - FIRST_SEGMENT_NUMBER) / NUMBERS_PER_SPLIT_LEVEL);
+  return { kind: 'segments', splitLevel };
 }
 
 /** Whether two layouts are equal. */
 export function isSameLayout(one: Layout, other: Layout): boolean {
   if (one.kind === 'chunks' || other.kind === 'chunks') return one.kind === other.kind;
-  return one.split === other.split;
+  return one.splitLevel === other.splitLevel;
 }
 
 /** Returns the layout with the next smaller records, or the same layout if there is none. */
 export function finerLayout(layout: Layout): Layout {
   if (layout.kind === 'chunks') return layout;
-  return { kind: 'segments', split: Math.min(FINEST_SPLIT, layout.split + 1) };
+  return { kind: 'segments', splitLevel: Math.min(MAX_SPLIT_LEVEL, layout.splitLevel + 1) };
 }
 
 /** Maximum size of a chunk of a job with `tasks` tasks, in bytes of JSON. */
--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -57,11 +57,11 @@
     numRuns: 1,
   })[0];
   for (let chunk = 0; chunk * TASKS_PER_BLOCK < MAX_TASKS; chunk++) {
-    const made = recordsOfBlock(random, MAX_TASKS, chunk, { kind: 'segments', split: 6 }, 512);
+    const made = recordsOfBlock(random, MAX_TASKS, chunk, { kind: 'segments', splitLevel: 6 }, 512);
     assert.ok(made.kind === 'fits');
     for (const { value } of made.records) assert.ok(JSON.stringify(value).length <= 512);
   }
-  const coarse = recordsOfBlock(random, MAX_TASKS, 0, { kind: 'segments', split: 0 }, 512);
+  const coarse = recordsOfBlock(random, MAX_TASKS, 0, { kind: 'segments', splitLevel: 0 }, 512);
   assert.equal(coarse.kind, 'too-large');
 });
 
@@ -71,7 +71,7 @@
     new Uint8Array(2000).fill(255),
     16_000,
     0,
-    { kind: 'segments', split: 0 },
+    { kind: 'segments', splitLevel: 0 },
     4096,
   );
   assert.ok(made.kind === 'fits');
@@ -96,7 +96,7 @@
     new Uint8Array(1024).fill(255),
     8192,
     0,
-    { kind: 'segments', split: 0 },
+    { kind: 'segments', splitLevel: 0 },
     4096,
   );
   assert.ok(made.kind === 'fits');
@@ -117,7 +117,7 @@
   assert.deepEqual(records.supersededRecords(job, 5), [], 'not before the chunk is written');
   records.noteDurable(job, [0], CHUNK_LAYOUT);
   assert.deepEqual(records.supersededRecords(job, 5), [], 'nor after a write in the other layout');
-  records.noteDurable(job, [0], { kind: 'segments', split: 0 });
+  records.noteDurable(job, [0], { kind: 'segments', splitLevel: 0 });
   assert.deepEqual(records.supersededRecords(job, 6), [0]);
   // With a lowered level, segments are converted to chunks.
   records.chooseLayout(job, false, 7);
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -129,7 +129,7 @@
     for (const [name, isFinished] of patterns) {
       const bits = bitmapOf(tasks, (task) => isFinished(task, tasks));
       const chunks = storedSize(bits, tasks, CHUNK_LAYOUT);
-      const segments = storedSize(bits, tasks, { kind: 'segments', split: 0 });
+      const segments = storedSize(bits, tasks, { kind: 'segments', splitLevel: 0 });
       console.log(`${tasks} tasks, ${name}:`, JSON.stringify({ chunks, segments }));
     }
 }
