--- a/src/workers/machine-page.ts
+++ b/src/workers/machine-page.ts
@@ -52,7 +52,7 @@
     return this.bytes + recordBytes + PAGE_OVERHEAD_BYTES <= maxBytes;
   }
 
-  isOver(maxBytes: number): boolean {
+  exceeds(maxBytes: number): boolean {
     return this.bytes + PAGE_OVERHEAD_BYTES > maxBytes;
   }
 
@@ -60,7 +60,7 @@
     return this.unstored.kind === 'additions';
   }
 
-  isStored(): boolean {
+  isClean(): boolean {
     return this.unstored.kind === 'none';
   }
 
@@ -102,7 +102,7 @@
   const selected: MachinePage[] = [];
   for (const page of due) {
     if (selected.includes(page)) continue;
-    const splitOff = page.splitOff.filter((part) => !part.isStored() && !selected.includes(part));
+    const splitOff = page.splitOff.filter((part) => !part.isClean() && !selected.includes(part));
     const room = maxPages - selected.length;
     if (splitOff.length < room) selected.push(...splitOff, page);
     else if (splitOff.length >= maxPages) selected.push(...splitOff.slice(0, room));
--- a/src/workers/machine-pages.ts
+++ b/src/workers/machine-pages.ts
@@ -61,21 +61,21 @@
   /** Splits a page that was stored under a higher size limit into pages that fit the present one. */
   split(page: MachinePage, maxBytes: number): void {
     for (const record of [...page.machines.values()].reverse()) {
-      if (!page.isOver(maxBytes)) return;
+      if (!page.exceeds(maxBytes)) return;
       page.take(record.id);
       const bytes = sizeOf(record);
-      let part = page.splitOff.find((candidate) => candidate.fits(bytes, maxBytes));
-      if (!part) {
-        part = this.newPage();
-        page.splitOff.push(part);
+      let splitOffPage = page.splitOff.find((candidate) => candidate.fits(bytes, maxBytes));
+      if (!splitOffPage) {
+        splitOffPage = this.newPage();
+        page.splitOff.push(splitOffPage);
       }
-      this.put(record, part);
+      this.put(record, splitOffPage);
     }
   }
 
   /** Drops a page without machines once its removal is stored. */
   dropIfEmpty(page: MachinePage): void {
-    if (page.machines.size === 0 && page.isStored()) this.byKey.delete(page.key);
+    if (page.machines.size === 0 && page.isClean()) this.byKey.delete(page.key);
   }
 
   private put(record: MachineRecord, page: MachinePage): void {
--- a/src/workers/machine-record-store.ts
+++ b/src/workers/machine-record-store.ts
@@ -71,7 +71,7 @@
         this.pages.add(recordOf(machine), this.valueBytes);
     const due = this.pages.due(now, REMOVAL_DELAY_MS);
     for (const page of due)
-      if (page.isOver(this.valueBytes)) this.pages.split(page, this.valueBytes);
+      if (page.exceeds(this.valueBytes)) this.pages.split(page, this.valueBytes);
     const selected = selectPages(due, this.maxPagesPerWrite);
     if (selected.length > 0) void this.write(selected);
   }
