--- a/src/workers/machine-page.ts
+++ b/src/workers/machine-page.ts
@@ -23,11 +23,11 @@
   constructor(
     readonly key: string,
     /** Fields that only other versions know; written back as they were read. */
-    private readonly foreignFields: object,
+    private readonly unknownFields: object,
     /** Version that each write requires: an earlier write that is applied late would drop machines added since. */
     public version: number,
   ) {
-    this.bytes = JSON.stringify(foreignFields).length;
+    this.bytes = JSON.stringify(unknownFields).length;
   }
 
   /** Adds a machine that is already stored in this page. */
@@ -90,7 +90,7 @@
   mutation(): Mutation {
     const machines = [...this.machines.values()];
     if (machines.length === 0) return { remove: this.key };
-    return { put: this.key, value: { ...this.foreignFields, machines } };
+    return { put: this.key, value: { ...this.unknownFields, machines } };
   }
 }
 
--- a/src/workers/machine-pages.ts
+++ b/src/workers/machine-pages.ts
@@ -3,7 +3,7 @@
 import { MachinePage } from './machine-page.js';
 import {
   type MachineRecord,
-  foreignFieldsOf,
+  unknownFieldsOf,
   isPageKey,
   pageKey,
   pageNumberOf,
@@ -21,7 +21,7 @@
    * dropped from this one.
    */
   load(stored: KeyValue, records: MachineRecord[], now: number): void {
-    const page = new MachinePage(stored.key, foreignFieldsOf(stored), stored.version);
+    const page = new MachinePage(stored.key, unknownFieldsOf(stored), stored.version);
     for (const record of records) {
       if (this.byMachine.has(record.id)) {
         page.markRemovals(now);
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -45,7 +45,7 @@
 }
 
 /** Returns the fields of a page, other than its machines, that only other versions know. */
-export function foreignFieldsOf({ value }: KeyValue): object {
+export function unknownFieldsOf({ value }: KeyValue): object {
   if (!isMap(value) || !Array.isArray(value.machines)) return {};
   return Object.fromEntries(Object.entries(value).filter(([field]) => field !== 'machines'));
 }
