--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -14,7 +14,7 @@
 
 const LAYOUTS: Layout[] = [
   CHUNK_LAYOUT,
-  ...[0, 1, 4, 5, 6].map((split) => ({ kind: 'segments' as const, split })),
+  ...[0, 1, 4, 5, 6].map((splitLevel) => ({ kind: 'segments' as const, splitLevel })),
 ];
 
 /** Packs all chunks of the job in the layout, and loads the records into a job without finished tasks. */
