--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -17,11 +17,11 @@
   store: StateStore;
   jobs: JobTable;
   /** Maximum number of mutations of one compare-and-swap. */
-  txnOps: number;
+  maxMutations: number;
   /** Mutations per second that all nodes together may request of the state service. */
-  writeRps: number;
+  writesPerS: number;
   /** Maximum size of a value, in bytes of JSON. */
-  valueBytes: number;
+  maxValueBytes: number;
   isLeader(): boolean;
   leaderPrecondition(): Precondition;
   /** Precondition of every write of a segment, see `record-layout.ts`; null while no segments may be written. */
@@ -63,12 +63,12 @@
   private maxMutations: number;
 
   constructor(private readonly deps: CompletionWriterDependencies) {
-    this.maxMutations = deps.txnOps;
-    this.records = new FinishedRecordTable(deps.jobs, deps.valueBytes);
+    this.maxMutations = deps.maxMutations;
+    this.records = new FinishedRecordTable(deps.jobs, deps.maxValueBytes);
     this.finishedRecordWriter = new FinishedRecordWriter(
       this.records,
       deps.runtime.clock,
-      deps.writeRps,
+      deps.writesPerS,
     );
   }
 
@@ -98,7 +98,7 @@
     const batch = new CompletionBatch(
       this.deps.leaderPrecondition(),
       this.maxMutations,
-      this.deps.txnOps * PRECONDITIONS_PER_MUTATION,
+      this.deps.maxMutations * PRECONDITIONS_PER_MUTATION,
     );
     this.addTerminalJobs(batch, now);
     this.addFinishedRecords(batch, now);
--- a/src/jobs/finished-record-table.ts
+++ b/src/jobs/finished-record-table.ts
@@ -32,7 +32,7 @@
   constructor(
     private readonly jobs: JobTable,
     /** Maximum size of a value, in bytes of JSON; reduced after a value was refused because of its size. */
-    private valueBytes: number,
+    private maxValueBytes: number,
   ) {}
 
   /** Notes a record that is or may be stored: one written without a response must be removed with the job, too. */
@@ -97,7 +97,7 @@
       job.spec.tasks,
       block,
       layout,
-      this.valueBytes,
+      this.maxValueBytes,
     );
     if (result.kind === 'fits') return result;
     this.switchLayout(job, finerLayout(layout), now);
@@ -131,7 +131,7 @@
 
   /** Limits the size of values to half the size of a refused one. */
   noteValueRefused(bytes: number): void {
-    this.valueBytes = Math.min(this.valueBytes, Math.floor(bytes / 2));
+    this.maxValueBytes = Math.min(this.maxValueBytes, Math.floor(bytes / 2));
   }
 
   /** Returns the progress of replacing segments by chunks, with the number of segments that are left. */
@@ -140,10 +140,10 @@
     for (const job of this.jobs.all()) {
       const segments = [...this.recordNumbersOf(job)].filter(isSegment).length;
       if (segments === 0) continue;
-      if (maxChunkBytes(job.spec.tasks) > this.valueBytes)
+      if (maxChunkBytes(job.spec.tasks) > this.maxValueBytes)
         return {
           kind: 'refused',
-          reason: `finished tasks of ${job.spec.id} don't fit into a value of ${this.valueBytes} bytes as they were stored before`,
+          reason: `finished tasks of ${job.spec.id} don't fit into a value of ${this.maxValueBytes} bytes as they were stored before`,
         };
       remaining += segments;
     }
--- a/src/jobs/finished-record-writer.ts
+++ b/src/jobs/finished-record-writer.ts
@@ -24,9 +24,9 @@
   constructor(
     private readonly records: FinishedRecordTable,
     clock: Clock,
-    writeRps: number,
+    writesPerS: number,
   ) {
-    const ratePerS = Math.max(MIN_RATE_PER_S, writeRps * SHARE_OF_WRITES);
+    const ratePerS = Math.max(MIN_RATE_PER_S, writesPerS * SHARE_OF_WRITES);
     this.budget = new TokenBucket(ratePerS, Math.max(MIN_BURST, ratePerS), () => clock.now());
   }
 
--- a/src/jobs/finished-records.ts
+++ b/src/jobs/finished-records.ts
@@ -45,14 +45,14 @@
 
 /**
  * Returns the records that make a block of tasks durable. `finished` has one bit per task of the whole job.
- * `valueBytes` is the maximum size of a value, in bytes of JSON. Segments of the finest split are assumed to fit.
+ * `maxValueBytes` is the maximum size of a value, in bytes of JSON. Segments of the finest split are assumed to fit.
  */
 export function recordsOfBlock(
   finished: Uint8Array,
   tasks: number,
   block: number,
   layout: Layout,
-  valueBytes: number,
+  maxValueBytes: number,
 ): BlockRecordsResult {
   if (layout.kind === 'chunks')
     return {
@@ -66,7 +66,7 @@
   const end = Math.min(tasks, (block + 1) * TASKS_PER_BLOCK);
   for (let segment = first; segment * size < end; segment++) {
     const value = packSegment(finished, segment * size, Math.min(size, tasks - segment * size));
-    if (layout.splitLevel < MAX_SPLIT_LEVEL && JSON.stringify(value).length > valueBytes)
+    if (layout.splitLevel < MAX_SPLIT_LEVEL && JSON.stringify(value).length > maxValueBytes)
       return { kind: 'too-large' };
     records.push({ number: segmentNumber(layout.splitLevel, segment), value });
   }
--- a/src/workers/machine-record-store.ts
+++ b/src/workers/machine-record-store.ts
@@ -19,9 +19,9 @@
   store: StateStore;
   table: MachineTable;
   /** Maximum number of mutations of one compare-and-swap. */
-  txnOps: number;
+  maxMutations: number;
   /** Maximum size of a value, in bytes of JSON. */
-  valueBytes: number;
+  maxValueBytes: number;
   isLeader(): boolean;
   leaderPrecondition(): Precondition;
   /** Called when further machines are stored, so that commands may be sent to them. */
@@ -43,12 +43,12 @@
   private writing = false;
   private readonly pages = new MachinePages();
   /** Maximum size of a page's value, in bytes of JSON; reduced after a write was refused because of its size. */
-  private valueBytes: number;
+  private maxValueBytes: number;
   private maxPagesPerWrite: number;
 
   constructor(private readonly deps: MachineRecordStoreDependencies) {
-    this.valueBytes = deps.valueBytes;
-    this.maxPagesPerWrite = Math.min(MAX_PAGES_PER_WRITE, deps.txnOps);
+    this.maxValueBytes = deps.maxValueBytes;
+    this.maxPagesPerWrite = Math.min(MAX_PAGES_PER_WRITE, deps.maxMutations);
   }
 
   /** Adds a page that was stored before this leader's term. */
@@ -68,10 +68,10 @@
     const now = this.deps.runtime.clock.now();
     for (const machine of this.deps.table.all())
       if (!machine.stored && machine.reported && !this.pages.pageOf(machine.id))
-        this.pages.add(recordOf(machine), this.valueBytes);
+        this.pages.add(recordOf(machine), this.maxValueBytes);
     const due = this.pages.due(now, REMOVAL_DELAY_MS);
     for (const page of due)
-      if (page.exceeds(this.valueBytes)) this.pages.split(page, this.valueBytes);
+      if (page.exceeds(this.maxValueBytes)) this.pages.split(page, this.maxValueBytes);
     const selected = selectPages(due, this.maxPagesPerWrite);
     if (selected.length > 0) void this.write(selected);
   }
@@ -125,7 +125,7 @@
   /** Reduces the pages per write, or their size, after a write was refused although it was within the known limits. */
   private shrink(pages: MachinePage[]): void {
     if (pages.length > 1) this.maxPagesPerWrite = pages.length >> 1;
-    else this.valueBytes = Math.max(MIN_VALUE_BYTES, this.valueBytes / 2);
+    else this.maxValueBytes = Math.max(MIN_VALUE_BYTES, this.maxValueBytes / 2);
   }
 
   private async reloadVersion(page: MachinePage): Promise<void> {
