--- a/src/workers/machine-page.ts
+++ b/src/workers/machine-page.ts
@@ -102,7 +102,9 @@
   const selected: MachinePage[] = [];
   for (const page of due) {
     if (selected.includes(page)) continue;
-    const splitOff = page.splitOff.filter((part) => !part.isClean() && !selected.includes(part));
+    const splitOff = page.splitOff.filter(
+      (splitOffPage) => !splitOffPage.isClean() && !selected.includes(splitOffPage),
+    );
     const room = maxPages - selected.length;
     if (splitOff.length < room) selected.push(...splitOff, page);
     else if (splitOff.length >= maxPages) selected.push(...splitOff.slice(0, room));
