--- a/src/jobs/finished-record-table.ts
+++ b/src/jobs/finished-record-table.ts
@@ -1,4 +1,4 @@
-/** The stored records of finished tasks of each live job, and the layout of the next ones. */
+/** The stored records of finished tasks of each live job, and the layout of the records written next. */
 import { type Conversion } from '@millring/rollout';
 import { type BlockRecords, recordsOfBlock } from './finished-records.js';
 import type { Job } from './job.js';
@@ -19,8 +19,8 @@
   /** Numbers of all records that are stored, or may be. */
   numbers: Set<number>;
   /**
-   * Blocks not yet written in this layout since it was chosen; null if this leader has not chosen it. Tasks that finish
-   * later are in no record of another layout, so their blocks need not be waited for.
+   * Blocks not yet written in this layout since this leader chose it; null if this leader has not chosen it. Blocks
+   * that become dirty later are not added: their new tasks are in no record of another layout.
    */
   toRewrite: Set<number> | null;
 }
@@ -35,7 +35,9 @@
     private maxValueBytes: number,
   ) {}
 
-  /** Notes a record that is or may be stored: one written without a response must be removed with the job, too. */
+  /**
+   * Notes a record that is or may be stored. A record whose write got no response must be removed with the job, too.
+   */
   noteWritten(job: Job, recordNumber: number): void {
     const records = this.entryOf(job);
     records.numbers.add(recordNumber);
@@ -74,7 +76,10 @@
     return this.byJob.get(job.index)?.layout.kind === 'segments';
   }
 
-  /** Chooses the layout by whether segments may be written now. After a change all finished tasks are written again. */
+  /**
+   * Switches to chunks if segments may not be written now, and otherwise to segments if the job has tasks to write.
+   * After a switch, all finished tasks are written again.
+   */
   chooseLayout(job: Job, segmentsAllowed: boolean, now: number): void {
     const usesSegments = this.usesSegments(job);
     if (usesSegments && !segmentsAllowed) this.switchLayout(job, CHUNK_LAYOUT, now);
@@ -89,7 +94,10 @@
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
-  /** Returns the records that make a block durable, or null if one did not fit: the job's later records are smaller. */
+  /**
+   * Encodes the records that make a block durable. If one of them does not fit into a value, returns null and switches
+   * the job to segments of half the size, so that all its finished tasks are written again.
+   */
   encodeBlock(job: Job, block: number, now: number): BlockRecords | null {
     const { layout } = this.entryOf(job);
     const result = recordsOfBlock(
@@ -104,7 +112,11 @@
     return null;
   }
 
-  /** Returns the records in other layouts than the job's present one, once their content is durable in that one. */
+  /**
+   * Returns the numbers of the records that may be removed: those in other layouts than the job's present one, once all
+   * their tasks are durable in that one. If the records in other layouts are from a former leader, the first call marks
+   * all finished tasks to be written again.
+   */
   supersededRecords(job: Job, now: number): number[] {
     const records = this.byJob.get(job.index);
     if (!records) return [];
@@ -113,12 +125,13 @@
     );
     if (inOtherLayouts.length === 0) return [];
     if (records.toRewrite !== null) return records.toRewrite.size === 0 ? inOtherLayouts : [];
-    // Left by a leader whose term ended during a change of layout: any of these may contain tasks that no other does.
+    // A former leader's term ended during a change of layout, so any of these records may contain tasks that no other
+    // record contains.
     this.switchLayout(job, records.layout, now);
     return [];
   }
 
-  /** Notes that blocks were written in a layout. */
+  /** Notes that blocks are durable in a layout. */
   noteDurable(job: Job, blocks: number[], layout: Layout): void {
     const records = this.entryOf(job);
     if (!isSameLayout(records.layout, layout)) return;
@@ -134,7 +147,7 @@
     this.maxValueBytes = Math.min(this.maxValueBytes, Math.floor(bytes / 2));
   }
 
-  /** Returns the progress of replacing segments by chunks, with the number of segments that are left. */
+  /** Returns how far the replacement of segments by chunks has come, with the number of remaining segments. */
   conversion(): Conversion {
     let remaining = 0;
     for (const job of this.jobs.all()) {
--- a/src/jobs/finished-record-writer.ts
+++ b/src/jobs/finished-record-writer.ts
@@ -1,4 +1,4 @@
-/** Selects the finished tasks of unfinished jobs that are written next. */
+/** Selects which finished tasks of incomplete jobs are written next. */
 import type { Mutation, Precondition } from '@millring/state-access';
 import type { Clock } from '../runtime.js';
 import { TokenBucket } from '../state-store/token-bucket.js';
@@ -8,16 +8,17 @@
 import { finishedKey } from './records.js';
 
 /**
- * Finished tasks are written rarely: a job that completes does not need it, and a new leader learns what it has not read from
- * the machines, which keep results until they receive a forget command, or by a start that finishes at once. So it uses
- * a small share of the mutations, which are more urgent for submissions, terminal jobs and machines.
+ * Finished tasks are written only after a delay, and with a small share of the mutations, which are more urgent for
+ * submissions, terminal jobs and machines. A job that completes in the meantime does not need these records. A new
+ * leader learns of finished tasks that no record contains in one of two ways: from machines, which keep results until
+ * they receive a forget command; or by restarting the tasks, which finish at once since they are already done.
  */
 const WRITE_DELAY_MS = 5000;
 const SHARE_OF_WRITES = 0.2;
 const MIN_RATE_PER_S = 0.5;
 const MIN_BURST = 2;
 
-/** Adds the finished tasks of jobs to batches, within its own rate limit. */
+/** Adds the records of finished tasks to batches, within a rate limit of its own. */
 export class FinishedRecordWriter {
   private readonly budget: TokenBucket;
 
@@ -30,7 +31,10 @@
     this.budget = new TokenBucket(ratePerS, Math.max(MIN_BURST, ratePerS), () => clock.now());
   }
 
-  /** Adds the finished tasks of a job to a batch. `segmentPrecondition` is null while no segments may be written. */
+  /**
+   * Adds the due records of a job to a batch, and the removal of superseded ones. `segmentPrecondition` is null while no
+   * segments may be written.
+   */
   addTo(
     batch: CompletionBatch,
     job: Job,
@@ -62,7 +66,7 @@
     const layout = this.records.currentLayout(job);
     const { finishedCount } = job;
     batch.finishedRecords.push({ job, blocks: blockRecords.blocks, layout, finishedCount });
-    // Noted before the response: a record written without a response must be removed with the job, too.
+    // Noted before the write, since a record whose write got no response must be removed with the job, too.
     for (const record of blockRecords.records) this.records.noteWritten(job, record.number);
   }
 
@@ -75,7 +79,10 @@
     }
   }
 
-  /** Handles a committed batch. Its blocks stay dirty until then, so that machines keep the results until durable. */
+  /**
+   * Handles a committed batch. Its blocks stay dirty until then, so that machines keep the results until they are
+   * durable.
+   */
   committed(batch: CompletionBatch, now: number): void {
     for (const { job, blocks, layout, finishedCount } of batch.finishedRecords) {
       this.records.noteDurable(job, blocks, layout);
--- a/src/jobs/finished-records.ts
+++ b/src/jobs/finished-records.ts
@@ -20,10 +20,11 @@
   value: unknown;
 }
 
-/** The records for one block of tasks, and all blocks that they cover completely. */
+/** The encoded records for one block of tasks. */
 export interface BlockRecords {
   kind: 'fits';
   records: FinishedRecord[];
+  /** All blocks that the records cover completely. */
   blocks: number[];
 }
 
@@ -45,7 +46,8 @@
 
 /**
  * Returns the records that make a block of tasks durable. `finished` has one bit per task of the whole job.
- * `maxValueBytes` is the maximum size of a value, in bytes of JSON. Segments of the finest split are assumed to fit.
+ * `maxValueBytes` is the maximum size of a value, in bytes of JSON. Segments of the last split level are assumed to
+ * fit.
  */
 export function recordsOfBlock(
   finished: Uint8Array,
@@ -74,7 +76,7 @@
   return { kind: 'fits', records, blocks };
 }
 
-/** Encodes a block as text, since bodies contain no binary values. */
+/** Encodes a chunk as base64 text, since bodies contain no binary values. */
 function packChunk(finished: Uint8Array, block: number): string {
   const bytesPerBlock = TASKS_PER_BLOCK / 8;
   const bits = finished.subarray(block * bytesPerBlock, (block + 1) * bytesPerBlock);
@@ -93,7 +95,7 @@
   return blocks;
 }
 
-/** Reads a record. The tasks of an unreadable one count as unfinished, which is safe: they are started again. */
+/** Reads a record. The tasks of an unreadable record count as unfinished, which is safe: they are started again. */
 export function readFinishedRecord(recordNumber: number, value: unknown): FinishedRecordContent {
   return isSegment(recordNumber) ? readSegment(value) : readChunk(recordNumber, value);
 }
--- a/src/jobs/finished-tasks.ts
+++ b/src/jobs/finished-tasks.ts
@@ -1,4 +1,4 @@
-/** The finished tasks of a job, one bit per task, and those that are not stored yet. */
+/** The finished tasks of a job, one bit per task, and the blocks of tasks that are not stored yet. */
 import { TASKS_PER_BLOCK } from './record-layout.js';
 
 const BITS_PER_BYTE = 8;
@@ -11,7 +11,11 @@
 export class FinishedTasks {
   /** One bit per task, the lowest bit of each byte first. */
   readonly bits: Uint8Array;
-  /** Blocks with tasks that are not durable yet, with the time at which the first of these tasks finished. */
+  /**
+   * Blocks with finished tasks that are not durable yet. The value is the time at which the first of these tasks
+   * finished, or at which the block was marked to be written again or last written, in milliseconds of the monotonic
+   * clock.
+   */
   readonly dirtyBlocks = new Map<number, number>();
   private setCount = 0;
 
@@ -35,13 +39,13 @@
     return true;
   }
 
-  /** Marks the block of a finished task that no record contains yet. */
+  /** Marks the block of a finished task to be written, since no record contains the task yet. */
   markDirty(taskNumber: number, now: number): void {
     const block = blockOf(taskNumber);
     if (!this.dirtyBlocks.has(block)) this.dirtyBlocks.set(block, now);
   }
 
-  /** Marks all finished tasks to be written again. Returns the blocks that contain any of them. */
+  /** Marks all blocks with finished tasks to be written again, and returns them. */
   markAllDirty(now: number): Set<number> {
     const blocks = new Set<number>();
     const bytesPerBlock = TASKS_PER_BLOCK / BITS_PER_BYTE;
--- a/src/jobs/record-layout.ts
+++ b/src/jobs/record-layout.ts
@@ -1,24 +1,37 @@
 /**
  * How the finished tasks of a job are divided into records, and how the records are numbered.
  *
- * Chunks: one record for each 8192 tasks. Segments (a feature enabled by the rollout): records that each state which
- * tasks they cover, as few as the maximum size of a value allows. All segments of a job have the same size; when one
- * no longer fits, all are split in half under new numbers. A task is finished if any record contains it, so records of
- * both forms and of several sizes may coexist while one replaces the other.
+ * The tasks of a job are divided into blocks of 8192 tasks. There are two layouts of the records:
+ * - Chunks: one record for each block; its number is that of the block.
+ * - Segments (a feature enabled by the rollout): records that each state which tasks they cover, as few as the maximum
+ *   size of a value allows. All segments of a job have the same size; when one no longer fits, all are split in half
+ *   under new numbers.
+ *
+ * A task is finished if any record contains it, so records in both layouts and of several sizes may coexist while one
+ * replaces the other.
  */
 
-/** Fits into the smallest maximum size of a value that settings allow. */
+/** Number of tasks of a block. A chunk fits into the smallest maximum size of a value that settings allow. */
 export const TASKS_PER_BLOCK = 8192;
 
-/** Fits into the smallest maximum size of a value that settings allow, however random the bits. */
+/**
+ * Number of tasks of a segment at the last split level. Such a segment fits into the smallest maximum size of a value
+ * that settings allow, however random the bits.
+ */
 const TASKS_PER_SMALLEST_SEGMENT = 2048;
-/** The split with the smallest segments. */
+/** The split level with the smallest segments. */
 export const MAX_SPLIT_LEVEL = 6;
-/** Chunks have lower numbers. A build without support for segments removes segments with the job like any chunk. */
+/**
+ * Chunks have lower numbers. A build without support for segments removes them together with the job, in the same way
+ * as chunks.
+ */
 const FIRST_SEGMENT_NUMBER = 1000;
 const NUMBERS_PER_SPLIT_LEVEL = 100;
 
-/** Layout of a job's records. `split`: how often one segment that covers all the tasks a job may have is halved. */
+/**
+ * Layout of a job's records. At split level 0, one segment covers the maximum number of tasks of a job; each further
+ * level halves the segments.
+ */
 export type Layout = { kind: 'chunks' } | { kind: 'segments'; splitLevel: number };
 
 /** The layout that all versions support. */
@@ -39,7 +52,7 @@
   return FIRST_SEGMENT_NUMBER + splitLevel * NUMBERS_PER_SPLIT_LEVEL + segment;
 }
 
-/** Number of tasks that each segment of a split covers. */
+/** Number of tasks that each segment of a split level covers. */
 export function tasksPerSegment(splitLevel: number): number {
   return TASKS_PER_SMALLEST_SEGMENT << (MAX_SPLIT_LEVEL - splitLevel);
 }
@@ -57,7 +70,7 @@
   return one.splitLevel === other.splitLevel;
 }
 
-/** Returns the layout with the next smaller records, or the same layout if there is none. */
+/** Returns the layout with segments of half the size, or the same layout if there is none. */
 export function finerLayout(layout: Layout): Layout {
   if (layout.kind === 'chunks') return layout;
   return { kind: 'segments', splitLevel: Math.min(MAX_SPLIT_LEVEL, layout.splitLevel + 1) };
