--- a/src/jobs/api.ts
+++ b/src/jobs/api.ts
@@ -1,4 +1,4 @@
-/** The API for users: submission, state and cancellation of jobs. Every controller serves it. */
+/** The API for users, which submit jobs, read their state and cancel them. Every controller serves it. */
 import type { Mutation } from '@millring/state-access';
 import type { Log } from '../runtime.js';
 import type { PlatformSettings } from '../settings/platform.js';
@@ -34,11 +34,11 @@
   mayServe(): boolean;
   /** Returns the machine types, or null while the catalog is unknown. */
   types(): MachineType[] | null;
-  /** The progress of a job that the leader last reported, only for display. */
+  /** The progress of a job that the leader last reported; it is only shown to users. */
   progress(id: string): Progress | undefined;
   /** Called before a cancellation is confirmed to a user. */
   beforeConfirm(id: string): void;
-  /** Time of day, in milliseconds. */
+  /** Wall-clock time, in milliseconds since the Unix epoch. */
   wallMs(): number;
   log: Log;
 }
@@ -158,7 +158,10 @@
   return { ...job, types: known };
 }
 
-/** The mutations that cancel a job. An unreadable record was never acted on, so its job becomes terminal at once. */
+/**
+ * Returns the mutations that cancel a job. A job whose record is unreadable was never acted on, so it becomes terminal
+ * at once.
+ */
 function cancellation(id: string, { record, value }: CachedJob): Mutation[] {
   if (record) return [{ put: liveKey(id), value: { ...(value as object), cancelled: true } }];
   return [
--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -4,7 +4,7 @@
 import type { Layout } from './record-layout.js';
 import { FINISHED_PREFIX, liveKey } from './records.js';
 
-/** Records of a job's finished tasks that a batch writes. */
+/** The records of a job's finished tasks that a batch writes. */
 export interface BatchedFinishedRecords {
   job: Job;
   /** Blocks of tasks that the records make durable. */
@@ -14,7 +14,9 @@
   finishedCount: number;
 }
 
-/** Moves of jobs to their terminal state, finished tasks of other jobs, and removals of obsolete records. */
+/**
+ * One batch: it moves jobs to their terminal state, writes finished tasks of other jobs, and removes obsolete records.
+ */
 export class CompletionBatch {
   readonly preconditions: Precondition[];
   readonly mutations: Mutation[] = [];
@@ -62,11 +64,12 @@
     this.preconditions.push(precondition);
   }
 
-  /** Whether a failed precondition is the one for this job, or the feature level's, which affects all jobs. */
+  /** Whether a failed precondition is that of this job, or that of the feature level, which affects all jobs. */
   concerns(failedKeys: string[], job: Job): boolean {
     return failedKeys.some((key) => key === liveKey(job.spec.id) || key === this.levelKey);
   }
 
+  /** Whether the batch makes the block durable. */
   covers(job: Job, block: number): boolean {
     return this.finishedRecords.some((entry) => entry.job === job && entry.blocks.includes(block));
   }
--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -26,19 +26,20 @@
   leaderPrecondition(): Precondition;
   /** Precondition of every write of a segment, see `record-layout.ts`; null while no segments may be written. */
   segmentPrecondition(): Precondition | null;
-  /** Whether no attempt of the job can be on any machine: only then may a cancelled job become terminal. */
+  /** Whether no attempt of the job can be on any machine. Only then may a cancelled job become terminal. */
   hasNoAttempts(job: Job): boolean;
+  /** Called once the terminal state of a job is stored. */
   jobBecameTerminal(job: Job): void;
 }
 
-/** A job that becomes terminal has one record removed and another put. */
+/** The live record of a job that becomes terminal is removed, and its terminal record is put. */
 const MUTATIONS_PER_TERMINAL_JOB = 2;
 /** The state service allows this many preconditions per mutation of a compare-and-swap. */
 const PRECONDITIONS_PER_MUTATION = 4;
 
 type Failure = Exclude<CompareAndSwapResult, { kind: 'committed' }>;
 
-/** Delay until the jobs of a batch that was not committed are retried, by the kind of failure. */
+/** Delay until the jobs of a batch that was not committed are written again, by the kind of failure. */
 const RETRY_DELAY_MS: Record<Failure['kind'], number> = {
   rejected: 200,
   conflict: 700,
@@ -50,12 +51,12 @@
   return isSegment(Number(key.slice(key.lastIndexOf('/') + 1)));
 }
 
-/** Stores the finished tasks that the leader knows, in compact form and in batches, with terminal jobs first. */
+/** Stores terminal states and finished tasks of jobs in batches, with terminal jobs first. */
 export class CompletionWriter {
   private writing = false;
   private readonly records: FinishedRecordTable;
   private readonly finishedRecordWriter: FinishedRecordWriter;
-  /** Earliest time of the next write for a job, by the job's index. */
+  /** Earliest time of the next write for a job, by the index of the job. */
   private readonly nextWriteAt = new Map<number, number>();
   /** Keys of stored records of finished tasks whose job is terminal. */
   private readonly orphanedKeys = new Set<string>();
@@ -82,7 +83,10 @@
     this.orphanedKeys.add(key);
   }
 
-  /** Returns the progress of replacing segments by records in the older form. */
+  /**
+   * Returns how far the replacement of segments by chunks has come, including the removal of segments whose job is
+   * terminal.
+   */
   conversion(): Conversion {
     const conversion = this.records.conversion();
     const orphans = [...this.orphanedKeys].filter(isSegmentKey).length;
@@ -91,7 +95,7 @@
     return { kind: 'running', remaining: orphans + ofLiveJobs };
   }
 
-  /** Writes what is due, unless a write is in progress. */
+  /** Writes the mutations that are due, unless a write is in progress. */
   tick(): void {
     if (this.writing || !this.deps.isLeader()) return;
     const now = this.deps.runtime.clock.now();
@@ -118,7 +122,10 @@
     }
   }
 
-  /** Records of a large job that exceed one batch are removed later: no node reads them once the job is terminal. */
+  /**
+   * Returns the mutations that make a job terminal and remove its records of finished tasks. Records that exceed one
+   * batch are removed later as orphans: no node reads them once the job is terminal.
+   */
   private terminalMutations(job: Job): Mutation[] {
     const { id, tasks } = job.spec;
     const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_TERMINAL_JOB);
@@ -189,7 +196,8 @@
 
   /**
    * Makes later batches smaller after one was refused although it was within the known limits. A batch of the minimum
-   * size cannot shrink further; its jobs are retried only after the long delay for `invalid`.
+   * size cannot shrink further: its jobs are retried only after the long delay for `invalid`, and its orphaned records
+   * are given up, since no delay applies to them and each tick would try to remove them again.
    */
   private shrink(batch: CompletionBatch): void {
     const { length } = batch.mutations;
--- a/src/jobs/finished-record-writer.ts
+++ b/src/jobs/finished-record-writer.ts
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Adds the due records of a job to a batch, and the removal of superseded ones. `segmentPrecondition` is null while no
-   * segments may be written.
+   * Adds the due records of a job to a batch, and the removal of superseded ones. `segmentPrecondition` is null while
+   * no segments may be written.
    */
   addTo(
     batch: CompletionBatch,
--- a/src/jobs/job-cache.ts
+++ b/src/jobs/job-cache.ts
@@ -1,14 +1,15 @@
-/** A read-through cache of the live job records, refreshed by one request for all waiting callers. */
+/** A cache of the live job records, which one request refreshes for all waiting callers. */
 import type { StateStore } from '../state-store/client.js';
 import { type Runtime, sleep } from '../runtime.js';
 import { LIVE_PREFIX, type LiveJobRecord, readLive } from './records.js';
 
-/** A live job's record at the last read. */
+/** The record of a live job at the last read. */
 export interface CachedJob {
   /** Null if the record is stored but cannot be read. */
   record: LiveJobRecord | null;
-  /** The stored value, including fields that only other versions know. */
+  /** The stored value, including unknown fields (written by other versions). */
   value: unknown;
+  /** Version of the record at the last read. */
   version: number;
 }
 
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,9 +1,12 @@
-/** Reads the stored state of a job, at least as recent as the request for it. */
+/** Reads the stored state of a job; the result is at least as recent as the request for it. */
 import type { StateStore } from '../state-store/client.js';
 import type { CachedJob, JobCache } from './job-cache.js';
 import { type TerminalJobRecord, terminalKey, readTerminal } from './records.js';
 
-/** The stored state of a job. `absent`: it was never accepted. `unavailable`: the state service cannot be read now. */
+/**
+ * The stored state of a job. `ended`: the job is terminal. `absent`: it was never accepted. `unavailable`: the state
+ * service cannot be read now, or the terminal record is invalid.
+ */
 export type StoredJob =
   | ({ kind: 'live' } & CachedJob)
   | ({ kind: 'ended' } & TerminalJobRecord)
--- a/src/jobs/job-table.ts
+++ b/src/jobs/job-table.ts
@@ -3,7 +3,7 @@
 import type { Job } from './job.js';
 import { TrackedJob } from './tracked-job.js';
 
-/** Number of a job's tasks by state, as reported to users. */
+/** Number of finished and running tasks of a job, as reported to users. */
 export interface Progress {
   done: number;
   running: number;
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -11,12 +11,15 @@
 /** The record of a live job, with the names used in the code. */
 export interface LiveJobRecord {
   spec: JobSpec;
-  /** Time of day of the acceptance, in milliseconds. */
+  /** Wall-clock time of the acceptance, in milliseconds since the Unix epoch. */
   acceptedAt: number;
   cancelled: boolean;
 }
 
-/** A live job's record as stored, without fields that only other versions know. Fields are written in this order. */
+/**
+ * The record of a live job as stored, without unknown fields (written by other versions). Fields are written in this
+ * order.
+ */
 interface StoredLiveJob {
   spec: JobSpec;
   at: number;
@@ -51,8 +54,8 @@
 
 /**
  * Returns the smallest form of a cancelled record, for a state service that now refuses the record because of its size.
- * It omits fields that only other versions know, and the list of machine types, since no task of the job starts any
- * more.
+ * It omits unknown fields (written by other versions), and the list of machine types, since no further task of the job
+ * starts.
  */
 export function minimalCancelledValue({ spec, acceptedAt }: LiveJobRecord): StoredLiveJob {
   const known = Object.fromEntries(SPEC_FIELDS.map((field) => [field, spec[field]]));
--- a/src/jobs/responses.ts
+++ b/src/jobs/responses.ts
@@ -1,11 +1,11 @@
-/** Responses to users' requests. */
+/** Responses to requests of users, and the type of a response. */
 import type { Body } from '../wire/cbor.js';
 import { HTTP_STATUS } from '../wire/http-status.js';
 import { jobStateResponse } from '../wire/users.js';
 import type { Progress } from './job-table.js';
 import type { TerminalJobRecord } from './records.js';
 
-/** A response to a user. */
+/** A response to a request of a user or of a worker. */
 export interface ApiResponse {
   status: number;
   body: Body;
--- a/src/jobs/tracked-job.ts
+++ b/src/jobs/tracked-job.ts
@@ -6,7 +6,7 @@
 import { FinishedTasks } from './finished-tasks.js';
 import { type StartableTasks, TaskQueue } from './task-queue.js';
 
-/** Whether a job's terminal state is stored. `ending`: the write is in progress. */
+/** Whether the terminal state of a job is stored. `live`: no; `ending`: its write is in progress; `ended`: yes. */
 export type JobEndState = 'live' | 'ending' | 'ended';
 
 /** Returns a key that is equal for jobs that can be placed on the same machines and compete for them equally. */
@@ -28,7 +28,7 @@
   readonly taskNumber: number;
 }
 
-/** A job's tasks and their state. Code uses the type `Job`. */
+/** A live job with the state of its tasks. Use the alias `Job`, which fixes the type parameter; see `job.ts`. */
 export class TrackedJob<Attempt extends JobAttempt> implements StartableTasks {
   jobCancelled = false;
   readonly finished: FinishedTasks;
@@ -38,16 +38,19 @@
   running = 0;
   private readonly queue: TaskQueue;
   private startableCount: number;
-  /** When a task of the job was last started, or else when the job became known. */
+  /** When a task of the job was last started, or when the leader learned of the job if none was started since. */
   lastStartAt: number;
-  /** Earliest time of the job's next start after failures. */
+  /** Earliest time of the next start of a task of the job, after failures. */
   nextStartAt = 0;
   failures = 0;
-  /** Machines (by index) on which a task of this job failed since one last succeeded. */
+  /** Machines (by index) on which a task of this job failed since a task of it last succeeded. */
   readonly failedOn = new Set<number>();
   /** Tasks that were already moved: a task is moved at most once. */
   readonly moved = new Set<number>();
-  /** Only for gangs: the attempt was aborted, and no task starts before all tasks of the gang have ended. */
+  /**
+   * Only for gangs: the current attempt of the whole gang, whose tasks share one attempt number, was aborted. No task
+   * starts before all tasks of the gang have exited or were removed.
+   */
   gangAttemptAborted = false;
   readonly shapeKey: string;
   endState: JobEndState = 'live';
@@ -58,9 +61,12 @@
     readonly spec: JobSpec,
     /** Version of the live record at the last read. */
     public version: number,
-    /** Time of day of the acceptance, in milliseconds. */
+    /** Wall-clock time of the acceptance, in milliseconds since the Unix epoch. */
     readonly acceptedAt: number,
-    /** Whether it was certainly created after the leader's term began: no former leader can have started its tasks. */
+    /**
+     * Whether the job is guaranteed to have been created after the leader's term began, so that no former leader can
+     * have started its tasks.
+     */
     readonly createdInThisTerm: boolean,
     now: number,
   ) {
@@ -100,7 +106,7 @@
     return true;
   }
 
-  /** Marks a task as finished, to be stored. */
+  /** Marks a task as finished, and its block to be written. */
   finish(taskNumber: number, now: number): void {
     if (this.addFinished(taskNumber)) this.finished.markDirty(taskNumber, now);
   }
@@ -111,7 +117,7 @@
       this.finish(taskNumber, now);
   }
 
-  /** Whether the stored state shows that the task need not be started again. */
+  /** Whether the stored state shows that the task need not be restarted: it is finished, or its job is terminal. */
   isDurable(taskNumber: number): boolean {
     return this.endState === 'ended' || this.finished.isDurable(taskNumber);
   }
