--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -100,7 +100,10 @@
   if (isFetching(attempt)) adjustFetchCount(attempt, sign);
 }
 
-/** Records that the machine has the attempt's image, since the task waits for its gang or runs. */
+/**
+ * Records that a task waits for its gang or runs: the time of the change, that the machine has the task's image, and
+ * the number of running tasks of the job.
+ */
 function recordWaitingOrRunning(
   attempt: TaskAttempt,
   state: 'waiting' | 'running',
@@ -112,8 +115,8 @@
     return;
   }
   if (attempt.job) attempt.job.running++;
-  // Tasks started under a former leader are already running when they are discovered: timed from here, they would
-  // seem shorter than they are, and all others slow.
+  // A task that was already running when it was discovered gets no start time: measured from here, its run time would
+  // be too short, and other tasks would seem slow in comparison.
   if (!attempt.startTimeUnknown) attempt.runningSince = now;
 }
 
--- a/src/workers/command-backlog.ts
+++ b/src/workers/command-backlog.ts
@@ -5,7 +5,10 @@
 export class CommandBacklog {
   /** Machines with commands to send immediately. */
   readonly pending = new Set<Machine>();
-  /** Machines with any unfinished commands, to be checked periodically: to be repeated, or waiting for a condition. */
+  /**
+   * Machines with any unfinished commands, including those that may have to be repeated or that wait for a condition.
+   * These machines are checked periodically.
+   */
   readonly outstanding = new Set<Machine>();
 
   /** Marks a machine for which commands may be due. */
--- a/src/workers/command-sender.ts
+++ b/src/workers/command-sender.ts
@@ -15,6 +15,7 @@
   table: MachineTable;
   /** Whether this node may act as the leader right now. */
   isLeader(): boolean;
+  /** Timeout of a request with commands. */
   timeoutMs: number;
   /** Maximum number of concurrent requests; the limit leaves sockets and CPU time to users and heartbeats. */
   maxInFlight: number;
@@ -28,16 +29,19 @@
 const PROBE_TIMEOUT_MS = 900;
 /** Maximum share of `maxInFlight` for requests to machines that did not respond to the last request. */
 const MAX_FAILING_SHARE = 0.5;
-/** After a heartbeat response, the machine reports this leader's token with its next heartbeat, within 0.5 s. */
+/**
+ * Time after a heartbeat response in which the machine's next heartbeat is expected to report the token that the
+ * response contained. A worker sends a heartbeat within 0.5 s of such a change, regardless of its regular interval.
+ */
 const NEXT_HEARTBEAT_EXPECTED_MS = 900;
 const REJECTED_RETRY_MS = 50;
 const FIRST_RETRY_MS = 250;
 const MAX_RETRY_MS = 4000;
 
 /**
- * Sends commands directly to workers, one request at a time per machine. A request without a response raises the
- * machine's token, which invalidates the request; until the machine reports the raised token, the starts of the
- * request count as executed.
+ * Sends commands directly to workers, one request at a time per machine. If a request gets no response, the machine's
+ * token is advanced, which invalidates the request; until the machine reports the new token, the starts of the request
+ * count as executed.
  */
 export class CommandSender {
   private inFlight = 0;
@@ -49,24 +53,33 @@
     this.probes = new ProbeWindow(deps.maxInFlight);
   }
 
-  /** Called at regular intervals. The delay of the timer shows whether this controller keeps up. */
+  /** Called at regular intervals with the delay of the timer, which shows whether this controller is congested. */
   recordTimerDelay(lateMs: number): void {
     this.probes.recordTimerDelay(lateMs);
   }
 
-  /** Whether this controller is overloaded; responses may then wait unread for longer than timers are late. */
+  /**
+   * Whether this controller is congested: a timer fired late recently. Responses may then have arrived but not been
+   * read, so that a missing one does not indicate that the machine is unreachable.
+   */
   isCongested(): boolean {
     return this.probes.isCongested();
   }
 
-  /** Whether a missing response would prove anything: not while the heartbeat that confirms a token is still due. */
+  /**
+   * Whether to probe the machine. Returns false shortly after a heartbeat response with a token that the machine has
+   * not acknowledged yet: its next heartbeat will acknowledge the token anyway.
+   */
   isWorthProbing(machine: Machine, now: number): boolean {
     return (
       machine.pendingTokenAck === null || now - machine.leaseRenewedAt > NEXT_HEARTBEAT_EXPECTED_MS
     );
   }
 
-  /** Sends all pending commands. With `includeOutstanding`, also those that are to be repeated, or waited for a condition. */
+  /**
+   * Sends the due commands of all pending machines. With `includeOutstanding`, also checks the machines whose commands
+   * may have to be repeated or waited for a condition.
+   */
   flushPending(includeOutstanding: boolean): void {
     const { table } = this.deps;
     for (const machine of includeOutstanding ? table.backlog.outstanding : table.backlog.pending) {
@@ -101,11 +114,11 @@
     if (nothingOutstanding) table.backlog.clear(machine);
     if (commands.length === 0 && !probe) return;
     for (const attempt of starts) attempt.startSent = true;
-    // Forgets alone wait for the next heartbeat; here they are added to a request that is sent anyway. Raising the
+    // Forgets alone wait for the next heartbeat; here they are added to a request that is sent anyway. Advancing the
     // token keeps a duplicate of the start, which has a lower token, from starting a forgotten attempt again.
     const forgets = machine.stored ? takeDueForgets(machine, now) : [];
     if (forgets.length > 0) table.advanceToken(machine);
-    // While this controller is overloaded, responses wait unread: a shorter timeout would only cost another request.
+    // While this controller is congested, responses wait unread: a shorter timeout would only cost another request.
     const timeoutMs =
       commands.length === 0 && !this.probes.isCongested() ? PROBE_TIMEOUT_MS : Infinity;
     void this.send(
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -29,7 +29,7 @@
 
 /**
  * Returns the commands to add to a heartbeat response: stops and forgets, which can be repeated and so need no request
- * of their own, but never starts. A forget raises the machine's token, so none is sent while a request is in flight.
+ * of their own, but never starts. A forget advances the machine's token, so none is sent while a request is in flight.
  */
 export function commandsForHeartbeat(
   machine: Machine,
--- a/src/workers/fencing-tokens.ts
+++ b/src/workers/fencing-tokens.ts
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Returns the token for a heartbeat response. It is raised once the last confirmation is older than `intervalMs`, so
-   * that the next heartbeat shows whether responses reach the machine. A machine whose heartbeats arrive, but that
-   * receives no responses, would otherwise seem healthy until its lease expires.
+   * Returns the token for a heartbeat response. It is advanced once the last acknowledgement is older than
+   * `intervalMs`, so that the next heartbeat shows whether responses reach the machine. A machine whose heartbeats
+   * arrive, but that receives no responses, would otherwise seem healthy until its lease expires.
    */
   requestAck(machine: Machine, now: number, intervalMs: number): number {
     if (machine.pendingTokenAck) {
@@ -40,7 +40,7 @@
   }
 }
 
-/** Records a token that a heartbeat contained, so that the machine has seen it. */
+/** Records the token that a heartbeat reported: the machine refuses lower ones from now on. */
 export function recordReportedToken(machine: Machine, token: number, now: number): void {
   machine.reportedToken = Math.max(machine.reportedToken, token);
   if (!machine.pendingTokenAck || machine.reportedToken < machine.pendingTokenAck.token) return;
--- a/src/workers/heartbeat-applier.ts
+++ b/src/workers/heartbeat-applier.ts
@@ -16,7 +16,7 @@
   /**
    * Returns false, and changes nothing, for a heartbeat that is not newer than the last. An attempt that the heartbeat
    * does not list is removed only if its start can no longer be executed: the start got a response, or the machine has
-   * reported the raised token.
+   * reported the token that fences it.
    */
   apply(machine: Machine, heartbeat: Heartbeat, now: number): boolean {
     if (!isNewer(heartbeat, machine, machine.lastAppliedSequence)) return false;
@@ -35,7 +35,10 @@
     return true;
   }
 
-  /** In a new incarnation the worker has killed and forgotten all tasks, and refuses commands for the earlier one. */
+  /**
+   * Removes all attempts: a worker that begins a new incarnation has killed and forgotten all tasks, and refuses
+   * commands for the earlier one.
+   */
   private beginIncarnation(machine: Machine, incarnation: number, now: number): void {
     this.lifecycle.removeAll(machine, now);
     machine.incarnation = incarnation;
@@ -51,7 +54,7 @@
     this.lifecycle.transitionTo(attempt, task.state, now);
   }
 
-  /** Adds an attempt that a former leader started, or that this leader had removed. */
+  /** Adds an attempt that the table does not have: a former leader started it, or this leader removed it before. */
   private discover(machine: Machine, task: TaskStatus, now: number): TaskAttempt {
     const job = this.findJob(task.job) ?? null;
     const attempt = new TaskAttempt(machine, task.job, job, task.taskNumber, task.attempt, now);
@@ -61,7 +64,7 @@
   }
 }
 
-/** Whether a heartbeat is newer than the one with that sequence number in the machine's incarnation. */
+/** Whether a heartbeat is newer than the one with the sequence number `lastSequence` in the machine's incarnation. */
 export function isNewer(heartbeat: Heartbeat, machine: Machine, lastSequence: number): boolean {
   if (heartbeat.incarnation !== machine.incarnation)
     return heartbeat.incarnation > machine.incarnation;
@@ -78,7 +81,10 @@
   machine.preemptionDeadline = preemptionNoticeS === null ? null : now + preemptionNoticeS * 1000;
 }
 
-/** Whether a start that is in no heartbeat may still be executed: not once the machine has reported `fencedByToken`. */
+/**
+ * Whether the start of an attempt that the heartbeat does not list may still be executed. It can't once the machine has
+ * reported `fencedByToken`.
+ */
 function mayStillStart(machine: Machine, attempt: TaskAttempt): boolean {
   if (!attempt.startUnacknowledged) return false;
   const inFlight = machine.inFlight?.attempts.has(attempt) === true;
--- a/src/workers/machine-page.ts
+++ b/src/workers/machine-page.ts
@@ -1,11 +1,14 @@
-/** One stored record with many machines, in the state that the leader wants to store. */
+/** One record with many machines, with the content that is to be stored. */
 import type { Mutation } from '@millring/state-access';
 import { type MachineRecord, sizeOf } from './machine-records.js';
 
 /** Size of a page's value without its records, in bytes of JSON. */
 const PAGE_OVERHEAD_BYTES = 32;
 
-/** Changes of a page that are not stored yet. Removals alone can wait; `since`: time of the first of them. */
+/**
+ * Changes of a page that are neither stored nor in a write in progress. A write of removals alone can be delayed;
+ * `since` is the time of the first of them.
+ */
 export type UnstoredChanges =
   { kind: 'none' } | { kind: 'additions' } | { kind: 'removals'; since: number };
 
@@ -22,7 +25,7 @@
 
   constructor(
     readonly key: string,
-    /** Fields that only other versions know; written back as they were read. */
+    /** Unknown fields (written by other versions); written back as they were read. */
     private readonly unknownFields: object,
     /** Version that each write requires: an earlier write that is applied late would drop machines added since. */
     public version: number,
@@ -41,7 +44,7 @@
     this.unstored = ADDITIONS;
   }
 
-  /** Takes a machine out, without marking the page to be written. */
+  /** Removes a machine without marking the page to be written. */
   take(id: string): void {
     const record = this.machines.get(id);
     if (record) this.bytes -= sizeOf(record);
@@ -60,6 +63,7 @@
     return this.unstored.kind === 'additions';
   }
 
+  /** Whether the page has no unstored changes, apart from those in a write in progress. */
   isClean(): boolean {
     return this.unstored.kind === 'none';
   }
@@ -75,13 +79,17 @@
     if (this.unstored.kind === 'none') this.unstored = { kind: 'removals', since: now };
   }
 
-  /** Marks the page as stored when a write begins. Returns the changes not stored before, in case the write fails. */
+  /**
+   * Marks the page as clean when a write begins. Returns the changes that the write contains, which `writeFailed` needs
+   * if the write fails.
+   */
   beginWrite(): UnstoredChanges {
     const before = this.unstored;
     this.unstored = NONE;
     return before;
   }
 
+  /** Marks the changes that the failed write contained as unstored again. */
   writeFailed(before: UnstoredChanges): void {
     if (this.unstored.kind !== 'additions') this.unstored = before;
   }
--- a/src/workers/machine-pages.ts
+++ b/src/workers/machine-pages.ts
@@ -1,4 +1,4 @@
-/** The stored pages, and the page of each machine. */
+/** All pages of machine records, and the page of each machine. */
 import type { KeyValue } from '@millring/state-access';
 import { MachinePage } from './machine-page.js';
 import {
--- a/src/workers/machine-record-store.ts
+++ b/src/workers/machine-record-store.ts
@@ -56,7 +56,10 @@
     this.pages.load(stored, records, this.deps.runtime.clock.now());
   }
 
-  /** Removes a machine that has no tasks any more. None may be placed on it before it is stored again. */
+  /**
+   * Removes the record of a machine that has no tasks any more. The machine itself may still exist; no task may be
+   * placed on it before it is stored again.
+   */
   removeRecord(machine: Machine): void {
     machine.stored = false;
     this.pages.remove(machine.id, this.deps.runtime.clock.now());
@@ -91,8 +94,8 @@
       pages.forEach((page, i) => {
         page.writeFailed(before[i]);
       });
-      // A rejected write was certainly not executed. After any other failure, only a read provides the versions that
-      // the next write must require.
+      // A rejected write is guaranteed not to be executed. After any other failure, only a read provides the versions
+      // that the next write must require.
       if (result.kind !== 'rejected') for (const page of pages) await this.reloadVersion(page);
       this.writing = false;
       return;
@@ -113,7 +116,8 @@
       pages[i].splitOff = [];
       pages[i].version = 'remove' in mutation ? 0 : revision;
     });
-    // A machine that was removed during the write has made its page due again, and may be moving to another page.
+    // A machine that was removed during the write does not count as stored: it has no page now, or another one, and its
+    // former page is due again.
     for (const id of written) {
       const machine = this.deps.table.get(id);
       const page = this.pages.pageOf(id);
--- a/src/workers/machine-records.ts
+++ b/src/workers/machine-records.ts
@@ -6,7 +6,7 @@
 const PREFIX = 'm/';
 const PAGE_PREFIX = `${PREFIX}page-`;
 
-/** One machine as it is stored, without the fields that only other versions know. */
+/** One machine as it is stored, without unknown fields (written by other versions). */
 export interface MachineRecord {
   id: string;
   endpoint: string;
@@ -26,7 +26,10 @@
   return JSON.stringify(record).length + 1;
 }
 
-/** Keeps fields that only other versions know, since the record is rewritten with its page. Returns null if invalid. */
+/**
+ * Reads one machine. Keeps unknown fields (written by other versions), since the record is rewritten with its page.
+ * Returns null if the record is invalid.
+ */
 function readRecord(id: unknown, value: unknown): MachineRecord | null {
   if (typeof id !== 'string' || !isMap(value)) return null;
   const { endpoint, type, zone } = value;
@@ -44,7 +47,7 @@
   return list.filter((record): record is MachineRecord => record !== null);
 }
 
-/** Returns the fields of a page, other than its machines, that only other versions know. */
+/** Returns the unknown fields of a page, written by other versions: all but its machines. */
 export function unknownFieldsOf({ value }: KeyValue): object {
   if (!isMap(value) || !Array.isArray(value.machines)) return {};
   return Object.fromEntries(Object.entries(value).filter(([field]) => field !== 'machines'));
--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -56,8 +56,9 @@
   }
 
   /**
-   * Whether the table has this very machine under its id. A response that was in flight when the machine was removed
-   * must change nothing: the attempts that it reports would count forever, and their tasks never be started elsewhere.
+   * Whether the table has this same machine object under its id. A response that was in flight when the machine was
+   * removed must change nothing: the attempts that it reports would count forever, and their tasks never be started
+   * elsewhere.
    */
   contains(machine: Machine): boolean {
     return this.byId.get(machine.id) === machine;
@@ -96,12 +97,15 @@
     return this.tokens.tokenFor(machine);
   }
 
-  /** Raises the token. Commands sent with lower ones can no longer be executed once the machine reports the new one. */
+  /**
+   * Advances the token for a machine and returns it. Commands sent with lower tokens can no longer be executed once the
+   * machine reports the new one.
+   */
   advanceToken(machine: Machine): number {
     return this.tokens.advance(machine);
   }
 
-  /** Returns the token for a heartbeat response; every `intervalMs` the machine has to confirm a new one. */
+  /** Returns the token for a heartbeat response; every `intervalMs` the machine has to acknowledge a new one. */
   requestTokenAck(machine: Machine, now: number, intervalMs: number): number {
     return this.tokens.requestAck(machine, now, intervalMs);
   }
@@ -127,7 +131,7 @@
 
   /**
    * Stops a task: the stop command is repeated until the task exits. A start that is still in flight is refused once a
-   * heartbeat response has delivered the raised token. A start that was never sent is dropped, since it cannot be on
+   * heartbeat response has delivered the new token. A start that was never sent is dropped, since it cannot be on
    * any machine.
    */
   stop(attempt: TaskAttempt, request: StopRequest, now: number): void {
@@ -146,7 +150,7 @@
     return this.contains(machine) && this.heartbeats.apply(machine, heartbeat, now);
   }
 
-  /** Removes the attempts of a request that was refused, and so certainly not executed. */
+  /** Removes the attempts of a request that was refused, and so is guaranteed not to be executed. */
   startsRejected(attempts: Iterable<TaskAttempt>, now: number): void {
     for (const attempt of attempts)
       if (attempt.state === 'starting' && attempt.startUnacknowledged)
@@ -158,7 +162,10 @@
     for (const attempt of attempts) attempt.startUnacknowledged = false;
   }
 
-  /** Handles a missing response: the starts may be executed minutes later, until the machine reports a higher token. */
+  /**
+   * Handles a missing response: the starts may be executed even minutes later, until the machine reports a higher
+   * token.
+   */
   startsWithoutResponse(machine: Machine, attempts: Iterable<TaskAttempt>): void {
     machine.requiredToken = this.advanceToken(machine);
     for (const attempt of attempts)
--- a/src/workers/probe-window.ts
+++ b/src/workers/probe-window.ts
@@ -1,4 +1,4 @@
-/** Limits the number of requests in flight up to which probes are sent. */
+/** Limits the number of requests in flight while probes are sent. */
 
 /** Window sizes, in requests in flight. */
 const MIN_WINDOW = 8;
@@ -6,16 +6,16 @@
 const WINDOW_INCREASE = 12;
 /** Maximum window as a share of the maximum number of requests in flight. */
 const MAX_WINDOW_SHARE = 0.8;
-/** A timer that fires later than this counts as late; responses have waited at least as long. */
+/** A timer that fires with a longer delay than this is late; responses have waited unread for at least as long. */
 const LATE_TIMER_MS = 120;
-/** Number of consecutive timers on time after which this controller is no longer congested. */
+/** Number of consecutive firings of the timer on time after which this controller is no longer congested. */
 const MIN_FIRINGS_ON_TIME = 10;
 
 /**
  * Congestion window for probes. After a failover every machine is probed; with hundreds of machines, a small controller
  * cannot handle that in addition to their heartbeats. Responses then wait unread until they time out, and the probes
- * are repeated. So the window depends on how late timers fire: it grows step by step while timers are on time, and is
- * halved when one is late.
+ * are repeated. So the window depends on the delay of a periodic timer: it grows step by step while the timer fires on
+ * time, and is halved each time it fires late.
  */
 export class ProbeWindow {
   private readonly maxWindow: number;
@@ -32,13 +32,14 @@
   }
 
   /**
-   * Whether a timer fired late recently. A request takes several turns of the event loop, so its response may be
+   * Whether the timer fired late recently. A request takes several turns of the event loop, so its response may be
    * delayed much longer than the timer.
    */
   isCongested(): boolean {
     return this.firingsOnTime < MIN_FIRINGS_ON_TIME;
   }
 
+  /** Adjusts the window after the timer has fired `lateMs` late. */
   recordTimerDelay(lateMs: number): void {
     if (lateMs > LATE_TIMER_MS) {
       this.firingsOnTime = 0;
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -9,14 +9,14 @@
  * - `starting`: a start was decided; it may be in flight.
  * - `fetching`, `waiting`, `running`, `saving`: as reported by the worker. `waiting`: only for gangs; the task has its
  *   image and waits for the other tasks.
- * - `exited`: no longer on the machine, but the machine still reports it until it receives a forget command.
+ * - `exited`: no longer on the machine, which still reports the attempt until it receives a forget command.
  * - `removed`: guaranteed not to be on the machine, and not reported by it either: the attempt was never executed or
  *   was killed with its incarnation, or the machine no longer exists.
  */
 export type AttemptState =
   'starting' | 'fetching' | 'waiting' | 'running' | 'saving' | 'exited' | 'removed';
 
-/** The allowed transitions. Reports of any others are late, and ignored. */
+/** The allowed transitions. Reports that would cause any other are late, and are ignored. */
 const TRANSITIONS: Transitions<AttemptState> = {
   starting: ['fetching', 'waiting', 'running', 'saving', 'exited', 'removed'],
   fetching: ['waiting', 'running', 'saving', 'exited', 'removed'],
@@ -42,7 +42,10 @@
   /** Time that the task has to save its state, in seconds. */
   graceS: number;
   reason: StopReason;
-  /** Only for a gang that is still gathering: this task alone is stopped, and started again under the same attempt. */
+  /**
+   * Only for a gang that has not begun to run: this task alone is stopped, and started again under the same attempt
+   * number.
+   */
   replaced: boolean;
 }
 
@@ -60,9 +63,12 @@
   stop: StopRequest | null = null;
   stopSentAt = -Infinity;
   forgetSentAt = -Infinity;
-  /** Whether the attempt was first seen in a heartbeat, past fetching and waiting, and not started by this leader. */
+  /**
+   * Whether it is unknown when the attempt began to run: it was discovered in a heartbeat in a state after `fetching`
+   * and `waiting`.
+   */
   startTimeUnknown = false;
-  /** When it began to run; 0 if it does not run yet, or if it already ran when discovered (the time is unknown). */
+  /** When the attempt began to run; 0 if it does not run yet, or if `startTimeUnknown`. */
   runningSince = 0;
   /** When a gang task was first reported as waiting. */
   waitingSince = 0;
@@ -73,11 +79,12 @@
     /** Null if the job is not one of the live jobs. */
     readonly job: TrackedJob<TaskAttempt> | null,
     readonly taskNumber: number,
-    /** Number of the attempt. A replaced task of a gang is started again under the same number. */
+    /** A replaced task of a gang is started again under the same number. */
     readonly attemptNumber: number,
     readonly createdAt: number,
   ) {}
 
+  /** Whether the attempt is neither exited nor removed. */
   mayBeOnMachine(): boolean {
     return this.state !== 'exited' && this.state !== 'removed';
   }
--- a/src/workers/tracked-machine.ts
+++ b/src/workers/tracked-machine.ts
@@ -1,5 +1,6 @@
 /**
- * The leader's state of one machine. The type of attempts is a parameter, since attempts refer to their machines.
+ * The leader's state of one machine. The type of attempts is a parameter, so that this module does not depend on
+ * attempts, which refer to their machines.
  */
 import type { MachineType } from '../wire/model.js';
 
@@ -16,23 +17,40 @@
   heartbeats: number;
 }
 
-/** Why no task is placed on a machine any more: it is not needed, it has a preemption notice, or tasks fail on it. */
+/**
+ * Why no further task is placed on a machine. `surplus`: the machine is not needed. `notice`: the cloud has given a
+ * preemption notice for it. `faulty`: tasks fail on it.
+ */
 export type DrainReason = 'surplus' | 'notice' | 'faulty';
 
-/** Heartbeats without a pending token before a machine counts as not acknowledging: one or two may be in flight. */
+/**
+ * Number of heartbeats without a pending token after which a machine may count as not acknowledging: one or two may
+ * have been in flight when the token was sent.
+ */
 const MIN_UNACKNOWLEDGED_HEARTBEATS = 3;
 
 /**
- * A machine's state: what its worker has reported, what was sent to it, which attempts may be on it and which resources
- * they occupy. Code uses the type `Machine`. Times are in milliseconds of the monotonic clock.
+ * The state of a machine: what its worker has reported, what was sent to it, which attempts may be on it and which
+ * resources they occupy. Use the alias `Machine`, which fixes the type parameter; see `machine.ts`. Times are in
+ * milliseconds of the monotonic clock.
  */
 export class TrackedMachine<Attempt> {
-  /** The worker's incarnation. Heartbeats of lower ones are outdated, as are those of this one up to `lastAppliedSequence`. */
+  /** The worker's incarnation. Heartbeats of lower incarnations are outdated. */
   incarnation = 0;
+  /**
+   * Sequence of the last applied heartbeat of this incarnation, whether from a request or a response to commands.
+   * Heartbeats with a sequence that is not higher are outdated.
+   */
   lastAppliedSequence = -1;
-  /** Sequence of the newest heartbeat that the worker sent itself in this incarnation: a lower one is a late copy. */
+  /**
+   * Sequence of the newest heartbeat of this incarnation that the worker sent as a request. A request with a sequence
+   * that is not higher is a duplicate or late.
+   */
   lastRequestSequence = -1;
-  /** When new information was last received from the worker itself. */
+  /**
+   * When the last heartbeat was applied, whether from a request or a response to commands. Also set when the term
+   * resumes after a suspension, or the machine's zone is no longer partitioned, so that timeouts start again.
+   */
   lastHeardAt: number;
   /** Whether a heartbeat was received since the machine was added, or since its lease expired. */
   reported = false;
@@ -40,17 +58,20 @@
   leaseRenewedAt: number;
   /** Whether the lease is guaranteed to have expired, with no heartbeat since: no task is on the machine. */
   leaseExpired = false;
-  /** Stored when this leader's term began: it must be reconciled or removed before older jobs are acted on. */
+  /**
+   * Whether the machine was stored when this leader's term began and has not been reconciled since. It must be
+   * reconciled or removed, or its lease must expire, before jobs that former leaders may have started are acted on.
+   */
   awaitingReconciliation = false;
 
   /** Highest token that the machine has reported. */
   reportedToken = 0;
   /** Token that the machine must report before its heartbeats count as complete. */
   requiredToken: number;
-  /** Difference of the machine's token to the leader's base token. */
+  /** Difference between the token for the machine and the leader's base token. */
   tokenOffset = 0;
   pendingTokenAck: PendingTokenAck | null = null;
-  /** When the machine last confirmed a pending token, which proves that responses reach it. */
+  /** When the machine last acknowledged a pending token, which proves that responses reach it. */
   tokenAcknowledgedAt: number;
 
   /** Whether the machine is stored, so that a new leader would find it. Only then may commands be sent to it. */
@@ -61,7 +82,7 @@
   /** Number of consecutive requests without a response. */
   commandFailures = 0;
 
-  /** The attempts that may be on the machine, and those that it still reports, by `attemptKey`. */
+  /** The attempts that may be on the machine, and the exited ones that it still reports, by `attemptKey`. */
   readonly attempts = new Map<string, Attempt>();
   readonly images = new Set<string>();
   /** Number of attempts that are starting or fetching, by image. */
@@ -71,9 +92,10 @@
   usedCpus = 0;
   usedGpus = 0;
   usedMemory = 0;
-  /** When the last attempt on the machine ended, or else when the machine became known. */
+  /** When the last attempt on the machine exited or was removed; initially when the leader learned of the machine. */
   emptySince: number;
 
+  /** When the cloud will preempt the machine, or null without a preemption notice. */
   preemptionDeadline: number | null = null;
   drainReason: DrainReason | null = null;
   isStraggler = false;
@@ -82,7 +104,7 @@
 
   /** When the cloud's list last contained the machine; -1 if it never did. */
   listedAt = -1;
-  /** Whether the last list did not contain the machine, although it must have existed by then. */
+  /** Whether the cloud's last list did not contain the machine, although the machine must have existed by then. */
   unlisted = false;
   rentedAt: number | null = null;
   deleting = false;
