--- a/src/workers/machine-table.ts
+++ b/src/workers/machine-table.ts
@@ -115,10 +115,12 @@
     jobId: string,
     job: Job | null,
     taskNumber: number,
-    attempt: number,
+    attemptNumber: number,
     now: number,
   ): TaskAttempt {
-    return this.lifecycle.insert(new TaskAttempt(machine, jobId, job, taskNumber, attempt, now));
+    return this.lifecycle.insert(
+      new TaskAttempt(machine, jobId, job, taskNumber, attemptNumber, now),
+    );
   }
 
   /**
--- a/src/workers/task-attempt.ts
+++ b/src/workers/task-attempt.ts
@@ -33,8 +33,8 @@
 }
 
 /** The key of an attempt in the attempts of its machine. */
-export function attemptKey(jobId: string, taskNumber: number, attempt: number): string {
-  return `${jobId}/${taskNumber}/${attempt}`;
+export function attemptKey(jobId: string, taskNumber: number, attemptNumber: number): string {
+  return `${jobId}/${taskNumber}/${attemptNumber}`;
 }
 
 /** Why and how an attempt is to be stopped. */
--- a/src/workers/tracked-machine.ts
+++ b/src/workers/tracked-machine.ts
@@ -132,11 +132,11 @@
   }
 
   /** Whether heartbeats arrive, but responses are lost or ignored, so that the heartbeats prove nothing. */
-  isNotAcknowledging(patienceMs: number, now: number): boolean {
+  isNotAcknowledging(timeoutMs: number, now: number): boolean {
     return (
       this.pendingTokenAck !== null &&
       this.pendingTokenAck.heartbeats >= MIN_UNACKNOWLEDGED_HEARTBEATS &&
-      now - this.pendingTokenAck.since > patienceMs
+      now - this.pendingTokenAck.since > timeoutMs
     );
   }
 
