--- a/src/jobs/task-queue.ts
+++ b/src/jobs/task-queue.ts
@@ -6,7 +6,10 @@
   isStartable(taskNumber: number): boolean;
 }
 
-/** Tasks ordered by number, after those that have to be started again, of which the latest requeued comes first. */
+/**
+ * The startable tasks of a job. Requeued tasks come first, the last requeued before the others; the tasks that were
+ * never started follow in the order of their numbers.
+ */
 export class TaskQueue {
   private readonly requeued: number[] = [];
   private readonly isRequeued = new Set<number>();
--- a/src/workers/machine-page.ts
+++ b/src/workers/machine-page.ts
@@ -27,7 +27,10 @@
     readonly key: string,
     /** Unknown fields (written by other versions); written back as they were read. */
     private readonly unknownFields: object,
-    /** Version that each write requires: an earlier write that is applied late would drop machines added since. */
+    /**
+     * Version that each write requires. Without it, an earlier write that is applied late would drop machines that were
+     * added since.
+     */
     public version: number,
   ) {
     this.bytes = JSON.stringify(unknownFields).length;
--- a/src/workers/tracked-machine.ts
+++ b/src/workers/tracked-machine.ts
@@ -131,7 +131,10 @@
     return this.reported && this.reportedToken >= this.requiredToken;
   }
 
-  /** Whether heartbeats arrive, but responses are lost or ignored, so that the heartbeats prove nothing. */
+  /**
+   * Whether several heartbeats have arrived without the pending token for more than `timeoutMs`. Responses are then
+   * lost or ignored, so the heartbeats do not prove that the machine can be reached.
+   */
   isNotAcknowledging(timeoutMs: number, now: number): boolean {
     return (
       this.pendingTokenAck !== null &&
