--- a/src/jobs/record-layout.ts
+++ b/src/jobs/record-layout.ts
@@ -22,8 +22,8 @@
 /** The split level with the smallest segments. */
 export const MAX_SPLIT_LEVEL = 6;
 /**
- * Chunks have lower numbers. A build without support for segments removes them together with the job, in the same way
- * as chunks.
+ * Chunks have lower numbers. A build without support for segments removes the segments of a job together with the job,
+ * in the same way as chunks.
  */
 const FIRST_SEGMENT_NUMBER = 1000;
 const NUMBERS_PER_SPLIT_LEVEL = 100;
