--- a/src/jobs/progress-records.ts
+++ b/src/jobs/finished-record-table.ts
@@ -1,6 +1,6 @@
-/** The stored records of finished tasks of each live job, and the layout of the next ones. */
+/** The stored records of finished tasks of each live job, and the layout of the records written next. */
 import { type Conversion } from '@millring/rollout';
-import { type ChunkRecords, recordsOfChunk } from './finished-records.js';
+import { type BlockRecords, recordsOfBlock } from './finished-records.js';
 import type { Job } from './job.js';
 import type { JobTable } from './job-table.js';
 import {
@@ -19,35 +19,37 @@
   /** Numbers of all records that are stored, or may be. */
   numbers: Set<number>;
   /**
-   * Chunks not yet written in this layout since it was chosen; null if this leader has not chosen it. Tasks that finish
-   * later are in no record of another layout, so their chunks need not be waited for.
+   * Blocks not yet written in this layout since this leader chose it; null if this leader has not chosen it. Blocks
+   * that become dirty later are not added: their new tasks are in no record of another layout.
    */
   toRewrite: Set<number> | null;
 }
 
 /** The stored records of finished tasks of all live jobs. */
-export class ProgressRecords {
+export class FinishedRecordTable {
   private readonly byJob = new Map<number, JobRecords>();
 
   constructor(
     private readonly jobs: JobTable,
     /** Maximum size of a value, in bytes of JSON; reduced after a value was refused because of its size. */
-    private valueBytes: number,
+    private maxValueBytes: number,
   ) {}
 
-  /** Notes a record that is or may be stored: one written without a response must be removed with the job, too. */
+  /**
+   * Notes a record that is or may be stored. A record whose write got no response must be removed with the job, too.
+   */
   noteWritten(job: Job, recordNumber: number): void {
-    const records = this.recordsOf(job);
+    const records = this.entryOf(job);
     records.numbers.add(recordNumber);
     const layout = layoutOf(recordNumber);
     if (
       layout.kind === 'segments' &&
-      (records.layout.kind === 'chunks' || layout.split > records.layout.split)
+      (records.layout.kind === 'chunks' || layout.splitLevel > records.layout.splitLevel)
     )
       records.layout = layout;
   }
 
-  private recordsOf(job: Job): JobRecords {
+  private entryOf(job: Job): JobRecords {
     let records = this.byJob.get(job.index);
     if (!records) {
       records = { layout: CHUNK_LAYOUT, numbers: new Set(), toRewrite: null };
@@ -56,7 +58,7 @@
     return records;
   }
 
-  numbersOf(job: Job): Iterable<number> {
+  recordNumbersOf(job: Job): Iterable<number> {
     return this.byJob.get(job.index)?.numbers ?? [];
   }
 
@@ -74,37 +76,47 @@
     return this.byJob.get(job.index)?.layout.kind === 'segments';
   }
 
-  /** Chooses the layout by whether segments may be written now. After a change all finished tasks are written again. */
+  /**
+   * Switches to chunks if segments may not be written now, and otherwise to segments if the job has tasks to write.
+   * After a switch, all finished tasks are written again.
+   */
   chooseLayout(job: Job, segmentsAllowed: boolean, now: number): void {
     const usesSegments = this.usesSegments(job);
     if (usesSegments && !segmentsAllowed) this.switchLayout(job, CHUNK_LAYOUT, now);
-    const hasProgress = job.finished.dirtyChunks.size > 0;
-    if (!usesSegments && segmentsAllowed && hasProgress && mayUseSegments(job.spec.tasks))
-      this.switchLayout(job, { kind: 'segments', split: 0 }, now);
+    const hasDirtyBlocks = job.finished.dirtyBlocks.size > 0;
+    if (!usesSegments && segmentsAllowed && hasDirtyBlocks && mayUseSegments(job.spec.tasks))
+      this.switchLayout(job, { kind: 'segments', splitLevel: 0 }, now);
   }
 
   private switchLayout(job: Job, layout: Layout, now: number): void {
-    const records = this.recordsOf(job);
+    const records = this.entryOf(job);
     records.layout = layout;
     records.toRewrite = job.finished.markAllDirty(now);
   }
 
-  /** Returns the records that make a chunk durable, or null if one did not fit: the job's later records are smaller. */
-  recordsFor(job: Job, chunk: number, now: number): ChunkRecords | null {
-    const { layout } = this.recordsOf(job);
-    const result = recordsOfChunk(
+  /**
+   * Encodes the records that make a block durable. If one of them does not fit into a value, returns null and switches
+   * the job to segments of half the size, so that all its finished tasks are written again.
+   */
+  encodeBlock(job: Job, block: number, now: number): BlockRecords | null {
+    const { layout } = this.entryOf(job);
+    const result = recordsOfBlock(
       job.finished.bits,
       job.spec.tasks,
-      chunk,
+      block,
       layout,
-      this.valueBytes,
+      this.maxValueBytes,
     );
     if (result.kind === 'fits') return result;
     this.switchLayout(job, finerLayout(layout), now);
     return null;
   }
 
-  /** Returns the records in other layouts than the job's present one, once their content is durable in that one. */
+  /**
+   * Returns the numbers of the records that may be removed: those in other layouts than the job's present one, once all
+   * their tasks are durable in that one. If the records in other layouts are from a former leader, the first call marks
+   * all finished tasks to be written again.
+   */
   supersededRecords(job: Job, now: number): number[] {
     const records = this.byJob.get(job.index);
     if (!records) return [];
@@ -113,37 +125,38 @@
     );
     if (inOtherLayouts.length === 0) return [];
     if (records.toRewrite !== null) return records.toRewrite.size === 0 ? inOtherLayouts : [];
-    // Left by a leader whose term ended during a change of layout: any of these may contain tasks that no other does.
+    // A former leader's term ended during a change of layout, so any of these records may contain tasks that no other
+    // record contains.
     this.switchLayout(job, records.layout, now);
     return [];
   }
 
-  /** Notes that chunks were written in a layout. */
-  noteDurable(job: Job, chunks: number[], layout: Layout): void {
-    const records = this.recordsOf(job);
+  /** Notes that blocks are durable in a layout. */
+  noteDurable(job: Job, blocks: number[], layout: Layout): void {
+    const records = this.entryOf(job);
     if (!isSameLayout(records.layout, layout)) return;
-    for (const chunk of chunks) records.toRewrite?.delete(chunk);
+    for (const block of blocks) records.toRewrite?.delete(block);
   }
 
-  layoutOf(job: Job): Layout {
-    return this.recordsOf(job).layout;
+  currentLayout(job: Job): Layout {
+    return this.entryOf(job).layout;
   }
 
   /** Limits the size of values to half the size of a refused one. */
   noteValueRefused(bytes: number): void {
-    this.valueBytes = Math.min(this.valueBytes, Math.floor(bytes / 2));
+    this.maxValueBytes = Math.min(this.maxValueBytes, Math.floor(bytes / 2));
   }
 
-  /** Returns the progress of replacing segments by chunks, with the number of segments that are left. */
+  /** Returns how far the replacement of segments by chunks has come, with the number of remaining segments. */
   conversion(): Conversion {
     let remaining = 0;
     for (const job of this.jobs.all()) {
-      const segments = [...this.numbersOf(job)].filter(isSegment).length;
+      const segments = [...this.recordNumbersOf(job)].filter(isSegment).length;
       if (segments === 0) continue;
-      if (maxChunkBytes(job.spec.tasks) > this.valueBytes)
+      if (maxChunkBytes(job.spec.tasks) > this.maxValueBytes)
         return {
           kind: 'refused',
-          reason: `finished tasks of ${job.spec.id} don't fit into a value of ${this.valueBytes} bytes as they were stored before`,
+          reason: `finished tasks of ${job.spec.id} don't fit into a value of ${this.maxValueBytes} bytes as they were stored before`,
         };
       remaining += segments;
     }
--- a/src/jobs/job-lookup.ts
+++ b/src/jobs/job-lookup.ts
@@ -1,9 +1,12 @@
-/** Reads the stored state of a job, at least as recent as the request for it. */
+/** Reads the stored state of a job; the result is at least as recent as the request for it. */
 import type { StateStore } from '../state-store/client.js';
 import type { CachedJob, JobCache } from './job-cache.js';
 import { type TerminalJobRecord, terminalKey, readTerminal } from './records.js';
 
-/** The stored state of a job. `absent`: it was never accepted. `unavailable`: the state service cannot be read now. */
+/**
+ * The stored state of a job. `ended`: the job is terminal. `absent`: it was never accepted. `unavailable`: the state
+ * service cannot be read now, or the terminal record is invalid.
+ */
 export type StoredJob =
   | ({ kind: 'live' } & CachedJob)
   | ({ kind: 'ended' } & TerminalJobRecord)
@@ -36,9 +39,9 @@
     if (!(await this.cache.refresh())) return { kind: 'unavailable' };
     const live = this.cache.get(id);
     if (live) return { kind: 'live', ...live };
-    const ended = await this.store.get(terminalKey(id));
-    if (ended.kind !== 'found') return { kind: ended.kind };
-    const record = readTerminal(ended.entry.value);
+    const terminal = await this.store.get(terminalKey(id));
+    if (terminal.kind !== 'found') return { kind: terminal.kind };
+    const record = readTerminal(terminal.entry.value);
     if (!record) return { kind: 'unavailable' };
     this.cacheTerminal(id, record);
     return { kind: 'ended', ...record };
--- a/src/leadership/leader-components.ts
+++ b/src/leadership/leader-components.ts
@@ -131,7 +131,7 @@
       applyHeartbeat: (machine, heartbeat) => {
         this.heartbeats.apply(machine, heartbeat);
       },
-      mayStart: () => this.deps.cancellationsAreFresh(),
+      cancellationsAreFresh: () => this.deps.cancellationsAreFresh(),
     });
   }
 
@@ -141,8 +141,8 @@
       runtime,
       store,
       table: this.table,
-      txnOps: settings.maxTransactionOps,
-      valueBytes: settings.maxValueKb * 1024,
+      maxMutations: settings.maxTransactionOps,
+      maxValueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
       leaderPrecondition: () => this.deps.leaderPrecondition(),
       machinesStored: () => {
@@ -157,15 +157,15 @@
       runtime,
       store,
       jobs: this.jobs,
-      txnOps: settings.maxTransactionOps,
-      writeRps: settings.stateWritesPerS,
-      valueBytes: settings.maxValueKb * 1024,
+      maxMutations: settings.maxTransactionOps,
+      writesPerS: settings.stateWritesPerS,
+      maxValueBytes: settings.maxValueKb * 1024,
       isLeader: () => this.lifecycle.isLeader(),
       leaderPrecondition: () => this.deps.leaderPrecondition(),
       segmentPrecondition: () => this.deps.segmentPrecondition(),
       hasNoAttempts: (job) =>
         (job.createdInThisTerm || this.recovery.isComplete()) && job.attempts.size === 0,
-      jobEnded: (job) => {
+      jobBecameTerminal: (job) => {
         this.intake.forgetJob(job);
       },
     });
@@ -207,7 +207,7 @@
 
   private forgetMachine(machine: Machine): void {
     this.table.remove(machine, this.deps.runtime.clock.now());
-    this.machineRecords.machineRemoved(machine);
+    this.machineRecords.removeRecord(machine);
     this.cycles.request();
   }
 
--- a/src/placement/gang-scheduler.ts
+++ b/src/placement/gang-scheduler.ts
@@ -72,7 +72,7 @@
    */
   isStarvedGang(job: Job): boolean {
     if (job.spec.kind !== 'gang' || job.attempts.size > 0) return false;
-    return this.deps.now() - job.startedAt > GANG_STARVATION_THRESHOLD_MS;
+    return this.deps.now() - job.lastStartAt > GANG_STARVATION_THRESHOLD_MS;
   }
 
   /**
@@ -86,7 +86,7 @@
       this.abortGang(gang, 'gang-member-lost');
       return 'not-now';
     }
-    gang.notBefore = this.deps.now() + RETRY_INTERVAL_MS;
+    gang.nextStartAt = this.deps.now() + RETRY_INTERVAL_MS;
     const placement = this.placeMissing(gang, options);
     // A part of a gang must not occupy capacity that other jobs, or the gang as a whole, could use.
     if (state === 'starting' && placement !== 'placed')
@@ -106,7 +106,7 @@
       const victims = this.addAllOrNone(gang, tasks, candidates, attemptNumber);
       if (!victims) continue;
       for (const victim of victims) this.stopNow(victim, 'preempted');
-      gang.startedAt = this.deps.now();
+      gang.lastStartAt = this.deps.now();
       return 'placed';
     }
     return 'no-capacity';
--- a/src/placement/task-scheduler.ts
+++ b/src/placement/task-scheduler.ts
@@ -72,7 +72,7 @@
   private yieldsOrdinaryMachines(job: Job, now: number): boolean {
     const { kind, spot } = job.spec;
     if (kind !== 'array' || !spot || this.deps.guaranteed.has(job)) return false;
-    return now - job.startedAt <= ORDINARY_MACHINE_YIELD_MS;
+    return now - job.lastStartAt <= ORDINARY_MACHINE_YIELD_MS;
   }
 
   /** Key of the job's shape in this cycle: if one job finds no machine, no other job with the same key does. */
@@ -115,7 +115,7 @@
     if (!choice) return null;
     const { machine, victims } = choice;
     for (const victim of victims) stopper.stop(victim, 0, 'preempted');
-    job.startedAt = cycle.now;
+    job.lastStartAt = cycle.now;
     table.addAttempt(
       machine,
       job.spec.id,
--- a/src/workers/attempt-lifecycle.ts
+++ b/src/workers/attempt-lifecycle.ts
@@ -28,7 +28,10 @@
 
   insert(attempt: TaskAttempt): TaskAttempt {
     const { machine } = attempt;
-    machine.attempts.set(attemptKey(attempt.jobId, attempt.taskNumber, attempt.attempt), attempt);
+    machine.attempts.set(
+      attemptKey(attempt.jobId, attempt.taskNumber, attempt.attemptNumber),
+      attempt,
+    );
     accountResources(attempt, 1);
     this.events.attemptAdded(attempt);
     this.backlog.markPending(machine);
@@ -49,7 +52,7 @@
     attempt.state = next;
     attempt.startUnacknowledged = false;
     if (isFinal) this.afterFinalTransition(attempt, now);
-    else if (next === 'waiting' || next === 'running') recordImagePresent(attempt, next, now);
+    else if (next === 'waiting' || next === 'running') recordWaitingOrRunning(attempt, next, now);
   }
 
   private afterFinalTransition(attempt: TaskAttempt, now: number): void {
@@ -64,7 +67,7 @@
    * incarnation, or the machine no longer exists.
    */
   remove(attempt: TaskAttempt, now: number): void {
-    const key = attemptKey(attempt.jobId, attempt.taskNumber, attempt.attempt);
+    const key = attemptKey(attempt.jobId, attempt.taskNumber, attempt.attemptNumber);
     // The replacement of a gang task has the same key: a late event of the replaced task must not remove it.
     if (attempt.machine.attempts.get(key) === attempt) attempt.machine.attempts.delete(key);
     this.transitionTo(attempt, 'removed', now);
@@ -97,20 +100,27 @@
   if (isFetching(attempt)) adjustFetchCount(attempt, sign);
 }
 
-/** Records that the machine has the attempt's image, since the task waits for its gang or runs. */
-function recordImagePresent(attempt: TaskAttempt, state: 'waiting' | 'running', now: number): void {
+/**
+ * Records that a task waits for its gang or runs: the time of the change, that the machine has the task's image, and
+ * the number of running tasks of the job.
+ */
+function recordWaitingOrRunning(
+  attempt: TaskAttempt,
+  state: 'waiting' | 'running',
+  now: number,
+): void {
   if (attempt.job) attempt.machine.images.add(attempt.job.spec.image);
   if (state === 'waiting') {
     attempt.waitingSince = now;
     return;
   }
   if (attempt.job) attempt.job.running++;
-  // Tasks started under a former leader are already running when they are discovered: timed from here, they would
-  // seem shorter than they are, and all others slow.
-  if (!attempt.discovered) attempt.runningSince = now;
+  // A task that was already running when it was discovered gets no start time: measured from here, its run time would
+  // be too short, and other tasks would seem slow in comparison.
+  if (!attempt.startTimeUnknown) attempt.runningSince = now;
 }
 
 function recordIfEmpty(machine: Machine, now: number): void {
-  for (const attempt of machine.attempts.values()) if (attempt.onMachine()) return;
+  for (const attempt of machine.attempts.values()) if (attempt.mayBeOnMachine()) return;
   machine.emptySince = now;
 }
--- a/src/workers/commands.ts
+++ b/src/workers/commands.ts
@@ -24,12 +24,12 @@
 };
 
 function refOf(attempt: TaskAttempt): { job: string; taskNumber: number; attempt: number } {
-  return { job: attempt.jobId, taskNumber: attempt.taskNumber, attempt: attempt.attempt };
+  return { job: attempt.jobId, taskNumber: attempt.taskNumber, attempt: attempt.attemptNumber };
 }
 
 /**
  * Returns the commands to add to a heartbeat response: stops and forgets, which can be repeated and so need no request
- * of their own, but never starts. A forget raises the machine's token, so none is sent while a request is in flight.
+ * of their own, but never starts. A forget advances the machine's token, so none is sent while a request is in flight.
  */
 export function commandsForHeartbeat(
   machine: Machine,
@@ -39,7 +39,7 @@
   const commands = machine.inFlight ? [] : takeDueForgets(machine, now);
   if (commands.length > 0) table.advanceToken(machine);
   for (const attempt of machine.attempts.values())
-    if (attempt.stop && attempt.onMachine())
+    if (attempt.stop && attempt.mayBeOnMachine())
       commands.push({ op: 'stop', ...refOf(attempt), graceS: attempt.stop.graceS });
   return commands;
 }
@@ -63,7 +63,7 @@
 /** Returns the stops and starts that are due, and marks the stops as sent. */
 export function collectCommands(
   machine: Machine,
-  conditions: { mayStart(): boolean },
+  conditions: { cancellationsAreFresh(): boolean },
   now: number,
 ): CommandBatch {
   const stopCommands: WorkerCommand[] = [];
@@ -77,7 +77,7 @@
       if (isStopDue(attempt, now)) stopCommands.push(takeStop(attempt, attempt.stop, now));
     } else if (!attempt.startSent && !attempt.stop) {
       nothingOutstanding = false;
-      if (!machine.isReconciled() || !conditions.mayStart()) continue;
+      if (!machine.isReconciled() || !conditions.cancellationsAreFresh()) continue;
       starts.add(attempt);
       startCommands.push({ op: 'start', ...refOf(attempt) });
     }
--- a/src/workers/machine-pages.ts
+++ b/src/workers/machine-pages.ts
@@ -1,9 +1,9 @@
-/** The stored pages, and the page of each machine. */
+/** All pages of machine records, and the page of each machine. */
 import type { KeyValue } from '@millring/state-access';
 import { MachinePage } from './machine-page.js';
 import {
   type MachineRecord,
-  foreignFieldsOf,
+  unknownFieldsOf,
   isPageKey,
   pageKey,
   pageNumberOf,
@@ -21,7 +21,7 @@
    * dropped from this one.
    */
   load(stored: KeyValue, records: MachineRecord[], now: number): void {
-    const page = new MachinePage(stored.key, foreignFieldsOf(stored), stored.version);
+    const page = new MachinePage(stored.key, unknownFieldsOf(stored), stored.version);
     for (const record of records) {
       if (this.byMachine.has(record.id)) {
         page.markRemovals(now);
@@ -61,21 +61,21 @@
   /** Splits a page that was stored under a higher size limit into pages that fit the present one. */
   split(page: MachinePage, maxBytes: number): void {
     for (const record of [...page.machines.values()].reverse()) {
-      if (!page.isOver(maxBytes)) return;
+      if (!page.exceeds(maxBytes)) return;
       page.take(record.id);
       const bytes = sizeOf(record);
-      let part = page.splitOff.find((candidate) => candidate.fits(bytes, maxBytes));
-      if (!part) {
-        part = this.newPage();
-        page.splitOff.push(part);
+      let splitOffPage = page.splitOff.find((candidate) => candidate.fits(bytes, maxBytes));
+      if (!splitOffPage) {
+        splitOffPage = this.newPage();
+        page.splitOff.push(splitOffPage);
       }
-      this.put(record, part);
+      this.put(record, splitOffPage);
     }
   }
 
   /** Drops a page without machines once its removal is stored. */
   dropIfEmpty(page: MachinePage): void {
-    if (page.machines.size === 0 && page.isStored()) this.byKey.delete(page.key);
+    if (page.machines.size === 0 && page.isClean()) this.byKey.delete(page.key);
   }
 
   private put(record: MachineRecord, page: MachinePage): void {
--- a/src/workers/probe-window.ts
+++ b/src/workers/probe-window.ts
@@ -1,4 +1,4 @@
-/** Limits the number of requests in flight up to which probes are sent. */
+/** Limits the number of requests in flight while probes are sent. */
 
 /** Window sizes, in requests in flight. */
 const MIN_WINDOW = 8;
@@ -6,21 +6,21 @@
 const WINDOW_INCREASE = 12;
 /** Maximum window as a share of the maximum number of requests in flight. */
 const MAX_WINDOW_SHARE = 0.8;
-/** A timer that fires later than this counts as late; responses have waited at least as long. */
+/** A timer that fires with a longer delay than this is late; responses have waited unread for at least as long. */
 const LATE_TIMER_MS = 120;
-/** Number of consecutive timers on time after which this controller is no longer congested. */
-const MIN_TIMERS_ON_TIME = 10;
+/** Number of consecutive firings of the timer on time after which this controller is no longer congested. */
+const MIN_FIRINGS_ON_TIME = 10;
 
 /**
  * Congestion window for probes. After a failover every machine is probed; with hundreds of machines, a small controller
  * cannot handle that in addition to their heartbeats. Responses then wait unread until they time out, and the probes
- * are repeated. So the window depends on how late timers fire: it grows step by step while timers are on time, and is
- * halved when one is late.
+ * are repeated. So the window depends on the delay of a periodic timer: it grows step by step while the timer fires on
+ * time, and is halved each time it fires late.
  */
 export class ProbeWindow {
   private readonly maxWindow: number;
   private window: number;
-  private timersOnTime = MIN_TIMERS_ON_TIME;
+  private firingsOnTime = MIN_FIRINGS_ON_TIME;
 
   constructor(maxRequests: number) {
     this.maxWindow = Math.max(MIN_WINDOW, Math.floor(maxRequests * MAX_WINDOW_SHARE));
@@ -32,20 +32,21 @@
   }
 
   /**
-   * Whether a timer fired late recently. A request takes several turns of the event loop, so its response may be
+   * Whether the timer fired late recently. A request takes several turns of the event loop, so its response may be
    * delayed much longer than the timer.
    */
   isCongested(): boolean {
-    return this.timersOnTime < MIN_TIMERS_ON_TIME;
+    return this.firingsOnTime < MIN_FIRINGS_ON_TIME;
   }
 
-  timerFired(lateMs: number): void {
+  /** Adjusts the window after the timer has fired `lateMs` late. */
+  recordTimerDelay(lateMs: number): void {
     if (lateMs > LATE_TIMER_MS) {
-      this.timersOnTime = 0;
+      this.firingsOnTime = 0;
       this.window = Math.max(MIN_WINDOW, this.window >> 1);
       return;
     }
-    this.timersOnTime++;
+    this.firingsOnTime++;
     this.window = Math.min(this.maxWindow, this.window + WINDOW_INCREASE);
   }
 }
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -29,7 +29,7 @@
     return Object.assign(machine, {
       stored: true,
       reported: true,
-      shownToken: 100,
+      reportedToken: 100,
     } satisfies Partial<Machine>);
   };
   const gang = new TrackedJob<TaskAttempt>(
@@ -79,7 +79,7 @@
     all: () => [machine].values(),
   } satisfies Partial<MachineTable> as unknown as MachineTable;
   assert.equal(recordFailure(job, machine, table, 1000), false);
-  assert.ok(job.notBefore > 1000 && job.failedOn.has(4));
+  assert.ok(job.nextStartAt > 1000 && job.failedOn.has(4));
   expireFailedMachines(job, 20_000);
   assert.ok(job.failedOn.has(4), 'other machines are tried first');
   expireFailedMachines(job, 31_000);
@@ -90,7 +90,7 @@
   const job = new TrackedJob<TaskAttempt>(0, spec(), 1, 0, true, 0);
   job.finish(3, 100);
   assert.equal(job.isDurable(3), false);
-  job.finished.dirtyChunks.clear();
+  job.finished.dirtyBlocks.clear();
   assert.deepEqual([job.isDurable(3), job.isDurable(4)], [true, false]);
 });
 
@@ -167,7 +167,7 @@
     Object.assign(machine, {
       stored: true,
       reported: true,
-      shownToken: 100,
+      reportedToken: 100,
     } satisfies Partial<Machine>);
   }
 }
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -102,14 +102,14 @@
     runtime,
     store,
     jobs,
-    txnOps: 4,
-    writeRps: 50,
-    valueBytes: 2048,
+    maxMutations: 4,
+    writesPerS: 50,
+    maxValueBytes: 2048,
     isLeader: () => true,
     leaderPrecondition: () => ({ key: 'boss', version: cluster.state.items.get('boss')!.version }),
     segmentPrecondition: () => null,
     hasNoAttempts: () => true,
-    jobEnded: (endedJob) => {
+    jobBecameTerminal: (endedJob) => {
       jobs.remove(endedJob);
     },
   });
