--- a/src/leadership/leader-autoscaler.ts
+++ b/src/leadership/leader-autoscaler.ts
@@ -65,7 +65,7 @@
   { lifecycle, intentLog }: AutoscalerContext,
 ): IntentActions {
   return new IntentActions({
-    intentLog: intentLog,
+    intentLog,
     direct: new DirectActions(cloud, () => lifecycle.nextRequestName(settings.node)),
     usesIntents: () => duties.usesIntents(),
     valueBytes: settings.maxValueKb * 1024,
