--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -60,46 +60,46 @@
 
 test('a leader that resumes after a pause starts nothing before it has read the cancellations confirmed meanwhile', async () => {
   const cluster = await clusterWithServices({ seed: 15, teamLimit: 30 });
-  const old = cluster.leader()!;
+  const leader = cluster.leader()!;
   // One array fills its team's limit, the other waits behind it.
   const array = { ...BATCH, team: 't0', tasks: 15, imageGb: 0 };
   void cluster.users.run(cluster.users.newJob({ ...array, durationS: 15 }), null);
   await cluster.run(6);
-  const waiting = cluster.users.newJob({ ...array, durationS: 5 });
-  void cluster.users.run(waiting, null);
+  const waitingArray = cluster.users.newJob({ ...array, durationS: 5 });
+  void cluster.users.run(waitingArray, null);
   await cluster.run(1);
   partitionControllers(cluster);
-  cluster.state.rejectHost(`${old}:80`, 6500);
+  cluster.state.rejectHost(`${leader}:80`, 6500);
   await cluster.run(0.2);
-  void cluster.users.cancel(waiting.id, otherNode(cluster, old));
+  void cluster.users.cancel(waitingArray.id, otherNode(cluster, leader));
   await cluster.run(1.8);
-  const job = cluster.invariants.jobs.get(waiting.id)!;
+  const job = cluster.invariants.jobs.get(waitingArray.id)!;
   assert.notEqual(job.reportedCancelledAt, null, 'confirmed before the outage');
   assert.equal(job.firstStartAt, null);
   cluster.state.beginOutage(6000);
   cluster.state.slowReads = { byMs: 4000, until: cluster.clock.time + 30_000 };
   await cluster.run(40);
-  assert.equal(cluster.leader(), old);
+  assert.equal(cluster.leader(), leader);
   assert.deepEqual(cluster.invariants.startsAfterCancellationMs, []);
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
 test('a follower that extends leases for a crashed leader stops the tasks of a cancelled job and keeps all others running', async () => {
   const cluster = await clusterWithServices({ seed: 16 });
-  const old = cluster.leader()!;
-  cluster.crash(old, 60_000);
+  const crashedLeader = cluster.leader()!;
+  cluster.crash(crashedLeader, 60_000);
   await cluster.run(0.3);
-  const first = jobIds(cluster)[0];
-  void cluster.users.cancel(first, otherNode(cluster, old));
+  const cancelledJob = jobIds(cluster)[0];
+  void cluster.users.cancel(cancelledJob, otherNode(cluster, crashedLeader));
   await cluster.run(1.5);
   assert.notEqual(
-    cluster.invariants.jobs.get(first)!.reportedCancelledAt,
+    cluster.invariants.jobs.get(cancelledJob)!.reportedCancelledAt,
     null,
     'confirmed before the outage',
   );
   cluster.state.beginOutage(20_000);
   await cluster.run(6);
-  assert.equal(runningTasksOf(cluster, first), 0);
+  assert.equal(runningTasksOf(cluster, cancelledJob), 0);
   assert.equal(cluster.invariants.placesByTask.size, 9, 'all other tasks keep running');
   await cluster.run(30);
   assert.deepEqual(cluster.invariants.violations, []);
@@ -109,7 +109,7 @@
   test(`no task restarts in an outage far longer than a lease while all controllers attest for each other (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
     const { starts } = cluster.invariants;
-    const { cancelledJob, formerLeader } = await cancelDuringRejection(cluster, 14_000);
+    const { cancelledJob, leader } = await cancelDuringRejection(cluster, 14_000);
     assert.equal(
       runningTasksOf(cluster, cancelledJob),
       0,
@@ -117,7 +117,7 @@
     );
     cluster.state.beginOutage(2 * CANCEL_MS);
     await cluster.run(2 * (CANCEL_MS / 1000) + 10);
-    assert.equal(cluster.leader(), formerLeader);
+    assert.equal(cluster.leader(), leader);
     assert.equal(cluster.invariants.placesByTask.size, 9);
     assert.equal(cluster.invariants.starts, starts, 'no task was restarted');
     assert.deepEqual(cluster.invariants.violations, []);
@@ -126,28 +126,28 @@
 for (const seed of [31, 32])
   test(`a cancelled job stops in time although the controller that confirmed it restarts and forgets it while the state service is down (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
-    const old = cluster.leader()!;
-    const confirming = otherNode(cluster, old);
+    const leader = cluster.leader()!;
+    const confirming = otherNode(cluster, leader);
     cluster.network.partitions.push({
       a: (host) => host === `${confirming}:80`,
       b: (host) => cluster.isNode(host),
       until: cluster.clock.time + 2100,
       mode: 'reset',
     });
-    cluster.state.rejectHost(`${old}:80`, 14_000);
+    cluster.state.rejectHost(`${leader}:80`, 14_000);
     await cluster.run(0.2);
-    const first = jobIds(cluster)[0];
-    void cluster.users.cancel(first, confirming);
+    const cancelledJob = jobIds(cluster)[0];
+    void cluster.users.cancel(cancelledJob, confirming);
     await cluster.run(1.75);
     assert.notEqual(
-      cluster.invariants.jobs.get(first)!.reportedCancelledAt,
+      cluster.invariants.jobs.get(cancelledJob)!.reportedCancelledAt,
       null,
       'confirmed before the outage',
     );
     cluster.state.beginOutage(CANCEL_MS + 8000);
     cluster.crash(confirming, 100);
     await cluster.run(CANCEL_MS / 1000 + 4);
-    assert.equal(runningTasksOf(cluster, first), 0);
+    assert.equal(runningTasksOf(cluster, cancelledJob), 0);
     assert.deepEqual(cluster.invariants.violations, []);
   });
 
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -36,7 +36,7 @@
   starts: number;
 }
 
-/** Returns a log that adds the placement work of all leaders to `work`. */
+/** Returns a log that adds the placement cost of all leaders to `cost`. */
 export function logPlacementWork(work: PlacementWork): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
@@ -68,7 +68,7 @@
 export async function cancelDuringRejection(
   cluster: Cluster,
   rejectedMs: number,
-): Promise<{ cancelledJob: string; formerLeader: string }> {
+): Promise<{ cancelledJob: string; leader: string }> {
   const old = cluster.leader()!;
   cluster.state.rejectHost(`${old}:80`, rejectedMs);
   await cluster.run(0.2);
@@ -80,7 +80,7 @@
     null,
     'the cancellation is confirmed before the outage',
   );
-  return { cancelledJob: first, formerLeader: old };
+  return { cancelledJob: first, leader: old };
 }
 
 /** Duplicates heartbeats with this probability, up to four leases later, to the node that leads when they are sent. */
