--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -15,7 +15,7 @@
 } from './sim/faults.js';
 
 /** One test per seed: jobs arrive throughout, each second may bring a fault, and all jobs are served afterwards. */
-function faultCombination(
+function testFaultCombination(
   name: string,
   seeds: number[],
   faults: (cluster: Cluster, second: number) => void,
@@ -32,7 +32,7 @@
   testScenarios(name, seeds, eachSecond, config);
 }
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when old heartbeats, also of earlier incarnations and attempts, arrive after newer ones',
   [101, 102],
   (cluster, second) => {
@@ -42,7 +42,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when leaders change every few seconds, also during an outage of the state service',
   [111, 112],
   (cluster, second) => {
@@ -53,20 +53,20 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when a leader loses the state service and its peers, and jobs are cancelled through another controller',
   [121, 122, 123],
   (cluster, second) => {
     if (second % 30 !== 8) return;
-    const old = leaderOrRandomNode(cluster);
-    cluster.faults.isolate(old, 26_000, second < 30 ? 'hold' : 'reset');
+    const isolatedNode = leaderOrRandomNode(cluster);
+    cluster.faults.isolate(isolatedNode, 26_000, second < 30 ? 'hold' : 'reset');
     cluster.clock.after(5000, () => {
-      cluster.faults.cancelRunning(4, 7500, otherNode(cluster, old));
+      cluster.faults.cancelRunning(4, 7500, otherNode(cluster, isolatedNode));
     });
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when all controllers are frozen or down for longer than a lease',
   [131, 132],
   (cluster, second) => {
@@ -80,7 +80,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   "invariants hold and all jobs are served when machines can't reach any controller but receive commands",
   [141, 142],
   (cluster, second) => {
@@ -91,7 +91,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served with more jobs than capacity, urgent and not, over slow links',
   [151, 152],
   (cluster, second) => {
@@ -105,7 +105,7 @@
   { capacity: 3, ordinaryUp: 4, teamLimit: 40 },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when a zone with its workers and controllers is isolated, the leader crashes and jobs are cancelled',
   [161, 162],
   (cluster, second) => {
@@ -127,7 +127,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when the state service is slow and rejects the leader, then all nodes',
   [171, 172],
   (cluster, second) => {
@@ -140,7 +140,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when transactions without a response are executed late, after newer ones',
   [181, 182, 183],
   (cluster, second) => {
@@ -151,7 +151,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when commands are held for seconds, and machines hang and continue',
   [191, 192, 193],
   (cluster, second) => {
@@ -163,7 +163,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when a leader crashes while machines are unreachable or receive nothing from the new leader',
   [201, 202],
   (cluster, second) => {
@@ -184,7 +184,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when controllers hand leadership over and back, all crash, and one restarts at once',
   [211, 212],
   (cluster, second) => {
@@ -199,7 +199,7 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when jobs restricted to one zone lose machines',
   [221, 222],
   (cluster, second) => {
@@ -219,15 +219,15 @@
   },
 );
 
-faultCombination(
+testFaultCombination(
   'invariants hold and all jobs are served when delayed heartbeats reach a new leader after it has acted',
   [231, 232],
   (cluster, second) => {
     if (second % 15 !== 6) return;
-    const old = leaderOrRandomNode(cluster);
+    const crashedNode = leaderOrRandomNode(cluster);
     duplicateHeartbeats(cluster, 0.5);
     cluster.clock.after(800, () => {
-      cluster.crash(old, 150);
+      cluster.crash(crashedNode, 150);
     });
     cluster.clock.after(4000, () => (cluster.network.duplicates = null));
     cluster.clock.after(6000, () => {
