--- a/test/failover-faults.test.ts
+++ b/test/failover-faults.test.ts
@@ -32,10 +32,10 @@
 
 test('a duplicated heartbeat that reaches a new leader first stops no running task', async () => {
   const cluster = await clusterWithService(15);
-  const before = new Map(
+  const machineByTask = new Map(
     [...cluster.invariants.placesByTask].map(([task, places]) => [task, places[0].machine]),
   );
-  const staleHeartbeat: WorkerHeartbeat = {
+  const fabricatedHeartbeat: WorkerHeartbeat = {
     machine: 'i-999999',
     endpoint: 'w-i-999999:9000',
     machineType: 't16',
@@ -45,7 +45,7 @@
     sequence: 40,
     token: 1,
     preemptionNoticeS: null,
-    tasks: [...before.keys()].map((task) => ({ task, attempt: 7, state: 'running' })),
+    tasks: [...machineByTask.keys()].map((task) => ({ task, attempt: 7, state: 'running' })),
   };
   cluster.crash(cluster.leader()!, 4000);
   // The duplicate arrives before any heartbeat of the machines themselves.
@@ -55,17 +55,17 @@
     until: cluster.clock.time + 5000,
     mode: 'hold',
   });
-  for (let second = 0; second < 60; second++) {
+  for (let step = 0; step < 60; step++) {
     const heartbeat = encodeHeartbeat({
-      ...staleHeartbeat,
-      sequence: staleHeartbeat.sequence + second,
+      ...fabricatedHeartbeat,
+      sequence: fabricatedHeartbeat.sequence + step,
     });
     for (const name of cluster.nodeNames)
       void cluster.network.send('copy', `${name}:80`, 'POST', HEARTBEAT_PATH, heartbeat, 4000);
     await cluster.run(0.1);
   }
   await cluster.run(20);
-  for (const [task, machine] of before)
+  for (const [task, machine] of machineByTask)
     assert.equal(cluster.invariants.placesByTask.get(task)?.[0]?.machine, machine, task);
   assert.deepEqual(cluster.invariants.violations, []);
 });
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -43,7 +43,7 @@
     mode: 'hold',
   });
   const statuses = new Set<number>();
-  for (let second = 0; second < 20; second++) {
+  for (let step = 0; step < 20; step++) {
     for (const body of copies)
       void cluster.network
         .send('copy', `${cluster.leader() ?? 'n0'}:80`, 'POST', HEARTBEAT_PATH, body, 4000)
