--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -155,11 +155,11 @@
     seeds,
     eachSecond,
     {},
-    assertAllGangsServed,
+    assertAllGangsDone,
   );
 }
 
-function assertAllGangsServed({ cluster }: ScenarioOutcome): void {
+function assertAllGangsDone({ cluster }: ScenarioOutcome): void {
   assert.ok(cluster.gangs.begun > 10, `${cluster.gangs.begun} gangs started`);
   for (const [id, job] of cluster.invariants.jobs)
     if (job.spec.kind === 'gang' && job.reportedAccepted && !job.cancelRequested)
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
 import { BATCH, SERVICE } from './sim/jobs.js';
-import { type PlacementWork, logPlacementWork } from './sim/faults.js';
+import { type PlacementCost, logPlacementCost } from './sim/faults.js';
 import type { JobSubmission } from './sim/wire/users.js';
 
 const MACHINES = 4000;
@@ -11,8 +11,8 @@
 const LEASE_MS = 30_000;
 
 /** Returns a cluster with a running fleet, and the total placement work of all its leaders. */
-function largeFleet(seed: number): { cluster: Cluster; work: PlacementWork } {
-  const work: PlacementWork = { cycles: 0, candidatesExamined: 0, starts: 0 };
+function largeFleet(seed: number): { cluster: Cluster; placementCost: PlacementCost } {
+  const placementCost: PlacementCost = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
     seed,
     nodes: 3,
@@ -26,9 +26,9 @@
     cloudRps: 3,
     pollMs: 400,
     state: { rps: 200, writeRps: 30 },
-    log: logPlacementWork(work),
+    log: logPlacementCost(placementCost),
   });
-  return { cluster, work };
+  return { cluster, placementCost };
 }
 
 function submit(cluster: Cluster, count: number, job: Partial<JobSubmission>): void {
@@ -49,20 +49,24 @@
  * Asserts that no invariant is violated, that requests to the cloud and the state service stay within bounds, and that
  * placement work is proportional to the number of started tasks.
  */
-function assertProportionateWork(cluster: Cluster, work: PlacementWork, seconds: number): void {
+function assertLoadWithinBounds(
+  cluster: Cluster,
+  placementCost: PlacementCost,
+  seconds: number,
+): void {
   assert.deepEqual(cluster.invariants.violations, []);
   assert.equal(cluster.cloud.received.tooMany, 0);
   const { received } = cluster.state;
   assert.ok(received.requests < 90 * seconds, `${received.requests} requests in ${seconds} s`);
   assert.ok(received.tooMany < 60, `${received.tooMany} requests over the limits`);
   assert.ok(
-    work.candidatesExamined < 100 * work.starts,
-    `${work.candidatesExamined} candidates examined for ${work.starts} starts`,
+    placementCost.candidatesExamined < 100 * placementCost.starts,
+    `${placementCost.candidatesExamined} candidates examined for ${placementCost.starts} starts`,
   );
 }
 
 test('with a full fleet of 4,000 machines, invariants hold and work is bounded despite a leader crash, an isolated zone, a crash of all controllers, a state service outage and cancellations', async () => {
-  const { cluster, work } = largeFleet(3);
+  const { cluster, placementCost } = largeFleet(3);
   await cluster.run(14);
   submitInitialJobs(cluster);
   await cluster.run(14);
@@ -90,6 +94,6 @@
   cluster.faultsEndedAt = cluster.clock.time;
   await cluster.run(60);
   cluster.invariants.checkServed();
-  assertProportionateWork(cluster, work, 171);
+  assertLoadWithinBounds(cluster, placementCost, 171);
   assert.ok(cluster.invariants.starts < 2.5 * MACHINES, `${cluster.invariants.starts} starts`);
 });
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { CloudMachine } from './sim/cloud.js';
 import { Cluster } from './sim/cluster.js';
-import { logPlacementWork } from './sim/faults.js';
+import { logPlacementCost } from './sim/faults.js';
 
 const submitService = (cluster: Cluster): void =>
   void cluster.users.run(
@@ -47,7 +47,7 @@
 }
 
 test('with hundreds of machines, invariants hold and work is proportional to events', async () => {
-  const work = { cycles: 0, candidatesExamined: 0, starts: 0 };
+  const placementCost = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
     seed: 5,
     nodes: 5,
@@ -58,7 +58,7 @@
     reportMs: 3000,
     leaseMs: 15_000,
     state: { rps: 200, writeRps: 30 },
-    log: logPlacementWork(work),
+    log: logPlacementCost(placementCost),
   });
   await cluster.run(3);
   let submitted = 0;
@@ -76,8 +76,8 @@
   const { received } = cluster.state;
   // A scheduling cycle examines each machine at most once per waiting job, not once per task.
   assert.ok(
-    work.candidatesExamined < 150 * work.starts,
-    `${work.candidatesExamined} candidates examined for ${work.starts} starts`,
+    placementCost.candidatesExamined < 150 * placementCost.starts,
+    `${placementCost.candidatesExamined} candidates examined for ${placementCost.starts} starts`,
   );
   assert.ok(
     received.changes < 6 * submitted + 400,
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -30,18 +30,18 @@
 }
 
 /** Cost of placement, summed over the rounds that the leaders log. */
-export interface PlacementWork {
+export interface PlacementCost {
   cycles: number;
   candidatesExamined: number;
   starts: number;
 }
 
 /** Returns a log that adds the placement cost of all leaders to `cost`. */
-export function logPlacementWork(work: PlacementWork): NonNullable<ClusterConfig['log']> {
+export function logPlacementCost(cost: PlacementCost): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
     for (const figure of ['cycles', 'candidatesExamined', 'starts'] as const)
-      work[figure] += (fields as PlacementWork)[figure];
+      cost[figure] += (fields as PlacementCost)[figure];
   };
 }
 
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -31,8 +31,8 @@
   return new TeamUsage([{ name: 't', cpus: 0, gpus: 0, cpusMax, gpusMax }]);
 }
 
-const startRequest = (over = {}): Parameters<TeamUsage['mayStart']>[0] => ({
-  spec: spec(over),
+const startRequest = (overrides = {}): Parameters<TeamUsage['mayStart']>[0] => ({
+  spec: spec(overrides),
   tasks: 1,
   headroomCpus: 0,
 });
@@ -174,10 +174,10 @@
 
 test('a late status of a removed gang task does not remove its replacement with the same number', () => {
   const { table, machine, job } = createAuditSetup(20, 1);
-  const [old] = machine.attempts.values();
-  table.removeAttempt(old, 0);
+  const [removedAttempt] = machine.attempts.values();
+  table.removeAttempt(removedAttempt, 0);
   const replacement = table.addAttempt(machine, 'run-1', job, 0, 0, 0);
-  table.removeAttempt(old, 0);
+  table.removeAttempt(removedAttempt, 0);
   assert.deepEqual([...machine.attempts.values()], [replacement]);
 });
 
