--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -62,22 +62,22 @@
 
 test('a list of 4,000 machines is read in pages within the rate limit and leaves calls for rentals', async () => {
   const setup = await createSetup();
-  let rentals = 0;
-  const rentEachSecond = (): void => {
+  let requestCount = 0;
+  const requestEachSecond = (): void => {
     if (setup.cloud.tryAcquireCall()) {
-      rentals++;
-      void setup.cloud.requestMachines(`r-${rentals}`, 't16', 'b', false, 1);
+      requestCount++;
+      void setup.cloud.requestMachines(`r-${requestCount}`, 't16', 'b', false, 1);
     }
-    setup.clock.after(1000, rentEachSecond);
+    setup.clock.after(1000, requestEachSecond);
   };
-  setup.clock.after(500, rentEachSecond);
+  setup.clock.after(500, requestEachSecond);
   for (let round = 0; round < 4; round++) {
     const startedAt = setup.clock.time;
     const list = await listWithin(setup, 12_000);
     assert.equal(new Set(list?.map((m) => m.id)).size, MACHINES, `round ${round} at ${startedAt}`);
   }
   assert.equal(setup.service.received.tooMany, 0);
-  assert.ok(rentals >= 40, `${rentals} rentals in 48 s`);
+  assert.ok(requestCount >= 40, `${requestCount} rentals in 48 s`);
   const pages = MACHINES / 500;
   assert.ok(
     setup.cloud.minListIntervalMs() >= (1000 * pages) / (RPS / 2),
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -72,9 +72,9 @@
     const node = cluster.nodeNames.find((name) => name === cluster.leader()) ?? 'n1';
     const requestedAt = cluster.clock.time;
     const { method, path, body } = cancelRequest(id);
-    const reply = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
-    cluster.invariants.recordResponse(id, decodeJobResponse(reply), requestedAt);
-    if (reply.status !== 200) cluster.clock.after(500, () => void cancel());
+    const response = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
+    cluster.invariants.recordResponse(id, decodeJobResponse(response), requestedAt);
+    if (response.status !== 200) cluster.clock.after(500, () => void cancel());
   };
   cluster.clock.after(3800, () => void cancel());
   await cluster.run(40);
