--- a/test/cancellation-faults.test.ts
+++ b/test/cancellation-faults.test.ts
@@ -1,4 +1,7 @@
-/** Cancellations combined with other faults, one specific combination per test. docs/safety.md has a row for each. */
+/**
+ * Cancellations combined with other faults, one specific combination per test; docs/safety.md lists them, one row for
+ * each.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CANCEL_MS, LEASE_MS } from './sim/cluster-config.js';
@@ -13,13 +16,13 @@
 } from './sim/faults.js';
 
 for (const seed of [1, 2, 3])
-  test(`a job cancelled while the state service rejects the leader stops in time although an outage for all nodes follows (${seed})`, async () => {
+  test(`a job cancelled while the state service rejects the leader stops in time although an outage for all controllers follows (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
-    // Controllers can't reach each other, so that only the bound on lease renewals helps.
+    // Controllers can't reach each other, so only the bound on lease renewals can stop the cancelled job.
     partitionControllers(cluster);
     const { cancelledJob } = await cancelDuringRejection(cluster, 14_000);
     cluster.state.beginOutage(CANCEL_MS + 12_000);
-    // Its machines hang at the end of their leases, then continue.
+    // The job's machines hang at the end of their leases, then continue.
     for (const place of cluster.invariants.placesByTask.get(`${cancelledJob}/0`) ?? [])
       cluster.clock.after(CANCEL_MS / 2, () => {
         cluster.faults.hangMachine(place.machine, LEASE_MS);
@@ -33,7 +36,7 @@
   });
 
 for (const seed of [11, 12, 13, 14])
-  test(`a suspended leader that resumes before it has read the cancellations confirmed meanwhile violates no invariant (${seed})`, async () => {
+  test(`a suspended leader that resumes before it has read the cancellations confirmed meanwhile stops the cancelled job in time and keeps all others running (${seed})`, async () => {
     let resumed = false;
     const cluster = await clusterWithServices({
       seed,
@@ -45,11 +48,11 @@
     partitionControllers(cluster);
     await cancelDuringRejection(cluster, 15_500);
     cluster.state.beginOutage(14_000);
-    // Renewals get a response at once, reads only seconds later.
+    // Renewals get a response at once; reads get one only seconds later.
     cluster.state.slowReads = { byMs: 5000, until: cluster.clock.time + 20_000 };
     for (let i = 0; i < 500 && !resumed; i++) await cluster.run(0.05);
     assert.ok(resumed, 'the leadership claim was still valid after the outage');
-    // Heartbeats arrive, and get a response or not; then the machines hang for nearly a lease.
+    // Heartbeats arrive, with or without a response; then the machines hang for nearly a lease.
     await cluster.run(1.8);
     for (const machine of cluster.cloud.machines.values())
       if (machine.worker) cluster.faults.hangMachine(machine.id, LEASE_MS - 500);
@@ -58,10 +61,10 @@
     assert.equal(cluster.invariants.placesByTask.size, 9, 'all other tasks run again');
   });
 
-test('a leader that resumes after a pause starts nothing before it has read the cancellations confirmed meanwhile', async () => {
+test('a suspended leader that resumes starts nothing before it has read the cancellations confirmed meanwhile', async () => {
   const cluster = await clusterWithServices({ seed: 15, teamLimit: 30 });
   const leader = cluster.leader()!;
-  // One array fills its team's limit, the other waits behind it.
+  // One array fills its team's limit; the other waits for it to end.
   const array = { ...BATCH, team: 't0', tasks: 15, imageGb: 0 };
   void cluster.users.run(cluster.users.newJob({ ...array, durationS: 15 }), null);
   await cluster.run(6);
@@ -106,7 +109,7 @@
 });
 
 for (const seed of [21, 22])
-  test(`no task restarts in an outage far longer than a lease while all controllers attest for each other (${seed})`, async () => {
+  test(`no task restarts in an outage far longer than a lease while all controllers exchange attestations of what they confirmed (${seed})`, async () => {
     const cluster = await clusterWithServices({ seed });
     const { starts } = cluster.invariants;
     const { cancelledJob, leader } = await cancelDuringRejection(cluster, 14_000);
--- a/test/failover-faults.test.ts
+++ b/test/failover-faults.test.ts
@@ -30,7 +30,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a duplicated heartbeat that reaches a new leader first stops no running task', async () => {
+test('a heartbeat from an unknown machine that claims all running tasks stops none of them, even if it reaches a new leader first', async () => {
   const cluster = await clusterWithService(15);
   const machineByTask = new Map(
     [...cluster.invariants.placesByTask].map(([task, places]) => [task, places[0].machine]),
@@ -48,7 +48,7 @@
     tasks: [...machineByTask.keys()].map((task) => ({ task, attempt: 7, state: 'running' })),
   };
   cluster.crash(cluster.leader()!, 4000);
-  // The duplicate arrives before any heartbeat of the machines themselves.
+  // The fabricated heartbeat arrives before any heartbeat of the machines themselves.
   cluster.network.partitions.push({
     a: (host) => host.startsWith('w-'),
     b: (host) => cluster.nodeNames.some((n) => host === `${n}:80`),
@@ -70,14 +70,15 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('when two zones are partitioned and the leader is isolated at once, tasks on both sides run on beyond their leases', async () => {
+test('when two zones are partitioned and the leader is isolated at the same time, tasks on both sides run on beyond their leases', async () => {
   let unusable = {};
   const leaseMs = 10_000;
   const cluster = new Cluster({
     seed: 27,
     nodes: 5,
     ordinaryUp: 8,
-    // A worker may need 7 s to find a controller that it can reach; one in zone b may first try two of zone a.
+    // A worker may need 7 s to find a controller that it can reach; one in zone b may first try two
+    // controllers in zone a.
     leaseMs,
     log: (_node, text, fields) => {
       if (text === 'round') unusable = (fields as { unusable: object }).unusable;
@@ -110,13 +111,14 @@
   assert.equal(cluster.invariants.starts, starts, 'no task was restarted');
   assert.equal(cluster.invariants.placesByTask.size, 12);
   assert.deepEqual(cluster.invariants.violations, []);
-  // Machines that did not respond are probed until they do, however long their heartbeats have been arriving again:
-  // otherwise they would get no tasks. A machine rented a moment ago may not be stored yet in the last round.
+  // The leader probes each machine that did not respond until it does, even if its heartbeats have been arriving again
+  // for a long time; otherwise the machine would get no tasks. The run takes two more rounds, since a machine that was
+  // rented recently may not be stored yet at the last round.
   await cluster.run(2 * defaultOperatorSettings().round_s);
   assert.deepEqual(unusable, {});
 });
 
-test('a failover with an unreachable zone waits only until its leases expire, and the next failover does not wait', async () => {
+test("a failover with an unreachable zone waits only until the zone's leases expire, and the next failover does not wait", async () => {
   const recoveryCompletedAt: number[] = [];
   let servingSince = 0;
   const cluster: Cluster = new Cluster({
@@ -132,7 +134,7 @@
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(12);
-  // The leader must be in zone a, since zone b with its two controllers is the zone to be lost.
+  // The leader must be in zone a, since zone b with its two controllers is isolated below.
   await ensureLeaderInZoneA(cluster);
   const inB = cluster.faults.isHostIn('b');
   cluster.network.partitions.push({
--- a/test/failover-recovery.test.ts
+++ b/test/failover-recovery.test.ts
@@ -1,4 +1,4 @@
-/** The recovery after a failover with many machines: its cost, and the precedence of leases over new work. */
+/** The recovery after a failover with many machines: its cost, and the precedence of leases over new tasks. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { FailoverRecovery } from '../src/leadership/failover-recovery.js';
@@ -54,8 +54,8 @@
   return { machines, recovery, reads: () => reads };
 }
 
-// Each heartbeat used to read every machine: 16 million reads at the time when a new leader is busiest.
-test('a recovery with 4,000 machines checks each of them once, in whatever order they report', () => {
+// A heartbeat must not read every machine: that would be 16 million reads at the time when a new leader is busiest.
+test('a recovery with 4,000 machines checks each machine once, in whatever order the machines report', () => {
   for (const inReverse of [false, true]) {
     const { machines, recovery, reads } = recoveryAwaitingMachines();
     if (inReverse) machines.reverse();
@@ -70,9 +70,9 @@
   }
 });
 
-// On the platform anketsis-pazar, a new leader started 1285 tasks of new jobs while 971 other tasks were lost because
-// nobody renewed their leases.
-test('while a recovering leader is congested, lease renewals take precedence over new work for half a lease at most', () => {
+// Otherwise a congested new leader starts tasks of new jobs while running tasks are lost because no controller renews
+// their leases: 1285 were started and 971 lost in one incident.
+test('while a recovering leader is congested, lease renewals take precedence over new tasks for half a lease at most', () => {
   const { machines, recovery } = recoveryAwaitingMachines();
   const beganAt = 5000;
   recovery.begin(beganAt);
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,4 +1,4 @@
-/** Failovers while machines are unreachable: team limits, cancellations and deletions. */
+/** Unreachable machines, with and without a failover: team limits, cancellations and deletions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -43,7 +43,7 @@
 }
 
 // Tasks that no heartbeat has reported to the new leader yet count against their team's limit: see `unconfirmedUsage`.
-test('a new job does not take its team over the limit while earlier tasks run on unreachable machines', async () => {
+test('a team whose earlier tasks run on unreachable machines stays within its limit when it submits a new job', async () => {
   const cluster = await clusterWithUnreachableMachines(3);
   await cluster.run(3);
   for (const team of ['t0', 't1'])
@@ -64,7 +64,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a job cancelled while its machines are unreachable stops in time, and none of its tasks starts again', async () => {
+test('a job cancelled while its machines are unreachable stops in time, and none of its tasks is restarted', async () => {
   const cluster = await clusterWithUnreachableMachines(4);
   const id = [...cluster.invariants.jobs.keys()][0];
   cluster.invariants.jobs.get(id)!.cancelRequested = true;
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -56,7 +56,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a node that the state service rejects alone becomes unhealthy; in an outage for all nodes, every node stays healthy', async () => {
+test('a controller becomes unhealthy if the state service rejects only this one; in an outage for all, every controller stays healthy', async () => {
   const cluster = new Cluster({ seed: 15 });
   await cluster.run(5);
   const poll = (n: string): Promise<JobResponse> =>
@@ -70,7 +70,11 @@
     [true, false, true],
   );
   await cluster.run(8);
-  assert.equal(cluster.isHealthy('n1'), true, 'the node becomes healthy again without a request');
+  assert.equal(
+    cluster.isHealthy('n1'),
+    true,
+    'the controller becomes healthy again without a request',
+  );
   cluster.state.beginOutage(6000);
   for (const name of cluster.nodeNames) await poll(name);
   await cluster.run(2);
