--- a/test/gang-capacity.test.ts
+++ b/test/gang-capacity.test.ts
@@ -4,7 +4,7 @@
 import { clusterWithoutLoss, machinesOfJob, submit, runUntil } from './sim/gang-scenarios.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 
-test('a starting gang that finds no room for a lost task releases its capacity to other jobs at once', async () => {
+test('a starting gang without capacity to replace a lost task releases its machines to other jobs at once', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 18,
     capacity: 0,
@@ -28,7 +28,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('after a preemption notice, a gang that fits nowhere else runs on while there is time and then still saves', async () => {
+test('after a preemption notice, a gang that fits nowhere else runs as long as possible and then saves a checkpoint if it is not done', async () => {
   for (const [graceMs, durationS] of [
     [20_000, 10],
     [9000, 14],
@@ -55,7 +55,7 @@
     assert.equal(cluster.gangs.begun, 1);
     if (durationS < 12)
       assert.equal(job.finishedTasks.size, 4, 'done before the machine is preempted');
-    else assert.ok(job.progressMs > 4000, `${job.progressMs} ms are saved`);
+    else assert.ok(job.progressMs > 4000, `${job.progressMs} ms of progress are saved`);
     assert.deepEqual(cluster.invariants.violations, []);
   }
 });
@@ -122,7 +122,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('gangs that together need more capacity than there is never occupy it partially, and all are done in turn', async () => {
+test('gangs that together need more capacity than there is never occupy it partially, and all are done one after another', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 6,
     capacity: 1,
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -132,7 +132,10 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** Defines a test per seed: gangs are submitted beside all other jobs, under faults, and must all finish. */
+/**
+ * Declares a test for each seed: gangs are submitted beside all other jobs, under faults, and all gangs that are not
+ * cancelled must be done.
+ */
 function testGangScenarios(
   name: string,
   seeds: number[],
@@ -151,7 +154,7 @@
     faults(cluster, second);
   };
   testScenarios(
-    `invariants hold and all gangs finish when ${name}`,
+    `${name}: all gangs are done and no invariant is violated`,
     seeds,
     eachSecond,
     {},
@@ -214,7 +217,7 @@
 );
 
 testGangScenarios(
-  'heartbeats are duplicated late, commands are held and transactions are executed late',
+  'late duplicates of heartbeats arrive, commands are held and transactions are executed late',
   [41, 42],
   (cluster, second) => {
     duplicateHeartbeats(cluster, 0.15);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -1,4 +1,7 @@
-/** A fleet of 4,000 machines: invariants hold, and work grows with events, not with the square of the fleet size. */
+/**
+ * A fleet of 4,000 machines: the invariants hold, and the placement cost grows with the number of started tasks, not
+ * with the square of the fleet size.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -10,7 +13,7 @@
 const CPUS = 16;
 const LEASE_MS = 30_000;
 
-/** Returns a cluster with a running fleet, and the total placement work of all its leaders. */
+/** Returns a cluster with a running fleet, and the total placement cost of all its leaders. */
 function largeFleet(seed: number): { cluster: Cluster; placementCost: PlacementCost } {
   const placementCost: PlacementCost = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
@@ -47,7 +50,7 @@
 
 /**
  * Asserts that no invariant is violated, that requests to the cloud and the state service stay within bounds, and that
- * placement work is proportional to the number of started tasks.
+ * the placement cost is bounded per started task.
  */
 function assertLoadWithinBounds(
   cluster: Cluster,
@@ -65,7 +68,7 @@
   );
 }
 
-test('with a full fleet of 4,000 machines, invariants hold and work is bounded despite a leader crash, an isolated zone, a crash of all controllers, a state service outage and cancellations', async () => {
+test('a full fleet of 4,000 machines, a leader crash, an isolated zone, a crash of all controllers, a state service outage and cancellations: load is bounded and no invariant is violated', async () => {
   const { cluster, placementCost } = largeFleet(3);
   await cluster.run(14);
   submitInitialJobs(cluster);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,4 +1,4 @@
-/** Deployments of hundreds of machines with five controllers: the invariants hold, and the work stays within bounds. */
+/** Deployments of hundreds of machines with five controllers: the invariants hold, and the load stays within bounds. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CloudMachine } from './sim/cloud.js';
@@ -46,7 +46,7 @@
   if (second === 45) cluster.crash(cluster.leader()!, 200);
 }
 
-test('with hundreds of machines, invariants hold and work is proportional to events', async () => {
+test('hundreds of machines, crashes and preemptions: placement cost per started task and state service load per job are bounded, and no invariant is violated', async () => {
   const placementCost = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
     seed: 5,
@@ -119,7 +119,7 @@
     for (const name of cluster.nodeNames) cluster.crash(name, cluster.random.pick([200, 4000]));
 }
 
-test('with more than a thousand machines, invariants hold and work is bounded despite waves of killed and hanging machines, an isolated zone, a frozen leader and a crash of all controllers in an outage', async () => {
+test('more than a thousand machines, waves of killed and hanging machines, an isolated zone, a frozen leader and a crash of all controllers in an outage: load is bounded and no invariant is violated', async () => {
   let largestRound = { candidatesExamined: 0, starts: 1 };
   const cluster = new Cluster({
     seed: 8,
--- a/test/uneven-zones.test.ts
+++ b/test/uneven-zones.test.ts
@@ -1,6 +1,6 @@
 /**
- * A platform shaped like anketsis-pazar: three controllers, no running machine at the start, machines of the size of
- * one task beside large ones, and a zone with large machines only.
+ * A platform with uneven zones: three controllers, no running machine at the start, machines of the size of one task
+ * beside large ones, and a zone with large machines only.
  */
 import assert from 'node:assert/strict';
 import type { CloudPool } from './sim/cloud.js';
@@ -81,7 +81,7 @@
 }
 
 testScenarios(
-  'with one-task machines and a zone of large ones, all jobs are served despite a slow state service, a cloud outage, a rolling restart and an isolated zone',
+  'a slow state service, a cloud outage, a rolling restart and an isolated zone, with one-task machines and a zone of large ones: jobs are served and no invariant is violated',
   [41, 42],
   (cluster, second) => {
     submitJobs(cluster, second);
@@ -100,7 +100,7 @@
 );
 
 testScenarios(
-  'on a full fleet, teams within and beyond their guarantees, with urgent and normal jobs, do not preempt each other in turn',
+  'urgent and normal jobs of teams within and beyond their guarantees on a full fleet do not preempt each other repeatedly',
   [43],
   (cluster, second) => {
     const arrays = { ...BATCH, spot: true, durationS: 5 };
