--- a/test/autoscaler.test.ts
+++ b/test/autoscaler.test.ts
@@ -1,4 +1,7 @@
-/** The autoscaler with a fake cloud that only records calls: failure detection, scale-out and scale-in. */
+/**
+ * The autoscaler with a fake cloud that only records calls: failure detection, scale-out and scale-in; also when
+ * `MachineTable` measures run times.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 
@@ -6,7 +9,7 @@
 
 const machineIds = (zone: string): string[] => [...Array(10).keys()].map((i) => `${zone}${i}`);
 
-test('a zone that becomes unreachable as a whole is quarantined but kept: only machines with replicas whose leases nobody extends are deleted', async () => {
+test('no machines are requested in a zone that is unreachable as a whole, and its machines are kept, except those with replicas whose leases nobody extends', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   for (const machine of harness.table.all())
@@ -21,7 +24,11 @@
   await harness.advance(LEASE_S * 0.25, (m) => m.zone !== 'c');
   assert.deepEqual([...harness.deleted].sort(), ['c0', 'c1', 'c2']);
   await harness.advance(40, (m) => m.zone !== 'c');
-  assert.equal(harness.deleted.size, 3, 'the other machines are worth more than new ones');
+  assert.equal(
+    harness.deleted.size,
+    3,
+    'the other machines are kept rather than replaced by new ones',
+  );
   await harness.advance(15, () => true);
   assert.ok(
     harness.requestedZones.has('a') && !harness.requestedZones.has('c'),
@@ -85,7 +92,7 @@
   assert.deepEqual([...harness.deleted], ['b4']);
 });
 
-test('when machines of all zones become unreachable at once, the leader counts as partitioned and deletes none', async () => {
+test('when machines of all zones become unreachable at once, the leader considers itself isolated and deletes none', async () => {
   const harness = new AutoscalerHarness(10);
   await harness.advance(5, () => true);
   await harness.advance(30, (m) => Number(m.id.slice(1)) < 5);
@@ -103,7 +110,7 @@
   assert.deepEqual([...harness.deleted], ['a3']);
 });
 
-test('after a failover, the last machines and a zone whose leases nobody extends are deleted within seconds, not after a lease', async () => {
+test('after a failover, unreachable machines that delay the recovery are deleted within seconds, not after a lease, even if the leader lags or a whole zone without controllers is unreachable', async () => {
   const harness = new AutoscalerHarness(10);
   for (const machine of harness.table.all()) machine.commandFailures = 2;
   harness.isLagging = true;
@@ -118,7 +125,7 @@
   assert.deepEqual([...harness.deleted], ['a7']);
 });
 
-test('a new leader requests no machines in a partitioned zone and does not count on those already requested there', async () => {
+test('a new leader requests no machines in a partitioned zone and does not count on machines requested there earlier', async () => {
   const harness = new AutoscalerHarness(10);
   // The target is twice the demand plus 100 CPUs; with the 240 CPUs below there would be enough.
   harness.demand = 140;
@@ -137,10 +144,10 @@
   assert.ok(harness.requestedZones.size > 0);
 });
 
-test('without any work, idle machines are deleted even if cost is not minimized', async () => {
+test('without any demand, idle machines are deleted even if cost is not minimized', async () => {
   const harness = new AutoscalerHarness(5);
   await harness.advance(40, () => true);
-  assert.equal(harness.deleted.size, 0, 'spare machines are kept while there is work');
+  assert.equal(harness.deleted.size, 0, 'spare machines are kept while there is demand');
   harness.demand = 0;
   harness.requestedZones.clear();
   await harness.advance(20, () => true);
--- a/test/cloud.test.ts
+++ b/test/cloud.test.ts
@@ -12,7 +12,7 @@
 
 const RPS = 3;
 const MACHINES = 4000;
-/** Duration of a call, so short that only the call budget keeps a list within the rate. */
+/** Duration of a call, so short that only the call budget keeps a list within the rate limit. */
 const CALL_MS = 40;
 
 interface Setup {
@@ -21,7 +21,7 @@
   cloud: Cloud;
 }
 
-/** Creates a cloud with many machines; `rejectCall` may respond to a call in its place. */
+/** Creates a cloud with many machines. A call to which `rejectCall` returns a response does not reach the service. */
 async function createSetup(
   rejectCall: (path: string) => HttpResponse | null = () => null,
 ): Promise<Setup> {
@@ -60,7 +60,7 @@
   return result;
 }
 
-test('a list of 4,000 machines is read in pages within the rate limit and leaves calls for rentals', async () => {
+test('a list of 4,000 machines is read in pages within the rate limit and leaves calls to request machines', async () => {
   const setup = await createSetup();
   let requestCount = 0;
   const requestEachSecond = (): void => {
@@ -77,7 +77,7 @@
     assert.equal(new Set(list?.map((m) => m.id)).size, MACHINES, `round ${round} at ${startedAt}`);
   }
   assert.equal(setup.service.received.tooMany, 0);
-  assert.ok(requestCount >= 40, `${requestCount} rentals in 48 s`);
+  assert.ok(requestCount >= 40, `${requestCount} requests for machines in 48 s`);
   const pages = MACHINES / 500;
   assert.ok(
     setup.cloud.minListIntervalMs() >= (1000 * pages) / (RPS / 2),
@@ -100,7 +100,7 @@
   assert.deepEqual([rejected, pages], [1, MACHINES / 500 + 1]);
 });
 
-test('a list that is no longer wanted sends no further calls', async () => {
+test('a listing that is aborted sends no further calls', async () => {
   const setup = await createSetup();
   let wanted = true;
   let ended = false;
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,4 +1,7 @@
-/** Placement of tasks and gangs: order of jobs, relocation, preemption, failures and stragglers. */
+/**
+ * Placement of tasks and gangs: order of jobs, relocation, preemption, failures and stragglers; also when a finished
+ * task is durable.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { JobTable } from '../src/jobs/job-table.js';
@@ -107,11 +110,11 @@
   assert.equal(
     detectStragglers(samples, 1.5, 2).has(9),
     false,
-    'as many jobs run no longer there than elsewhere',
+    'for as many other jobs, the run time there is not longer',
   );
 });
 
-test('jobs that can still meet their goal are served before those that cannot, the smallest first', () => {
+test('jobs are served by rank, then by the first finish goal that they can still meet, then the smallest first', () => {
   const goals = finishGoals([
     { kind: 'finished', jobClass: 'batch', withinS: 250 },
     { kind: 'finished', jobClass: 'batch', withinS: 90 },
@@ -172,9 +175,9 @@
   }
 }
 
-// On the platform anketsis-pazar, seven of ten started tasks were preempted again: urgent arrays beyond their team's
-// guarantee preempted normal ones within theirs, and these preempted the urgent ones.
-test('two teams on a full fleet do not preempt each other in turn', () => {
+// Urgent arrays beyond their team's guarantee must not preempt normal ones within theirs, since these would preempt the
+// urgent ones again: seven of ten started tasks were preempted in one incident.
+test('two teams on a full fleet do not preempt each other repeatedly', () => {
   const jobs = new JobTable();
   const { table, placement } = createPlacement(jobs, {
     teams: [
@@ -216,8 +219,8 @@
   assert.equal(urgent.attempts.size, 0);
 });
 
-// Incident fleet-loss: when a zone was lost, replicas that were not allowed in the other zones used up the candidates
-// of each scheduling cycle.
+// When a zone is lost, replicas that are not allowed in the other zones must not use up the candidate budget of each
+// scheduling cycle, which is the number of machines that it may examine.
 test('replicas that fit in no allowed zone do not keep other jobs waiting', () => {
   const jobs = new JobTable();
   const { table, placement } = createPlacement(jobs, {
@@ -245,9 +248,9 @@
   assert.equal(array.attempts.size, 10);
 });
 
-// With 4,000 machines, seven shapes that fit no machine use up the candidates of a scheduling cycle, and each cycle
-// used to begin with the same seven.
-test('with 4,000 machines, shapes that fit no machine do not starve those behind them', () => {
+// With 4,000 machines, seven jobs with different requirements that no machine meets use up the candidate budget of a
+// scheduling cycle, so the next cycle must not begin with the same seven.
+test('with 4,000 machines, jobs whose requirements no machine meets do not keep jobs of lower priority waiting', () => {
   const jobs = new JobTable();
   const { table, placement } = createPlacement(jobs, {
     teams: [{ name: 't', cpus: 0, gpus: 0, cpusMax: Infinity, gpusMax: Infinity }],
--- a/test/probe-window.test.ts
+++ b/test/probe-window.test.ts
@@ -1,4 +1,4 @@
-/** The number of concurrent probes of a leader depends on whether it keeps up. */
+/** The number of concurrent probes of a leader, which depends on whether its timers fire on time. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { ProbeWindow } from '../src/workers/probe-window.js';
@@ -31,7 +31,7 @@
   );
 });
 
-test('the probe window of a node with a low request limit stays within that limit', () => {
+test('the probe window of a controller with a low request limit stays within that limit', () => {
   const probes = new ProbeWindow(10);
   for (let i = 0; i < 20; i++) probes.timerFired(ON_TIME_MS);
   assert.ok(probes.size() >= 1 && probes.size() <= 10);
--- a/test/quota.test.ts
+++ b/test/quota.test.ts
@@ -1,9 +1,8 @@
 /**
- * Guards against releasing an attempt twice, which let a team exceed its limit. Workers that could not reach any
- * controller for a lease had killed their tasks and begun new incarnations, while starts that the leader had sent to
- * the old incarnations were still in transit. The heartbeat of the new incarnation released these attempts, and the
- * rejection of the start, which arrived a moment later, released them again. From then on the leader counted 12 CPUs
- * while 32 were in use, against a limit of 20.
+ * Guards against subtracting an attempt from its team's usage twice, which lets the team exceed its limit. Workers that
+ * can't reach any controller for a lease kill their tasks and begin new incarnations, while starts sent to earlier ones
+ * may still be in transit. Both the heartbeat of the new incarnation and the later rejection of the start
+ * end the attempt. Subtracted twice, 32 CPUs in use were counted as 12, against a limit of 20.
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -34,7 +33,7 @@
 }
 
 for (const seed of [1, 5, 12])
-  test(`starts rejected by a worker's new incarnation are released once (${seed})`, async () => {
+  test(`a team stays within its limit when a worker's new incarnation rejects starts sent to the earlier one (${seed})`, async () => {
     const cluster = new Cluster({ seed, nodes: 3, teamLimit: TEAM_LIMIT, ordinaryUp: 6 });
     cluster.network.lossRate = 0;
     cluster.network.repeatRate = 0;
--- a/test/scaling-plan.test.ts
+++ b/test/scaling-plan.test.ts
@@ -1,4 +1,4 @@
-/** Which machines the autoscaler requests. */
+/** The plan that determines which machines the autoscaler requests. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { planScaleOut, type Pool } from '../src/autoscaler/scaling-plan.js';
--- a/test/team-usage.test.ts
+++ b/test/team-usage.test.ts
@@ -1,4 +1,7 @@
-/** The decision whether a team may use more resources, and the audit that detects wrong usage sums. */
+/**
+ * The decision whether a team may use more resources, the audit that detects wrong usage sums, and the counting of
+ * attempts in `MachineTable` on which both rely.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Job } from '../src/jobs/job.js';
@@ -37,7 +40,7 @@
   headroomCpus: 0,
 });
 
-test('a team may use what its limit leaves after everything that may be on machines is counted', () => {
+test("running and unconfirmed tasks count against a team's limit", () => {
   const usage = usageWithLimit(10, 1);
   assert.equal(usage.mayStart({ ...startRequest(), tasks: 5 }), true);
   assert.equal(usage.mayStart({ ...startRequest(), tasks: 6 }), false, 'a gang counts as a whole');
@@ -77,7 +80,7 @@
   errors: Record<string, unknown>[];
 }
 
-/** Creates an audit over one machine with `tasks` tasks, all of which are counted. */
+/** Creates an audit over one machine with `tasks` tasks, all of which count in the team's usage. */
 function createAuditSetup(cpusMax: number, tasks: number): AuditSetup {
   const usage = usageWithLimit(cpusMax);
   const errors: Record<string, unknown>[] = [];
@@ -161,7 +164,7 @@
   assert.equal(errors.length, 0);
 });
 
-test('an attempt that is removed twice is released once', () => {
+test("an attempt that is removed twice is subtracted from its team's usage once", () => {
   const { table, machine, usage } = createAuditSetup(20, 2);
   const [attempt] = machine.attempts.values();
   table.removeAttempt(attempt, 0);
@@ -181,11 +184,10 @@
   assert.deepEqual([...machine.attempts.values()], [replacement]);
 });
 
-// A machine's response was in transit when the machine's deletion was confirmed. The heartbeat in it was applied to a
-// machine that was no longer in the table: its tasks were counted from then on, no audit of machines covered them, and
-// none of them was ever started elsewhere. The audit's error showed both attempts removed at 130756 ms and added again
-// at 130757 ms.
-test('a heartbeat of a deleted machine is not applied and charges nothing', () => {
+// A machine's response may be in transit while the machine's deletion is confirmed. If the heartbeat in it were applied
+// to the machine, which is no longer in the table, its tasks would be added again (1 ms after their removal in one
+// incident): they would count from then on, no audit of machines would cover them, and none would be started elsewhere.
+test('a heartbeat of a deleted machine is not applied and adds no usage', () => {
   const { table, machine, job, usage } = createAuditSetup(20, 1);
   table.remove(machine, 0);
   const report = {
