--- a/test/failover-recovery.test.ts
+++ b/test/failover-recovery.test.ts
@@ -70,8 +70,8 @@
   }
 });
 
-// Otherwise a congested new leader starts tasks of new jobs while running tasks are lost because no controller renews
-// their leases: 1285 were started and 971 lost in one incident.
+// A congested new leader must renew leases before it starts tasks of new jobs. In one incident it started 1285 of these
+// while 971 other tasks were lost because no controller renewed their leases.
 test('while a recovering leader is congested, lease renewals take precedence over new tasks for half a lease at most', () => {
   const { machines, recovery } = recoveryAwaitingMachines();
   const beganAt = 5000;
--- a/test/faults.test.ts
+++ b/test/faults.test.ts
@@ -56,7 +56,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a controller becomes unhealthy if the state service rejects only this one; in an outage for all, every controller stays healthy', async () => {
+test('a controller becomes unhealthy if the state service rejects only that one; in an outage for all controllers, each stays healthy', async () => {
   const cluster = new Cluster({ seed: 15 });
   await cluster.run(5);
   const poll = (n: string): Promise<JobResponse> =>
--- a/test/gang-capacity.test.ts
+++ b/test/gang-capacity.test.ts
@@ -4,7 +4,7 @@
 import { clusterWithoutLoss, machinesOfJob, submit, runUntil } from './sim/gang-scenarios.js';
 import { BATCH, SERVICE, GANG } from './sim/jobs.js';
 
-test('a starting gang without capacity to replace a lost task releases its machines to other jobs at once', async () => {
+test('a starting gang that cannot replace a lost task releases its capacity to other jobs at once', async () => {
   const cluster = await clusterWithoutLoss({
     seed: 18,
     capacity: 0,
