--- a/test/fault-combinations.test.ts
+++ b/test/fault-combinations.test.ts
@@ -1,4 +1,4 @@
-/** Combinations of two or three faults, in seeded runs. docs/safety.md has a row for each. */
+/** Combinations of two or three faults, in seeded runs; docs/safety.md lists them, one row for each. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -14,8 +14,11 @@
   pickMachines,
 } from './sim/faults.js';
 
-/** One test per seed: jobs arrive throughout, each second may bring a fault, and all jobs are served afterwards. */
-function faultCombination(
+/**
+ * Declares a test for each seed: gangs are submitted every 6 s beside the usual jobs, `faults` may inject faults in
+ * each second, and all jobs must be served afterwards (see `assertInvariantsHeld`).
+ */
+function testFaultCombination(
   name: string,
   seeds: number[],
   faults: (cluster: Cluster, second: number) => void,
@@ -32,8 +35,8 @@
   testScenarios(name, seeds, eachSecond, config);
 }
 
-faultCombination(
-  'invariants hold and all jobs are served when old heartbeats, also of earlier incarnations and attempts, arrive after newer ones',
+testFaultCombination(
+  'late duplicates of heartbeats, also of earlier incarnations and attempts, arrive after newer ones: jobs are served and no invariant is violated',
   [101, 102],
   (cluster, second) => {
     duplicateHeartbeats(cluster, 0.25);
@@ -42,8 +45,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when leaders change every few seconds, also during an outage of the state service',
+testFaultCombination(
+  'leaders change every few seconds, also during an outage of the state service: jobs are served and no invariant is violated',
   [111, 112],
   (cluster, second) => {
     if (second % 5 === 2)
@@ -53,21 +56,21 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when a leader loses the state service and its peers, and jobs are cancelled through another controller',
+testFaultCombination(
+  'a leader is isolated from the state service and its peers, and jobs are cancelled through another controller: jobs are served and no invariant is violated',
   [121, 122, 123],
   (cluster, second) => {
     if (second % 30 !== 8) return;
-    const old = leaderOrRandomNode(cluster);
-    cluster.faults.isolate(old, 26_000, second < 30 ? 'hold' : 'reset');
+    const isolatedNode = leaderOrRandomNode(cluster);
+    cluster.faults.isolate(isolatedNode, 26_000, second < 30 ? 'hold' : 'reset');
     cluster.clock.after(5000, () => {
-      cluster.faults.cancelRunning(4, 7500, otherNode(cluster, old));
+      cluster.faults.cancelRunning(4, 7500, otherNode(cluster, isolatedNode));
     });
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when all controllers are frozen or down for longer than a lease',
+testFaultCombination(
+  'all controllers are frozen or down for longer than a lease: jobs are served and no invariant is violated',
   [131, 132],
   (cluster, second) => {
     if (second === 12)
@@ -80,8 +83,8 @@
   },
 );
 
-faultCombination(
-  "invariants hold and all jobs are served when machines can't reach any controller but receive commands",
+testFaultCombination(
+  "machines can't open connections to any controller but receive commands: jobs are served and no invariant is violated",
   [141, 142],
   (cluster, second) => {
     if (second === 10) cluster.faults.blockConnections(() => true, LEASE_MS + 3000);
@@ -91,8 +94,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served with more jobs than capacity, urgent and not, over slow links',
+testFaultCombination(
+  'urgent and other jobs exceed the capacity, over slow links: jobs are served and no invariant is violated',
   [151, 152],
   (cluster, second) => {
     cluster.network.delayFactor = second < 50 ? 20 : 1;
@@ -105,8 +108,8 @@
   { capacity: 3, ordinaryUp: 4, teamLimit: 40 },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when a zone with its workers and controllers is isolated, the leader crashes and jobs are cancelled',
+testFaultCombination(
+  'a zone with its workers and controllers is isolated, the leader crashes and jobs are cancelled: jobs are served and no invariant is violated',
   [161, 162],
   (cluster, second) => {
     if (second !== 10 && second !== 38) return;
@@ -127,8 +130,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when the state service is slow and rejects the leader, then all nodes',
+testFaultCombination(
+  'the state service is slow and rejects the leader, then is down for all controllers: jobs are served and no invariant is violated',
   [171, 172],
   (cluster, second) => {
     if (second === 5) cluster.state.slowReads = { byMs: 400, until: cluster.clock.time + 25_000 };
@@ -140,8 +143,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when transactions without a response are executed late, after newer ones',
+testFaultCombination(
+  'transactions without a response are executed late, after newer ones: jobs are served and no invariant is violated',
   [181, 182, 183],
   (cluster, second) => {
     cluster.state.lateWrites = { share: 0.15, until: cluster.clock.time + 1000 };
@@ -151,8 +154,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when commands are held for seconds, and machines hang and continue',
+testFaultCombination(
+  'commands are held for seconds, and machines hang and continue: jobs are served and no invariant is violated',
   [191, 192, 193],
   (cluster, second) => {
     if (second % 6 === 2)
@@ -163,8 +166,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when a leader crashes while machines are unreachable or receive nothing from the new leader',
+testFaultCombination(
+  'a leader crashes while machines are unreachable or receive nothing from the new leader: jobs are served and no invariant is violated',
   [201, 202],
   (cluster, second) => {
     const host = cluster.faults.hostsOf(pickMachines(cluster, 0.3));
@@ -184,8 +187,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when controllers hand leadership over and back, all crash, and one restarts at once',
+testFaultCombination(
+  'no machine can connect to a controller for seconds, later all controllers crash and one restarts at once: jobs are served and no invariant is violated',
   [211, 212],
   (cluster, second) => {
     const lone = cluster.nodeNames[0];
@@ -199,8 +202,8 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when jobs restricted to one zone lose machines',
+testFaultCombination(
+  'jobs restricted to one zone lose machines: jobs are served and no invariant is violated',
   [221, 222],
   (cluster, second) => {
     const array = { ...BATCH, oneZone: true, tasks: 6, durationS: 6 };
@@ -219,15 +222,15 @@
   },
 );
 
-faultCombination(
-  'invariants hold and all jobs are served when delayed heartbeats reach a new leader after it has acted',
+testFaultCombination(
+  'late duplicates of heartbeats arrive before and after a leader crash, and jobs are cancelled afterwards: jobs are served and no invariant is violated',
   [231, 232],
   (cluster, second) => {
     if (second % 15 !== 6) return;
-    const old = leaderOrRandomNode(cluster);
+    const crashedNode = leaderOrRandomNode(cluster);
     duplicateHeartbeats(cluster, 0.5);
     cluster.clock.after(800, () => {
-      cluster.crash(old, 150);
+      cluster.crash(crashedNode, 150);
     });
     cluster.clock.after(4000, () => (cluster.network.duplicates = null));
     cluster.clock.after(6000, () => {
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -30,18 +30,18 @@
 }
 
 /** Cost of placement, summed over the rounds that the leaders log. */
-export interface PlacementWork {
+export interface PlacementCost {
   cycles: number;
   candidatesExamined: number;
   starts: number;
 }
 
-/** Returns a log that adds the placement work of all leaders to `work`. */
-export function logPlacementWork(work: PlacementWork): NonNullable<ClusterConfig['log']> {
+/** Returns a log that adds the placement cost of all leaders to `cost`. */
+export function logPlacementCost(cost: PlacementCost): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
     for (const figure of ['cycles', 'candidatesExamined', 'starts'] as const)
-      work[figure] += (fields as PlacementWork)[figure];
+      cost[figure] += (fields as PlacementCost)[figure];
   };
 }
 
@@ -68,7 +68,7 @@
 export async function cancelDuringRejection(
   cluster: Cluster,
   rejectedMs: number,
-): Promise<{ cancelledJob: string; formerLeader: string }> {
+): Promise<{ cancelledJob: string; leader: string }> {
   const old = cluster.leader()!;
   cluster.state.rejectHost(`${old}:80`, rejectedMs);
   await cluster.run(0.2);
@@ -80,7 +80,7 @@
     null,
     'the cancellation is confirmed before the outage',
   );
-  return { cancelledJob: first, formerLeader: old };
+  return { cancelledJob: first, leader: old };
 }
 
 /** Duplicates heartbeats with this probability, up to four leases later, to the node that leads when they are sent. */
