--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -12,37 +12,37 @@
 
 // A leader of a build without intents must not lead while an open intent may still delete a machine.
 test('lowering the level below that of the duties waits for open intents, and the leader then rents without intents', async () => {
-  const roll = new RollingUpgrade(19, BUILD, {
+  const upgrade = new RollingUpgrade(19, BUILD, {
     ordinaryUp: 0,
     rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
     duties: { mode: 'on', lease_s: 2, settle_s: 3, rebalance_s: 15, retention_s: 10 },
   });
-  const { state } = roll.cluster;
-  await roll.reaches('stable', 3);
-  await roll.until('the duty is held', () => state.items.has('duties/holders/rent'));
+  const { state } = upgrade.cluster;
+  await upgrade.reaches('stable', 3);
+  await upgrade.until('the duty is held', () => state.items.has('duties/holders/rent'));
   await state.deleteAsOperator('duties/holders/rent');
   state.putDirectly('duties/holds/rent', { by: 'operator', sinceMs: 0 });
-  submitArrays(roll);
+  submitArrays(upgrade);
   const open = (): number =>
     [...state.items].filter(([key, { value }]) => isOpenIntent(key, value)).length;
-  await roll.until('an intent is open', () => open() > 0);
-  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
-  await roll.staysAt(3, 10);
-  assert.equal(roll.level.state, 'lowering');
+  await upgrade.until('an intent is open', () => open() > 0);
+  assert.equal((await upgrade.runOperatorCommand('downgrade')).kind, 'done');
+  await upgrade.staysAt(3, 10);
+  assert.equal(upgrade.level.state, 'lowering');
   const before = open();
-  assert.equal(roll.cluster.cloud.machines.size, 0);
+  assert.equal(upgrade.cluster.cloud.machines.size, 0);
   await state.deleteAsOperator('duties/holds/rent');
-  await roll.reaches('stable', 2);
+  await upgrade.reaches('stable', 2);
   assert.deepEqual([before > 0, open()], [true, 0]);
   const intents = state.changesUnder('duties/intents/');
-  await roll.finish();
-  const rented = roll.cluster.cloud.machines.size;
+  await upgrade.finish();
+  const rented = upgrade.cluster.cloud.machines.size;
   for (let i = 0; i < 10; i++)
-    void roll.cluster.users.run(
-      roll.cluster.users.newJob({ ...BATCH, tasks: 12, durationS: 8 }),
+    void upgrade.cluster.users.run(
+      upgrade.cluster.users.newJob({ ...BATCH, tasks: 12, durationS: 8 }),
       null,
     );
-  await roll.until('the leader rents', () => roll.cluster.cloud.machines.size > rented);
+  await upgrade.until('the leader rents', () => upgrade.cluster.cloud.machines.size > rented);
   assert.equal(
     state.changesUnder('duties/intents/'),
     intents,
@@ -52,17 +52,17 @@
 
 // Records in a form that the lower level still uses must not be converted.
 test('lowering the level below that of the duties leaves segments unchanged', async () => {
-  const roll = new RollingUpgrade(20, BUILD, {
+  const upgrade = new RollingUpgrade(20, BUILD, {
     ...LARGE_CLUSTER,
     rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
   });
-  await roll.reaches('stable', 3);
-  roll.submitLargeArray(8);
-  await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
-  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
-  await roll.reaches('stable', 2);
-  assert.ok(roll.invariants.segments().length > 0);
-  await roll.finish();
+  await upgrade.reaches('stable', 3);
+  upgrade.submitLargeArray(8);
+  await upgrade.until('segments are stored', () => upgrade.invariants.segments().length > 0);
+  assert.equal((await upgrade.runOperatorCommand('downgrade')).kind, 'done');
+  await upgrade.reaches('stable', 2);
+  assert.ok(upgrade.invariants.segments().length > 0);
+  await upgrade.finish();
 });
 
 function isOpenIntent(key: string, value: unknown): boolean {
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -17,171 +17,174 @@
 
 test('a change of level completes when its leader freezes with a late transaction in flight and later resumes', async () => {
   for (const seed of [6, 7, 8]) {
-    const roll = new RollingUpgrade(seed, NEW_BUILD);
-    submitArrays(roll);
-    await roll.reaches('preparing', 1);
+    const upgrade = new RollingUpgrade(seed, NEW_BUILD);
+    submitArrays(upgrade);
+    await upgrade.reaches('preparing', 1);
     // Writes from now on are applied seconds later, and get no response.
-    roll.cluster.state.lateWrites = { share: 1, until: roll.cluster.clock.time + 700 };
-    await roll.cluster.run(0.7);
-    roll.cluster.freeze(roll.leader(), 9000);
-    await roll.until('the level is stable', () => roll.level.state === 'stable');
-    await roll.cluster.run(20);
-    assert.equal(roll.level.state, 'stable');
-    await roll.finish();
+    upgrade.cluster.state.lateWrites = { share: 1, until: upgrade.cluster.clock.time + 700 };
+    await upgrade.cluster.run(0.7);
+    upgrade.cluster.freeze(upgrade.leader(), 9000);
+    await upgrade.until('the level is stable', () => upgrade.level.state === 'stable');
+    await upgrade.cluster.run(20);
+    assert.equal(upgrade.level.state, 'stable');
+    await upgrade.finish();
   }
 });
 
 const OUTAGE_MS = 6000;
-const OUTAGES: [string, (roll: RollingUpgrade) => void][] = [
+const OUTAGES: [string, (upgrade: RollingUpgrade) => void][] = [
   [
     'a follower',
-    (roll) => {
-      roll.cluster.state.rejectHost(`${roll.follower()}:80`, OUTAGE_MS);
+    (upgrade) => {
+      upgrade.cluster.state.rejectHost(`${upgrade.follower()}:80`, OUTAGE_MS);
     },
   ],
   [
     'the leader',
-    (roll) => {
-      roll.cluster.state.rejectHost(`${roll.leader()}:80`, OUTAGE_MS);
+    (upgrade) => {
+      upgrade.cluster.state.rejectHost(`${upgrade.leader()}:80`, OUTAGE_MS);
     },
   ],
   [
     'all controllers',
-    (roll) => {
-      roll.cluster.state.beginOutage(OUTAGE_MS);
+    (upgrade) => {
+      upgrade.cluster.state.beginOutage(OUTAGE_MS);
     },
   ],
 ];
 for (const phase of ['preparing', 'activating', 'lowering'] as const)
-  for (const [who, refuse] of OUTAGES)
+  for (const [who, startOutage] of OUTAGES)
     test(`a change of level completes after the state service refused ${who} while ${phase}`, async () => {
-      const roll = new RollingUpgrade(9, NEW_BUILD);
-      submitArrays(roll);
+      const upgrade = new RollingUpgrade(9, NEW_BUILD);
+      submitArrays(upgrade);
       if (phase === 'lowering') {
-        await roll.reaches('stable', 2);
-        assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
-      } else await roll.reaches(phase, 1);
-      refuse(roll);
-      await roll.reaches('stable', phase === 'lowering' ? 1 : 2);
-      await roll.finish();
+        await upgrade.reaches('stable', 2);
+        assert.equal((await upgrade.runOperatorCommand('downgrade')).kind, 'done');
+      } else await upgrade.reaches(phase, 1);
+      startOutage(upgrade);
+      await upgrade.reaches('stable', phase === 'lowering' ? 1 : 2);
+      await upgrade.finish();
     });
 
 test('a change without progress is aborted, and not retried until an operator activates it', async () => {
-  const roll = new RollingUpgrade(10, NEW_BUILD);
-  await roll.reaches('preparing', 1);
-  const crashedFollower = roll.follower();
-  roll.cluster.crash(crashedFollower, 25_000);
-  await roll.until('the change is aborted', () => roll.level.held !== null);
-  assert.match(roll.level.held!.reason, new RegExp(`no progress for 15 s: ${crashedFollower}`));
-  await roll.reaches('stable', 1);
+  const upgrade = new RollingUpgrade(10, NEW_BUILD);
+  await upgrade.reaches('preparing', 1);
+  const crashedFollower = upgrade.follower();
+  upgrade.cluster.crash(crashedFollower, 25_000);
+  await upgrade.until('the change is aborted', () => upgrade.level.held !== null);
+  assert.match(upgrade.level.held!.reason, new RegExp(`no progress for 15 s: ${crashedFollower}`));
+  await upgrade.reaches('stable', 1);
   // It returns with the same build.
-  await roll.staysAt(1, 30);
-  assert.ok(roll.cluster.isUp(crashedFollower));
-  assert.equal((await roll.runOperatorCommand('activate')).kind, 'done');
-  await roll.reaches('stable', 2);
-  await roll.finish();
+  await upgrade.staysAt(1, 30);
+  assert.ok(upgrade.cluster.isUp(crashedFollower));
+  assert.equal((await upgrade.runOperatorCommand('activate')).kind, 'done');
+  await upgrade.reaches('stable', 2);
+  await upgrade.finish();
 });
 
 test('a change is aborted when a controller restarts repeatedly', async () => {
-  const roll = new RollingUpgrade(11, NEW_BUILD);
-  await roll.reaches('preparing', 1);
-  const restartingFollower = roll.follower();
+  const upgrade = new RollingUpgrade(11, NEW_BUILD);
+  await upgrade.reaches('preparing', 1);
+  const restartingFollower = upgrade.follower();
   for (let i = 0; i < 5; i++) {
-    roll.cluster.crash(restartingFollower, 50);
-    await roll.cluster.run(0.4);
+    upgrade.cluster.crash(restartingFollower, 50);
+    await upgrade.cluster.run(0.4);
   }
-  await roll.until('the change is aborted', () => roll.level.held !== null);
-  assert.match(roll.level.held!.reason, new RegExp(`${restartingFollower} has started`));
-  await roll.staysAt(1, 20);
+  await upgrade.until('the change is aborted', () => upgrade.level.held !== null);
+  assert.match(upgrade.level.held!.reason, new RegExp(`${restartingFollower} has started`));
+  await upgrade.staysAt(1, 20);
 });
 
 // Without the precondition on the level, the segment would be stored after the last one was converted.
 test('a segment write in flight while the level is lowered is not applied', async () => {
-  const roll = new RollingUpgrade(16, NEW_BUILD, LARGE_CLUSTER);
-  await roll.reaches('stable', 2);
+  const upgrade = new RollingUpgrade(16, NEW_BUILD, LARGE_CLUSTER);
+  await upgrade.reaches('stable', 2);
   // The job runs for longer than the write is in flight.
-  const id = roll.submitLargeArray(5);
-  await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
-  const { state, clock } = roll.cluster;
+  const id = upgrade.submitLargeArray(5);
+  await upgrade.until('segments are stored', () => upgrade.invariants.segments().length > 0);
+  const { state, clock } = upgrade.cluster;
   state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, keys: `d/${id}/` };
-  await roll.cluster.run(6);
-  assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
-  await roll.reaches('stable', 1);
+  await upgrade.cluster.run(6);
+  assert.equal((await upgrade.runOperatorCommand('downgrade')).kind, 'done');
+  await upgrade.reaches('stable', 1);
   for (let second = 0; second < 25; second++) {
-    await roll.cluster.run(1);
-    assert.deepEqual(roll.invariants.segments(), []);
+    await upgrade.cluster.run(1);
+    assert.deepEqual(upgrade.invariants.segments(), []);
   }
-  assert.equal(roll.cluster.invariants.jobs.get(id)!.reportedDoneAt, null);
-  await roll.finish();
+  assert.equal(upgrade.cluster.invariants.jobs.get(id)!.reportedDoneAt, null);
+  await upgrade.finish();
 });
 
 // Without the preconditions of its writes, the ended process would appear to be running, with its build.
 test('writes in flight from a replaced process are not attributed to its successor', async () => {
-  const roll = new RollingUpgrade(19, NEW_BUILD);
-  const { state, clock } = roll.cluster;
-  await roll.until('all controllers have announced themselves', () =>
+  const upgrade = new RollingUpgrade(19, NEW_BUILD);
+  const { state, clock } = upgrade.cluster;
+  await upgrade.until('all controllers have announced themselves', () =>
     NAMES.every((name) => state.value(`rollout/controllers/${name}`)),
   );
-  const name = roll.follower();
+  const name = upgrade.follower();
   const keys = `rollout/controllers/${name}`;
   state.lateWrites = { share: 1, until: Infinity, byMs: 1000, keys };
-  await roll.reaches('preparing', 1);
-  await roll.cluster.run(0.3);
+  await upgrade.reaches('preparing', 1);
+  await upgrade.cluster.run(0.3);
   state.lateWrites = null;
   assert.ok(clock.time < 20_000);
-  roll.replace(name, OLD_BUILD, 250);
-  await roll.staysAt(1, 30);
-  assert.deepEqual(roll.cluster.invariants.violations, []);
+  upgrade.replace(name, OLD_BUILD, 250);
+  await upgrade.staysAt(1, 30);
+  assert.deepEqual(upgrade.cluster.invariants.violations, []);
 });
 
 // Without preconditions on all announcements, the level would rise above what the old build supports.
 test('the level is raised only if no announcement has changed since the leader read it', async () => {
-  const roll = new RollingUpgrade(22, NEW_BUILD);
-  await roll.reaches('activating', 1);
-  const { state, clock, invariants } = roll.cluster;
+  const upgrade = new RollingUpgrade(22, NEW_BUILD);
+  await upgrade.reaches('activating', 1);
+  const { state, clock, invariants } = upgrade.cluster;
   state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, keys: 'rollout/level' };
-  await roll.cluster.run(0.6);
-  roll.replace(roll.follower(), OLD_BUILD, 50);
-  await roll.staysAt(1, LEVEL_CHANGE_S);
+  await upgrade.cluster.run(0.6);
+  upgrade.replace(upgrade.follower(), OLD_BUILD, 50);
+  await upgrade.staysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
 // Without the precondition on the version of the record, the late write would undo later changes.
 test('a level write without a response that is retried and later applied late changes nothing', async () => {
-  const roll = new RollingUpgrade(20, NEW_BUILD);
-  await roll.reaches('preparing', 1);
-  const { state, clock, invariants } = roll.cluster;
+  const upgrade = new RollingUpgrade(20, NEW_BUILD);
+  await upgrade.reaches('preparing', 1);
+  const { state, clock, invariants } = upgrade.cluster;
   state.lateWrites = { share: 1, until: clock.time + 2000, byMs: 12_000, keys: 'rollout/level' };
-  roll.replace(roll.follower(), OLD_BUILD, 100);
-  await roll.cluster.run(2);
-  assert.equal(roll.level.state, 'preparing');
-  await roll.until(
+  upgrade.replace(upgrade.follower(), OLD_BUILD, 100);
+  await upgrade.cluster.run(2);
+  assert.equal(upgrade.level.state, 'preparing');
+  await upgrade.until(
     'the change is aborted',
-    () => roll.level.held !== null && roll.level.state === 'stable',
+    () => upgrade.level.held !== null && upgrade.level.state === 'stable',
     10,
   );
-  await roll.staysAt(1, LEVEL_CHANGE_S);
+  await upgrade.staysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
 test('a malformed announcement is ignored, logged once, and replaced by the next process of its controller', async () => {
   const lines: string[] = [];
-  const roll = new RollingUpgrade(15, OLD_BUILD, {
+  const upgrade = new RollingUpgrade(15, OLD_BUILD, {
     log: (_node, text, fields) => {
       if (text === 'announcement ignored') lines.push((fields as { reason: string }).reason);
     },
   });
-  await roll.cluster.run(6);
-  for (const name of NAMES) roll.replace(name, NEW_BUILD, 50);
-  await roll.cluster.run(1);
-  const planted = roll.cluster.state.value('rollout/controllers/n2') as object;
-  roll.cluster.state.putDirectly('rollout/controllers/n2', { ...planted, build: { reads: 'all' } });
-  await roll.staysAt(1, 10);
+  await upgrade.cluster.run(6);
+  for (const name of NAMES) upgrade.replace(name, NEW_BUILD, 50);
+  await upgrade.cluster.run(1);
+  const planted = upgrade.cluster.state.value('rollout/controllers/n2') as object;
+  upgrade.cluster.state.putDirectly('rollout/controllers/n2', {
+    ...planted,
+    build: { reads: 'all' },
+  });
+  await upgrade.staysAt(1, 10);
   assert.equal(lines.length, 1);
   assert.match(lines[0], /malformed/);
   // The next process of the controller writes a new announcement.
-  roll.cluster.crash('n2', 50);
-  await roll.reaches('stable', 2);
+  upgrade.cluster.crash('n2', 50);
+  await upgrade.reaches('stable', 2);
 });
 
 function skewWallClocks(cluster: Cluster): void {
