--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -106,13 +106,13 @@
 test('release by an operator takes a duty from its holder, and another controller acquires it', async () => {
   const group = await settledGroup(20);
   await group.run(5);
-  const old = group.holder('reclaim') ?? assert.fail();
+  const initialHolder = group.holder('reclaim') ?? assert.fail();
   assert.equal((await runCommand(group, (operator) => operator.release('reclaim'))).kind, 'done');
   await group.until(
     'another controller holds the duty',
-    () => (group.holder('reclaim') ?? old) !== old,
+    () => (group.holder('reclaim') ?? initialHolder) !== initialHolder,
   );
-  assert.notEqual(group.storedHolder('reclaim')?.controller, old);
+  assert.notEqual(group.storedHolder('reclaim')?.controller, initialHolder);
   assert.deepEqual(group.invariants.violations, []);
 });
 
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -34,9 +34,9 @@
   const group = await settledGroup(38);
   await group.run(20);
   const renewalsIn = async (seconds: number): Promise<number> => {
-    const before = group.state.received.requests;
+    const requestsBefore = group.state.received.requests;
     await group.run(seconds);
-    return group.state.received.requests - before;
+    return group.state.received.requests - requestsBefore;
   };
   const usual = await renewalsIn(20);
   for (let round = 0; round < 20; round++) {
@@ -98,12 +98,12 @@
 test('a controller that restarts every second does not cause a move of duties every second', async () => {
   const group = await settledGroup(14);
   const flapping = 'n2';
-  const held = (duty: Duty): number => group.storedHolder(duty)?.token ?? 0;
+  const storedToken = (duty: Duty): number => group.storedHolder(duty)?.token ?? 0;
   for (let second = 0; second < 40; second++) {
     group.crash(flapping, 500);
     await group.run(1);
   }
-  const sum = DUTIES.reduce((total, duty) => total + held(duty), 0);
+  const sum = DUTIES.reduce((total, duty) => total + storedToken(duty), 0);
   // Each duty is acquired once at the start, and those of the flapping controller once more.
   assert.ok(sum <= 2 * DUTIES.length + 2, `sum of the tokens: ${sum}`);
   assert.ok(DUTIES.every((duty) => group.storedHolder(duty)?.controller !== flapping));
@@ -132,17 +132,17 @@
 test('a release waits for requests in flight, and the former holder does not acquire the duty again at once', async () => {
   const group = await settledGroup(16);
   const machines = await rentMachines(group, 1);
-  const old = group.holder('return') ?? assert.fail();
+  const initialHolder = group.holder('return') ?? assert.fail();
   group.provider.delay = () => new Promise((done) => group.clock.after(1500, done));
   const opened = group.delete('return', machines[0]);
   await group.run(0.5);
-  void group.member(old).holder('return').release('by the test');
+  void group.member(initialHolder).holder('return').release('by the test');
   await group.run(0.2);
-  assert.equal(group.member(old).holder('return').state(), 'releasing');
+  assert.equal(group.member(initialHolder).holder('return').state(), 'releasing');
   assert.equal((await untilResolved(group, opened)).kind, 'resolved');
   await group.until(
     'another controller holds the duty',
-    () => (group.holder('return') ?? old) !== old,
+    () => (group.holder('return') ?? initialHolder) !== initialHolder,
   );
   assert.equal(group.provider.calls.filter((call) => call.duty === 'return').length, 1);
   assert.deepEqual(group.invariants.violations, []);
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -13,19 +13,19 @@
   for (const seed of [3, 4, 5]) {
     const group = await settledGroup(seed);
     const machines = await rentMachines(group, 4);
-    const old = group.holder('return') ?? assert.fail();
-    const before = group.storedHolder('return')?.token ?? 0;
-    group.freeze(old, 8000);
+    const initialHolder = group.holder('return') ?? assert.fail();
+    const tokenBefore = group.storedHolder('return')?.token ?? 0;
+    group.freeze(initialHolder, 8000);
     await group.run(0.1);
     await untilResolved(group, group.delete('return', machines[0]));
-    assert.notEqual(group.storedHolder('return')?.controller, old);
-    assert.ok((group.storedHolder('return')?.token ?? 0) > before);
+    assert.notEqual(group.storedHolder('return')?.controller, initialHolder);
+    assert.ok((group.storedHolder('return')?.token ?? 0) > tokenBefore);
     await group.run(8);
     // The old holder continues, and there is an intent that it could execute.
     await untilResolved(group, group.delete('return', machines[1]));
     await group.run(2);
-    assertLossNoticed(group, old, 'return');
-    assert.ok(group.provider.executed('return').every((call) => call.token > before));
+    assertLossNoticed(group, initialHolder, 'return');
+    assert.ok(group.provider.executed('return').every((call) => call.token > tokenBefore));
     assert.deepEqual(group.invariants.violations, []);
   }
 });
@@ -33,13 +33,13 @@
 // The lease must be checked right before each action, regardless of earlier checks by the caller.
 test('an action is not started if the lease of its holder may have expired', async () => {
   const group = await settledGroup(24);
-  const old = group.holder('return') ?? assert.fail();
-  const { duty } = group.member(old).holder('return');
-  group.freeze(old, 5000);
+  const initialHolder = group.holder('return') ?? assert.fail();
+  const { duty } = group.member(initialHolder).holder('return');
+  group.freeze(initialHolder, 5000);
   await group.run(3);
   let begun = 0;
   const performed = await group
-    .member(old)
+    .member(initialHolder)
     .holder(duty)
     .perform(() => Promise.resolve(begun++));
   assert.deepEqual([performed.kind, begun], ['not-held', 0]);
@@ -62,18 +62,18 @@
 test('a holder whose token is rejected as stale gives up the duty at once and counts the rejection', async () => {
   const group = await settledGroup(35);
   const machines = await rentMachines(group, 1);
-  const old = group.holder('return') ?? assert.fail();
+  const initialHolder = group.holder('return') ?? assert.fail();
   let requests = 0;
   group.provider.delay = () =>
     new Promise((done) => group.clock.after(requests++ === 0 ? 4500 : 0, done));
   const opened = group.delete('return', machines[0]);
   await group.until('the request is in flight', () => requests > 0);
-  group.rejectStateRequests(old, 10_000);
+  group.rejectStateRequests(initialHolder, 10_000);
   await untilResolved(group, opened);
   await group.until('the request is refused', () => group.provider.refused().length > 0);
   await group.run(0.3);
-  assert.equal(group.member(old).counters().refused, 1);
-  assert.notEqual(group.member(old).holder('return').state(), 'suspended');
+  assert.equal(group.member(initialHolder).counters().refused, 1);
+  assert.notEqual(group.member(initialHolder).holder('return').state(), 'suspended');
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -82,19 +82,19 @@
   for (const seed of [6, 7, 8]) {
     const group = await settledGroup(seed);
     const machines = await rentMachines(group, 4);
-    const old = group.holder('return') ?? assert.fail();
-    const before = group.storedHolder('return')?.token ?? 0;
-    group.holdRequests(old, 9000);
+    const initialHolder = group.holder('return') ?? assert.fail();
+    const tokenBefore = group.storedHolder('return')?.token ?? 0;
+    group.holdRequests(initialHolder, 9000);
     const opened = group.delete('return', machines[0]);
     await group.run(0.3);
     // The request is in flight; now its sender is suspended, too.
-    group.freeze(old, 7000);
+    group.freeze(initialHolder, 7000);
     await untilResolved(group, opened);
-    assert.ok((group.storedHolder('return')?.token ?? 0) > before);
+    assert.ok((group.storedHolder('return')?.token ?? 0) > tokenBefore);
     await group.run(12);
     const refused = group.provider.refused();
-    assert.ok(refused.length > 0 && refused.every((call) => call.token === before));
-    assertLossNoticed(group, old, 'return');
+    assert.ok(refused.length > 0 && refused.every((call) => call.token === tokenBefore));
+    assertLossNoticed(group, initialHolder, 'return');
     assert.deepEqual(group.invariants.violations, []);
   }
 });
@@ -104,20 +104,20 @@
 test('a holder whose renewals are executed without a response is suspended, keeps the duty and resumes', async () => {
   const group = await settledGroup(36);
   const holder = group.holder('return') ?? assert.fail();
-  const before = group.storedHolder('return');
+  const recordBefore = group.storedHolder('return');
   group.holdResponses(holder, 5000);
   await group.run(4);
   assert.equal(group.holder('return'), undefined);
   assert.equal(group.member(holder).holder('return').state(), 'suspended');
   await group.run(4);
-  assert.deepEqual([group.holder('return'), group.storedHolder('return')], [holder, before]);
+  assert.deepEqual([group.holder('return'), group.storedHolder('return')], [holder, recordBefore]);
   assert.deepEqual(group.invariants.violations, []);
 });
 
 test('in an outage of the state service no duty is held, and holders with valid leases resume after it', async () => {
   const group = await settledGroup(10);
   const machines = await rentMachines(group, 2);
-  const before = DUTIES.map((duty) => group.storedHolder(duty)?.token);
+  const tokensBefore = DUTIES.map((duty) => group.storedHolder(duty)?.token);
   group.state.beginOutage(8000);
   await group.run(4);
   assert.ok(DUTIES.every((duty) => group.holder(duty) === undefined));
@@ -125,21 +125,21 @@
   await untilResolved(group, group.delete('return', machines[0]));
   assert.deepEqual(
     DUTIES.map((duty) => group.storedHolder(duty)?.token),
-    before,
+    tokensBefore,
   );
   assert.deepEqual(group.invariants.violations, []);
 });
 
 test('when the state service refuses the holder only, another controller takes over and the old holder notices the loss', async () => {
   const group = await settledGroup(11);
-  const old = group.holder('rent') ?? assert.fail();
-  group.rejectStateRequests(old, 8000);
+  const initialHolder = group.holder('rent') ?? assert.fail();
+  group.rejectStateRequests(initialHolder, 8000);
   await group.until(
     'another controller holds the duty',
-    () => (group.holder('rent') ?? old) !== old,
+    () => (group.holder('rent') ?? initialHolder) !== initialHolder,
   );
   assert.deepEqual(await untilResolved(group, group.rent(1)).then(({ kind }) => kind), 'resolved');
   await group.run(10);
-  assertLossNoticed(group, old, 'rent');
+  assertLossNoticed(group, initialHolder, 'rent');
   assert.deepEqual(group.invariants.violations, []);
 });
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -17,8 +17,8 @@
 test('a write of the old holder that arrives after the intent was resolved changes nothing', async () => {
   const group = await settledGroup(9);
   const machines = await rentMachines(group, 2);
-  const old = group.holder('return') ?? assert.fail();
-  const before = group.storedHolder('return')?.token ?? 0;
+  const initialHolder = group.holder('return') ?? assert.fail();
+  const tokenBefore = group.storedHolder('return')?.token ?? 0;
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
   await group.until('the intent is stored', () => group.openIntentCount() > 0);
@@ -29,11 +29,11 @@
     keys: 'duties/intents/',
   };
   await group.run(0.8);
-  group.freeze(old, 8000);
+  group.freeze(initialHolder, 8000);
   await untilResolved(group, opened);
   await group.run(12);
   const intent = [...group.invariants.intents.values()].find(({ duty }) => duty === 'return');
-  assert.ok((intent?.token ?? 0) > before, 'resolved by the successor');
+  assert.ok((intent?.token ?? 0) > tokenBefore, 'resolved by the successor');
   assert.deepEqual(group.invariants.violations, []);
 });
 
@@ -78,7 +78,7 @@
 test('a late write of the old holder does not resolve an intent that its successor has not executed yet', async () => {
   const group = await settledGroup(29);
   const machines = await rentMachines(group, 1);
-  const old = group.holder('return') ?? assert.fail();
+  const initialHolder = group.holder('return') ?? assert.fail();
   group.provider.delay = () => new Promise((done) => group.clock.after(300, done));
   const opened = group.delete('return', machines[0]);
   await group.until('the intent is stored', () => group.openIntentCount() > 0);
@@ -89,7 +89,7 @@
     keys: 'duties/intents/',
   };
   await group.run(0.8);
-  group.freeze(old, 20_000);
+  group.freeze(initialHolder, 20_000);
   group.provider.failure = { unavailable: true, dropsResponses: false };
   await group.run(10);
   assert.equal(group.openIntentCount(), 1);
@@ -120,17 +120,17 @@
 // The removal of a holder record must have its version as a precondition.
 test('a release that is applied late does not take the duty from its next holder', async () => {
   const group = await settledGroup(37);
-  const old = group.holder('return') ?? assert.fail();
+  const initialHolder = group.holder('return') ?? assert.fail();
   group.state.lateWrites = {
     share: 1,
     until: group.clock.time + 500,
     byMs: 9000,
     keys: 'duties/holders/return',
   };
-  void group.member(old).holder('return').release('by the test');
+  void group.member(initialHolder).holder('return').release('by the test');
   await group.until(
     'another controller holds the duty',
-    () => (group.holder('return') ?? old) !== old,
+    () => (group.holder('return') ?? initialHolder) !== initialHolder,
   );
   const next = group.storedHolder('return');
   await group.run(12);
