--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -9,24 +9,28 @@
 /** Longer than a busy machine may stall processes, so that no holder loses a duty because of a stall. */
 const LEASE_S = 5;
 /** Longer than a busy machine may take to suspend a process that has just passed the check. */
-const BEFORE_SENDING_MS = 4000;
+const SEND_DELAY_MS = 4000;
 
 /** Starts controller processes and waits until one holds the duty. The processes are stopped when the test ends. */
 async function startProcesses(
   context: TestContext,
-  beforeSendingMs: number,
-): Promise<{ processes: DutyProcesses; old: string; token: number }> {
+  sendDelayMs: number,
+): Promise<{ processes: DutyProcesses; initialHolder: string; token: number }> {
   const processes = new DutyProcesses();
   context.after(() => processes.stop());
-  await processes.start(beforeSendingMs, LEASE_S);
+  await processes.start(sendDelayMs, LEASE_S);
   const { controller, token } = processes.storedHolder()!;
-  return { processes, old: controller, token };
+  return { processes, initialHolder: controller, token };
 }
 
 /** Waits until the old holder notices the loss of the duty. Asserts that all its actions under `token` were refused. */
-async function expectFenced(processes: DutyProcesses, old: string, token: number): Promise<void> {
+async function expectFenced(
+  processes: DutyProcesses,
+  initialHolder: string,
+  token: number,
+): Promise<void> {
   await processes.until('the old holder notices the loss of the duty', () => {
-    const states = processes.states(old);
+    const states = processes.states(initialHolder);
     return states.indexOf('vacant', states.indexOf('lost')) > 0;
   });
   const stale = processes.provider.calls.filter(
@@ -36,53 +40,53 @@
 }
 
 test('a holder process suspended before the check starts no action after its successor has acted', async (context) => {
-  const { processes, old, token } = await startProcesses(context, 0);
-  processes.signal(old, 'SIGSTOP');
+  const { processes, initialHolder, token } = await startProcesses(context, 0);
+  processes.signal(initialHolder, 'SIGSTOP');
   processes.storeDeletionIntent('i-1', 'm-1');
-  await processes.untilReplaced(old, token);
+  await processes.untilReplaced(initialHolder, token);
   await processes.until('the intent is done', () => processes.isDone('i-1'));
-  processes.signal(old, 'SIGCONT');
+  processes.signal(initialHolder, 'SIGCONT');
   processes.storeDeletionIntent('i-2', 'm-2');
   await processes.until('the next intent is done', () => processes.isDone('i-2'));
-  await expectFenced(processes, old, token);
-  assert.equal(processes.checkCount(old), 0);
+  await expectFenced(processes, initialHolder, token);
+  assert.equal(processes.checkCount(initialHolder), 0);
 });
 
 test('a holder process suspended between check and send has its request refused once it continues', async (context) => {
-  const { processes, old, token } = await startProcesses(context, BEFORE_SENDING_MS);
+  const { processes, initialHolder, token } = await startProcesses(context, SEND_DELAY_MS);
   processes.storeDeletionIntent('i-1', 'm-1');
-  await processes.until('the check is passed', () => processes.checkCount(old) > 0);
-  processes.signal(old, 'SIGSTOP');
+  await processes.until('the check is passed', () => processes.checkCount(initialHolder) > 0);
+  processes.signal(initialHolder, 'SIGSTOP');
   assert.equal(processes.provider.calls.length, 0);
-  await processes.untilReplaced(old, token);
+  await processes.untilReplaced(initialHolder, token);
   await processes.until('the intent is done', () => processes.isDone('i-1'));
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
-  processes.signal(old, 'SIGCONT');
+  processes.signal(initialHolder, 'SIGCONT');
   await processes.until(
     'a request of the old holder is refused',
     () => processes.provider.refused().length > 0,
   );
-  await expectFenced(processes, old, token);
+  await expectFenced(processes, initialHolder, token);
 });
 
 test('a request in flight of a suspended holder process is refused after the takeover, and its result is not stored', async (context) => {
-  const { processes, old, token } = await startProcesses(context, 0);
+  const { processes, initialHolder, token } = await startProcesses(context, 0);
   let release: () => void = () => undefined;
   const held = new Promise<void>((done) => (release = done));
   let arrived = 0;
   processes.provider.delay = () => (arrived++ === 0 ? held : Promise.resolve());
   processes.storeDeletionIntent('i-1', 'm-1');
   await processes.until('the request has arrived', () => arrived > 0);
-  processes.signal(old, 'SIGSTOP');
-  await processes.untilReplaced(old, token);
+  processes.signal(initialHolder, 'SIGSTOP');
+  await processes.untilReplaced(initialHolder, token);
   await processes.until('the intent is done', () => processes.isDone('i-1'));
   release();
   await processes.until(
     'the late request is refused',
     () => processes.provider.refused().length > 0,
   );
-  processes.signal(old, 'SIGCONT');
-  await expectFenced(processes, old, token);
+  processes.signal(initialHolder, 'SIGCONT');
+  await expectFenced(processes, initialHolder, token);
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
 });
 
@@ -94,8 +98,8 @@
   announcement_lease_s: 60,
   ungated_builds_retired: true,
 } as const;
-const ON = { mode: 'on', lease_s: LEASE_S, settle_s: 2, retention_s: 10 } as const;
-const LEVEL = 3;
+const DUTY_SETTINGS = { mode: 'on', lease_s: LEASE_S, settle_s: 2, retention_s: 10 } as const;
+const DUTIES_LEVEL = 3;
 
 interface StatusOutput {
   duties: { duty: Duty; holder: { controller: string } | null; token: number }[];
@@ -113,22 +117,29 @@
 test('under continuous submissions a suspended holder is replaced, and operators can hold and release duties', async (context) => {
   const deployment = new ControllerProcesses();
   context.after(() => deployment.stop());
-  await deployment.start('latest', ROLLOUT, ON);
+  await deployment.start('latest', ROLLOUT, DUTY_SETTINGS);
   void deployment.users.stream(300);
-  await deployment.until('the level is raised', () => deployment.level.active === LEVEL);
-  const find = async (from: string): Promise<StatusOutput['duties'][number]> =>
+  await deployment.until('the level is raised', () => deployment.level.active === DUTIES_LEVEL);
+  const rentDutyStatus = async (from: string): Promise<StatusOutput['duties'][number]> =>
     (await statusOf(deployment, from)).find(({ duty }) => duty === 'rent') ?? assert.fail();
-  await deployment.until('the duty is held', async () => (await find('n0')).holder !== null);
-  const before = await find('n0');
-  const old = before.holder?.controller ?? assert.fail();
-  deployment.signal(old, 'SIGSTOP');
-  const from = NAMES.find((name) => name !== old) ?? assert.fail();
+  await deployment.until(
+    'the duty is held',
+    async () => (await rentDutyStatus('n0')).holder !== null,
+  );
+  const statusBefore = await rentDutyStatus('n0');
+  const initialHolder = statusBefore.holder?.controller ?? assert.fail();
+  deployment.signal(initialHolder, 'SIGSTOP');
+  const from = NAMES.find((name) => name !== initialHolder) ?? assert.fail();
   await deployment.until('a successor holds the duty', async () => {
-    const now = await find(from);
-    return now.token > before.token && now.holder !== null && now.holder.controller !== old;
+    const now = await rentDutyStatus(from);
+    return (
+      now.token > statusBefore.token &&
+      now.holder !== null &&
+      now.holder.controller !== initialHolder
+    );
   });
-  deployment.signal(old, 'SIGCONT');
-  await deployment.untilHealthy(old);
+  deployment.signal(initialHolder, 'SIGCONT');
+  await deployment.untilHealthy(initialHolder);
 
   const hold = await deployment.duties(from, 'hold', 'return');
   assert.deepEqual([hold.code, hold.stdout], [0, 'return is on hold\n']);
