--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -17,31 +17,31 @@
 type HolderFailure = 'death' | 'freeze';
 
 /** Returns the time in ms from the failure of the holder until the provider accepts an action of another one. */
-async function simulatedGapMs(seed: number, end: HolderFailure): Promise<number> {
+async function simulatedFailoverMs(seed: number, failure: HolderFailure): Promise<number> {
   const group = new DutyGroup({ seed, settings: { lease_s: LEASE_S } });
   await group.untilAllHeld();
   await group.run(5 + group.random.unit());
-  const old = group.storedHolder(DUTY)!;
-  if (end === 'death') group.crash(old.controller, DOWNTIME_MS);
-  else group.freeze(old.controller, FREEZE_MS);
+  const initialHolder = group.storedHolder(DUTY)!;
+  if (failure === 'death') group.crash(initialHolder.controller, DOWNTIME_MS);
+  else group.freeze(initialHolder.controller, FREEZE_MS);
   const from = group.clock.time;
   void group.delete('return', 'm-1');
   await group.until('another controller acts', () =>
-    group.provider.executed(DUTY).some(({ token }) => token > old.token),
+    group.provider.executed(DUTY).some(({ token }) => token > initialHolder.token),
   );
   return group.clock.time - from;
 }
 
-async function loopbackGapMs(run: number, end: HolderFailure): Promise<number> {
+async function loopbackFailoverMs(run: number, failure: HolderFailure): Promise<number> {
   const processes = new DutyProcesses();
   try {
     await processes.start(0, LEASE_S);
-    const old = processes.storedHolder()!;
-    processes.signal(old.controller, end === 'death' ? 'SIGKILL' : 'SIGSTOP');
+    const initialHolder = processes.storedHolder()!;
+    processes.signal(initialHolder.controller, failure === 'death' ? 'SIGKILL' : 'SIGSTOP');
     const from = performance.now();
     processes.storeDeletionIntent(`i-${run}`, 'm-1');
     await processes.until('another controller acts', () =>
-      processes.provider.executed(DUTY).some(({ token }) => token > old.token),
+      processes.provider.executed(DUTY).some(({ token }) => token > initialHolder.token),
     );
     return performance.now() - from;
   } finally {
@@ -49,13 +49,13 @@
   }
 }
 
-async function printGaps(
+async function printFailoverTimes(
   name: string,
   runs: number,
-  gap: (run: number) => Promise<number>,
+  failoverMs: (run: number) => Promise<number>,
 ): Promise<void> {
   const histogram = hdr.build();
-  for (let run = 1; run <= runs; run++) histogram.recordValue(Math.round(await gap(run)));
+  for (let run = 1; run <= runs; run++) histogram.recordValue(Math.round(await failoverMs(run)));
   const [p50, p95] = [50, 95].map((share) => histogram.getValueAtPercentile(share));
   console.log(`${name}: ${runs} runs, p50 ${p50} ms, p95 ${p95} ms, most ${histogram.maxValue} ms`);
 }
@@ -76,8 +76,12 @@
 }
 
 console.log(`lease of ${LEASE_S} s`);
-for (const end of ['death', 'freeze'] as const) {
-  await printGaps(`simulated, ${end}`, SEEDS, (run) => simulatedGapMs(run, end));
-  await printGaps(`loopback, ${end}`, LOOPBACK_RUNS, (run) => loopbackGapMs(run, end));
+for (const failure of ['death', 'freeze'] as const) {
+  await printFailoverTimes(`simulated, ${failure}`, SEEDS, (run) =>
+    simulatedFailoverMs(run, failure),
+  );
+  await printFailoverTimes(`loopback, ${failure}`, LOOPBACK_RUNS, (run) =>
+    loopbackFailoverMs(run, failure),
+  );
 }
 await printIdleLoad();
