--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -21,9 +21,9 @@
 function storeAndLoad(job: Job, layout: Layout, valueBytes = Infinity): Job {
   const loaded = new TrackedJob<TaskAttempt>(1, job.spec, 1, 0, true, 0);
   for (let chunk = 0; chunk * TASKS_PER_CHUNK < job.spec.tasks; chunk++) {
-    const made = recordsOfChunk(job.finished.bits, job.spec.tasks, chunk, layout, valueBytes);
-    assert.ok(made.kind === 'fits' && made.chunks.includes(chunk));
-    for (const { number, value } of made.records) {
+    const packed = recordsOfChunk(job.finished.bits, job.spec.tasks, chunk, layout, valueBytes);
+    assert.ok(packed.kind === 'fits' && packed.chunks.includes(chunk));
+    for (const { number, value } of packed.records) {
       const read = readFinishedRecord(number, value);
       assert.ok(read.kind === 'readable');
       loaded.loadFinished(read.firstTask, read.bits);
@@ -57,9 +57,9 @@
     numRuns: 1,
   })[0];
   for (let chunk = 0; chunk * TASKS_PER_CHUNK < MAX_TASKS; chunk++) {
-    const made = recordsOfChunk(random, MAX_TASKS, chunk, { kind: 'segments', split: 6 }, 512);
-    assert.ok(made.kind === 'fits');
-    for (const { value } of made.records) assert.ok(JSON.stringify(value).length <= 512);
+    const packed = recordsOfChunk(random, MAX_TASKS, chunk, { kind: 'segments', split: 6 }, 512);
+    assert.ok(packed.kind === 'fits');
+    for (const { value } of packed.records) assert.ok(JSON.stringify(value).length <= 512);
   }
   const coarse = recordsOfChunk(random, MAX_TASKS, 0, { kind: 'segments', split: 0 }, 512);
   assert.equal(coarse.kind, 'too-large');
@@ -67,40 +67,40 @@
 
 // A build from before feature levels reads text only and would take a text for a chunk, so a segment must not be text.
 test('a segment is stored as an object, not as text', () => {
-  const made = recordsOfChunk(
+  const packed = recordsOfChunk(
     new Uint8Array(2000).fill(255),
     16_000,
     0,
     { kind: 'segments', split: 0 },
     4096,
   );
-  assert.ok(made.kind === 'fits');
-  for (const { value } of made.records) assert.equal(typeof value, 'object');
+  assert.ok(packed.kind === 'fits');
+  for (const { value } of packed.records) assert.equal(typeof value, 'object');
 });
 
 test('malformed records are unreadable', () => {
-  const good = { from: 0, tasks: 4096, deflated: 'AAAA' };
-  const wrong: [number, unknown][] = [
+  const validSegment = { from: 0, tasks: 4096, deflated: 'AAAA' };
+  const malformed: [number, unknown][] = [
     [0, 17],
     [1000, 'AAAA'],
-    [1000, good],
-    [1000, { ...good, from: 3 }],
-    [1000, { ...good, tasks: 10_000_000 }],
-    [1000, { ...good, deflated: null }],
+    [1000, validSegment],
+    [1000, { ...validSegment, from: 3 }],
+    [1000, { ...validSegment, tasks: 10_000_000 }],
+    [1000, { ...validSegment, deflated: null }],
     [Number.NaN, {}],
   ];
-  for (const [number, value] of wrong)
+  for (const [number, value] of malformed)
     assert.equal(readFinishedRecord(number, value).kind, 'unreadable');
   // Unpacks to more, or fewer, tasks than the record claims to cover.
-  const made = recordsOfChunk(
+  const packed = recordsOfChunk(
     new Uint8Array(1024).fill(255),
     8192,
     0,
     { kind: 'segments', split: 0 },
     4096,
   );
-  assert.ok(made.kind === 'fits');
-  const { number, value } = made.records[0];
+  assert.ok(packed.kind === 'fits');
+  const { number, value } = packed.records[0];
   for (const tasks of [4096, 16_384])
     assert.equal(readFinishedRecord(number, { ...(value as object), tasks }).kind, 'unreadable');
 });
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -101,9 +101,10 @@
 ): { records: number; bytes: number } {
   const values = new Map<number, number>();
   for (let chunk = 0; chunk * TASKS_PER_CHUNK < tasks; chunk++) {
-    const made = recordsOfChunk(finished, tasks, chunk, layout, VALUE_BYTES);
-    if (made.kind === 'too-large') return storedSize(finished, tasks, finerLayout(layout));
-    for (const { number, value } of made.records) values.set(number, JSON.stringify(value).length);
+    const packed = recordsOfChunk(finished, tasks, chunk, layout, VALUE_BYTES);
+    if (packed.kind === 'too-large') return storedSize(finished, tasks, finerLayout(layout));
+    for (const { number, value } of packed.records)
+      values.set(number, JSON.stringify(value).length);
   }
   return {
     records: values.size,
