--- a/test/job-reads.test.ts
+++ b/test/job-reads.test.ts
@@ -25,12 +25,12 @@
       assert.equal((await requestFrom(cluster, name, pollRequest(job.id))).status, 200);
   }
   await cluster.run(3);
-  const requestsBefore = cluster.state.received.requests;
+  const requestsAtStart = cluster.state.received.requests;
   const requestsBeforeIdle = cluster.state.received.requests;
   await cluster.run(4);
   const idleRequests = cluster.state.received.requests - requestsBeforeIdle;
   let responses = 0;
-  for (let second = 0; second < 40; second++) {
+  for (let step = 0; step < 40; step++) {
     for (const { method, path, body } of ids.map(pollRequest))
       for (const name of cluster.nodeNames)
         void cluster.network
@@ -39,7 +39,7 @@
     await cluster.run(0.1);
   }
   await cluster.run(1);
-  const cost = cluster.state.received.requests - requestsBefore - idleRequests;
+  const cost = cluster.state.received.requests - requestsAtStart - idleRequests;
   assert.ok(responses > 1190, `${responses} responses`);
   assert.ok(cost < responses / 4, `${cost} requests for ${responses} responses`);
 });
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -73,7 +73,7 @@
   await cluster.run(2.4);
   cluster.network.partitions = [];
   add('i-2');
-  for (let second = 0; second < 35; second++) {
+  for (let step = 0; step < 35; step++) {
     machineRecords.tick();
     await cluster.run(0.2);
   }
@@ -87,7 +87,7 @@
 test('a removed machine counts as stored only after it has been written again', async () => {
   const { cluster, machineRecords, add, stored } = machineRecordsFixture();
   const run = async (seconds: number): Promise<void> => {
-    for (let second = 0; second < seconds * 5; second++) {
+    for (let step = 0; step < seconds * 5; step++) {
       machineRecords.tick();
       await cluster.run(0.2);
     }
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -48,7 +48,7 @@
   // One machine of each page is preempted, so that the page is rewritten.
   const preemptedIds = new Set(pagesNow().map((p) => p[0].id));
   for (const id of preemptedIds) cluster.cloud.preempt(cluster.cloud.machines.get(id)!);
-  for (let second = 0; second < 4000; second++) {
+  for (let step = 0; step < 4000; step++) {
     await cluster.run(0.004);
     const now = new Set(
       pagesNow()
@@ -141,7 +141,7 @@
     cluster.state.putDirectly(finishedKey('run-1', chunk), 'x');
     completionWriter.noteWritten(job, chunk);
   }
-  for (let second = 0; second < 60; second++) {
+  for (let step = 0; step < 60; step++) {
     completionWriter.tick();
     await cluster.run(0.2);
   }
@@ -201,12 +201,13 @@
 
 for (const seed of [21, 23, 24])
   test(`limits are respected when an old process leads during an upgrade, a zone partition and late writes (${seed})`, async () => {
-    let oldLed = false;
+    let ledWithOldLimits = false;
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
         // The lease of the previous leader may last until now; at second 22 the old process is replaced.
-        if (second === 21 || second === 22) oldLed ||= cluster.leader() === cluster.nodeNames[4];
+        if (second === 21 || second === 22)
+          ledWithOldLimits ||= cluster.leader() === cluster.nodeNames[4];
         replaceWithStricter(cluster, second);
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
@@ -222,7 +223,7 @@
     );
     assertInvariantsHeld(outcome);
     assert.equal(outcome.cluster.state.tooLarge, 0, 'no node writes a value that is too large');
-    assert.ok(oldLed, 'the old process led');
+    assert.ok(ledWithOldLimits, 'the old process led');
   });
 
 for (const seed of [11, 12, 13])
