--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -28,13 +28,14 @@
   const cluster = losslessCluster(5);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
-  const status = async (over: Partial<JobSubmission>): Promise<number> =>
-    (await requestFrom(cluster, 'n0', submitRequest({ ...job, ...over }))).status;
+  const status = async (overrides: Partial<JobSubmission>): Promise<number> =>
+    (await requestFrom(cluster, 'n0', submitRequest({ ...job, ...overrides }))).status;
   const statusOfRaw = async (
-    over: Parameters<typeof submissionWithRawFields>[1],
+    overrides: Parameters<typeof submissionWithRawFields>[1],
   ): Promise<number> =>
-    (await requestFrom(cluster, 'n0', rawSubmitRequest(submissionWithRawFields(job, over)))).status;
-  for (const over of [
+    (await requestFrom(cluster, 'n0', rawSubmitRequest(submissionWithRawFields(job, overrides))))
+      .status;
+  for (const overrides of [
     { id: 'x' },
     { tasks: 0 },
     { tasks: 100_001 },
@@ -46,7 +47,7 @@
     { machineTypes: 'g8' },
     { image: undefined },
   ])
-    assert.equal(await statusOfRaw(over), 400, JSON.stringify(over));
+    assert.equal(await statusOfRaw(overrides), 400, JSON.stringify(overrides));
   assert.equal(await status({ team: 'nobody' }), 422);
   assert.equal(await status({ cpus: 17 }), 422);
   assert.equal(await status({ zone: 'nowhere' }), 422);
@@ -133,19 +134,19 @@
     { spread: true, tasks: 2, zone: 'a' },
     { spread: true, tasks: 2, oneZone: true },
   ];
-  for (const over of never) {
+  for (const overrides of never) {
     const job = cluster.users.newJob({
       kind: 'array',
       tasks: 3,
       spread: false,
       oneZone: false,
-      ...over,
+      ...overrides,
     });
     for (const node of [...cluster.nodeNames, 'n2'])
       assert.equal(
         (await requestFrom(cluster, node, submitRequest(job))).status,
         422,
-        JSON.stringify(over),
+        JSON.stringify(overrides),
       );
     assert.equal((await requestFrom(cluster, 'n0', pollRequest(job.id))).status, 404);
   }
--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -12,7 +12,7 @@
   c: Attestations;
   advance(ms: number): void;
   /** Delivers an attestation of a to b and c, and then one of each of them to a. */
-  exchange(byB?: { highestSeenEpoch?: number; isCandidate?: boolean }): void;
+  exchange(attestationOfB?: { highestSeenEpoch?: number; isCandidate?: boolean }): void;
 }
 
 /** Three nodes whose clocks are unrelated. */
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -21,7 +21,7 @@
 ): void {
   test(`${name} (${seed})`, async () => {
     let cloudInvariants: CloudInvariants | null = null;
-    const before = (cluster: Cluster, second: number): void => {
+    const eachSecond = (cluster: Cluster, second: number): void => {
       if (second > 0) faults(cluster, second);
     };
     const outcome = await runScenario(
@@ -33,7 +33,7 @@
         duties: DUTY_SETTINGS,
         ...config,
       },
-      before,
+      eachSecond,
       (cluster) => {
         putFeatureLevel(cluster);
         cloudInvariants = new CloudInvariants(cluster);
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -25,10 +25,10 @@
   imageGb: 0,
 };
 
-function withJob(over: Partial<JobSubmission> = {}): Fixture {
+function withJob(overrides: Partial<JobSubmission> = {}): Fixture {
   const clock = { now: 0 };
   const invariants = new Invariants(() => clock.now, CANCEL_MS, new Map([['t0', LIMIT]]));
-  const observed = observedJob({ ...JOB, ...over }, 0);
+  const observed = observedJob({ ...JOB, ...overrides }, 0);
   invariants.jobs.set(JOB.id, { ...observed, reportedAccepted: true });
   return { invariants, clock };
 }
@@ -98,15 +98,15 @@
 });
 
 test('a waiting gang is a violation only if the whole gang fits under the limit of its team', () => {
-  const rooms = [{ ...place('m1'), freeCpus: 64 }];
+  const capacities = [{ ...place('m1'), freeCpus: 64 }];
   for (const [tasks, waits] of [
     [3, false],
     [2, true],
   ] as const) {
     const { invariants, clock } = withJob({ kind: 'gang', tasks });
-    invariants.checkWaiting(rooms, []);
+    invariants.checkWaiting(capacities, []);
     clock.now = WAITING_LIMIT_MS + 1;
-    invariants.checkWaiting(rooms, []);
+    invariants.checkWaiting(capacities, []);
     assert.equal(invariants.violations.length > 0, waits, `${tasks} tasks`);
   }
 });
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -45,13 +45,16 @@
 
 test('the failure of a listed test is tolerated, and any other failure is not', () => {
   const ok = { test: 'test/a.test.ts > fine', passed: true };
-  const red = { test: LISTED.test, passed: false };
-  assert.deepEqual(evaluateResults([ok, red], [LISTED]), { knownRed: [LISTED], problems: [] });
-  const other = { test: 'test/b.test.ts > breaks', passed: false };
-  assert.deepEqual(evaluateResults([red, other], [LISTED]).problems, [
+  const listedFailure = { test: LISTED.test, passed: false };
+  assert.deepEqual(evaluateResults([ok, listedFailure], [LISTED]), {
+    knownRed: [LISTED],
+    problems: [],
+  });
+  const otherFailure = { test: 'test/b.test.ts > breaks', passed: false };
+  assert.deepEqual(evaluateResults([listedFailure, otherFailure], [LISTED]).problems, [
     'failed: test/b.test.ts > breaks',
   ]);
-  assert.deepEqual(evaluateResults([ok, red], []).problems, [`failed: ${LISTED.test}`]);
+  assert.deepEqual(evaluateResults([ok, listedFailure], []).problems, [`failed: ${LISTED.test}`]);
 });
 
 test('a listed test that passes or did not run fails the run, and so does a run without tests', () => {
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -103,11 +103,11 @@
   assert.equal(readPeerMessage({ t: 'constructor', from: 'n1' }), null);
   assert.equal(readPeerMessage({ t: 'attest', from: 'n1', life: 'x' }), null);
   assert.equal(readPeerMessage({ t: 'served', from: 'n1', served: true, more: 1 })?.t, 'served');
-  const odd = encodeFrame({ t: 'served', from: 'n1', served: true });
+  const known = encodeFrame({ t: 'served', from: 'n1', served: true });
   const decoder = new FrameDecoder();
-  const future = encodeFrame({ t: 'future', from: 'n1' } as never);
+  const unknown = encodeFrame({ t: 'future', from: 'n1' } as never);
   assert.deepEqual(
-    decoder.push(Buffer.concat([future, odd]))?.map((m) => m.t),
+    decoder.push(Buffer.concat([unknown, known]))?.map((m) => m.t),
     ['served'],
   );
 });
@@ -163,7 +163,7 @@
           'cancelled',
         );
     assert.deepEqual(
-      cluster.invariants.violations.filter((b) => !b.includes('not_done')),
+      cluster.invariants.violations.filter((violation) => !violation.includes('not_done')),
       [],
     );
   });
@@ -208,16 +208,16 @@
   assert.deepEqual((seen as { later: unknown }).later, { deep: [1] });
 
   const page = cluster.state.value('m/page-0') as { machines: { id: string }[] };
-  const rack = page.machines.map((m) => ({ ...m, rack: 7 }));
-  cluster.state.putDirectly('m/page-0', { machines: rack, note: 'kept' });
-  const before = cluster.state.history('m/page-0').length;
+  const machinesWithRack = page.machines.map((m) => ({ ...m, rack: 7 }));
+  cluster.state.putDirectly('m/page-0', { machines: machinesWithRack, note: 'kept' });
+  const versionsBefore = cluster.state.history('m/page-0').length;
   cluster.crash(cluster.leader()!, 150);
   await cluster.run(8);
   cluster.cloud.preempt(
-    rack.map((m) => cluster.cloud.machines.get(m.id)).find((m) => m !== undefined)!,
+    machinesWithRack.map((m) => cluster.cloud.machines.get(m.id)).find((m) => m !== undefined)!,
   );
   await cluster.run(12);
-  const after = cluster.state.history('m/page-0').slice(before) as {
+  const after = cluster.state.history('m/page-0').slice(versionsBefore) as {
     note?: string;
     machines: { rack?: number }[];
   }[];
