--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -127,19 +127,17 @@
     async () => (await rentDutyStatus('n0')).holder !== null,
   );
   const statusBefore = await rentDutyStatus('n0');
-  const initialHolder = statusBefore.holder?.controller ?? assert.fail();
-  deployment.signal(initialHolder, 'SIGSTOP');
-  const from = NAMES.find((name) => name !== initialHolder) ?? assert.fail();
+  const holder = statusBefore.holder?.controller ?? assert.fail();
+  deployment.signal(holder, 'SIGSTOP');
+  const from = NAMES.find((name) => name !== holder) ?? assert.fail();
   await deployment.until('a successor holds the duty', async () => {
     const now = await rentDutyStatus(from);
     return (
-      now.token > statusBefore.token &&
-      now.holder !== null &&
-      now.holder.controller !== initialHolder
+      now.token > statusBefore.token && now.holder !== null && now.holder.controller !== holder
     );
   });
-  deployment.signal(initialHolder, 'SIGCONT');
-  await deployment.untilHealthy(initialHolder);
+  deployment.signal(holder, 'SIGCONT');
+  await deployment.untilHealthy(holder);
 
   const hold = await deployment.duties(from, 'hold', 'return');
   assert.deepEqual([hold.code, hold.stdout], [0, 'return is on hold\n']);
