--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -1,4 +1,4 @@
-/** A duty holder as a real process on loopback that is suspended until its lease has expired, and then continued. */
+/** A duty holder as a real process on loopback that is frozen until its lease has expired, and then continued. */
 import assert from 'node:assert/strict';
 import { type TestContext, test } from 'node:test';
 import type { Duty } from '@millring/duties';
@@ -8,7 +8,7 @@
 const NAMES = ['n0', 'n1', 'n2'];
 /** Longer than a busy machine may stall processes, so that no holder loses a duty because of a stall. */
 const LEASE_S = 5;
-/** Longer than a busy machine may take to suspend a process that has just passed the check. */
+/** Longer than a busy machine may take to freeze a process that has just checked its lease. */
 const SEND_DELAY_MS = 4000;
 
 /** Starts controller processes and waits until one holds the duty. The processes are stopped when the test ends. */
@@ -23,13 +23,16 @@
   return { processes, initialHolder: controller, token };
 }
 
-/** Waits until the old holder notices the loss of the duty. Asserts that all its actions under `token` were refused. */
+/**
+ * Waits until the former holder notices the loss of the duty. Asserts that none of its actions under `token` was
+ * executed.
+ */
 async function expectFenced(
   processes: DutyProcesses,
   initialHolder: string,
   token: number,
 ): Promise<void> {
-  await processes.until('the old holder notices the loss of the duty', () => {
+  await processes.until('the former holder notices the loss of the duty', () => {
     const states = processes.states(initialHolder);
     return states.indexOf('vacant', states.indexOf('lost')) > 0;
   });
@@ -39,7 +42,7 @@
   assert.ok(stale.every((call) => !call.executed));
 }
 
-test('a holder process suspended before the check starts no action after its successor has acted', async (context) => {
+test('a holder process frozen before it checks its lease starts no action after its successor has acted', async (context) => {
   const { processes, initialHolder, token } = await startProcesses(context, 0);
   processes.signal(initialHolder, 'SIGSTOP');
   processes.storeDeletionIntent('i-1', 'm-1');
@@ -52,10 +55,10 @@
   assert.equal(processes.checkCount(initialHolder), 0);
 });
 
-test('a holder process suspended between check and send has its request refused once it continues', async (context) => {
+test('a request of a holder process frozen between the lease check and the request is rejected as stale once it continues', async (context) => {
   const { processes, initialHolder, token } = await startProcesses(context, SEND_DELAY_MS);
   processes.storeDeletionIntent('i-1', 'm-1');
-  await processes.until('the check is passed', () => processes.checkCount(initialHolder) > 0);
+  await processes.until('the lease check is passed', () => processes.checkCount(initialHolder) > 0);
   processes.signal(initialHolder, 'SIGSTOP');
   assert.equal(processes.provider.calls.length, 0);
   await processes.untilReplaced(initialHolder, token);
@@ -63,13 +66,13 @@
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
   processes.signal(initialHolder, 'SIGCONT');
   await processes.until(
-    'a request of the old holder is refused',
+    'a request of the former holder is rejected as stale',
     () => processes.provider.refused().length > 0,
   );
   await expectFenced(processes, initialHolder, token);
 });
 
-test('a request in flight of a suspended holder process is refused after the takeover, and its result is not stored', async (context) => {
+test('a request in flight of a frozen holder process is rejected as stale after the takeover, and its result is not stored', async (context) => {
   const { processes, initialHolder, token } = await startProcesses(context, 0);
   let release: () => void = () => undefined;
   const held = new Promise<void>((done) => (release = done));
@@ -82,7 +85,7 @@
   await processes.until('the intent is done', () => processes.isDone('i-1'));
   release();
   await processes.until(
-    'the late request is refused',
+    'the late request is rejected as stale',
     () => processes.provider.refused().length > 0,
   );
   processes.signal(initialHolder, 'SIGCONT');
@@ -90,7 +93,7 @@
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
 });
 
-/** Timeouts long enough that no change of level is aborted on a fully loaded machine. */
+/** Timeouts long enough that no change of the feature level is aborted on a fully loaded machine. */
 const ROLLOUT = {
   mode: 'automatic',
   soak_s: 0.5,
@@ -114,7 +117,7 @@
   return (JSON.parse(output.stdout) as StatusOutput).duties;
 }
 
-test('under continuous submissions a suspended holder is replaced, and operators can hold and release duties', async (context) => {
+test('under continuous submissions a frozen holder is replaced, and operators can block a duty and unblock it', async (context) => {
   const deployment = new ControllerProcesses();
   context.after(() => deployment.stop());
   await deployment.start('latest', ROLLOUT, DUTY_SETTINGS);
@@ -126,15 +129,13 @@
     'the duty is held',
     async () => (await rentDutyStatus('n0')).holder !== null,
   );
-  const statusBefore = await rentDutyStatus('n0');
-  const holder = statusBefore.holder?.controller ?? assert.fail();
+  const initial = await rentDutyStatus('n0');
+  const holder = initial.holder?.controller ?? assert.fail();
   deployment.signal(holder, 'SIGSTOP');
   const from = NAMES.find((name) => name !== holder) ?? assert.fail();
   await deployment.until('a successor holds the duty', async () => {
     const now = await rentDutyStatus(from);
-    return (
-      now.token > statusBefore.token && now.holder !== null && now.holder.controller !== holder
-    );
+    return now.token > initial.token && now.holder !== null && now.holder.controller !== holder;
   });
   deployment.signal(holder, 'SIGCONT');
   await deployment.untilHealthy(holder);
