--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -57,7 +57,7 @@
 }
 
 // A new leader must read all intents before it places tasks.
-test('machines with an open intent of a former leader to delete them take no work under any later leader', async () => {
+test('no later leader places tasks on a machine that an open intent will delete', async () => {
   const cluster = new Cluster({
     seed: 51,
     ordinaryUp: 4,
@@ -89,7 +89,7 @@
       );
     }
   }
-  assert.ok(machinesWithTasks(cluster).size > 0, 'other machines are rented and take the work');
+  assert.ok(machinesWithTasks(cluster).size > 0, 'other machines are rented and run the tasks');
   await cluster.state.deleteAsOperator('duties/holds/return');
   await cluster.run(15);
   assert.ok(
@@ -131,11 +131,15 @@
 });
 
 for (const seed of [41, 42])
-  testDuties('without faults all rentals and deletions go through intents', seed, () => undefined);
+  testDuties(
+    'without injected faults all rentals and deletions go through intents',
+    seed,
+    () => undefined,
+  );
 
 for (const seed of [43, 44, 45])
   testDuties(
-    'invariants hold while holders and leaders crash, freeze and lose the state service',
+    'invariants hold while leaders crash, and holders crash, freeze or are rejected by the state service',
     seed,
     (cluster, second) => {
       const { random } = cluster;
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -1,4 +1,4 @@
-/** Lowering the cluster's feature level below that of the duties: with open intents, and next to another feature. */
+/** Lowering the feature level below the one that duties need: with open intents, and next to another feature. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { BUILD } from '../src/build.js';
@@ -11,7 +11,7 @@
 } from './sim/rolling-upgrade.js';
 
 // A leader of a build without intents must not lead while an open intent may still delete a machine.
-test('lowering the level below that of the duties waits for open intents, and the leader then rents without intents', async () => {
+test('lowering the feature level below the one that duties need waits for open intents, and the leader then rents without intents', async () => {
   const upgrade = new RollingUpgrade(19, BUILD, {
     ordinaryUp: 0,
     rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
@@ -46,12 +46,12 @@
   assert.equal(
     state.changesUnder('duties/intents/'),
     intents,
-    'no intent is opened below the level of the duties',
+    'no intent is opened below the level that duties need',
   );
 });
 
-// Records in a form that the lower level still uses must not be converted.
-test('lowering the level below that of the duties leaves segments unchanged', async () => {
+// Records in a layout that the lower level supports must not be converted.
+test('lowering the feature level below the one that duties need leaves segments unchanged', async () => {
   const upgrade = new RollingUpgrade(20, BUILD, {
     ...LARGE_CLUSTER,
     rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
--- a/test/duties-operators.test.ts
+++ b/test/duties-operators.test.ts
@@ -34,7 +34,7 @@
   }
 });
 
-test('a malformed holder record prevents the duty from being held until an operator releases it', async () => {
+test('a malformed holder record prevents the duty from being acquired until an operator runs the release command', async () => {
   const group = await settledGroup(18);
   group.invariants.operatorActed = true;
   group.state.putDirectly('duties/holders/rent', { who: 'knows' });
@@ -81,13 +81,13 @@
   return result ?? assert.fail();
 }
 
-test('a duty that an operator put on hold has no holder, and its intents are executed after its release', async () => {
+test('a duty blocked by an operator has no holder, and its intents are executed once it is unblocked', async () => {
   const group = await settledGroup(19);
   const machines = await rentMachines(group, 1);
   assert.equal((await runCommand(group, (operator) => operator.hold('return'))).kind, 'done');
   assert.equal((await runCommand(group, (operator) => operator.hold('return'))).kind, 'refused');
   const opened = group.delete('return', machines[0]);
-  // Longer than a lost response of a watch can keep the holder from seeing the hold.
+  // A lost watch response may delay the holder's view of the hold, by less than this time.
   await group.run(12);
   assert.equal(group.holder('return'), undefined);
   assert.equal(group.provider.machines.size, 1);
@@ -103,7 +103,7 @@
   assert.equal(group.provider.machines.size, 0);
 });
 
-test('release by an operator takes a duty from its holder, and another controller acquires it', async () => {
+test('the release command of an operator takes a duty from its holder, and another controller acquires it', async () => {
   const group = await settledGroup(20);
   await group.run(5);
   const initialHolder = group.holder('reclaim') ?? assert.fail();
--- a/test/duties.test.ts
+++ b/test/duties.test.ts
@@ -1,4 +1,4 @@
-/** Duties in simulated groups of controllers: distribution, crashes of holders, refusals and random faults. */
+/** Duties in simulated groups of controllers: distribution, crashes of holders, provider outages and random faults. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES, type Duty, type IntentResult } from '@millring/duties';
@@ -75,7 +75,7 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('a provider that refuses is called with backoff, and the intent is resolved once it accepts requests', async () => {
+test('an unavailable provider is called with backoff, and the intent is resolved once it is available again', async () => {
   const group = await settledGroup(13);
   const machines = await rentMachines(group, 1);
   let attempts = 0;
@@ -204,7 +204,11 @@
     await group.run(30);
     await group.untilAllHeld();
     await group.until('no intent is open', () => group.openIntentCount() === 0);
-    assert.equal(followed, opened, 'the decider learned the outcome of each intent');
+    assert.equal(
+      followed,
+      opened,
+      'the controller that opened the intents learned the outcome of each',
+    );
     assert.deepEqual(group.invariants.unaccounted(), []);
     assert.deepEqual(group.invariants.violations, []);
     const calls = group.provider.calls.length;
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -1,4 +1,7 @@
-/** Holders that have lost their duty, or may have: actions are not started, or are refused because of the token. */
+/**
+ * Holders that have lost their duty, or may have: their actions are not started, or are rejected because the token is
+ * stale.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DUTIES } from '@millring/duties';
@@ -9,7 +12,7 @@
   rentMachines,
 } from './sim/duty-scenarios.js';
 
-test('a holder suspended before the check starts no action after its successor has acted', async () => {
+test('a holder frozen before it checks its lease starts no action after its successor has acted', async () => {
   for (const seed of [3, 4, 5]) {
     const group = await settledGroup(seed);
     const machines = await rentMachines(group, 4);
@@ -21,7 +24,7 @@
     assert.notEqual(group.storedHolder('return')?.controller, initialHolder);
     assert.ok((group.storedHolder('return')?.token ?? 0) > tokenBefore);
     await group.run(8);
-    // The old holder continues, and there is an intent that it could execute.
+    // The former holder continues, and there is an intent that it could execute.
     await untilResolved(group, group.delete('return', machines[1]));
     await group.run(2);
     assertLossNoticed(group, initialHolder, 'return');
@@ -58,7 +61,7 @@
   }
 });
 
-// A refusal by the provider must end the holding of the duty.
+// A request that the provider rejects as stale must end the holding of the duty.
 test('a holder whose token is rejected as stale gives up the duty at once and counts the rejection', async () => {
   const group = await settledGroup(35);
   const machines = await rentMachines(group, 1);
@@ -70,7 +73,7 @@
   await group.until('the request is in flight', () => requests > 0);
   group.rejectStateRequests(initialHolder, 10_000);
   await untilResolved(group, opened);
-  await group.until('the request is refused', () => group.provider.refused().length > 0);
+  await group.until('the request is rejected as stale', () => group.provider.refused().length > 0);
   await group.run(0.3);
   assert.equal(group.member(initialHolder).counters().refused, 1);
   assert.notEqual(group.member(initialHolder).holder('return').state(), 'suspended');
@@ -78,7 +81,7 @@
 });
 
 // Each request must carry the token: a request sent before the takeover may arrive after it.
-test('requests delayed until a successor has acted are refused by the provider', async () => {
+test('requests delayed until a successor has acted are rejected as stale by the provider', async () => {
   for (const seed of [6, 7, 8]) {
     const group = await settledGroup(seed);
     const machines = await rentMachines(group, 4);
@@ -87,7 +90,7 @@
     group.holdRequests(initialHolder, 9000);
     const opened = group.delete('return', machines[0]);
     await group.run(0.3);
-    // The request is in flight; now its sender is suspended, too.
+    // The request is in flight; now its sender freezes, too.
     group.freeze(initialHolder, 7000);
     await untilResolved(group, opened);
     assert.ok((group.storedHolder('return')?.token ?? 0) > tokenBefore);
@@ -99,9 +102,9 @@
   }
 });
 
-// A suspended holder has not lost its duty: its lease is valid as long as renewals are executed, with or without a
-// response.
-test('a holder whose renewals are executed without a response is suspended, keeps the duty and resumes', async () => {
+// A holder in the state `suspended` has not lost its duty: its lease is valid as long as renewals are executed, with or
+// without a response.
+test('a holder whose renewals are executed without a response goes to the state suspended, keeps the duty and resumes', async () => {
   const group = await settledGroup(36);
   const holder = group.holder('return') ?? assert.fail();
   const recordBefore = group.storedHolder('return');
@@ -130,7 +133,7 @@
   assert.deepEqual(group.invariants.violations, []);
 });
 
-test('when the state service refuses the holder only, another controller takes over and the old holder notices the loss', async () => {
+test('when the state service rejects the holder only, another controller takes over and the former holder notices the loss', async () => {
   const group = await settledGroup(11);
   const initialHolder = group.holder('rent') ?? assert.fail();
   group.rejectStateRequests(initialHolder, 8000);
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -1,4 +1,7 @@
-/** Writes of duties and intents that are applied late, or whose response is lost. */
+/**
+ * Writes of duties and intents that are applied late, or whose response is lost. The decider is the controller that
+ * opens intents: in a cluster, the leader.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { DutyGroup } from './sim/duty-group.js';
@@ -14,7 +17,7 @@
 });
 
 // The write that resolves an intent must have the holder record of the duty as a precondition.
-test('a write of the old holder that arrives after the intent was resolved changes nothing', async () => {
+test('a write of the former holder that arrives after the intent was resolved changes nothing', async () => {
   const group = await settledGroup(9);
   const machines = await rentMachines(group, 2);
   const initialHolder = group.holder('return') ?? assert.fail();
@@ -75,7 +78,7 @@
 });
 
 // The holder record must be a precondition also where the intent itself is unchanged.
-test('a late write of the old holder does not resolve an intent that its successor has not executed yet', async () => {
+test('a late write of the former holder does not resolve an intent that its successor has not executed yet', async () => {
   const group = await settledGroup(29);
   const machines = await rentMachines(group, 1);
   const initialHolder = group.holder('return') ?? assert.fail();
