--- a/test/attestations.test.ts
+++ b/test/attestations.test.ts
@@ -1,4 +1,8 @@
-/** Attestations that controllers exchange, tested message by message. */
+/**
+ * Attestations that controllers exchange, tested message by message. An attestation lists the cancellations that its
+ * sender confirmed, and echoes the send time of the last attestation received from each peer. It covers the time up to
+ * that echo.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Attestations } from '../src/peers/attestations.js';
@@ -11,7 +15,7 @@
   b: Attestations;
   c: Attestations;
   advance(ms: number): void;
-  /** Delivers an attestation of a to b and c, and then one of each of them to a. */
+  /** Delivers an attestation of a to b and c, then one of each of them to a. The argument sets fields of that of b. */
   exchange(attestationOfB?: { highestSeenEpoch?: number; isCandidate?: boolean }): void;
 }
 
@@ -47,7 +51,7 @@
   return nodes;
 }
 
-test('attestations of all peers cover the time up to the earliest echo, and no longer', () => {
+test('confirmed cancellations are known up to the earliest time that all peers echo, and not beyond', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const knownUntil = nodes.clocks.a;
@@ -62,7 +66,7 @@
   assert.equal(nodes.a.completeUntil(knownUntil), exchangedAt);
 });
 
-test('an attestation without an echo, or with the echo of an earlier process, covers nothing', () => {
+test('an attestation without an echo, or with the echo of an earlier process, does not extend the time in which cancellations are known', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const knownUntil = nodes.clocks.a - 100;
@@ -79,7 +83,7 @@
   assert.equal(restartedA.completeUntil(knownUntil), knownUntil);
 });
 
-test('attestations of a restarted peer do not cover the time before its restart', () => {
+test('attestations of a restarted peer do not prove which cancellations it confirmed before its restart', () => {
   const nodes = threeNodes();
   nodes.advance(5000);
   nodes.exchange();
@@ -107,7 +111,7 @@
   assert.equal(nodes.a.completeUntil(laterKnownUntil), exchangedAt);
 });
 
-test('an attestation contains each confirmed cancellation for as long as attestations cover its time', () => {
+test('an attestation lists confirmed cancellations of the last 60 s, and older ones do not count as known', () => {
   const nodes = threeNodes();
   nodes.b.recordConfirmation('run-1');
   nodes.advance(59_000);
@@ -119,7 +123,7 @@
   assert.equal(nodes.a.completeUntil(from), from, 'attestations do not cover older confirmations');
 });
 
-test('a candidate does not extend the proven time without another leader, and a newer epoch resets it', () => {
+test('an attestation of a candidate does not extend the time in which no other leader can exist, and a newer epoch resets it', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const leaseValidUntil = nodes.clocks.a;
@@ -139,7 +143,7 @@
   assert.equal(nodes.a.uncontestedUntil(7, leaseValidUntil), leaseValidUntil);
 });
 
-test('an attestation that arrives late covers only the time up to its own echo', () => {
+test('an attestation that arrives late proves nothing about the time after its own echo', () => {
   const nodes = threeNodes();
   nodes.advance(2000);
   const knownUntil = nodes.clocks.a - 50;
@@ -157,7 +161,7 @@
   assert.equal(nodes.a.completeUntil(knownUntil), second);
 });
 
-test('a late attestation of an earlier process does not close the gap that a restart left', () => {
+test('a late attestation of an earlier process does not prove which cancellations the peer confirmed until its restart', () => {
   const nodes = threeNodes();
   nodes.advance(20_000);
   nodes.exchange();
