--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -1,4 +1,4 @@
-/** Stored forms of finished task numbers. */
+/** Layouts in which finished task numbers are stored. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
@@ -65,7 +65,7 @@
   assert.equal(coarse.kind, 'too-large');
 });
 
-// A build from before feature levels reads text only and would take a text for a chunk, so a segment must not be text.
+// A build from before feature levels reads every record that is text as a chunk, and others as records without tasks.
 test('a segment is stored as an object, not as text', () => {
   const packed = recordsOfChunk(
     new Uint8Array(2000).fill(255),
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -54,7 +54,7 @@
 ];
 for (const phase of ['preparing', 'activating', 'lowering'] as const)
   for (const [who, startOutage] of OUTAGES)
-    test(`a change of level completes after the state service refused ${who} while ${phase}`, async () => {
+    test(`a change of level completes after the state service was unavailable to ${who} while ${phase}`, async () => {
       const upgrade = new RollingUpgrade(9, NEW_BUILD);
       submitArrays(upgrade);
       if (phase === 'lowering') {
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -97,8 +97,8 @@
   await upgrade.finish();
 });
 
-// docs/safety.md: such a build cannot exclude itself, so it must treat the new form as missing information.
-test('a build from before feature levels that returns as the leader continues jobs stored in the new form', async () => {
+// Such a build cannot exclude itself: it must read a segment as a record without finished tasks; see docs/safety.md.
+test('a build from before feature levels that returns as the leader continues jobs with finished tasks stored as segments', async () => {
   const upgrade = new RollingUpgrade(5, NEW_BUILD, LARGE_CLUSTER);
   await upgrade.reaches('stable', 2);
   upgrade.submitLargeArray();
@@ -113,7 +113,7 @@
   assert.deepEqual(upgrade.invariants.segments(), [], 'the records are removed with their job');
 });
 
-test('lowering converts stored records despite a crash of the leader, and is not reverted automatically', async () => {
+test('lowering the feature level converts stored records despite a crash of the leader, and is not reverted automatically', async () => {
   const upgrade = new RollingUpgrade(12, NEW_BUILD, LARGE_CLUSTER);
   await upgrade.reaches('stable', 2);
   upgrade.submitLargeArray();
@@ -126,7 +126,7 @@
   await upgrade.finish();
 });
 
-test('if records do not fit in the older form, lowering is aborted and the reason names the job', async () => {
+test('if records do not fit in the older layout, lowering the feature level is aborted and the reason names the job', async () => {
   const upgrade = new RollingUpgrade(13, NEW_BUILD, LARGE_CLUSTER);
   for (const name of NAMES) upgrade.cluster.overrides.set(name, { maxValueKb: 0.5 });
   for (const name of NAMES) upgrade.cluster.crash(name, 50);
