--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -97,9 +97,8 @@
   });
 }
 
-// After a restart of all controllers of anketsis-pazar the leader responded to 3000 heartbeats in 16 s, all of them too
-// late.
-test('heartbeats of workers that disconnected while waiting are dropped, and those of waiting workers are handled', async (context) => {
+// After a restart of all controllers, a leader responded to 3000 heartbeats in 16 s, all of them too late.
+test('heartbeats of workers that disconnected while waiting are dropped, and open and later connections are still served', async (context) => {
   let heartbeats = 0;
   const lines: string[] = [];
   const node = {
@@ -127,7 +126,7 @@
   assert.equal(
     (await sendRequest(port, 'POST', HEARTBEAT_PATH, fresh))[0],
     200,
-    'the queue accepts connections again',
+    'new connections are accepted after the accept queue was dropped',
   );
   for (const agent of [kept, fresh]) agent.destroy();
   assert.equal(heartbeats, 3);
--- a/test/job-reads.test.ts
+++ b/test/job-reads.test.ts
@@ -10,7 +10,7 @@
 import { StateStore } from '../src/state-store/client.js';
 import { JobCache } from '../src/jobs/job-cache.js';
 
-test('many polls cost few reads, and each response includes what was accepted before its poll', async () => {
+test('a job accepted by one controller is known to all at once, and many polls share reads of the state service', async () => {
   const cluster = new Cluster({ seed: 18 });
   cluster.network.lossRate = 0;
   await cluster.run(4);
@@ -20,11 +20,12 @@
     cluster.invariants.jobs.set(job.id, observedJob(job, cluster.clock.time));
     assert.equal((await requestFrom(cluster, 'n0', submitRequest(job))).status, 201);
     ids.push(job.id);
-    // A job accepted by one node is known to the others at once.
+    // A job accepted by one controller is known to the others at once.
     for (const name of ['n1', 'n2'])
       assert.equal((await requestFrom(cluster, name, pollRequest(job.id))).status, 200);
   }
   await cluster.run(3);
+  // Both counts start here: the requests of 4 s without polls are subtracted from the total.
   const requestsAtStart = cluster.state.received.requests;
   const requestsBeforeIdle = cluster.state.received.requests;
   await cluster.run(4);
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -1,4 +1,4 @@
-/** Machine records without a leader, with a state service whose requests can be delayed. */
+/** The store of machine records alone, outside a controller, with a state service whose requests can be delayed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -8,7 +8,7 @@
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 
-/** A store of machine records without a leader, and a simulated state service whose requests can be delayed. */
+/** Creates a store that always acts as the leader's, on a table of machines and a simulated state service. */
 function machineRecordsFixture(): {
   cluster: Cluster;
   table: MachineTable;
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits of the state service that are lower than when records were written. */
+/** Limits of the state service that are lowered while records written under higher limits exist. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CompletionWriter } from '../src/jobs/completion-writer.js';
@@ -94,7 +94,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** A completion writer without a controller, which is always the leader. */
+/** Creates a completion writer outside a controller. It always acts as the leader's. */
 function completionWriterOf(cluster: Cluster, jobs: JobTable): CompletionWriter {
   const runtime = clientRuntime(cluster);
   const store = new StateStore(runtime, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
@@ -153,7 +153,7 @@
   assert.equal(cluster.state.tooLarge, 0);
 });
 
-test('after limits fall below the announced ones, a bounded number of writes is refused, and then none', async () => {
+test('if limits of the state service fall below the configured ones, a bounded number of writes is refused, and then none', async () => {
   const outcome = await runScenario(
     { seed: 5, ordinaryUp: 30, capacity: 12 },
     (cluster, second) => {
@@ -170,7 +170,7 @@
   assert.equal(outcome.cluster.state.tooLarge, before);
 });
 
-/** Replaces one node after the other with one that has stricter limits. */
+/** Restarts one controller after the other with stricter limits. */
 function replaceWithStricter(cluster: Cluster, second: number): void {
   const node = cluster.nodeNames[Math.floor(second / 5)];
   if (second % 5 !== 2 || !node) return;
@@ -200,20 +200,21 @@
 }
 
 for (const seed of [21, 23, 24])
-  test(`limits are respected when an old process leads during an upgrade, a zone partition and late writes (${seed})`, async () => {
+  test(`limits that are lowered one controller after the other are respected, even if one with the old limits leads, with a zone partition and late writes (${seed})`, async () => {
     let ledWithOldLimits = false;
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        // The lease of the previous leader may last until now; at second 22 the old process is replaced.
+        // The lease of the previous leader may last until now. At second 22 the controller with the old limits
+        // restarts with the stricter ones.
         if (second === 21 || second === 22)
           ledWithOldLimits ||= cluster.leader() === cluster.nodeNames[4];
         replaceWithStricter(cluster, second);
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
         if (second === 8) partitionMachinesOf(cluster, 'b', 9000);
-        // All nodes but the last one are down briefly. The last one still has the old limits: it leads and writes under
-        // them.
+        // All controllers but the last one are down briefly. The last one still has the old limits: it leads and writes
+        // under them.
         if (second === 18)
           for (const name of cluster.nodeNames.slice(0, 4)) cluster.crash(name, 4000);
         cancelAndLowerBounds(cluster, second);
@@ -222,17 +223,21 @@
       },
     );
     assertInvariantsHeld(outcome);
-    assert.equal(outcome.cluster.state.tooLarge, 0, 'no node writes a value that is too large');
-    assert.ok(ledWithOldLimits, 'the old process led');
+    assert.equal(
+      outcome.cluster.state.tooLarge,
+      0,
+      'no controller writes a value that is too large',
+    );
+    assert.ok(ledWithOldLimits, 'the controller with the old limits led');
   });
 
 for (const seed of [11, 12, 13])
-  test(`lowered limits are respected after an upgrade under load, with cancellations and returning old processes (${seed})`, async () => {
+  test(`limits that are lowered one controller after the other under load are respected, with cancellations and a restart with the old limits (${seed})`, async () => {
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
         replaceWithStricter(cluster, second);
-        // A node that was not replaced yet crashes, and returns with the old limits.
+        // A controller that still has the old limits crashes, and restarts with them.
         if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
         if (second === 14) cluster.state.beginOutage(6000);
         cancelAndLowerBounds(cluster, second);
@@ -244,5 +249,9 @@
       },
     );
     assertInvariantsHeld(outcome);
-    assert.equal(outcome.cluster.state.tooLarge, 0, 'no node writes a value that is too large');
+    assert.equal(
+      outcome.cluster.state.tooLarge,
+      0,
+      'no controller writes a value that is too large',
+    );
   });
