--- a/test/demo.ts
+++ b/test/demo.ts
@@ -71,5 +71,5 @@
 
 simulatedServices.invariants.jobs.set(JOB.id, observedJob(JOB, 0));
 await simulatedServices.start();
-console.log('stand-ins are up; waiting for the controller');
+console.log('simulated services are up; waiting for the controller');
 void submitAndPoll();
--- a/test/measure-duties.ts
+++ b/test/measure-duties.ts
@@ -70,7 +70,7 @@
   await group.run(HOUR_S);
   const received = group.state.received;
   console.log(
-    `at rest, an hour: ${received.requests - requests} requests and ${received.changes - changes} changes to the state service, ` +
+    `idle for one hour: ${received.requests - requests} requests and ${received.changes - changes} changes to the state service, ` +
       `${group.provider.calls.length - calls} calls of the provider`,
   );
 }
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -74,7 +74,7 @@
   await deployment.start('old', ROLLOUT);
   void deployment.users.stream(SUBMISSION_INTERVAL_MS);
   await delay(PAUSE_MS);
-  print('no roll', await measure(deployment, () => delay(BASELINE_MS)));
+  print('baseline', await measure(deployment, () => delay(BASELINE_MS)));
   let activationMs = 0;
   const figures = await measure(deployment, async () => {
     for (const name of NAMES) {
@@ -86,7 +86,7 @@
     await deployment.until('the level is raised', () => deployment.level.active === 2);
     activationMs = performance.now() - healthy;
   });
-  print('roll', figures);
+  print('rolling upgrade', figures);
   print('from the last healthy controller to activation', { ms: activationMs });
   await deployment.users.endStream();
   deployment.users.checkHistory();
