--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -1,3 +1,4 @@
+/** The API for users: status codes, validation of submissions, and encoding. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readJob } from '../src/wire/users.js';
@@ -74,7 +75,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** Invalid values of each field, as they are encoded in the body, without translation to wire values. */
+/** Invalid values of each field. They are sent as listed: not even a job kind is mapped to its value on the wire. */
 const INVALID: Record<keyof JobSubmission, unknown[]> = {
   id: ['x', 'run-', 'run-1x', 7, ''],
   jobClass: ['', 3],
@@ -99,7 +100,7 @@
 };
 const NULLABLE: (keyof JobSubmission)[] = ['machineTypes', 'zone', 'deadlineS'];
 
-test('a submission with a missing or invalid field gets 400, from every node and when repeated', async () => {
+test('a submission with a missing or invalid field gets 400, from every controller and when repeated', async () => {
   const cluster = losslessCluster(8);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
@@ -119,7 +120,7 @@
   assert.equal((await requestFrom(cluster, 'n0', pollRequest(job.id))).status, 404);
 });
 
-test('a job that can never run gets 422, from every node and when repeated', async () => {
+test('a job that can never run gets 422, from every controller and when repeated', async () => {
   const cluster = losslessCluster(9);
   await cluster.run(3);
   const never: Partial<JobSubmission>[] = [
--- a/test/health.test.ts
+++ b/test/health.test.ts
@@ -1,4 +1,4 @@
-/** Health of a node as reported to health checks. */
+/** Health of a controller as reported to health checks. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Health, HealthCheck } from '../src/health.js';
@@ -34,7 +34,7 @@
   reason: 'the state service does not serve this controller',
 };
 
-test('a node that may not serve, or does not know the machine types, is unhealthy and reports the reason', () => {
+test('a controller that may not serve, or does not know the machine types, is unhealthy and reports the reason', () => {
   const node = nodeWith({ hasPeers: true });
   assert.deepEqual(node.check.health(), HEALTHY);
   node.knowsMachineTypes = false;
@@ -46,7 +46,7 @@
   assert.deepEqual(node.check.health(), { kind: 'unhealthy', reason: 'another level' });
 });
 
-test('a node is unhealthy if the state service is unavailable to it alone, and healthy in an outage for all nodes', () => {
+test('a controller is unhealthy if the state service is unavailable to it alone, and healthy in an outage for all controllers', () => {
   const node = nodeWith({ hasPeers: true });
   node.unavailableForMs = 1499;
   node.check.recordPeerStatus('n1', true);
@@ -59,7 +59,7 @@
   assert.deepEqual(node.check.health(), NOT_SERVED);
 });
 
-test('a node without recent peer reports is unhealthy if the state service is unavailable to it, unless it has no peers', () => {
+test('a controller without recent peer reports is unhealthy if the state service is unavailable to it, unless it has no peers', () => {
   const node = nodeWith({ hasPeers: true });
   node.unavailableForMs = 5000;
   node.check.recordPeerStatus('n1', false);
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -1,4 +1,7 @@
-/** The quota invariant with injected violations: no cluster run can find a violation that the checker misses. */
+/**
+ * Tests of the invariant checks themselves, with injected violations: no run of a cluster can find a violation that the
+ * checks miss.
+ */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,4 +1,4 @@
-/** The verdict on known failures: it must not hide another failure, nor a listed test that passes again. */
+/** Evaluation of known failures: they must not hide another failure, nor a listed test that passes again. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,3 +1,4 @@
+/** Platform settings and operators' settings: parsing, validation, defaults, and the derived cost policy. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { defaultOperatorSettings, readOperatorSettings } from '../src/settings/operator.js';
