--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -29,11 +29,11 @@
   assert.equal((await upgrade.runOperatorCommand('downgrade')).kind, 'done');
   await upgrade.staysAt(3, 10);
   assert.equal(upgrade.level.state, 'lowering');
-  const before = open();
+  const openBefore = open();
   assert.equal(upgrade.cluster.cloud.machines.size, 0);
   await state.deleteAsOperator('duties/holds/rent');
   await upgrade.reaches('stable', 2);
-  assert.deepEqual([before > 0, open()], [true, 0]);
+  assert.deepEqual([openBefore > 0, open()], [true, 0]);
   const intents = state.changesUnder('duties/intents/');
   await upgrade.finish();
   const rented = upgrade.cluster.cloud.machines.size;
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -75,9 +75,9 @@
 test('a request in flight of a frozen holder process is rejected as stale after the takeover, and its result is not stored', async (context) => {
   const { processes, initialHolder, token } = await startProcesses(context, 0);
   let release: () => void = () => undefined;
-  const held = new Promise<void>((done) => (release = done));
+  const untilReleased = new Promise<void>((done) => (release = done));
   let arrived = 0;
-  processes.provider.delay = () => (arrived++ === 0 ? held : Promise.resolve());
+  processes.provider.delay = () => (arrived++ === 0 ? untilReleased : Promise.resolve());
   processes.storeDeletionIntent('i-1', 'm-1');
   await processes.until('the request has arrived', () => arrived > 0);
   processes.signal(initialHolder, 'SIGSTOP');
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -174,9 +174,9 @@
   await upgrade.cluster.run(6);
   for (const name of NAMES) upgrade.replace(name, NEW_BUILD, 50);
   await upgrade.cluster.run(1);
-  const planted = upgrade.cluster.state.value('rollout/controllers/n2') as object;
+  const announcement = upgrade.cluster.state.value('rollout/controllers/n2') as object;
   upgrade.cluster.state.putDirectly('rollout/controllers/n2', {
-    ...planted,
+    ...announcement,
     build: { reads: 'all' },
   });
   await upgrade.staysAt(1, 10);
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -100,13 +100,13 @@
 
 test('cost is minimized if there is a price objective or no guarantee, and operators can override both', () => {
   const guaranteed = readPlatformSettings(GOOD);
-  const open = readPlatformSettings(GOOD.replace('cpus = 4.0', 'cpus = 0.0'));
+  const unguaranteed = readPlatformSettings(GOOD.replace('cpus = 4.0', 'cpus = 0.0'));
   const priced = readPlatformSettings(GOOD + '[[params.objectives]]\nkind = "price"\nmost = 2.0\n');
-  const counts = (p: typeof open, money: 'objectives' | 'counts' | 'free'): boolean =>
+  const counts = (p: typeof unguaranteed, money: 'objectives' | 'counts' | 'free'): boolean =>
     shouldMinimizeCost(p, { ...defaultOperatorSettings(), money });
   assert.deepEqual(
-    [guaranteed, open, priced].map((p) => counts(p, 'objectives')),
+    [guaranteed, unguaranteed, priced].map((p) => counts(p, 'objectives')),
     [false, true, true],
   );
-  assert.deepEqual([counts(guaranteed, 'counts'), counts(open, 'free')], [true, false]);
+  assert.deepEqual([counts(guaranteed, 'counts'), counts(unguaranteed, 'free')], [true, false]);
 });
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -171,7 +171,7 @@
 });
 
 /** Restarts one controller after the other with stricter limits. */
-function replaceWithStricter(cluster: Cluster, second: number): void {
+function restartWithStricterLimits(cluster: Cluster, second: number): void {
   const node = cluster.nodeNames[Math.floor(second / 5)];
   if (second % 5 !== 2 || !node) return;
   cluster.overrides.set(node, STRICT);
@@ -209,7 +209,7 @@
         // restarts with the stricter ones.
         if (second === 21 || second === 22)
           ledWithOldLimits ||= cluster.leader() === cluster.nodeNames[4];
-        replaceWithStricter(cluster, second);
+        restartWithStricterLimits(cluster, second);
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
         if (second === 8) partitionMachinesOf(cluster, 'b', 9000);
@@ -236,7 +236,7 @@
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        replaceWithStricter(cluster, second);
+        restartWithStricterLimits(cluster, second);
         // A controller that still has the old limits crashes, and restarts with them.
         if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
         if (second === 14) cluster.state.beginOutage(6000);
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -170,12 +170,12 @@
 
 /** Stores a live job as a later version would, with fields that this version does not know. */
 function putRecordOfLaterVersion(cluster: Cluster, id: string): JobSpec {
-  const [, old] = Object.entries(OLDEST_VERSION.items).find(
+  const [, storedRecord] = Object.entries(OLDEST_VERSION.items).find(
     ([key, value]) => key.startsWith('j/') && !readLive(value)!.cancelled,
   )!;
-  const spec = (old as { spec: JobSpec }).spec;
+  const spec = (storedRecord as { spec: JobSpec }).spec;
   cluster.state.putDirectly(liveKey(id), {
-    ...(old as object),
+    ...(storedRecord as object),
     spec: { ...spec, id, hue: 3 },
     later: { deep: [1] },
   });
@@ -202,10 +202,10 @@
       [now.later, (now.spec as { hue?: number }).hue, now.cancelled],
       [{ deep: [1] }, 3, true],
     );
-  const seen = cluster.state
+  const cancelledRecord = cluster.state
     .history(liveKey(id))
     .find((v) => (v as { cancelled?: boolean }).cancelled);
-  assert.deepEqual((seen as { later: unknown }).later, { deep: [1] });
+  assert.deepEqual((cancelledRecord as { later: unknown }).later, { deep: [1] });
 
   const page = cluster.state.value('m/page-0') as { machines: { id: string }[] };
   const machinesWithRack = page.machines.map((m) => ({ ...m, rack: 7 }));
