--- a/test/http-server.test.ts
+++ b/test/http-server.test.ts
@@ -13,7 +13,7 @@
 
 const LIMIT = 60;
 
-/** A node that responds to heartbeats with `status`: 200 as the leader, 421 as a follower. */
+/** A fake controller that responds to heartbeats with `status`: 200 as the leader, 421 as a follower. */
 function nodeRespondingWith(status: number): ControllerNode {
   return {
     handleHeartbeat: () => ({ status, body: {} }),
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -16,7 +16,7 @@
 const CPUS = 16;
 const ZONES = ['a', 'b', 'c', 'd'];
 
-/** Crashes or freezes the holder of a duty, or any node if the duty has no holder. */
+/** Crashes or freezes the holder of a duty, or some controller if the duty has no holder. */
 function disturbHolder(cluster: Cluster, round: number): void {
   const duty = DUTIES[round % DUTIES.length];
   const holder = cluster.state.value(`duties/holders/${duty}`) as
@@ -42,7 +42,7 @@
   for (const line of cluster.invariants.violations.slice(0, 5)) console.log(line);
 }
 
-/** Submits work for half of the fleet while holders crash or freeze, then waits until all machines are deleted. */
+/** Submits tasks for half of the fleet while holders crash or freeze, then waits until all machines are deleted. */
 async function measureFleet(mode: 'on' | 'off'): Promise<void> {
   const cluster = new Cluster({
     seed: 7,
--- a/test/sim-wire.test.ts
+++ b/test/sim-wire.test.ts
@@ -1,4 +1,4 @@
-/** Codecs of the simulated services: they reject messages outside the protocol, so no assertion rests on a guess. */
+/** Codecs of the simulated services: they reject messages outside the protocol, so that no test relies on one. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { decodeCloudRequest } from './sim/wire/cloud.js';
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -153,7 +153,7 @@
   assert.equal(cluster.state.tooLarge, 0);
 });
 
-test('if limits of the state service fall below the configured ones, a bounded number of writes is refused, and then none', async () => {
+test('if limits of the state service fall below the configured ones, a bounded number of writes is rejected, and then none', async () => {
   const outcome = await runScenario(
     { seed: 5, ordinaryUp: 30, capacity: 12 },
     (cluster, second) => {
@@ -164,7 +164,10 @@
     },
   );
   assertInvariantsHeld(outcome);
-  assert.ok(outcome.cluster.state.tooLarge < 60, `${outcome.cluster.state.tooLarge} refusals`);
+  assert.ok(
+    outcome.cluster.state.tooLarge < 60,
+    `${outcome.cluster.state.tooLarge} writes rejected`,
+  );
   const before = outcome.cluster.state.tooLarge;
   await outcome.cluster.run(20);
   assert.equal(outcome.cluster.state.tooLarge, before);
