--- a/test/api.test.ts
+++ b/test/api.test.ts
@@ -1,3 +1,4 @@
+/** The API for users: status codes, validation of submissions, and encoding. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readJob } from '../src/wire/users.js';
@@ -28,13 +29,14 @@
   const cluster = losslessCluster(5);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
-  const status = async (over: Partial<JobSubmission>): Promise<number> =>
-    (await requestFrom(cluster, 'n0', submitRequest({ ...job, ...over }))).status;
+  const status = async (overrides: Partial<JobSubmission>): Promise<number> =>
+    (await requestFrom(cluster, 'n0', submitRequest({ ...job, ...overrides }))).status;
   const statusOfRaw = async (
-    over: Parameters<typeof submissionWithRawFields>[1],
+    overrides: Parameters<typeof submissionWithRawFields>[1],
   ): Promise<number> =>
-    (await requestFrom(cluster, 'n0', rawSubmitRequest(submissionWithRawFields(job, over)))).status;
-  for (const over of [
+    (await requestFrom(cluster, 'n0', rawSubmitRequest(submissionWithRawFields(job, overrides))))
+      .status;
+  for (const overrides of [
     { id: 'x' },
     { tasks: 0 },
     { tasks: 100_001 },
@@ -46,7 +48,7 @@
     { machineTypes: 'g8' },
     { image: undefined },
   ])
-    assert.equal(await statusOfRaw(over), 400, JSON.stringify(over));
+    assert.equal(await statusOfRaw(overrides), 400, JSON.stringify(overrides));
   assert.equal(await status({ team: 'nobody' }), 422);
   assert.equal(await status({ cpus: 17 }), 422);
   assert.equal(await status({ zone: 'nowhere' }), 422);
@@ -73,7 +75,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** Invalid values of each field, as they are encoded in the body, without translation to wire values. */
+/** Invalid values of each field. They are sent as listed: not even a job kind is mapped to its value on the wire. */
 const INVALID: Record<keyof JobSubmission, unknown[]> = {
   id: ['x', 'run-', 'run-1x', 7, ''],
   jobClass: ['', 3],
@@ -98,7 +100,7 @@
 };
 const NULLABLE: (keyof JobSubmission)[] = ['machineTypes', 'zone', 'deadlineS'];
 
-test('a submission with a missing or invalid field gets 400, from every node and when repeated', async () => {
+test('a submission with a missing or invalid field gets 400, from every controller and when repeated', async () => {
   const cluster = losslessCluster(8);
   await cluster.run(3);
   const job = cluster.users.newJob({ kind: 'array', jobClass: 'batch', tasks: 3, spread: false });
@@ -118,7 +120,7 @@
   assert.equal((await requestFrom(cluster, 'n0', pollRequest(job.id))).status, 404);
 });
 
-test('a job that can never run gets 422, from every node and when repeated', async () => {
+test('a job that can never run gets 422, from every controller and when repeated', async () => {
   const cluster = losslessCluster(9);
   await cluster.run(3);
   const never: Partial<JobSubmission>[] = [
@@ -133,19 +135,19 @@
     { spread: true, tasks: 2, zone: 'a' },
     { spread: true, tasks: 2, oneZone: true },
   ];
-  for (const over of never) {
+  for (const overrides of never) {
     const job = cluster.users.newJob({
       kind: 'array',
       tasks: 3,
       spread: false,
       oneZone: false,
-      ...over,
+      ...overrides,
     });
     for (const node of [...cluster.nodeNames, 'n2'])
       assert.equal(
         (await requestFrom(cluster, node, submitRequest(job))).status,
         422,
-        JSON.stringify(over),
+        JSON.stringify(overrides),
       );
     assert.equal((await requestFrom(cluster, 'n0', pollRequest(job.id))).status, 404);
   }
--- a/test/state-limits.test.ts
+++ b/test/state-limits.test.ts
@@ -1,4 +1,4 @@
-/** Limits of the state service that are lower than when records were written. */
+/** Limits of the state service that are lowered while records written under higher limits exist. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { CompletionWriter } from '../src/jobs/completion-writer.js';
@@ -48,7 +48,7 @@
   // One machine of each page is preempted, so that the page is rewritten.
   const preemptedIds = new Set(pagesNow().map((p) => p[0].id));
   for (const id of preemptedIds) cluster.cloud.preempt(cluster.cloud.machines.get(id)!);
-  for (let second = 0; second < 4000; second++) {
+  for (let step = 0; step < 4000; step++) {
     await cluster.run(0.004);
     const now = new Set(
       pagesNow()
@@ -94,7 +94,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-/** A completion writer without a controller, which is always the leader. */
+/** Creates a completion writer outside a controller. It always acts as the leader's. */
 function completionWriterOf(cluster: Cluster, jobs: JobTable): CompletionWriter {
   const runtime = clientRuntime(cluster);
   const store = new StateStore(runtime, { address: 'state:1', nodes: 1, rps: 100, writeRps: 50 });
@@ -141,7 +141,7 @@
     cluster.state.putDirectly(finishedKey('run-1', chunk), 'x');
     completionWriter.noteWritten(job, chunk);
   }
-  for (let second = 0; second < 60; second++) {
+  for (let step = 0; step < 60; step++) {
     completionWriter.tick();
     await cluster.run(0.2);
   }
@@ -153,7 +153,7 @@
   assert.equal(cluster.state.tooLarge, 0);
 });
 
-test('after limits fall below the announced ones, a bounded number of writes is refused, and then none', async () => {
+test('if limits of the state service fall below the configured ones, a bounded number of writes is rejected, and then none', async () => {
   const outcome = await runScenario(
     { seed: 5, ordinaryUp: 30, capacity: 12 },
     (cluster, second) => {
@@ -164,14 +164,17 @@
     },
   );
   assertInvariantsHeld(outcome);
-  assert.ok(outcome.cluster.state.tooLarge < 60, `${outcome.cluster.state.tooLarge} refusals`);
+  assert.ok(
+    outcome.cluster.state.tooLarge < 60,
+    `${outcome.cluster.state.tooLarge} writes rejected`,
+  );
   const before = outcome.cluster.state.tooLarge;
   await outcome.cluster.run(20);
   assert.equal(outcome.cluster.state.tooLarge, before);
 });
 
-/** Replaces one node after the other with one that has stricter limits. */
-function replaceWithStricter(cluster: Cluster, second: number): void {
+/** Restarts one controller after the other with stricter limits. */
+function restartWithStricterLimits(cluster: Cluster, second: number): void {
   const node = cluster.nodeNames[Math.floor(second / 5)];
   if (second % 5 !== 2 || !node) return;
   cluster.overrides.set(node, STRICT);
@@ -200,19 +203,21 @@
 }
 
 for (const seed of [21, 23, 24])
-  test(`limits are respected when an old process leads during an upgrade, a zone partition and late writes (${seed})`, async () => {
-    let oldLed = false;
+  test(`limits that are lowered one controller after the other are respected, even if one with the old limits leads, with a zone partition and late writes (${seed})`, async () => {
+    let ledWithOldLimits = false;
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        // The lease of the previous leader may last until now; at second 22 the old process is replaced.
-        if (second === 21 || second === 22) oldLed ||= cluster.leader() === cluster.nodeNames[4];
-        replaceWithStricter(cluster, second);
+        // The lease of the previous leader may last until now. At second 22 the controller with the old limits
+        // restarts with the stricter ones.
+        if (second === 21 || second === 22)
+          ledWithOldLimits ||= cluster.leader() === cluster.nodeNames[4];
+        restartWithStricterLimits(cluster, second);
         if (second === 3)
           cluster.state.lateWrites = { share: 0.1, until: cluster.clock.time + 20_000 };
         if (second === 8) partitionMachinesOf(cluster, 'b', 9000);
-        // All nodes but the last one are down briefly. The last one still has the old limits: it leads and writes under
-        // them.
+        // All controllers but the last one are down briefly. The last one still has the old limits: it leads and writes
+        // under them.
         if (second === 18)
           for (const name of cluster.nodeNames.slice(0, 4)) cluster.crash(name, 4000);
         cancelAndLowerBounds(cluster, second);
@@ -221,17 +226,21 @@
       },
     );
     assertInvariantsHeld(outcome);
-    assert.equal(outcome.cluster.state.tooLarge, 0, 'no node writes a value that is too large');
-    assert.ok(oldLed, 'the old process led');
+    assert.equal(
+      outcome.cluster.state.tooLarge,
+      0,
+      'no controller writes a value that is too large',
+    );
+    assert.ok(ledWithOldLimits, 'the controller with the old limits led');
   });
 
 for (const seed of [11, 12, 13])
-  test(`lowered limits are respected after an upgrade under load, with cancellations and returning old processes (${seed})`, async () => {
+  test(`limits that are lowered one controller after the other under load are respected, with cancellations and a restart with the old limits (${seed})`, async () => {
     const outcome = await runScenario(
       { seed, nodes: 5, ordinaryUp: 20, capacity: 12 },
       (cluster, second) => {
-        replaceWithStricter(cluster, second);
-        // A node that was not replaced yet crashes, and returns with the old limits.
+        restartWithStricterLimits(cluster, second);
+        // A controller that still has the old limits crashes, and restarts with them.
         if (second === 9) cluster.crash(cluster.nodeNames[4], 150);
         if (second === 14) cluster.state.beginOutage(6000);
         cancelAndLowerBounds(cluster, second);
@@ -243,5 +252,9 @@
       },
     );
     assertInvariantsHeld(outcome);
-    assert.equal(outcome.cluster.state.tooLarge, 0, 'no node writes a value that is too large');
+    assert.equal(
+      outcome.cluster.state.tooLarge,
+      0,
+      'no controller writes a value that is too large',
+    );
   });
