--- a/test/finished-records.test.ts
+++ b/test/finished-records.test.ts
@@ -57,7 +57,13 @@
     numRuns: 1,
   })[0];
   for (let chunk = 0; chunk * TASKS_PER_BLOCK < MAX_TASKS; chunk++) {
-    const packed = recordsOfBlock(random, MAX_TASKS, chunk, { kind: 'segments', splitLevel: 6 }, 512);
+    const packed = recordsOfBlock(
+      random,
+      MAX_TASKS,
+      chunk,
+      { kind: 'segments', splitLevel: 6 },
+      512,
+    );
     assert.ok(packed.kind === 'fits');
     for (const { value } of packed.records) assert.ok(JSON.stringify(value).length <= 512);
   }
