--- a/test/gang-room.test.ts
+++ b/test/gang-room.test.ts
@@ -136,7 +136,7 @@
   for (const job of jobs) assert.notEqual(job.reportedDoneAt, null, job.spec.id);
   assert.equal(cluster.gangs.begun, jobs.length);
   assert.deepEqual(
-    [cluster.gangs.attempts(), cluster.gangs.incomplete, cluster.gangs.replaced],
+    [cluster.gangs.attempts(), cluster.gangs.incomplete, cluster.gangs.lostWhileGathering],
     [jobs.length, 0, 0],
   );
   assert.deepEqual(cluster.invariants.violations, []);
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -28,7 +28,7 @@
   );
   cluster.cloud.preempt(cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!);
   await cluster.run(40);
-  assert.ok(cluster.gangs.replaced > 0);
+  assert.ok(cluster.gangs.lostWhileGathering > 0);
   assert.equal(cluster.gangs.begun, 1);
   assert.equal(cluster.gangs.attempts(), 1, 'the first attempt started');
   assert.notEqual(job.reportedDoneAt, null);
@@ -105,7 +105,7 @@
     cluster.cloud.preempt(leaving);
   });
   await cluster.run(40);
-  assert.ok(cluster.gangs.replaced > 0);
+  assert.ok(cluster.gangs.lostWhileGathering > 0);
   assert.deepEqual(
     [cluster.gangs.attempts(), cluster.gangs.begun, cluster.gangs.incomplete],
     [1, 1, 0],
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -122,7 +122,7 @@
       leaseMs: this.config.leaseMs,
       pollMs: this.config.pollMs,
       nodes: this.nodeNames.map((name) => ({ name, address: `${name}:80` })),
-      slow: this.nextMachineSlowness,
+      slowness: this.nextMachineSlowness,
       faulty: this.nextMachineFaulty,
     });
     this.nextMachineFaulty = false;
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -55,7 +55,7 @@
   /** Number of gangs that started. */
   begun = 0;
   /** Number of members that were lost while their gang was gathering. */
-  replaced = 0;
+  lostWhileGathering = 0;
   /** Number of members that gave up because their gang did not start within `GANG_WAIT_MS`. */
   incomplete = 0;
 
@@ -159,7 +159,7 @@
     gang.members.delete(taskNumber);
     if (cause === 'incomplete') this.incomplete++;
     if (gang.state === 'running' || gang.state === 'stopping') this.fail(job, gang);
-    else if (gang.state === 'gathering' && cause !== 'incomplete') this.replaced++;
+    else if (gang.state === 'gathering' && cause !== 'incomplete') this.lostWhileGathering++;
     if (cause !== null) member.exit(cause);
   }
 
--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -235,7 +235,7 @@
       leaseMs: this.config.leaseMs,
       pollMs: POLL_MS,
       nodes: this.config.controllers,
-      slow: 1,
+      slowness: 1,
       faulty: false,
     });
     this.delayStarts(this.endpointOf(machine.id));
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -20,7 +20,7 @@
 }
 
 /** Whether the task is on its machine: it has its image and has not exited. */
-const isPresent = ({ state }: Task): boolean =>
+const isExecuting = ({ state }: Task): boolean =>
   state === 'waiting' || state === 'running' || state === 'saving';
 
 const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
@@ -33,7 +33,7 @@
   zone: string;
   spot: boolean;
   /** Factor by which everything takes longer on this machine. */
-  slow: number;
+  slowness: number;
   /** Whether tasks fail soon after they start. */
   faulty: boolean;
 }
@@ -76,7 +76,7 @@
   killAll(): void {
     for (const task of this.tasks.values()) {
       task.cancel();
-      if (isPresent(task)) this.deps.invariants.taskLeft(task.name, this.deps.machine.id, false);
+      if (isExecuting(task)) this.deps.invariants.taskLeft(task.name, this.deps.machine.id, false);
       const [job, taskNumber] = this.jobOf(task.name);
       if (job?.spec.kind === 'gang') this.deps.gangs.leave(job, task.attempt, taskNumber, null);
     }
@@ -106,7 +106,7 @@
     for (const command of commands) {
       const key = keyOf(command.task, command.attempt);
       const task = this.tasks.get(key);
-      if (command.kind === 'start' && !task) this.start(key, command.task, command.attempt);
+      if (command.kind === 'start' && !task) this.accept(key, command.task, command.attempt);
       if (command.kind === 'stop' && task && task.state !== 'exited')
         this.stop(task, command.graceS);
       if (command.kind === 'remove' && task?.state === 'exited') {
@@ -168,37 +168,37 @@
         });
       },
       isHanging: () => this.deps.isHanging(),
-      slowness: this.deps.machine.slow,
+      slowness: this.deps.machine.slowness,
     });
   }
 
   private exit(task: Task, cause: ReportedExitCause): void {
     task.cancel();
-    if (isPresent(task))
+    if (isExecuting(task))
       this.deps.invariants.taskLeft(task.name, this.deps.machine.id, cause === 'done');
     task.state = 'exited';
     task.cause = cause;
     this.deps.changed();
   }
 
-  private start(key: string, name: string, attempt: number): void {
+  private accept(key: string, name: string, attempt: number): void {
     const task: Task = { name, attempt, state: 'fetching', cancel: () => undefined };
     const [job, taskNumber] = this.jobOf(name);
-    const refusal = this.refusalOf(name, job);
+    const rejection = this.rejectionOf(name, job);
     this.tasks.set(key, task);
     this.deps.changed();
-    if (!job || refusal) {
+    if (!job || rejection) {
       task.state = 'exited';
-      task.cause = refusal ?? 'unknown_task';
+      task.cause = rejection ?? 'unknown_task';
       return;
     }
     task.cancel = this.deps.after(this.fetchMs(job.spec), () => {
-      this.begin(task, job, taskNumber);
+      this.start(task, job, taskNumber);
     });
   }
 
   /** Returns why the task can't start here, or null if it can. */
-  private refusalOf(name: string, job: ObservedJob | undefined): ReportedExitCause | null {
+  private rejectionOf(name: string, job: ObservedJob | undefined): ReportedExitCause | null {
     if (!job?.submitted) return 'unknown_task';
     if ([...this.tasks.values()].some((task) => task.name === name)) return 'already_present';
     const isFull = this.usedCpus() + job.spec.cpus > this.deps.machine.cpus + 1e-6;
@@ -210,7 +210,7 @@
   }
 
   /** Starts the execution of a task that has its image. */
-  private begin(task: Task, job: ObservedJob, taskNumber: number): void {
+  private start(task: Task, job: ObservedJob, taskNumber: number): void {
     const { id, type, zone, spot, faulty } = this.deps.machine;
     const { kind, image } = job.spec;
     this.images.add(image);
@@ -234,6 +234,8 @@
   /** Returns the run time of a task, 1 ms if it has finished before, since its result was kept. */
   private runMs(job: ObservedJob, taskNumber: number): number {
     if (job.finishedTasks.has(taskNumber)) return 1;
-    return job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slow;
+    return (
+      job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slowness
+    );
   }
 }
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -46,7 +46,7 @@
   /** Whether there are changes to report, which make the next heartbeat due sooner. */
   private hasChanged = false;
   private lastHeartbeatAt = -Infinity;
-  private lastTokenChange = -Infinity;
+  private lastTokenChangeAt = -Infinity;
   private isDead = false;
   /** Virtual time at which the cloud will preempt the machine; null without a preemption notice. */
   preemptionDeadline: number | null = null;
@@ -75,7 +75,7 @@
       handler: (_method, path, body) => this.handle(path, body),
       hangsUntil: 0,
     });
-    this.loop();
+    this.heartbeatLoop();
     this.leaseLoop();
   }
 
@@ -84,9 +84,9 @@
     if (this.isDead) return;
     this.checkLease();
     // Checked only when it may expire, since there may be many workers.
-    const ends =
+    const expiresAt =
       Math.max(this.incarnationBeganAt, this.lastAcknowledgedSentAt) + this.config.leaseMs;
-    this.network.clock.after(Math.max(20, ends + 1 - this.now()), () => {
+    this.network.clock.after(Math.max(20, expiresAt + 1 - this.now()), () => {
       this.leaseLoop();
     });
   }
@@ -97,19 +97,19 @@
 
   /** Runs the callback after this time, or once the machine no longer hangs; returns a function that cancels it. */
   private after(ms: number, callback: () => void): () => void {
-    let off = false;
+    let isCancelled = false;
     const run = (): void => {
-      if (this.isDead || off) return;
-      const hang = this.network.hosts.get(this.config.address)!.hangsUntil;
-      if (hang > this.now()) {
-        this.network.clock.after(hang - this.now(), run);
+      if (this.isDead || isCancelled) return;
+      const hangsUntil = this.network.hosts.get(this.config.address)!.hangsUntil;
+      if (hangsUntil > this.now()) {
+        this.network.clock.after(hangsUntil - this.now(), run);
         return;
       }
       callback();
     };
     this.network.clock.after(ms, run);
     return () => {
-      off = true;
+      isCancelled = true;
     };
   }
 
@@ -132,17 +132,17 @@
     this.noteChange();
   }
 
-  private loop(): void {
+  private heartbeatLoop(): void {
     this.checkLease();
-    const every = this.config.reportMs * this.random.between(0.75, 1.25);
+    const intervalMs = this.config.reportMs * this.random.between(0.75, 1.25);
     if (
       !this.isAwaitingResponse &&
-      (this.now() - this.lastHeartbeatAt >= every ||
+      (this.now() - this.lastHeartbeatAt >= intervalMs ||
         (this.hasChanged && this.now() - this.lastHeartbeatAt >= 500))
     )
       this.sendHeartbeat();
     this.after(this.config.pollMs, () => {
-      this.loop();
+      this.heartbeatLoop();
     });
   }
 
@@ -153,8 +153,8 @@
   private observeToken(token: number): void {
     if (token <= this.token) return;
     this.token = token;
-    if (this.now() - this.lastTokenChange < this.config.leaseMs / 2) return;
-    this.lastTokenChange = this.now();
+    if (this.now() - this.lastTokenChangeAt < this.config.leaseMs / 2) return;
+    this.lastTokenChangeAt = this.now();
     this.noteChange();
   }
 
