--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -113,7 +113,7 @@
 
 export function lateWrites(cluster: Cluster, keys?: string): void {
   const lateness = { share: 0.2, until: cluster.clock.time + 2000 };
-  cluster.state.lateWrites = keys === undefined ? lateness : { ...lateness, keys };
+  cluster.state.lateWrites = keys === undefined ? lateness : { ...lateness, keyPrefix: keys };
 }
 
 /** Replaces random controllers by the current build, less often by the old one, until all run the current build. */
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -60,7 +60,7 @@
   processes.signal(old, 'SIGCONT');
   await processes.until(
     'a request of the old holder is refused',
-    () => processes.provider.refused().length > 0,
+    () => processes.provider.rejectedCalls().length > 0,
   );
   await expectFenced(processes, old, token);
 });
@@ -79,7 +79,7 @@
   release();
   await processes.until(
     'the late request is refused',
-    () => processes.provider.refused().length > 0,
+    () => processes.provider.rejectedCalls().length > 0,
   );
   processes.signal(old, 'SIGCONT');
   await expectFenced(processes, old, token);
@@ -114,7 +114,7 @@
   const deployment = new ControllerProcesses();
   context.after(() => deployment.stop());
   await deployment.start('latest', ROLLOUT, ON);
-  void deployment.users.stream(300);
+  void deployment.users.submitRegularly(300);
   await deployment.until('the level is raised', () => deployment.level.active === LEVEL);
   const find = async (from: string): Promise<StatusOutput['duties'][number]> =>
     (await statusOf(deployment, from)).find(({ duty }) => duty === 'rent') ?? assert.fail();
@@ -148,6 +148,6 @@
       args.join(' '),
     );
   }
-  await deployment.users.endStream();
+  await deployment.users.stopSubmitting();
   deployment.users.checkHistory();
 });
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -70,7 +70,7 @@
   await group.until('the request is in flight', () => requests > 0);
   group.rejectStateRequests(old, 10_000);
   await untilResolved(group, opened);
-  await group.until('the request is refused', () => group.provider.refused().length > 0);
+  await group.until('the request is refused', () => group.provider.rejectedCalls().length > 0);
   await group.run(0.3);
   assert.equal(group.member(old).counters().refused, 1);
   assert.notEqual(group.member(old).holder('return').state(), 'suspended');
@@ -92,7 +92,7 @@
     await untilResolved(group, opened);
     assert.ok((group.storedHolder('return')?.token ?? 0) > before);
     await group.run(12);
-    const refused = group.provider.refused();
+    const refused = group.provider.rejectedCalls();
     assert.ok(refused.length > 0 && refused.every((call) => call.token === before));
     assertLossNoticed(group, old, 'return');
     assert.deepEqual(group.invariants.violations, []);
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -41,7 +41,7 @@
 ): Promise<Figures> {
   const { state } = deployment.services;
   const accepted = deployment.users.latenciesMs.length;
-  const { refused } = deployment.users;
+  const { failedAttempts } = deployment.users;
   const { requests, changes } = state.received;
   const rolloutChanges = state.changesUnder('rollout/');
   const startedAt = performance.now();
@@ -52,7 +52,7 @@
     latencies.recordValue(Math.max(1, Math.round(ms)));
   return {
     submissions: deployment.users.latenciesMs.length - accepted,
-    refused: deployment.users.refused - refused,
+    refused: deployment.users.failedAttempts - failedAttempts,
     p50Ms: latencies.getValueAtPercentile(50),
     p99Ms: latencies.getValueAtPercentile(99),
     rolloutChangesPerS: (state.changesUnder('rollout/') - rolloutChanges) / seconds,
@@ -72,7 +72,7 @@
 async function measureUpgrade(): Promise<void> {
   const deployment = new ControllerProcesses();
   await deployment.start('old', ROLLOUT);
-  void deployment.users.stream(SUBMISSION_INTERVAL_MS);
+  void deployment.users.submitRegularly(SUBMISSION_INTERVAL_MS);
   await delay(PAUSE_MS);
   print('no roll', await measure(deployment, () => delay(BASELINE_MS)));
   let activationMs = 0;
@@ -88,7 +88,7 @@
   });
   print('roll', figures);
   print('from the last healthy controller to activation', { ms: activationMs });
-  await deployment.users.endStream();
+  await deployment.users.stopSubmitting();
   deployment.users.checkHistory();
   await deployment.stop();
 }
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -36,7 +36,7 @@
 
 test('the level rises after the last upgrade, and a rolled-back controller is unhealthy until the level is lowered', async () => {
   await deployment.start('old', AUTOMATIC);
-  void deployment.users.stream(SUBMISSION_INTERVAL_MS);
+  void deployment.users.submitRegularly(SUBMISSION_INTERVAL_MS);
   for (const name of NAMES) {
     assert.equal(deployment.level.active, 1);
     await replaceUnderLoad(name, 'new');
@@ -75,13 +75,13 @@
   assert.deepEqual(segmentsIn(deployment.services.state), []);
   await deployment.untilHealthy('n1');
   await large;
-  await deployment.users.endStream();
+  await deployment.users.stopSubmitting();
   deployment.users.checkHistory();
 });
 
 test('in an abandoned upgrade the level stays, commands are refused with a reason, and controllers can be rolled back', async () => {
   await deployment.start('old', { ...AUTOMATIC, mode: 'manual' });
-  void deployment.users.stream(SUBMISSION_INTERVAL_MS);
+  void deployment.users.submitRegularly(SUBMISSION_INTERVAL_MS);
   for (const name of ['n0', 'n1']) await replaceUnderLoad(name, 'new');
   const refused = await deployment.rollout('n0', 'activate');
   assert.deepEqual([refused.code, refused.stdout], [3, '']);
@@ -101,6 +101,6 @@
   }
   for (const name of ['n0', 'n1']) await replaceUnderLoad(name, 'old');
   assert.deepEqual(deployment.level, { state: 'stable', active: 1 });
-  await deployment.users.endStream();
+  await deployment.users.stopSubmitting();
   deployment.users.checkHistory();
 });
--- a/test/sim/cluster-faults.ts
+++ b/test/sim/cluster-faults.ts
@@ -37,7 +37,7 @@
       b: chosen,
       until,
       mode: 'hold',
-      connectionsOnly: true,
+      requestsOnly: true,
     });
   }
 
@@ -50,7 +50,7 @@
       b: (host) => this.deps.isNode(host),
       until,
       mode: 'reset',
-      connectionsOnly: true,
+      requestsOnly: true,
     });
   }
 
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -40,7 +40,7 @@
   failure: ProviderFailure = { unavailable: false, dropsResponses: false };
   /** Awaited between the arrival of a request and its execution. */
   delay: () => Promise<void> = () => Promise.resolve();
-  private readonly newest = new Map<Duty, number>();
+  private readonly highestTokens = new Map<Duty, number>();
   private readonly rented = new Map<string, string[]>();
   private nextMachine = 1;
 
@@ -55,19 +55,25 @@
     return this.calls.filter((call) => call.executed && call.duty === duty);
   }
 
-  refused(): ProviderCall[] {
+  rejectedCalls(): ProviderCall[] {
     return this.calls.filter((call) => !call.executed);
   }
 
   private execute(path: string, body: Body): HttpResponse {
     const duty = body.duty as Duty;
     const token = toNumber(body.token)!;
-    const newest = Math.max(token, this.newest.get(duty) ?? 0);
-    this.newest.set(duty, newest);
+    const highestToken = Math.max(token, this.highestTokens.get(duty) ?? 0);
+    this.highestTokens.set(duty, highestToken);
     const request = path === '/rent' ? (body.request as string) : null;
-    const call: ProviderCall = { duty, token, request, machines: [], executed: token === newest };
+    const call: ProviderCall = {
+      duty,
+      token,
+      request,
+      machines: [],
+      executed: token === highestToken,
+    };
     this.calls.push(call);
-    if (!call.executed) return { status: PRECONDITION_FAILED, body: { newest } };
+    if (!call.executed) return { status: PRECONDITION_FAILED, body: { newest: highestToken } };
     call.machines =
       request === null ? this.delete(body.machines as string[]) : this.rent(request, body);
     return { status: 200, body: { machines: call.machines } };
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -29,24 +29,24 @@
   /** Blocks only messages from `a` to `b`; those from `b` to `a` arrive. */
   oneWay?: boolean;
   /** Blocks only requests from `a` to `b`, as if no connection could be opened; requests from `b` get responses. */
-  connectionsOnly?: boolean;
+  requestsOnly?: boolean;
 }
 
 function blocksForward(
-  { a, b, connectionsOnly }: Partition,
+  { a, b, requestsOnly }: Partition,
   from: string,
   to: string,
   isResponse: boolean,
 ): boolean {
-  return a(from) && b(to) && !(connectionsOnly && isResponse);
+  return a(from) && b(to) && !(requestsOnly && isResponse);
 }
 
 function blocksBackward(
-  { a, b, oneWay, connectionsOnly }: Partition,
+  { a, b, oneWay, requestsOnly }: Partition,
   from: string,
   to: string,
 ): boolean {
-  return !oneWay && !connectionsOnly && a(to) && b(from);
+  return !oneWay && !requestsOnly && a(to) && b(from);
 }
 
 /** Late duplicates of the requests to a path: their probability, maximum delay and recipient. */
@@ -127,7 +127,7 @@
   }
 
   /** Sends one message: `onArrival` runs if and when it arrives, `onReset` if the sender sees a connection reset. */
-  private carry(
+  private transmit(
     from: string,
     to: string,
     onArrival: () => void,
@@ -162,7 +162,7 @@
 
   /** Sends a message without a response, as between controllers; delayed, held or lost like all messages. */
   sendOneWay(from: string, to: string, onArrival: () => void): void {
-    this.carry(from, to, onArrival, () => undefined);
+    this.transmit(from, to, onArrival, () => undefined);
   }
 
   /** Sends a request. Never rejects: a status of 0 means that there was no response. */
@@ -191,16 +191,16 @@
       this.clock.after(timeoutMs, settleWithoutResponse);
       const onArrival = (): void => {
         void this.deliver(message).then((response) => {
-          if (response) this.carryResponse(message, response, settle, settleWithoutResponse);
+          if (response) this.transmitResponse(message, response, settle, settleWithoutResponse);
           else this.clock.after(1, settleWithoutResponse);
         });
       };
-      this.carry(from, to, onArrival, settleWithoutResponse);
+      this.transmit(from, to, onArrival, settleWithoutResponse);
       this.scheduleDuplicates(message);
     });
   }
 
-  private carryResponse(
+  private transmitResponse(
     { from, to, path }: Message,
     { status, body }: HttpResponse,
     onArrival: (response: HttpResponse) => void,
@@ -212,7 +212,7 @@
     const settle = (): void => {
       onArrival({ status, body: received });
     };
-    this.carry(to, from, settle, onReset, true);
+    this.transmit(to, from, settle, onReset, true);
   }
 
   private scheduleDuplicates(message: Message): void {
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -17,11 +17,11 @@
 export class ProcessUsers {
   private nextJob = 1;
   private unfinishedJobs = 0;
-  private streaming = false;
+  private submitting = false;
   /** Time from the first attempt to acceptance for each accepted submission, in milliseconds. */
   readonly latenciesMs: number[] = [];
   /** Number of attempts that were not accepted. */
-  refused = 0;
+  failedAttempts = 0;
 
   constructor(
     private readonly services: LoopbackServices,
@@ -30,7 +30,7 @@
   ) {}
 
   stop(): void {
-    this.streaming = false;
+    this.submitting = false;
   }
 
   newJob(overrides: Partial<JobSubmission> = {}): JobSubmission {
@@ -52,7 +52,7 @@
     const { invariants, clock } = this.services;
     invariants.jobs.set(id, observedJob(job, clock.time));
     const startedAt = performance.now();
-    while (!(await this.request(id, submitRequest(job)))) this.refused++;
+    while (!(await this.request(id, submitRequest(job)))) this.failedAttempts++;
     this.latenciesMs.push(performance.now() - startedAt);
     await waitUntil(`${id} is done`, async () => {
       await this.request(id, pollRequest(id));
@@ -80,18 +80,18 @@
     return false;
   }
 
-  /** Submits a job every `intervalMs` until `endStream` is called. */
-  async stream(intervalMs: number): Promise<void> {
-    this.streaming = true;
-    while (this.streaming) {
+  /** Submits a job every `intervalMs` until `stopSubmitting` is called. */
+  async submitRegularly(intervalMs: number): Promise<void> {
+    this.submitting = true;
+    while (this.submitting) {
       void this.run(this.newJob({ tasks: 1 + (this.nextJob % 6) }));
       await delay(intervalMs);
     }
   }
 
   /** Stops submitting jobs, and waits until each submitted job has been reported to its user as done. */
-  async endStream(): Promise<void> {
-    this.streaming = false;
+  async stopSubmitting(): Promise<void> {
+    this.submitting = false;
     await waitUntil('all jobs are done', () => this.unfinishedJobs === 0);
   }
 
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -23,7 +23,7 @@
   encodeRevision,
 } from './wire/state.js';
 
-interface Item {
+interface StoredRecord {
   value: unknown;
   version: number;
   lease: number | null;
@@ -36,20 +36,20 @@
   /** Delay in milliseconds; random by default. */
   byMs?: number;
   /** Limits the selection to transactions that change a key with this prefix. */
-  keys?: string;
+  keyPrefix?: string;
 }
 
 const ok = (body: Body): HttpResponse => ({ status: 200, body });
 
 /** Simulated state service, as PROTOCOL specifies. */
 export class StateService {
-  readonly items = new Map<string, Item>();
+  readonly items = new Map<string, StoredRecord>();
   revision = 1;
   private readonly leases: LeaseTable;
   private readonly events = new EventHistory();
   private readonly waiters = new Set<() => void>();
   private downUntil = 0;
-  private readonly refusedUntil = new Map<string, number>();
+  private readonly rejectedUntil = new Map<string, number>();
   /** Number of requests and changes received, and of requests beyond the rate limits, which got status 429. */
   readonly received = { requests: 0, changes: 0, tooMany: 0 };
   private readonly limits: { requests: RateLimit; writes: RateLimit } | null;
@@ -76,7 +76,7 @@
   }
 
   rejectHost(host: string, forMs: number): void {
-    this.refusedUntil.set(host, this.clock.time + forMs);
+    this.rejectedUntil.set(host, this.clock.time + forMs);
   }
 
   /** Until the given time, a share of transactions gets no response and is executed late, after newer ones. */
@@ -104,7 +104,9 @@
   }
 
   private isUnavailable(from: string): boolean {
-    return this.clock.time < this.downUntil || this.clock.time < (this.refusedUntil.get(from) ?? 0);
+    return (
+      this.clock.time < this.downUntil || this.clock.time < (this.rejectedUntil.get(from) ?? 0)
+    );
   }
 
   private expireLoop(): void {
@@ -174,9 +176,12 @@
     return new Promise(() => undefined);
   }
 
-  private isLate({ share, until, keys = '' }: LateWrites, { mutations }: Transaction): boolean {
+  private isLate(
+    { share, until, keyPrefix = '' }: LateWrites,
+    { mutations }: Transaction,
+  ): boolean {
     if (this.clock.time >= until) return false;
-    return mutations.some(({ key }) => key.startsWith(keys)) && this.random.chance(share);
+    return mutations.some(({ key }) => key.startsWith(keyPrefix)) && this.random.chance(share);
   }
 
   private grantLease(ttlMs: number): HttpResponse {
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -120,7 +120,7 @@
         b: this.isController,
         until,
         mode: 'reset',
-        connectionsOnly: true,
+        requestsOnly: true,
       });
     } else {
       network.partitions.push({
