--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -1,5 +1,5 @@
 /** Deployments for the scenarios of the trace digest. */
-import { ROLLOUT_SETTINGS, DUTY_SETTINGS as DUTIES } from '../sim/cloud-invariants.js';
+import { MANUAL_ROLLOUT, CLUSTER_DUTY_SETTINGS } from '../sim/cloud-invariants.js';
 import type { ClusterConfig } from '../sim/cluster-config.js';
 import type { CloudType } from '../sim/wire/cloud.js';
 
@@ -9,8 +9,8 @@
 export const sharedDuties: Partial<ClusterConfig> = {
   ordinaryUp: 0,
   minimizeCost: true,
-  rollout: ROLLOUT_SETTINGS,
-  duties: DUTIES,
+  rollout: MANUAL_ROLLOUT,
+  duties: CLUSTER_DUTY_SETTINGS,
 };
 
 function machineType(name: string, cpus: number, gpus: number): CloudType {
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,6 +1,6 @@
 /** Scenarios by seed. Seeds that differ by `SCENARIOS.length` run the same scenario with different random numbers. */
 import { type Cluster } from '../sim/cluster.js';
-import { DUTY_SETTINGS as DUTIES, putFeatureLevel } from '../sim/cloud-invariants.js';
+import { CLUSTER_DUTY_SETTINGS, putFeatureLevel } from '../sim/cloud-invariants.js';
 import { OLD_BUILD, ROLLOUT_SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
 import { duplicateHeartbeats } from '../sim/faults.js';
 import {
@@ -219,7 +219,7 @@
       ...largeCapacity,
       minimizeCost: true,
       rollout: AUTOMATIC_ROLLOUT,
-      duties: DUTIES,
+      duties: CLUSTER_DUTY_SETTINGS,
       zones: THREE_ZONES,
     },
     eachSecond: combine(
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -6,8 +6,8 @@
 import type { ClusterConfig } from './sim/cluster-config.js';
 import {
   CloudInvariants,
-  ROLLOUT_SETTINGS,
-  DUTY_SETTINGS,
+  MANUAL_ROLLOUT,
+  CLUSTER_DUTY_SETTINGS,
   putFeatureLevel,
 } from './sim/cloud-invariants.js';
 import { BATCH } from './sim/jobs.js';
@@ -29,8 +29,8 @@
         ordinaryUp: 0,
         seed,
         minimizeCost: true,
-        rollout: ROLLOUT_SETTINGS,
-        duties: DUTY_SETTINGS,
+        rollout: MANUAL_ROLLOUT,
+        duties: CLUSTER_DUTY_SETTINGS,
         ...config,
       },
       before,
@@ -62,8 +62,8 @@
     seed: 51,
     ordinaryUp: 4,
     capacity: 8,
-    rollout: ROLLOUT_SETTINGS,
-    duties: DUTY_SETTINGS,
+    rollout: MANUAL_ROLLOUT,
+    duties: CLUSTER_DUTY_SETTINGS,
   });
   putFeatureLevel(cluster);
   cluster.state.putDirectly('duties/holds/return', { by: 'operator', sinceMs: 0 });
@@ -105,8 +105,8 @@
     seed: 52,
     ordinaryUp: 0,
     capacity: 8,
-    rollout: ROLLOUT_SETTINGS,
-    duties: DUTY_SETTINGS,
+    rollout: MANUAL_ROLLOUT,
+    duties: CLUSTER_DUTY_SETTINGS,
   });
   putFeatureLevel(cluster);
   const cloudInvariants = new CloudInvariants(cluster);
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -27,7 +27,7 @@
     [...state.items].filter(([key, { value }]) => isOpenIntent(key, value)).length;
   await roll.until('an intent is open', () => open() > 0);
   assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
-  await roll.staysAt(3, 10);
+  await roll.assertStaysAt(3, 10);
   assert.equal(roll.level.state, 'lowering');
   const before = open();
   assert.equal(roll.cluster.cloud.machines.size, 0);
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -40,10 +40,10 @@
   processes.signal(old, 'SIGSTOP');
   processes.storeDeletionIntent('i-1', 'm-1');
   await processes.untilReplaced(old, token);
-  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  await processes.until('the intent is done', () => processes.isResolved('i-1'));
   processes.signal(old, 'SIGCONT');
   processes.storeDeletionIntent('i-2', 'm-2');
-  await processes.until('the next intent is done', () => processes.isDone('i-2'));
+  await processes.until('the next intent is done', () => processes.isResolved('i-2'));
   await expectFenced(processes, old, token);
   assert.equal(processes.checkCount(old), 0);
 });
@@ -55,7 +55,7 @@
   processes.signal(old, 'SIGSTOP');
   assert.equal(processes.provider.calls.length, 0);
   await processes.untilReplaced(old, token);
-  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  await processes.until('the intent is done', () => processes.isResolved('i-1'));
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
   processes.signal(old, 'SIGCONT');
   await processes.until(
@@ -75,7 +75,7 @@
   await processes.until('the request has arrived', () => arrived > 0);
   processes.signal(old, 'SIGSTOP');
   await processes.untilReplaced(old, token);
-  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  await processes.until('the intent is done', () => processes.isResolved('i-1'));
   release();
   await processes.until(
     'the late request is refused',
--- a/test/measure-duties-fleet.ts
+++ b/test/measure-duties-fleet.ts
@@ -5,8 +5,8 @@
 import { DUTIES } from '@millring/duties';
 import {
   CloudInvariants,
-  ROLLOUT_SETTINGS,
-  DUTY_SETTINGS,
+  MANUAL_ROLLOUT,
+  CLUSTER_DUTY_SETTINGS,
   putFeatureLevel,
 } from './sim/cloud-invariants.js';
 import { Cluster } from './sim/cluster.js';
@@ -57,8 +57,8 @@
     cloudRps: 3,
     pollMs: 400,
     state: { rps: 200, writeRps: 30 },
-    rollout: ROLLOUT_SETTINGS,
-    duties: { ...DUTY_SETTINGS, mode },
+    rollout: MANUAL_ROLLOUT,
+    duties: { ...CLUSTER_DUTY_SETTINGS, mode },
   });
   putFeatureLevel(cluster);
   const cloudInvariants = mode === 'on' ? new CloudInvariants(cluster) : null;
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -75,7 +75,7 @@
   assert.match(roll.level.held!.reason, new RegExp(`no progress for 15 s: ${crashedFollower}`));
   await roll.reaches('stable', 1);
   // It returns with the same build.
-  await roll.staysAt(1, 30);
+  await roll.assertStaysAt(1, 30);
   assert.ok(roll.cluster.isUp(crashedFollower));
   assert.equal((await roll.runOperatorCommand('activate')).kind, 'done');
   await roll.reaches('stable', 2);
@@ -92,7 +92,7 @@
   }
   await roll.until('the change is aborted', () => roll.level.held !== null);
   assert.match(roll.level.held!.reason, new RegExp(`${restartingFollower} has started`));
-  await roll.staysAt(1, 20);
+  await roll.assertStaysAt(1, 20);
 });
 
 // Without the precondition on the level, the segment would be stored after the last one was converted.
@@ -130,7 +130,7 @@
   state.lateWrites = null;
   assert.ok(clock.time < 20_000);
   roll.replace(name, OLD_BUILD, 250);
-  await roll.staysAt(1, 30);
+  await roll.assertStaysAt(1, 30);
   assert.deepEqual(roll.cluster.invariants.violations, []);
 });
 
@@ -142,7 +142,7 @@
   state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, keyPrefix: 'rollout/level' };
   await roll.cluster.run(0.6);
   roll.replace(roll.follower(), OLD_BUILD, 50);
-  await roll.staysAt(1, LEVEL_CHANGE_S);
+  await roll.assertStaysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
@@ -165,7 +165,7 @@
     () => roll.level.held !== null && roll.level.state === 'stable',
     10,
   );
-  await roll.staysAt(1, LEVEL_CHANGE_S);
+  await roll.assertStaysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
@@ -181,7 +181,7 @@
   await roll.cluster.run(1);
   const planted = roll.cluster.state.value('rollout/controllers/n2') as object;
   roll.cluster.state.putDirectly('rollout/controllers/n2', { ...planted, build: { reads: 'all' } });
-  await roll.staysAt(1, 10);
+  await roll.assertStaysAt(1, 10);
   assert.equal(lines.length, 1);
   assert.match(lines[0], /malformed/);
   // The next process of the controller writes a new announcement.
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -19,7 +19,7 @@
   await roll.cluster.run(6);
   submitArrays(roll);
   for (const name of NAMES) {
-    await roll.staysAt(1, 6);
+    await roll.assertStaysAt(1, 6);
     roll.replace(name, NEW_BUILD);
   }
   await roll.reaches('stable', 2);
@@ -38,7 +38,7 @@
       await roll.until('the change is aborted', () => roll.level.held !== null);
       assert.match(roll.level.held!.reason, new RegExp(`${name} runs build 0.0.9`));
       await roll.reaches('stable', 1);
-      await roll.staysAt(1, LEVEL_CHANGE_S);
+      await roll.assertStaysAt(1, LEVEL_CHANGE_S);
       assert.ok(
         roll.cluster.node(name).rollout.mayServe(),
         'no record was written that it cannot read',
@@ -87,11 +87,11 @@
   roll.cluster.crash('n2', 60_000);
   for (const name of ['n0', 'n1']) roll.replace(name, NEW_BUILD);
   submitArrays(roll);
-  await roll.staysAt(1, 55);
+  await roll.assertStaysAt(1, 55);
   assert.equal(roll.invariants.history.length, 0, 'no change was started');
   await roll.cluster.run(8);
   assert.ok(roll.cluster.node('n2').rollout.mayServe());
-  await roll.staysAt(1, LEVEL_CHANGE_S);
+  await roll.assertStaysAt(1, LEVEL_CHANGE_S);
   roll.replace('n2', NEW_BUILD);
   await roll.reaches('stable', 2);
   await roll.finish();
@@ -122,7 +122,7 @@
   await roll.reaches('lowering', 2);
   roll.cluster.crash(roll.leader(), 300);
   await roll.reaches('stable', 1);
-  await roll.staysAt(1, LEVEL_CHANGE_S);
+  await roll.assertStaysAt(1, LEVEL_CHANGE_S);
   await roll.finish();
 });
 
--- a/test/sim/cloud-invariants.ts
+++ b/test/sim/cloud-invariants.ts
@@ -6,14 +6,14 @@
 
 const FEATURE_LEVEL = 3;
 /** Rollout settings, as in the operators' file. */
-export const ROLLOUT_SETTINGS = {
+export const MANUAL_ROLLOUT = {
   mode: 'manual',
   announcement_lease_s: 3,
   stall_s: 15,
   ungated_builds_retired: true,
 } as const;
 /** Duty settings, as in the operators' file. */
-export const DUTY_SETTINGS = {
+export const CLUSTER_DUTY_SETTINGS = {
   mode: 'on',
   lease_s: 2,
   settle_s: 4,
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -137,7 +137,7 @@
   readonly builds: Map<string, Build>;
 
   /** The build that each current process runs, by node. */
-  readonly startedWith = new Map<string, Build>();
+  readonly runningBuilds = new Map<string, Build>();
   private readonly runningUngated = new Set<string>();
 
   /** Whether the node's current process behaves like a build from before feature levels. */
@@ -188,7 +188,7 @@
     };
     const operator = defaultOperatorSettings();
     const build = this.builds.get(name) ?? BUILD;
-    this.startedWith.set(name, build);
+    this.runningBuilds.set(name, build);
     if (this.ungated.has(name)) this.runningUngated.add(name);
     else this.runningUngated.delete(name);
     const node = new ControllerNode({
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -11,7 +11,7 @@
 import { GANG_PEER_MS, GANG_WAIT_MS } from './gang-coordinator.js';
 import { LoopbackServices } from './loopback-services.js';
 import { freePort } from './loopback-server.js';
-import { type ControllerAddresses, settingsFile } from './platform-settings.js';
+import { type ControllerAddresses, settingsToml } from './platform-settings.js';
 import { ProcessUsers } from './process-users.js';
 import { waitUntil } from './wait-until.js';
 
@@ -69,18 +69,18 @@
     this.users = new ProcessUsers(this.services, this.controllers, TEAM);
     writeFileSync(join(this.directory, 'operator.json'), JSON.stringify({ rollout, duties }));
     for (const controller of this.controllers) {
-      writeFileSync(this.configOf(controller.name), this.settingsOf(controller));
+      writeFileSync(this.settingsPathOf(controller.name), this.settingsTextOf(controller));
       this.spawn(controller, build);
     }
     for (const name of NAMES) await this.untilHealthy(name);
   }
 
-  private configOf(name: string): string {
+  private settingsPathOf(name: string): string {
     return join(this.directory, `${name}.toml`);
   }
 
-  private settingsOf(controller: Controller): string {
-    return settingsFile({
+  private settingsTextOf(controller: Controller): string {
+    return settingsToml({
       self: controller,
       others: this.controllers.filter((other) => other !== controller),
       stateAddress: this.services.stateAddress,
@@ -103,7 +103,7 @@
     const args = [this.bundles.get(build)!, '--operator', join(this.directory, 'operator.json')];
     controller.process = spawn(
       process.execPath,
-      [...args, '--config', this.configOf(controller.name)],
+      [...args, '--config', this.settingsPathOf(controller.name)],
       {
         env: { ...process.env, LOG_LEVEL: 'error' },
         stdio: 'ignore',
@@ -163,7 +163,7 @@
       '--operator',
       join(this.directory, 'operator.json'),
       '--config',
-      this.configOf(name),
+      this.settingsPathOf(name),
     ];
     return new Promise((done) => {
       execFile(process.execPath, [bundle, ...args, ...settings], (error, stdout, stderr) => {
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -21,7 +21,7 @@
 import { StateService } from './state-service.js';
 
 /** Settings of the members, as in the operators' file. */
-export const DUTY_SETTINGS: DutySettings = {
+export const DUTY_GROUP_SETTINGS: DutySettings = {
   mode: 'on',
   held_here: [...DUTIES],
   lease_s: 2,
@@ -70,7 +70,7 @@
   /** Names of controllers whose duties are currently turned off. */
   readonly turnedOff = new Set<string>();
   private nextIntent = 1;
-  private readonly log: IntentLog;
+  private readonly intentLog: IntentLog;
 
   constructor(private readonly config: DutyGroupConfig) {
     this.names = Array.from({ length: config.size ?? 3 }, (_, i) => `n${i}`);
@@ -85,11 +85,11 @@
     this.state.putDirectly(DECIDER_KEY, {});
     this.invariants = new DutyInvariants(this);
     for (const name of this.names) this.start(name);
-    this.log = this.createLog();
+    this.intentLog = this.createIntentLog();
   }
 
   private settings(): DutySettings {
-    return { ...DUTY_SETTINGS, ...this.config.settings };
+    return { ...DUTY_GROUP_SETTINGS, ...this.config.settings };
   }
 
   private runtime(name: string, process: SimulatedProcess, rate: number): Runtime {
@@ -148,7 +148,7 @@
     });
   }
 
-  private createLog(): IntentLog {
+  private createIntentLog(): IntentLog {
     const process: SimulatedProcess = { alive: true, frozenUntil: 0 };
     const runtime = this.runtime(DECIDER_KEY, process, 1);
     const follower = this.createMember(DECIDER_KEY, process, { ...this.settings(), held_here: [] });
@@ -171,7 +171,7 @@
   }
 
   openIntent(duty: Duty, action: IntentAction): Promise<IntentResult> {
-    return this.log.open(duty, action);
+    return this.intentLog.open(duty, action);
   }
 
   /** Opens an intent to delete machines of the provider. */
--- a/test/sim/duty-process.ts
+++ b/test/sim/duty-process.ts
@@ -4,7 +4,7 @@
 import { HttpClient } from '../../src/http/http-client.js';
 import type { Runtime } from '../../src/runtime.js';
 import { StateStore } from '../../src/state-store/client.js';
-import { DUTY_SETTINGS } from './duty-group.js';
+import { DUTY_GROUP_SETTINGS } from './duty-group.js';
 import { FencedProviderClient } from './fenced-provider.js';
 import { quietLog } from './quiet-log.js';
 
@@ -65,7 +65,7 @@
     store: new StateStore(runtime, { address: stateAddress, nodes: 3, rps: 400, writeRps: 100 }),
     self: name,
     process: `${name}-${process.pid}`,
-    settings: { ...DUTY_SETTINGS, lease_s: options.leaseS },
+    settings: { ...DUTY_GROUP_SETTINGS, lease_s: options.leaseS },
     provider: new FencedProviderClient({
       http: runtime.http,
       address: providerAddress,
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -86,7 +86,7 @@
     return this.state.value(intentKey(id)) as Intent | undefined;
   }
 
-  isDone(id: string): boolean {
+  isResolved(id: string): boolean {
     return (this.intent(id)?.outcome ?? null) !== null;
   }
 
--- a/test/sim/platform-settings.ts
+++ b/test/sim/platform-settings.ts
@@ -25,7 +25,7 @@
 }
 
 /** Returns the settings file as TOML. */
-export function settingsFile(settings: TestSettings): string {
+export function settingsToml(settings: TestSettings): string {
   const { self, others, teams } = settings;
   const other = ({ name, zone, peerAddress }: ControllerAddresses): string =>
     `[[others]]\nnode_name = "${name}"\nlocation = "${zone}"\npeer_addr = "${peerAddress}"`;
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -97,7 +97,7 @@
   }
 
   /** Asserts that the active level does not change for `seconds`. */
-  async staysAt(active: number, seconds: number): Promise<void> {
+  async assertStaysAt(active: number, seconds: number): Promise<void> {
     for (let waited = 0; waited < seconds; waited += 1) {
       await this.cluster.run(1);
       assert.equal(this.level.active, active);
@@ -148,7 +148,7 @@
 };
 
 /** Submits `count` arrays. */
-export function submitArrays(roll: RollingUpgrade, count = 4): void {
+export function submitArrays(upgrade: RollingUpgrade, count = 4): void {
   for (let i = 0; i < count; i++)
-    void roll.cluster.users.run(roll.cluster.users.newJob({ ...BATCH, tasks: 6 }), null);
+    void upgrade.cluster.users.run(upgrade.cluster.users.newJob({ ...BATCH, tasks: 6 }), null);
 }
--- a/test/sim/rollout-invariants.ts
+++ b/test/sim/rollout-invariants.ts
@@ -90,7 +90,7 @@
   }
 
   private buildOf(name: string): typeof BUILD {
-    return this.cluster.startedWith.get(name) ?? BUILD;
+    return this.cluster.runningBuilds.get(name) ?? BUILD;
   }
 
   /** Every serving controller can read the active level, and no two of them are two steps apart (`on` and `off`). */
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -11,7 +11,7 @@
 import { GANG_PEER_MS, GANG_WAIT_MS } from '../sim/gang-coordinator.js';
 import { LoopbackServices } from '../sim/loopback-services.js';
 import { freePort } from '../sim/loopback-server.js';
-import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
+import { type ControllerAddresses, settingsToml } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
 
 /** Size of a run. */
@@ -105,7 +105,7 @@
       const relay = this.relayAddresses.get(`${controller.name}>${other.name}`);
       return { ...other, peerAddress: relay ?? other.peerAddress };
     };
-    return settingsFile({
+    return settingsToml({
       self: controller,
       others: this.controllers.filter((other) => other !== controller).map(viaRelay),
       stateAddress: this.simulation.stateAddressOf(controller.name),
