--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -18,20 +18,20 @@
 }
 
 /** The cloud preempts a machine without notice. */
-export function preemptMachine(cluster: Cluster): void {
+export function preemptMachineWithoutNotice(cluster: Cluster): void {
   const machines = runningMachines(cluster);
   if (machines.length > 0) cluster.cloud.preempt(cluster.random.pick(machines));
 }
 
 /** The cloud sends a preemption notice for a spot machine and preempts it `SPOT_NOTICE_MS` later. */
-export function preemptSpotMachine(cluster: Cluster): void {
+export function preemptSpotMachineWithNotice(cluster: Cluster): void {
   const machines = runningMachines(cluster).filter((machine) => machine.spot);
   if (machines.length === 0) return;
   preemptAfterNotice(cluster, cluster.random.pick(machines));
 }
 
 /** The cloud preempts, after a notice, a machine that runs a task of a gang. */
-export function preemptGang(cluster: Cluster): void {
+export function preemptGangMachine(cluster: Cluster): void {
   const { invariants, cloud } = cluster;
   for (const [task, places] of invariants.placesByTask) {
     const job = invariants.jobs.get(task.slice(0, task.lastIndexOf('/')));
@@ -111,9 +111,9 @@
   });
 }
 
-export function lateWrites(cluster: Cluster, keys?: string): void {
+export function lateWrites(cluster: Cluster, keyPrefix?: string): void {
   const lateness = { share: 0.2, until: cluster.clock.time + 2000 };
-  cluster.state.lateWrites = keys === undefined ? lateness : { ...lateness, keyPrefix: keys };
+  cluster.state.lateWrites = keyPrefix === undefined ? lateness : { ...lateness, keyPrefix };
 }
 
 /** Replaces random controllers by the current build, less often by the old one, until all run the current build. */
--- a/test/digest/scenario.ts
+++ b/test/digest/scenario.ts
@@ -6,14 +6,14 @@
 export interface Scenario {
   config?: Partial<ClusterConfig>;
   /** Duration of the phase with jobs and faults, in seconds; `BUSY_S` by default. */
-  busyS?: number;
+  faultPhaseS?: number;
   /** Called before the cluster runs. */
   prepare?: (cluster: Cluster) => void;
   /** Called once per second of the phase with jobs and faults; `second` counts from 0. */
   eachSecond: (cluster: Cluster, second: number) => void;
 }
 
-const BUSY_S = 60;
+const FAULT_PHASE_S = 60;
 /** Long enough that idle machines are returned to the cloud. */
 const RECOVERY_S = 60;
 const WARM_UP_S = 4;
@@ -24,10 +24,10 @@
 }
 
 /** Runs a phase with jobs and faults, then one without, in which the cluster recovers and scales down. */
-export async function runScenario(scenario: Scenario, cluster: Cluster): Promise<void> {
+export async function runDigestScenario(scenario: Scenario, cluster: Cluster): Promise<void> {
   scenario.prepare?.(cluster);
   await cluster.run(WARM_UP_S);
-  for (let second = 0; second < (scenario.busyS ?? BUSY_S); second++) {
+  for (let second = 0; second < (scenario.faultPhaseS ?? FAULT_PHASE_S); second++) {
     scenario.eachSecond(cluster, second);
     await cluster.run(1);
   }
--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -15,9 +15,9 @@
 import {
   excessJobs,
   equalLengthArrays,
-  gangBehindTeamLimit,
+  gangWaitingForTeamLimit,
   gangs,
-  gangsBehindArrays,
+  gangsWaitingForArrays,
   invalidRequests,
   largeFleetJobs,
   heterogeneousJobs,
@@ -53,9 +53,9 @@
     eachSecond: combine(
       gangs,
       mixedJobs,
-      every(11, 5, faults.preemptMachine),
-      every(8, 2, faults.preemptSpotMachine),
-      every(9, 6, faults.preemptGang),
+      every(11, 5, faults.preemptMachineWithoutNotice),
+      every(8, 2, faults.preemptSpotMachineWithNotice),
+      every(9, 6, faults.preemptGangMachine),
     ),
   },
   {
@@ -72,7 +72,7 @@
     eachSecond: combine(
       mixedJobs,
       singleZoneJobs,
-      every(4, 2, faults.preemptSpotMachine),
+      every(4, 2, faults.preemptSpotMachineWithNotice),
       every(16, 9, faults.crashLeader),
     ),
   },
@@ -143,13 +143,13 @@
   },
   {
     config: { capacity: 3, ordinaryUp: 4, teamLimit: 24 },
-    busyS: 90,
+    faultPhaseS: 90,
     prepare: (cluster) => {
       cluster.network.delayFactor = 10;
     },
     eachSecond: combine(
       excessJobs,
-      gangBehindTeamLimit,
+      gangWaitingForTeamLimit,
       every(25, 14, faults.crashLeader),
       every(12, 9, cancel(2, 2000)),
     ),
@@ -158,7 +158,7 @@
     config: heterogeneousMachines,
     eachSecond: combine(
       heterogeneousJobs,
-      every(10, 4, faults.preemptSpotMachine),
+      every(10, 4, faults.preemptSpotMachineWithNotice),
       every(30, 15, (cluster) => {
         cluster.cloud.downUntil = cluster.clock.time + 8000;
       }),
@@ -175,9 +175,9 @@
   },
   {
     config: { nodes: 5, capacity: 0, ordinaryUp: 4, teamLimit: 1000 },
-    busyS: 90,
+    faultPhaseS: 90,
     eachSecond: combine(
-      gangsBehindArrays,
+      gangsWaitingForArrays,
       every(12, 2, faults.holdCommands),
       every(14, 5, faults.hangSomeMachines),
       every(10, 4, cancel(2, 0)),
@@ -249,7 +249,7 @@
     config: largeFleet,
     eachSecond: combine(
       largeFleetJobs,
-      every(6, 3, faults.preemptMachine),
+      every(6, 3, faults.preemptMachineWithoutNotice),
       every(25, 18, faults.crashLeader),
       every(20, 13, cancel(1, 0)),
     ),
--- a/test/digest/trace-digest.ts
+++ b/test/digest/trace-digest.ts
@@ -5,7 +5,7 @@
 import { Command, CommanderError } from 'commander';
 import { type SeedRange, parseSeedRange } from '../sim/seed-range.js';
 import { type SeedDigest, compareDigests, readDigests, writeDigests } from './recorded-digests.js';
-import { clusterFor, runScenario } from './scenario.js';
+import { clusterFor, runDigestScenario } from './scenario.js';
 import { scenarioOf } from './scenarios.js';
 import { TrafficDigest } from './traffic-digest.js';
 
@@ -37,7 +37,7 @@
   const scenario = scenarioOf(seed);
   const cluster = clusterFor(scenario, seed);
   const traffic = new TrafficDigest(cluster);
-  await runScenario(scenario, cluster);
+  await runDigestScenario(scenario, cluster);
   const { messages } = traffic;
   return { seed, digest: traffic.finish(), messages };
 }
--- a/test/digest/workload.ts
+++ b/test/digest/workload.ts
@@ -49,14 +49,14 @@
 }
 
 /** Arrays that fill the fleet, and gangs that wait for room. */
-export function gangsBehindArrays(cluster: Cluster, second: number): void {
+export function gangsWaitingForArrays(cluster: Cluster, second: number): void {
   if (second % 4 === 0) submit(cluster, { ...BATCH, tasks: 14, durationS: 12 });
   if (second % 25 === 8)
     void cluster.users.run(cluster.users.newJob({ ...GANG, tasks: 6, cpus: 4 }), null);
 }
 
 /** A gang that exceeds its team's limit while the team's long-running arrays run. */
-export function gangBehindTeamLimit(cluster: Cluster, second: number): void {
+export function gangWaitingForTeamLimit(cluster: Cluster, second: number): void {
   const team = 't0';
   if (second === 0)
     void cluster.users.run(cluster.users.newJob({ ...longArray, team, tasks: 6 }), null);
--- a/test/large-fleet.test.ts
+++ b/test/large-fleet.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
 import { BATCH, SERVICE } from './sim/jobs.js';
-import { type PlacementWork, logPlacementWork } from './sim/faults.js';
+import { type PlacementWork, placementWorkCounter } from './sim/faults.js';
 import type { JobSubmission } from './sim/wire/users.js';
 
 const MACHINES = 4000;
@@ -26,7 +26,7 @@
     cloudRps: 3,
     pollMs: 400,
     state: { rps: 200, writeRps: 30 },
-    log: logPlacementWork(work),
+    log: placementWorkCounter(work),
   });
   return { cluster, work };
 }
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import type { CloudMachine } from './sim/cloud.js';
 import { Cluster } from './sim/cluster.js';
-import { logPlacementWork } from './sim/faults.js';
+import { placementWorkCounter } from './sim/faults.js';
 
 const submitService = (cluster: Cluster): void =>
   void cluster.users.run(
@@ -58,7 +58,7 @@
     reportMs: 3000,
     leaseMs: 15_000,
     state: { rps: 200, writeRps: 30 },
-    log: logPlacementWork(work),
+    log: placementWorkCounter(work),
   });
   await cluster.run(3);
   let submitted = 0;
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -6,14 +6,18 @@
 import { HEARTBEAT_PATH } from './wire/workers.js';
 
 /** Returns a cluster that runs `jobs` services, with a network that loses and repeats no messages at random. */
-export async function clusterWithServices(config: ClusterConfig, jobs = 4): Promise<Cluster> {
+export async function clusterWithServices(
+  config: ClusterConfig,
+  serviceCount = 4,
+): Promise<Cluster> {
   const cluster = new Cluster({ ordinaryUp: 8, nodes: 5, ...config });
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(4);
-  for (let i = 0; i < jobs; i++) void cluster.users.run(cluster.users.newJob(SERVICE), null);
+  for (let i = 0; i < serviceCount; i++)
+    void cluster.users.run(cluster.users.newJob(SERVICE), null);
   await cluster.run(14);
-  assert.equal(cluster.invariants.placesByTask.size, 3 * jobs);
+  assert.equal(cluster.invariants.placesByTask.size, 3 * serviceCount);
   return cluster;
 }
 
@@ -37,7 +41,7 @@
 }
 
 /** Returns a log that adds the placement work of all leaders to `work`. */
-export function logPlacementWork(work: PlacementWork): NonNullable<ClusterConfig['log']> {
+export function placementWorkCounter(work: PlacementWork): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
     for (const figure of ['cycles', 'candidatesExamined', 'starts'] as const)
@@ -69,18 +73,18 @@
   cluster: Cluster,
   rejectedMs: number,
 ): Promise<{ cancelledJob: string; formerLeader: string }> {
-  const old = cluster.leader()!;
-  cluster.state.rejectHost(`${old}:80`, rejectedMs);
+  const formerLeader = cluster.leader()!;
+  cluster.state.rejectHost(`${formerLeader}:80`, rejectedMs);
   await cluster.run(0.2);
-  const first = jobIds(cluster)[0];
-  void cluster.users.cancel(first, otherNode(cluster, old));
+  const cancelledJob = jobIds(cluster)[0];
+  void cluster.users.cancel(cancelledJob, otherNode(cluster, formerLeader));
   await cluster.run(1.8);
   assert.notEqual(
-    cluster.invariants.jobs.get(first)!.reportedCancelledAt,
+    cluster.invariants.jobs.get(cancelledJob)!.reportedCancelledAt,
     null,
     'the cancellation is confirmed before the outage',
   );
-  return { cancelledJob: first, formerLeader: old };
+  return { cancelledJob, formerLeader };
 }
 
 /** Duplicates heartbeats with this probability, up to four leases later, to the node that leads when they are sent. */
--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -11,19 +11,19 @@
 export interface ScenarioOutcome {
   cluster: Cluster;
   /** Number of arrays and gangs that were not cancelled. */
-  countedJobs: number;
+  finiteJobs: number;
   /** Number of those that were reported to their users as done. */
   doneJobs: number;
 }
 
 function outcomeOf(cluster: Cluster): ScenarioOutcome {
-  const countedJobs = [...cluster.invariants.jobs.values()].filter(
+  const finiteJobs = [...cluster.invariants.jobs.values()].filter(
     (job) => job.spec.kind !== 'service' && !job.cancelRequested,
   );
   return {
     cluster,
-    countedJobs: countedJobs.length,
-    doneJobs: countedJobs.filter((job) => job.reportedDoneAt !== null).length,
+    finiteJobs: finiteJobs.length,
+    doneJobs: finiteJobs.filter((job) => job.reportedDoneAt !== null).length,
   };
 }
 
@@ -51,12 +51,12 @@
 }
 
 /** Asserts that no invariant was violated and, unless `finished` is false, that all arrays and gangs are done. */
-export function assertInvariantsHeld(outcome: ScenarioOutcome, finished = true): void {
-  if (finished) outcome.cluster.invariants.checkServed();
+export function assertInvariantsHeld(outcome: ScenarioOutcome, expectAllDone = true): void {
+  if (expectAllDone) outcome.cluster.invariants.checkServed();
   assert.deepEqual(outcome.cluster.invariants.violations, []);
   assert.ok(outcome.cluster.invariants.starts > 0, 'at least one task started');
-  if (finished)
-    assert.equal(outcome.doneJobs, outcome.countedJobs, 'all arrays and gangs are done');
+  if (expectAllDone)
+    assert.equal(outcome.doneJobs, outcome.finiteJobs, 'all arrays and gangs are done');
 }
 
 /** Declares a test for each seed: a run under faults that violates no invariant and serves all jobs. */
--- a/test/sim/service-level.ts
+++ b/test/sim/service-level.ts
@@ -4,7 +4,7 @@
 /** Maximum time in milliseconds from the submission to the first start, for the largest jobs of a class. */
 const LARGEST_START_LIMIT_MS = 240_000;
 /** One in this many jobs of a class counts as one of its largest. */
-const LARGEST_SHARE = 10;
+const JOBS_PER_LARGEST = 10;
 
 function isServed(job: ObservedJob): boolean {
   return job.spec.kind === 'service' ? job.firstStartAt !== null : job.reportedDoneAt !== null;
@@ -12,7 +12,7 @@
 
 function largestOf(jobs: ObservedJob[]): ObservedJob[] {
   const bySize = [...jobs].sort((one, other) => other.spec.tasks - one.spec.tasks);
-  return bySize.slice(0, Math.ceil(jobs.length / LARGEST_SHARE));
+  return bySize.slice(0, Math.ceil(jobs.length / JOBS_PER_LARGEST));
 }
 
 /** Groups accepted jobs that were not cancelled by class and by team. */
