--- a/test/demo.ts
+++ b/test/demo.ts
@@ -34,8 +34,8 @@
   spread: false,
   spot: true,
   durationS: 5,
-  checkpointEveryS: 0,
-  checkpointS: 0,
+  checkpointIntervalS: 0,
+  saveS: 0,
   deadlineS: null,
 };
 
--- a/test/gang-room.test.ts
+++ b/test/gang-room.test.ts
@@ -45,7 +45,7 @@
       tasks: 4,
       cpus: 8,
       durationS,
-      checkpointEveryS: 100,
+      checkpointIntervalS: 100,
     });
     await runUntil(cluster, () => cluster.gangs.begun === 1, 20);
     await cluster.run(1);
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -75,7 +75,13 @@
 
 test('a preemption notice stops all tasks of a running gang with a checkpoint, and no progress is lost', async () => {
   const cluster = await clusterWithoutLoss({ seed: 4 });
-  const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8, durationS: 20, checkpointEveryS: 19 });
+  const job = submit(cluster, {
+    ...GANG,
+    tasks: 6,
+    cpus: 8,
+    durationS: 20,
+    checkpointIntervalS: 19,
+  });
   await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   await cluster.run(5);
   cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!.worker!.preemptionDeadline =
--- a/test/invariants.test.ts
+++ b/test/invariants.test.ts
@@ -78,8 +78,8 @@
     team: 't0',
     tasks: 1,
     durationS: 60,
-    checkpointEveryS: 1,
-    checkpointS: 3,
+    checkpointIntervalS: 1,
+    saveS: 3,
   };
   void cluster.users.run(cluster.users.newJob(saving), null);
   await cluster.run(12);
--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -2,13 +2,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type KnownRedEntry,
+  type KnownFailure,
   MAX_ENTRIES,
   evaluateResults,
-  readKnownRed,
+  parseKnownFailures,
 } from './runner/known-red.js';
 
-const LISTED: KnownRedEntry = {
+const LISTED: KnownFailure = {
   test: 'test/a.test.ts > breaks',
   command: 'npm test, seed 7',
   observed: 'a task ran twice',
@@ -17,9 +17,11 @@
 const line = (name: string): string => `test/${name}.test.ts > title | npm test | seen | issue 1`;
 
 test('a list is read, and empty lines are ignored', () => {
-  assert.deepEqual(readKnownRed(''), { kind: 'read', entries: [] });
+  assert.deepEqual(parseKnownFailures(''), { kind: 'read', entries: [] });
   assert.deepEqual(
-    readKnownRed('\ntest/a.test.ts > breaks | npm test, seed 7 | a task ran twice | issue 1\n'),
+    parseKnownFailures(
+      '\ntest/a.test.ts > breaks | npm test, seed 7 | a task ran twice | issue 1\n',
+    ),
     {
       kind: 'read',
       entries: [LISTED],
@@ -34,13 +36,13 @@
     'test/a.test.ts > t | | seen | issue 1',
     'a title | npm test | seen | issue 1',
   ])
-    assert.equal(readKnownRed(text).kind, 'malformed', text);
-  const repeated = readKnownRed([line('a'), line('a')].join('\n'));
+    assert.equal(parseKnownFailures(text).kind, 'malformed', text);
+  const repeated = parseKnownFailures([line('a'), line('a')].join('\n'));
   assert.deepEqual(repeated, { kind: 'malformed', line: 2, reason: 'listed twice' });
   const names = Array.from({ length: MAX_ENTRIES + 1 }, (_, i) => line(`n${i}`));
-  const tooMany = readKnownRed(names.join('\n'));
+  const tooMany = parseKnownFailures(names.join('\n'));
   assert.ok(tooMany.kind === 'malformed' && tooMany.line === MAX_ENTRIES + 1);
-  assert.equal(readKnownRed(names.slice(0, MAX_ENTRIES).join('\n')).kind, 'read');
+  assert.equal(parseKnownFailures(names.slice(0, MAX_ENTRIES).join('\n')).kind, 'read');
 });
 
 test('the failure of a listed test is tolerated, and any other failure is not', () => {
--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -4,7 +4,7 @@
  */
 
 /** One line of KNOWN-RED.txt: `FILE > TITLE | COMMAND AND SEED | WHAT WAS SEEN | ISSUE`. */
-export interface KnownRedEntry {
+export interface KnownFailure {
   test: string;
   /** The command that reproduces the failure, with the seed if there is one. */
   command: string;
@@ -12,8 +12,8 @@
   issue: string;
 }
 
-export type KnownRedList =
-  { kind: 'read'; entries: KnownRedEntry[] } | { kind: 'malformed'; line: number; reason: string };
+export type KnownFailureList =
+  { kind: 'read'; entries: KnownFailure[] } | { kind: 'malformed'; line: number; reason: string };
 
 /** Result of a top-level test; `test` is `FILE > TITLE`. */
 export interface TestResult {
@@ -23,7 +23,7 @@
 
 export interface Verdict {
   /** Listed tests that failed as expected. */
-  knownRed: KnownRedEntry[];
+  knownFailures: KnownFailure[];
   /** Reasons why the run fails; empty if it passes. */
   problems: string[];
 }
@@ -35,11 +35,11 @@
 const TEST_PATTERN = /^\S+\.test\.ts > \S/;
 
 /** Parses the text of KNOWN-RED.txt. Empty lines are ignored. */
-export function readKnownRed(text: string): KnownRedList {
-  const entries: KnownRedEntry[] = [];
+export function parseKnownFailures(text: string): KnownFailureList {
+  const entries: KnownFailure[] = [];
   for (const [index, line] of text.split('\n').entries()) {
     if (line.trim() === '') continue;
-    const malformed = (reason: string): KnownRedList => ({
+    const malformed = (reason: string): KnownFailureList => ({
       kind: 'malformed',
       line: index + 1,
       reason,
@@ -57,18 +57,18 @@
 }
 
 /** The run fails if a test fails that is not listed, if a listed test passes or did not run, or if no test ran. */
-export function evaluateResults(results: TestResult[], entries: KnownRedEntry[]): Verdict {
+export function evaluateResults(results: TestResult[], entries: KnownFailure[]): Verdict {
   const failed = new Set(results.filter((result) => !result.passed).map((result) => result.test));
   const listed = new Set(entries.map((entry) => entry.test));
   const problems: string[] = [];
   if (results.length === 0) problems.push('no test ran');
   for (const test of failed) if (!listed.has(test)) problems.push(`failed: ${test}`);
-  const knownRed: KnownRedEntry[] = [];
+  const knownFailures: KnownFailure[] = [];
   for (const entry of entries) {
-    if (failed.has(entry.test)) knownRed.push(entry);
+    if (failed.has(entry.test)) knownFailures.push(entry);
     else if (results.some((result) => result.test === entry.test))
       problems.push(`listed as known red, but passes: ${entry.test}`);
     else problems.push(`listed as known red, but did not run: ${entry.test}`);
   }
-  return { knownRed, problems };
+  return { knownFailures, problems };
 }
--- a/test/runner/run-tests.ts
+++ b/test/runner/run-tests.ts
@@ -4,7 +4,7 @@
 import { pipeline } from 'node:stream/promises';
 import { run } from 'node:test';
 import { spec } from 'node:test/reporters';
-import { type TestResult, evaluateResults, readKnownRed } from './known-red.js';
+import { type TestResult, evaluateResults, parseKnownFailures } from './known-red.js';
 
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 const BUILD_FOLDER = 'target';
@@ -60,13 +60,13 @@
 
 async function main(): Promise<number> {
   const root = process.cwd();
-  const list = readKnownRed(readFileSync(join(root, KNOWN_RED_FILE), 'utf8'));
+  const list = parseKnownFailures(readFileSync(join(root, KNOWN_RED_FILE), 'utf8'));
   if (list.kind === 'malformed') {
     process.stderr.write(`${KNOWN_RED_FILE}:${list.line}: ${list.reason}\n`);
     return 1;
   }
   const verdict = evaluateResults(await runAll(root), list.entries);
-  for (const { test, command, observed, issue } of verdict.knownRed)
+  for (const { test, command, observed, issue } of verdict.knownFailures)
     process.stdout.write(`known red: ${test} (${observed}; ${command}; ${issue})\n`);
   for (const problem of verdict.problems) process.stdout.write(`${problem}\n`);
   return verdict.problems.length === 0 ? 0 : 1;
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -118,7 +118,7 @@
   /** Resets the job to its last checkpoint; the remaining members exit within `GANG_PEER_MS`. */
   private fail(job: ObservedJob, gang: Gang): void {
     if (gang.state === 'disbanded') return;
-    const checkpointIntervalMs = job.spec.checkpointEveryS * 1000;
+    const checkpointIntervalMs = job.spec.checkpointIntervalS * 1000;
     const progress = gang.firstStop?.progress ?? this.progress(gang);
     if (checkpointIntervalMs > 0)
       job.progressMs = Math.max(
@@ -169,8 +169,8 @@
    */
   stop(job: ObservedJob, attempt: number, taskNumber: number, graceS: number): void {
     const gang = this.gangs.get(`${job.spec.id}#${attempt}`);
-    const saveS = job.spec.checkpointS;
-    const canSave = job.spec.checkpointEveryS > 0 && graceS >= saveS;
+    const saveS = job.spec.saveS;
+    const canSave = job.spec.checkpointIntervalS > 0 && graceS >= saveS;
     if (!gang || !canSave || (gang.state !== 'running' && gang.state !== 'stopping')) {
       this.leave(job, attempt, taskNumber, 'stopped');
       return;
--- a/test/sim/jobs.ts
+++ b/test/sim/jobs.ts
@@ -34,8 +34,8 @@
   oneZone: true,
   spot: false,
   durationS: 6,
-  checkpointEveryS: 2,
-  checkpointS: 0.5,
+  checkpointIntervalS: 2,
+  saveS: 0.5,
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
 
@@ -53,8 +53,8 @@
   spread: false,
   spot: true,
   durationS: 1,
-  checkpointEveryS: 0,
-  checkpointS: 0,
+  checkpointIntervalS: 0,
+  saveS: 0,
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
 
@@ -84,8 +84,8 @@
     spread: isService,
     spot: !isService,
     durationS: isService ? 0 : random.between(2, 9),
-    checkpointEveryS: 0,
-    checkpointS: 0,
+    checkpointIntervalS: 0,
+    saveS: 0,
     deadlineS: isService ? null : 60,
   };
 }
--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -103,7 +103,7 @@
   }
 
   /** Exceeds the number of machines that are ever up at once, since machine names are never reused. */
-  private maxMachines(): number {
+  private endpointCount(): number {
     return this.config.machinesPerPool * 16;
   }
 
@@ -113,8 +113,8 @@
     this.cloudAddress = await this.serve(cloudPort, (_method, path, body) =>
       this.cloud.handle(path, body),
     );
-    if (this.config.throughNetwork) await this.serveEachController();
-    for (let i = 0; i < this.maxMachines(); i++) {
+    if (this.config.throughNetwork) await this.serveServicesPerController();
+    for (let i = 0; i < this.endpointCount(); i++) {
       const index = i;
       const toMachine: Handler = (...request) => this.toMachine(this.endpoints[index], request);
       this.endpoints.push(await this.serve(0, toMachine));
@@ -136,7 +136,7 @@
     return this.cloudAddresses.get(name) ?? this.cloudAddress;
   }
 
-  private async serveEachController(): Promise<void> {
+  private async serveServicesPerController(): Promise<void> {
     this.network.hosts.set(STATE, {
       handler: (...request) => this.state.handle(...request),
       hangsUntil: 0,
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -32,9 +32,9 @@
   /** The owner's estimate of a task's run time, in seconds. */
   durationS: number;
   /** Interval at which a task saves a checkpoint, in seconds; 0 if the tasks never save. */
-  checkpointEveryS: number;
+  checkpointIntervalS: number;
   /** Time that a task takes to save when it is stopped, in seconds. */
-  checkpointS: number;
+  saveS: number;
   deadlineS: number | null;
 }
 
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -125,22 +125,22 @@
     const [job, taskNumber] = this.jobOf(task.name);
     if (job?.spec.kind === 'gang' && task.state !== 'fetching')
       this.deps.gangs.stop(job, task.attempt, taskNumber, graceS);
-    else if (job && this.canSave(task, job, graceS)) this.save(task, job.spec.checkpointS);
+    else if (job && this.canSave(task, job, graceS)) this.save(task, job.spec.saveS);
     else if (task.state !== 'saving' || graceS === 0) this.exit(task, 'stopped');
   }
 
   /** Whether the task can save a checkpoint within its grace period. */
   private canSave(task: Task, job: ObservedJob, graceS: number): boolean {
-    const { checkpointEveryS, checkpointS } = job.spec;
-    return task.state === 'running' && checkpointEveryS > 0 && graceS > 0 && graceS >= checkpointS;
+    const { checkpointIntervalS, saveS } = job.spec;
+    return task.state === 'running' && checkpointIntervalS > 0 && graceS > 0 && graceS >= saveS;
   }
 
   /** Saves a checkpoint and then exits; the task stays on its machine while it saves. */
-  private save(task: Task, checkpointS: number): void {
+  private save(task: Task, saveS: number): void {
     task.cancel();
     task.state = 'saving';
     this.deps.changed();
-    task.cancel = this.deps.after(checkpointS * 1000, () => {
+    task.cancel = this.deps.after(saveS * 1000, () => {
       this.exit(task, 'stopped');
     });
   }
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -54,13 +54,13 @@
     }
   }
 
-  private get simulation(): SoakDeployment['simulation'] {
+  private get services(): SoakDeployment['simulation'] {
     return this.deployment.simulation;
   }
 
   private controllerNameOf(controller: number | 'leader'): string {
     return controller === 'leader'
-      ? (this.simulation.leader() ?? CONTROLLER_NAMES[0])
+      ? (this.services.leader() ?? CONTROLLER_NAMES[0])
       : CONTROLLER_NAMES[controller];
   }
 
@@ -80,16 +80,16 @@
   private readonly isController: HostFilter = (host) =>
     CONTROLLER_NAMES.some((name) => this.deployment.addressOf(name) === host);
 
-  private readonly isMachine: HostFilter = (host) => this.simulation.isMachine(host);
+  private readonly isMachine: HostFilter = (host) => this.services.isMachine(host);
 
   private pickMachines(share: number): HostFilter {
-    const hosts = [...this.simulation.network.hosts.keys()].filter(this.isMachine);
+    const hosts = [...this.services.network.hosts.keys()].filter(this.isMachine);
     const chosen = new Set(hosts.filter(() => this.random.chance(share)));
     return (host) => chosen.has(host);
   }
 
   private injectLinkFault(fault: LinkFault): void {
-    const { network, clock } = this.simulation;
+    const { network, clock } = this.services;
     const until = clock.time + fault.forMs;
     const anyHost: HostFilter = () => true;
     if (fault.kind === 'cut-peers') {
@@ -134,7 +134,7 @@
   }
 
   private injectMachineFault(fault: MachineFault): void {
-    const { network, cloud, clock } = this.simulation;
+    const { network, cloud, clock } = this.services;
     if (fault.kind === 'hang-machines') {
       const chosen = this.pickMachines(fault.share);
       for (const [name, host] of network.hosts)
@@ -146,7 +146,7 @@
   }
 
   private injectServiceFault(fault: ServiceFault): void {
-    const { state, clock } = this.simulation;
+    const { state, clock } = this.services;
     if (fault.kind === 'state-outage') state.beginOutage(fault.forMs);
     else if (fault.kind === 'late-writes')
       state.lateWrites = { share: fault.share, until: clock.time + fault.forMs };
@@ -158,9 +158,9 @@
   }
 
   private injectMessageFault(fault: MessageFault): void {
-    const { network, clock } = this.simulation;
+    const { network, clock } = this.services;
     if (fault.kind === 'late-starts') {
-      this.simulation.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
+      this.services.lateStarts = { byMs: fault.byMs, until: clock.time + fault.forMs };
     } else if (fault.kind === 'duplicate-heartbeats') {
       const to = (): string => this.deployment.addressOf(this.controllerNameOf('leader'));
       network.duplicates = {
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -58,7 +58,7 @@
         peerAddress: `127.0.0.1:${await freePort()}`,
         process: null,
       });
-    const simulation = new LoopbackServices({
+    const services = new LoopbackServices({
       seed,
       controllers,
       machinesPerPool: size.machinesPerPool,
@@ -68,7 +68,7 @@
       limits: new Map(TEAMS.map((team) => [team, size.teamLimit])),
       throughNetwork: true,
     });
-    const deployment = new SoakDeployment(program, size, controllers, simulation);
+    const deployment = new SoakDeployment(program, size, controllers, services);
     await deployment.open();
     return deployment;
   }
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -79,12 +79,12 @@
     this.recordHistory();
   }
 
-  private get simulation(): SoakDeployment['simulation'] {
+  private get services(): SoakDeployment['simulation'] {
     return this.deployment.simulation;
   }
 
   private recordHistory(): void {
-    const { invariants, clock } = this.simulation;
+    const { invariants, clock } = this.services;
     const addLine = (line: string): void => {
       this.history.push(`${Math.round(clock.time)} ${line}`);
       if (this.history.length > HISTORY_LINES) this.history.shift();
@@ -111,7 +111,7 @@
     await delay(FAULTS_MS);
     this.submitting = false;
     await delay(RECOVERY_MS);
-    this.simulation.network.duplicates = null;
+    this.services.network.duplicates = null;
     await this.settle();
   }
 
@@ -150,7 +150,7 @@
 
   private async runUser(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
-    const { invariants, clock } = this.simulation;
+    const { invariants, clock } = this.services;
     const observed = observedJob(job, clock.time);
     invariants.jobs.set(id, observed);
     while (!(await this.request(id, submitRequest(job)))) await delay(USER_RETRY_MS);
@@ -174,10 +174,10 @@
 
   /** Sends the request to a random controller. Returns false if the request must be retried. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { invariants, clock } = this.simulation;
+    const { invariants, clock } = this.services;
     const sentAt = clock.time - STEP_MARGIN_MS;
     const address = this.deployment.addressOf(this.random.pick(CONTROLLER_NAMES));
-    const response = await this.simulation.sendToController(address, method, path, body);
+    const response = await this.services.sendToController(address, method, path, body);
     const isRejected = response.status === 400 || response.status === 422;
     if (isRejected) invariants.recordViolation('forgotten', `${id} got ${response.status}`);
     else if (response.status !== 0)
@@ -187,7 +187,7 @@
 
   /** Waits until each job is reported done or cancelled and no task runs; records a violation for each that remains. */
   private async settle(): Promise<void> {
-    const { invariants } = this.simulation;
+    const { invariants } = this.services;
     const deadline = performance.now() + SETTLE_TIMEOUT_MS;
     const unfinishedJobs = (): string[] =>
       [...invariants.jobs]
@@ -207,7 +207,7 @@
   }
 
   result(schedule: ScheduledFault[]): SoakResult {
-    const { invariants } = this.simulation;
+    const { invariants } = this.services;
     for (const name of this.deployment.unexpectedExits()) invariants.recordViolation('ended', name);
     const logs = this.deployment.logs();
     // The service continues after it logs a violated invariant; a test must fail.
