--- a/test/digest/scenarios.ts
+++ b/test/digest/scenarios.ts
@@ -1,7 +1,7 @@
 /** Scenarios by seed. Seeds that differ by `SCENARIOS.length` run the same scenario with different random numbers. */
 import { type Cluster } from '../sim/cluster.js';
 import { CLUSTER_DUTY_SETTINGS, putFeatureLevel } from '../sim/cloud-invariants.js';
-import { OLD_BUILD, ROLLOUT_SETTINGS as AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
+import { OLD_BUILD, AUTOMATIC_ROLLOUT } from '../sim/rolling-upgrade.js';
 import { duplicateHeartbeats } from '../sim/faults.js';
 import {
   THREE_ZONES,
--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -6,7 +6,7 @@
 import {
   LARGE_CLUSTER,
   RollingUpgrade,
-  ROLLOUT_SETTINGS,
+  AUTOMATIC_ROLLOUT,
   submitArrays,
 } from './sim/rolling-upgrade.js';
 
@@ -14,7 +14,7 @@
 test('lowering the level below that of the duties waits for open intents, and the leader then rents without intents', async () => {
   const roll = new RollingUpgrade(19, BUILD, {
     ordinaryUp: 0,
-    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
+    rollout: { ...AUTOMATIC_ROLLOUT, ungated_builds_retired: true },
     duties: { mode: 'on', lease_s: 2, settle_s: 3, rebalance_s: 15, retention_s: 10 },
   });
   const { state } = roll.cluster;
@@ -54,7 +54,7 @@
 test('lowering the level below that of the duties leaves segments unchanged', async () => {
   const roll = new RollingUpgrade(20, BUILD, {
     ...LARGE_CLUSTER,
-    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
+    rollout: { ...AUTOMATIC_ROLLOUT, ungated_builds_retired: true },
   });
   await roll.reaches('stable', 3);
   roll.submitLargeArray(8);
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -105,7 +105,7 @@
   deployment: ControllerProcesses,
   from: string,
 ): Promise<StatusOutput['duties']> {
-  const output = await deployment.duties(from, 'status', '--json');
+  const output = await deployment.runDutiesCommand(from, 'status', '--json');
   assert.equal(output.code, 0, output.stderr);
   return (JSON.parse(output.stdout) as StatusOutput).duties;
 }
@@ -130,18 +130,18 @@
   deployment.signal(old, 'SIGCONT');
   await deployment.untilHealthy(old);
 
-  const hold = await deployment.duties(from, 'hold', 'return');
+  const hold = await deployment.runDutiesCommand(from, 'hold', 'return');
   assert.deepEqual([hold.code, hold.stdout], [0, 'return is on hold\n']);
-  const again = await deployment.duties(from, 'hold', 'return');
+  const again = await deployment.runDutiesCommand(from, 'hold', 'return');
   assert.deepEqual([again.code, again.stderr], [3, 'refused: return is on hold already\n']);
   assert.match(
-    (await deployment.duties(from, 'status')).stdout,
+    (await deployment.runDutiesCommand(from, 'status')).stdout,
     /^return: on hold by operator-\S+, token \d+/m,
   );
-  const release = await deployment.duties(from, 'release', 'return');
+  const release = await deployment.runDutiesCommand(from, 'release', 'return');
   assert.deepEqual([release.code, release.stdout], [0, 'return may be held again\n']);
   for (const args of [[], ['dance'], ['hold'], ['hold', 'dance'], ['status', '--loud']]) {
-    const bad = await deployment.duties(from, ...args);
+    const bad = await deployment.runDutiesCommand(from, ...args);
     assert.deepEqual(
       [bad.code, bad.stdout, bad.stderr.split('\n').length],
       [2, '', 2],
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -11,7 +11,7 @@
   OLD_BUILD,
   LEVEL_CHANGE_S,
   RollingUpgrade,
-  ROLLOUT_SETTINGS,
+  AUTOMATIC_ROLLOUT,
   submitArrays,
 } from './sim/rolling-upgrade.js';
 
@@ -223,7 +223,7 @@
         seed,
         ordinaryUp: 20,
         capacity: 12,
-        rollout: { ...ROLLOUT_SETTINGS, stall_s: 8 },
+        rollout: { ...AUTOMATIC_ROLLOUT, stall_s: 8 },
         builds: Object.fromEntries(NAMES.map((name) => [name, OLD_BUILD])),
       },
       (cluster, second) => {
--- a/test/rollout-processes.test.ts
+++ b/test/rollout-processes.test.ts
@@ -42,7 +42,7 @@
     await replaceUnderLoad(name, 'new');
   }
   await deployment.until('the level is raised', () => deployment.level.active === 2);
-  const status = await deployment.rollout('n0', 'status', '--json');
+  const status = await deployment.runRolloutCommand('n0', 'status', '--json');
   assert.equal(status.code, 0);
   const { controllers } = JSON.parse(status.stdout) as {
     controllers: Record<string, { kind: string }>;
@@ -66,7 +66,7 @@
     assert.ok(status === 0 || status === 503, `n1 responded with ${status}: ${text}`);
     return text.includes("the cluster's level is 2");
   });
-  const text = await deployment.rollout('n0', 'downgrade');
+  const text = await deployment.runRolloutCommand('n0', 'downgrade');
   assert.deepEqual(
     [text.code, text.stdout],
     [0, 'level 2, lowering -> 1: the leader goes on with it\n'],
@@ -83,16 +83,16 @@
   await deployment.start('old', { ...AUTOMATIC, mode: 'manual' });
   void deployment.users.submitRegularly(SUBMISSION_INTERVAL_MS);
   for (const name of ['n0', 'n1']) await replaceUnderLoad(name, 'new');
-  const refused = await deployment.rollout('n0', 'activate');
+  const refused = await deployment.runRolloutCommand('n0', 'activate');
   assert.deepEqual([refused.code, refused.stdout], [3, '']);
   assert.match(refused.stderr, /^refused: n2 runs build 0\.0\.9, .*\n$/);
-  const nothing = await deployment.rollout('n2', 'abort', '--json');
+  const nothing = await deployment.runRolloutCommand('n2', 'abort', '--json');
   assert.deepEqual(
     [nothing.code, JSON.parse(nothing.stdout)],
     [3, { kind: 'refused', reason: 'nothing is being raised: the level is stable' }],
   );
   for (const args of [['dance'], [], ['status', '--loud']]) {
-    const bad = await deployment.rollout('n0', ...args);
+    const bad = await deployment.runRolloutCommand('n0', ...args);
     assert.deepEqual(
       [bad.code, bad.stdout, bad.stderr.split('\n').length],
       [2, '', 2],
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -10,7 +10,7 @@
   OLD_BUILD,
   LEVEL_CHANGE_S,
   RollingUpgrade,
-  ROLLOUT_SETTINGS,
+  AUTOMATIC_ROLLOUT,
   submitArrays,
 } from './sim/rolling-upgrade.js';
 
@@ -145,7 +145,7 @@
 
 test('commands of operators work without a leader, and refusals state a reason', async () => {
   const roll = new RollingUpgrade(14, NEW_BUILD, {
-    rollout: { ...ROLLOUT_SETTINGS, mode: 'manual' },
+    rollout: { ...AUTOMATIC_ROLLOUT, mode: 'manual' },
   });
   await roll.cluster.run(6);
   assert.deepEqual(await roll.runOperatorCommand('abort'), {
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -148,12 +148,12 @@
   }
 
   /** Runs `millring rollout ...` with the settings of a controller. */
-  rollout(name: string, ...args: string[]): Promise<CommandResult> {
+  runRolloutCommand(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('new', name, ['rollout', ...args]);
   }
 
   /** Runs `millring duties ...` with the settings of a controller. */
-  duties(name: string, ...args: string[]): Promise<CommandResult> {
+  runDutiesCommand(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('latest', name, ['duties', ...args]);
   }
 
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -21,7 +21,7 @@
 export const NEW_BUILD: Build = { ...BUILD, reads: { from: 1, to: 2 }, writes: 2 };
 export const NAMES = ['n0', 'n1', 'n2'];
 
-export const ROLLOUT_SETTINGS: RolloutSettings = {
+export const AUTOMATIC_ROLLOUT: RolloutSettings = {
   mode: 'automatic',
   soak_s: 2,
   stall_s: 15,
@@ -46,7 +46,7 @@
     store,
     controllers: NAMES,
     registry: FEATURES,
-    settings: ROLLOUT_SETTINGS,
+    settings: AUTOMATIC_ROLLOUT,
     by: `operator-${cluster.clock.time}`,
     wallMs: () => 1e12 + cluster.clock.time,
   });
@@ -62,7 +62,7 @@
     this.cluster = new Cluster({
       seed,
       ordinaryUp: 8,
-      rollout: ROLLOUT_SETTINGS,
+      rollout: AUTOMATIC_ROLLOUT,
       builds,
       ...config,
     });
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -83,8 +83,8 @@
   spread: 'scatter',
   spot: 'loaned_stones',
   durationS: 'grind_s',
-  checkpointEveryS: 'bin_every_s',
-  checkpointS: 'bin_s',
+  checkpointIntervalS: 'bin_every_s',
+  saveS: 'bin_s',
   deadlineS: 'due_s',
 };
 const WIRE_KINDS: Readonly<Record<SubmittedKind, string>> = {
--- a/test/soak/fault-injector.ts
+++ b/test/soak/fault-injector.ts
@@ -54,8 +54,8 @@
     }
   }
 
-  private get services(): SoakDeployment['simulation'] {
-    return this.deployment.simulation;
+  private get services(): SoakDeployment['services'] {
+    return this.deployment.services;
   }
 
   private controllerNameOf(controller: number | 'leader'): string {
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -45,7 +45,7 @@
     private readonly program: string,
     private readonly size: SoakSize,
     private readonly controllers: Controller[],
-    readonly simulation: LoopbackServices,
+    readonly services: LoopbackServices,
   ) {}
 
   static async start(program: string, seed: number, size: SoakSize): Promise<SoakDeployment> {
@@ -74,7 +74,7 @@
   }
 
   private async open(): Promise<void> {
-    await this.simulation.start();
+    await this.services.start();
     for (const from of this.controllers)
       for (const to of this.controllers) if (from !== to) await this.openRelay(from, to);
     writeFileSync(
@@ -108,8 +108,8 @@
     return settingsToml({
       self: controller,
       others: this.controllers.filter((other) => other !== controller).map(viaRelay),
-      stateAddress: this.simulation.stateAddressOf(controller.name),
-      cloudAddress: this.simulation.cloudAddressOf(controller.name),
+      stateAddress: this.services.stateAddressOf(controller.name),
+      cloudAddress: this.services.cloudAddressOf(controller.name),
       teams: TEAMS.map((name) => ({ name, cpus: GUARANTEED_CPUS, cpusMax: teamLimit })),
       reportS,
       leaseS,
@@ -187,7 +187,7 @@
     this.stopping = true;
     for (const { process: child } of this.controllers) if (child) await killAndWait(child);
     for (const relay of this.relays.values()) relay.close();
-    this.simulation.stop();
+    this.services.stop();
     rmSync(this.directory, { recursive: true });
   }
 }
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -79,8 +79,8 @@
     this.recordHistory();
   }
 
-  private get services(): SoakDeployment['simulation'] {
-    return this.deployment.simulation;
+  private get services(): SoakDeployment['services'] {
+    return this.deployment.services;
   }
 
   private recordHistory(): void {
@@ -140,8 +140,8 @@
       machineTypes: null,
       zone: null,
       durationS: this.random.between(0.5, 5),
-      checkpointEveryS: 0,
-      checkpointS: 0,
+      checkpointIntervalS: 0,
+      saveS: 0,
       ...profile,
     };
     const serviceTasks = profile === SERVICE ? this.random.pick([1, 2]) : null;
