--- a/test/sim/cloud.ts
+++ b/test/sim/cloud.ts
@@ -154,7 +154,7 @@
     return machine;
   }
 
-  /** Removes the machine and everything that runs on it. */
+  /** Removes the machine and everything that runs on it, when the cloud preempts or a controller deletes it. */
   preempt(machine: CloudMachine): void {
     machine.worker?.kill();
     this.machines.delete(machine.id);
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,11 +1,16 @@
-/** Faults and initial clusters that several tests use. All random choices derive from the cluster's seed. */
+/**
+ * Initial clusters, faults, and small queries that several tests use. All random choices derive from the cluster's seed.
+ */
 import assert from 'node:assert/strict';
 import { Cluster } from './cluster.js';
 import { type ClusterConfig, LEASE_MS } from './cluster-config.js';
 import { SERVICE } from './jobs.js';
 import { HEARTBEAT_PATH } from './wire/workers.js';
 
-/** Returns a cluster that runs `jobs` services, with a network that loses and repeats no messages at random. */
+/**
+ * Returns a cluster that runs `serviceCount` services of 3 tasks, by default on 5 controllers and 8 ordinary machines.
+ * Its network loses and repeats no messages at random.
+ */
 export async function clusterWithServices(
   config: ClusterConfig,
   serviceCount = 4,
@@ -21,7 +26,10 @@
   return cluster;
 }
 
-/** Returns a cluster that runs one service, with a network that loses and repeats no messages at random. */
+/**
+ * Returns a cluster of default size, but with 6 ordinary machines, that runs one service of 3 tasks. Its network loses and
+ * repeats no messages at random.
+ */
 export async function clusterWithService(seed: number): Promise<Cluster> {
   const cluster = new Cluster({ seed, ordinaryUp: 6 });
   cluster.network.lossRate = 0;
@@ -40,7 +48,7 @@
   starts: number;
 }
 
-/** Returns a log that adds the placement work of all leaders to `work`. */
+/** Returns a log handler that adds the placement work of each round that a leader logs to `work`. */
 export function placementWorkCounter(work: PlacementWork): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
@@ -57,7 +65,7 @@
 export const leaderOrRandomNode = (cluster: Cluster): string =>
   cluster.leader() ?? cluster.random.pick(cluster.nodeNames);
 
-/** Number of tasks of the job that are on machines. */
+/** Returns the number of tasks of the job that have started on machines and not exited. */
 export function runningTasksOf(cluster: Cluster, id: string): number {
   return [...cluster.invariants.placesByTask.keys()].filter((t) => t.startsWith(`${id}/`)).length;
 }
@@ -68,7 +76,10 @@
   cluster.network.partitions.push({ a: isNode, b: isNode, until: Infinity, mode: 'reset' });
 }
 
-/** The state service rejects the leader only, and another controller confirms a cancellation; takes 2 s. */
+/**
+ * Makes the state service reject the leader's requests for `rejectedMs`, and cancels a job through another controller.
+ * Runs the cluster for 2 s, within which the cancellation must be confirmed. Returns the job and the rejected leader.
+ */
 export async function cancelDuringRejection(
   cluster: Cluster,
   rejectedMs: number,
@@ -82,7 +93,7 @@
   assert.notEqual(
     cluster.invariants.jobs.get(cancelledJob)!.reportedCancelledAt,
     null,
-    'the cancellation is confirmed before the outage',
+    'the cancellation is confirmed within 2 s of the rejection',
   );
   return { cancelledJob, formerLeader };
 }
@@ -105,13 +116,13 @@
   return (id) => chosen.has(id);
 }
 
-/** A random share of the running machines hangs for this time. */
+/** Makes a random share of the running machines hang for `ms`. */
 export function hangMachines(cluster: Cluster, share: number, ms: number): void {
   for (const machine of cluster.cloud.machines.values())
     if (machine.worker && cluster.random.chance(share)) cluster.faults.hangMachine(machine.id, ms);
 }
 
-/** Holds responses and commands to the machine for this time; what the machine sends still arrives. */
+/** Holds responses and commands to the machine for `forMs`; messages from the machine still arrive. */
 export function holdMessagesTo(cluster: Cluster, machine: string, forMs: number): void {
   cluster.network.partitions.push({
     a: () => true,
--- a/test/sim/gang-coordinator.ts
+++ b/test/sim/gang-coordinator.ts
@@ -12,9 +12,9 @@
 
 /** A task of a gang that has its image, as its worker presents it to the coordinator. */
 export interface Member {
-  /** The gang has started. */
+  /** Called when the gang has started. */
   run(): void;
-  /** The task exits with this cause. */
+  /** Makes the task exit with this cause. */
   exit(cause: ReportedExitCause): void;
   /** Whether its machine hangs. */
   isHanging(): boolean;
@@ -26,14 +26,14 @@
   state: 'gathering' | 'running' | 'stopping' | 'disbanded';
   /** Members by task number. */
   members: Map<number, Member>;
-  /** Virtual time of each member's first stop request, by task number. */
+  /** The members that got a stop request: virtual time of each one's first request, by task number. */
   stopRequests: Map<number, number>;
   /** Virtual time at which the gang started, and the job's progress at that time, both in milliseconds. */
   startedAt: number;
   progressAtStart: number;
   /** The largest slowness of its members, which slows down the whole gang. */
   slowness: number;
-  /** Time of the first stop request, and the progress at that time. */
+  /** Virtual time of the gang's first stop request and the progress at that time; null if there was none. */
   firstStop: { at: number; progress: number } | null;
 }
 
@@ -105,7 +105,7 @@
     this.watch(job, gang);
   }
 
-  /** Fails the gang when one of its members hangs, as the others notice that. */
+  /** Checks regularly whether a member hangs, which the other members notice, and then fails the gang. */
   private watch(job: ObservedJob, gang: Gang): void {
     if (gang.state !== 'running') return;
     if ([...gang.members.values()].some((m) => m.isHanging())) this.fail(job, gang);
@@ -131,7 +131,7 @@
       });
   }
 
-  /** Returns the members that the gang had. */
+  /** Ends the gang and removes its members. Returns the former members. */
   private disband(gang: Gang): Member[] {
     const all = [...gang.members.values()];
     gang.state = 'disbanded';
--- a/test/sim/invariants.ts
+++ b/test/sim/invariants.ts
@@ -14,9 +14,9 @@
   /** The violations, each with its virtual time in milliseconds. */
   readonly violations: string[] = [];
   readonly jobs = new Map<string, ObservedJob>();
-  /** The places of each task that is on a machine now; more than one if it runs twice. */
+  /** The places of each task that has started and not exited; more than one if it runs twice. */
   readonly placesByTask = new Map<string, Place[]>();
-  /** Number of task starts, repeated ones included. */
+  /** Number of times that a task started on a machine, including repeated starts. */
   starts = 0;
   /** Tasks that were started again after they had finished. */
   readonly startsAfterFinish: string[] = [];
@@ -33,7 +33,7 @@
     this.violations.push(`${Math.round(this.now())} ${invariant}: ${detail}`);
   }
 
-  /** The tasks on machines by job, and the CPUs that each team uses; kept since large runs query them at each start. */
+  /** The started tasks by job, and the CPUs that each team uses; kept since large runs query them at each start. */
   private readonly placedTasksByJob = new Map<string, Set<string>>();
   private readonly usedCpusByTeam = new Map<string, number>();
   private readonly cancelled = new Map<string, ObservedJob>();
@@ -57,7 +57,7 @@
     this.usedCpusByTeam.set(team, (this.usedCpusByTeam.get(team) ?? 0) + sign * job.spec.cpus);
   }
 
-  /** A worker has started the task, which has its image. */
+  /** Records that the task has started on the machine, which has fetched its image, and checks its place. */
   taskStarted(task: string, place: Place): void {
     this.starts++;
     const id = task.slice(0, task.lastIndexOf('/'));
@@ -89,7 +89,7 @@
       this.recordViolation('quota', `${spec.team} by ${task}`);
   }
 
-  /** The task is no longer on the machine; `done` if it has finished. */
+  /** Records that the task has exited or its machine no longer runs it; `done` if the task has finished. */
   taskLeft(task: string, machine: string, done: boolean): void {
     const placesBefore = this.placesByTask.get(task) ?? [];
     const remaining = placesBefore.filter((p) => p.machine !== machine);
@@ -153,7 +153,7 @@
         this.now() - Math.max(from, job.lastResponseAt) <= MAX_RESPONSE_GAP_MS
       )
         continue;
-      if (!this.violations.some((b) => b.includes(`forgotten: ${id}`)))
+      if (!this.violations.some((violation) => violation.includes(`forgotten: ${id}`)))
         this.recordViolation('forgotten', id);
     }
   }
@@ -208,7 +208,7 @@
     job.waitingSince ??= this.now();
     if (
       this.now() - job.waitingSince > MAX_WAITING_MS &&
-      !this.violations.some((b) => b.includes(`waits: ${id}`))
+      !this.violations.some((violation) => violation.includes(`waits: ${id}`))
     )
       this.recordViolation('waits', id);
   }
@@ -224,7 +224,7 @@
     for (const [id, job] of this.cancelled)
       if (this.now() > job.reportedCancelledAt! + this.cancelMs)
         for (const task of this.placedTasksByJob.get(id) ?? [])
-          if (!this.violations.some((b) => b.includes(`ran_cancelled: ${task}`)))
+          if (!this.violations.some((violation) => violation.includes(`ran_cancelled: ${task}`)))
             this.recordViolation('ran_cancelled', task);
   }
 }
--- a/test/sim/jobs.ts
+++ b/test/sim/jobs.ts
@@ -58,7 +58,7 @@
   deadlineS: null,
 } satisfies Partial<JobSubmission>;
 
-/** Returns the id of a user's job, in the numbering that the bench uses. */
+/** Returns the id of a user's job: `run-` and the number with at least six digits. */
 export function jobId(number: number): string {
   return `run-${String(number).padStart(6, '0')}`;
 }
--- a/test/sim/network.ts
+++ b/test/sim/network.ts
@@ -28,7 +28,7 @@
   mode: 'hold' | 'reset';
   /** Blocks only messages from `a` to `b`; those from `b` to `a` arrive. */
   oneWay?: boolean;
-  /** Blocks only requests from `a` to `b`, as if no connection could be opened; requests from `b` get responses. */
+  /** Blocks only requests from `a` to `b`: responses from `a` arrive, and so does everything from `b`. */
   requestsOnly?: boolean;
 }
 
@@ -49,7 +49,7 @@
   return !oneWay && !requestsOnly && a(to) && b(from);
 }
 
-/** Late duplicates of the requests to a path: their probability, maximum delay and recipient. */
+/** Duplicates of the requests to a path: their probability, maximum delay in milliseconds and recipient. */
 export interface Duplication {
   path: string;
   chance: number;
@@ -92,14 +92,15 @@
   body: Body;
 }
 
-/** Delays, loses and repeats requests at random, and holds or resets messages that partitions block. */
+/** Delays, loses and duplicates requests at random, and holds or resets messages that partitions block. */
 export class Network {
   readonly hosts = new Map<string, Host>();
   partitions: Partition[] = [];
   /** Probability that a message is lost. */
   lossRate = 0.002;
-  /** Probability that a POST request is delivered a second time. */
+  /** Probability that a duplicate of a POST request is delivered, 50 ms to 15 s after the request. */
   repeatRate = 0.003;
+  /** Further duplicates, of requests to one path only. */
   duplicates: Duplication | null = null;
   /** Factor by which all delays are longer than usual. */
   delayFactor = 1;
--- a/test/sim/observed-job.ts
+++ b/test/sim/observed-job.ts
@@ -6,6 +6,7 @@
   spec: JobSubmission;
   /** Whether a response has shown that the job was accepted. */
   reportedAccepted: boolean;
+  /** Whether the job was submitted; always true, since only submitted jobs are recorded. */
   submitted: boolean;
   cancelRequested: boolean;
   /** Time of the first response that reported the job as cancelled. */
@@ -17,15 +18,18 @@
   submittedAt: number;
   /** Time of the last response that reported the job's state, or of the submission if there was none. */
   lastResponseAt: number;
-  /** Time of the first start of any of its tasks. */
+  /** Time at which the first of its tasks started on a machine; null if none has started. */
   firstStartAt: number | null;
-  /** Time since which, at each check, a task was waiting and none started while a machine had capacity for it. */
+  /**
+   * Time since when all checks have found a waiting task although a machine had capacity for it, without a start of a task
+   * of the job in between; null if the last check found none.
+   */
   waitingSince: number | null;
   /** For a gang: the progress that is saved in a checkpoint, in milliseconds. */
   progressMs: number;
 }
 
-/** Returns the initial state of a job that is about to be submitted. */
+/** Returns the initial state of a job, to be recorded when its user sends the first submission. */
 export function observedJob(spec: JobSubmission, now: number): ObservedJob {
   return {
     spec,
--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -12,7 +12,7 @@
   cluster: Cluster;
   /** Number of arrays and gangs that were not cancelled. */
   finiteJobs: number;
-  /** Number of those that were reported to their users as done. */
+  /** Number of these jobs that were reported to their users as done. */
   doneJobs: number;
 }
 
@@ -27,7 +27,10 @@
   };
 }
 
-/** Submits jobs and injects faults for 60 s, then runs the cluster for 120 s without them, so that jobs can finish. */
+/**
+ * Submits jobs and injects faults for 60 s, then runs the cluster for 120 s without new ones, so that jobs can finish.
+ * The last faults may continue after the 60 s: the checks of responses and waiting jobs allow 20 s for them to end.
+ */
 export async function runScenario(
   config: ClusterConfig,
   eachSecond: EachSecond,
@@ -50,7 +53,10 @@
   return outcomeOf(cluster);
 }
 
-/** Asserts that no invariant was violated and, unless `finished` is false, that all arrays and gangs are done. */
+/**
+ * Asserts that no invariant was violated and that tasks started. Unless `expectAllDone` is false, also checks the service
+ * level and that all arrays and gangs are done.
+ */
 export function assertInvariantsHeld(outcome: ScenarioOutcome, expectAllDone = true): void {
   if (expectAllDone) outcome.cluster.invariants.checkServed();
   assert.deepEqual(outcome.cluster.invariants.violations, []);
--- a/test/sim/service-level.ts
+++ b/test/sim/service-level.ts
@@ -1,9 +1,9 @@
-/** The share of jobs that has to be served, as the bench computes it. */
+/** Checks that enough jobs of each class and team are served, and that the largest jobs start in time. */
 import type { ObservedJob } from './observed-job.js';
 
 /** Maximum time in milliseconds from the submission to the first start, for the largest jobs of a class. */
 const LARGEST_START_LIMIT_MS = 240_000;
-/** One in this many jobs of a class counts as one of its largest. */
+/** The largest jobs of a class are 1/`JOBS_PER_LARGEST` of its jobs, rounded up. */
 const JOBS_PER_LARGEST = 10;
 
 function isServed(job: ObservedJob): boolean {
--- a/test/sim/users.ts
+++ b/test/sim/users.ts
@@ -94,7 +94,10 @@
     return response;
   }
 
-  /** Submits the job with retries and polls it until the run ends; cancels it after `cancelAfterMs` unless null. */
+  /**
+   * Submits the job with retries and, if it is accepted, polls it until the cluster's run ends. Cancels the job
+   * `cancelAfterMs` after its acceptance; null means never.
+   */
   async run(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
     const observed = observedJob(job, this.deps.clock.time);
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -1,4 +1,7 @@
-/** The tasks on a simulated worker's machine, which it starts, saves, stops and removes on command. */
+/**
+ * The tasks on a simulated worker's machine. On a start command the worker accepts a task and fetches its image; the task
+ * starts once the image is there. Further commands stop a task, which may save a checkpoint first, and remove it.
+ */
 import type { GangCoordinator } from './gang-coordinator.js';
 import type { Invariants } from './invariants.js';
 import type { ObservedJob } from './observed-job.js';
@@ -19,7 +22,7 @@
   cancel: () => void;
 }
 
-/** Whether the task is on its machine: it has its image and has not exited. */
+/** Whether the task has started and not exited: it waits for its gang, runs, or saves a checkpoint. */
 const isExecuting = ({ state }: Task): boolean =>
   state === 'waiting' || state === 'running' || state === 'saving';
 
@@ -34,11 +37,11 @@
   spot: boolean;
   /** Factor by which everything takes longer on this machine. */
   slowness: number;
-  /** Whether tasks fail soon after they start. */
+  /** Whether tasks of arrays and services fail soon after they start. */
   faulty: boolean;
 }
 
-/** The parts of the worker and of the simulation that the tasks depend on. */
+/** The worker's functions and the simulated services that the tasks depend on. */
 export interface WorkerTasksDependencies {
   machine: TaskMachine;
   random: SeededRandom;
@@ -72,7 +75,7 @@
     }));
   }
 
-  /** Removes all tasks, as their machine has ended or its lease has expired. */
+  /** Removes all tasks. Called when their machine no longer exists or the worker's lease has expired. */
   killAll(): void {
     for (const task of this.tasks.values()) {
       task.cancel();
@@ -88,7 +91,7 @@
     return [...this.tasks.values()].some((task) => task.name === name && task.state === 'saving');
   }
 
-  /** Returns the names of the tasks that have started and still fetch their images. */
+  /** Returns the names of the accepted tasks that have not started, because they still fetch their images. */
   fetching(): string[] {
     return [...this.tasks.values()]
       .filter(({ state }) => state === 'fetching')
@@ -197,7 +200,7 @@
     });
   }
 
-  /** Returns why the task can't start here, or null if it can. */
+  /** Returns the cause with which the worker rejects the task, or null if it accepts the task. */
   private rejectionOf(name: string, job: ObservedJob | undefined): ReportedExitCause | null {
     if (!job?.submitted) return 'unknown_task';
     if ([...this.tasks.values()].some((task) => task.name === name)) return 'already_present';
@@ -231,7 +234,7 @@
     });
   }
 
-  /** Returns the run time of a task, 1 ms if it has finished before, since its result was kept. */
+  /** Returns a task's run time in milliseconds: 1 if it has finished before, since its result was kept, else random. */
   private runMs(job: ObservedJob, taskNumber: number): number {
     if (job.finishedTasks.has(taskNumber)) return 1;
     return (
--- a/test/sim/worker.ts
+++ b/test/sim/worker.ts
@@ -37,7 +37,7 @@
   /** The highest fencing token seen. */
   private token = 0;
   private incarnationBeganAt: number;
-  /** When the last heartbeat that got a valid response was sent. */
+  /** Virtual time at which the last heartbeat that got a valid response was sent. */
   private lastAcknowledgedSentAt = -Infinity;
   readonly tasks: WorkerTasks;
   /** Index of the controller that gets the heartbeats; wraps around. */
@@ -113,7 +113,7 @@
     };
   }
 
-  /** Ends the machine and everything on it. */
+  /** Ends the worker and all tasks on its machine. */
   kill(): void {
     this.tasks.killAll();
     this.isDead = true;
