--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -113,7 +113,8 @@
 
 export function lateWrites(cluster: Cluster, keyPrefix?: string): void {
   const lateness = { share: 0.2, until: cluster.clock.time + 2000 };
-  cluster.state.lateWrites = keyPrefix === undefined ? lateness : { ...lateness, keyPrefix };
+  cluster.state.lateWrites =
+    keyPrefix === undefined ? lateness : { ...lateness, prefix: keyPrefix };
 }
 
 /** Replaces random controllers by the current build, less often by the old one, until all run the current build. */
--- a/test/duties-cluster.test.ts
+++ b/test/duties-cluster.test.ts
@@ -199,7 +199,7 @@
         cluster.state.lateWrites = {
           share: 0.2,
           until: cluster.clock.time + 3000,
-          keyPrefix: 'duties/',
+          prefix: 'duties/',
         };
     },
   );
--- a/test/duty-late-writes.test.ts
+++ b/test/duty-late-writes.test.ts
@@ -7,7 +7,7 @@
 // A claim whose response was lost must be removed.
 test('claims that are applied late and without a response do not prevent a duty from being held', async () => {
   const group = new DutyGroup({ seed: 28 });
-  group.state.lateWrites = { share: 1, until: 1500, byMs: 2500, keyPrefix: 'duties/tokens/' };
+  group.state.lateWrites = { share: 1, until: 1500, byMs: 2500, prefix: 'duties/tokens/' };
   await group.run(3);
   await group.untilAllHeld();
   assert.deepEqual(group.invariants.violations, []);
@@ -26,7 +26,7 @@
     share: 1,
     until: group.clock.time + 1000,
     byMs: 9000,
-    keyPrefix: 'duties/intents/',
+    prefix: 'duties/intents/',
   };
   await group.run(0.8);
   group.freeze(old, 8000);
@@ -45,7 +45,7 @@
     share: 1,
     until: group.clock.time + 500,
     byMs: 6000,
-    keyPrefix: 'duties/intents/',
+    prefix: 'duties/intents/',
   };
   const opened = group.delete('return', machines[0]);
   await group.run(0.4);
@@ -65,7 +65,7 @@
     share: 1,
     until: group.clock.time + 500,
     byMs: 3000,
-    keyPrefix: 'duties/intents/',
+    prefix: 'duties/intents/',
   };
   assert.equal((await untilResolved(group, group.delete('return', machines[0]))).kind, 'resolved');
   await group.run(20);
@@ -86,7 +86,7 @@
     share: 1,
     until: group.clock.time + 1000,
     byMs: 6000,
-    keyPrefix: 'duties/intents/',
+    prefix: 'duties/intents/',
   };
   await group.run(0.8);
   group.freeze(old, 20_000);
@@ -109,7 +109,7 @@
     share: 1,
     until: group.clock.time + 600,
     byMs: 25_000,
-    keyPrefix: 'duties/intents/',
+    prefix: 'duties/intents/',
   };
   await untilResolved(group, opened);
   await group.run(40);
@@ -125,7 +125,7 @@
     share: 1,
     until: group.clock.time + 500,
     byMs: 9000,
-    keyPrefix: 'duties/holders/return',
+    prefix: 'duties/holders/return',
   };
   void group.member(old).holder('return').release('by the test');
   await group.until(
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -103,7 +103,7 @@
   const id = roll.submitLargeArray(5);
   await roll.until('segments are stored', () => roll.invariants.segments().length > 0);
   const { state, clock } = roll.cluster;
-  state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, keyPrefix: `d/${id}/` };
+  state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, prefix: `d/${id}/` };
   await roll.cluster.run(6);
   assert.equal((await roll.runOperatorCommand('downgrade')).kind, 'done');
   await roll.reaches('stable', 1);
@@ -124,7 +124,7 @@
   );
   const name = roll.follower();
   const keys = `rollout/controllers/${name}`;
-  state.lateWrites = { share: 1, until: Infinity, byMs: 1000, keyPrefix: keys };
+  state.lateWrites = { share: 1, until: Infinity, byMs: 1000, prefix: keys };
   await roll.reaches('preparing', 1);
   await roll.cluster.run(0.3);
   state.lateWrites = null;
@@ -139,7 +139,7 @@
   const roll = new RollingUpgrade(22, NEW_BUILD);
   await roll.reaches('activating', 1);
   const { state, clock, invariants } = roll.cluster;
-  state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, keyPrefix: 'rollout/level' };
+  state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, prefix: 'rollout/level' };
   await roll.cluster.run(0.6);
   roll.replace(roll.follower(), OLD_BUILD, 50);
   await roll.assertStaysAt(1, LEVEL_CHANGE_S);
@@ -155,7 +155,7 @@
     share: 1,
     until: clock.time + 2000,
     byMs: 12_000,
-    keyPrefix: 'rollout/level',
+    prefix: 'rollout/level',
   };
   roll.replace(roll.follower(), OLD_BUILD, 100);
   await roll.cluster.run(2);
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -36,7 +36,7 @@
   /** Delay in milliseconds; random by default. */
   byMs?: number;
   /** Limits the selection to transactions that change a key with this prefix. */
-  keyPrefix?: string;
+  prefix?: string;
 }
 
 const ok = (body: Body): HttpResponse => ({ status: 200, body });
@@ -49,7 +49,7 @@
   private readonly events = new EventHistory();
   private readonly waiters = new Set<() => void>();
   private downUntil = 0;
-  private readonly rejectedUntil = new Map<string, number>();
+  private readonly rejectUntil = new Map<string, number>();
   /** Number of requests and changes received, and of requests beyond the rate limits, which got status 429. */
   readonly received = { requests: 0, changes: 0, tooMany: 0 };
   private readonly limits: { requests: RateLimit; writes: RateLimit } | null;
@@ -76,7 +76,7 @@
   }
 
   rejectHost(host: string, forMs: number): void {
-    this.rejectedUntil.set(host, this.clock.time + forMs);
+    this.rejectUntil.set(host, this.clock.time + forMs);
   }
 
   /** Until the given time, a share of transactions gets no response and is executed late, after newer ones. */
@@ -104,9 +104,7 @@
   }
 
   private isUnavailable(from: string): boolean {
-    return (
-      this.clock.time < this.downUntil || this.clock.time < (this.rejectedUntil.get(from) ?? 0)
-    );
+    return this.clock.time < this.downUntil || this.clock.time < (this.rejectUntil.get(from) ?? 0);
   }
 
   private expireLoop(): void {
@@ -176,12 +174,9 @@
     return new Promise(() => undefined);
   }
 
-  private isLate(
-    { share, until, keyPrefix = '' }: LateWrites,
-    { mutations }: Transaction,
-  ): boolean {
+  private isLate({ share, until, prefix = '' }: LateWrites, { mutations }: Transaction): boolean {
     if (this.clock.time >= until) return false;
-    return mutations.some(({ key }) => key.startsWith(keyPrefix)) && this.random.chance(share);
+    return mutations.some(({ key }) => key.startsWith(prefix)) && this.random.chance(share);
   }
 
   private grantLease(ttlMs: number): HttpResponse {
