--- a/test/sim/cloud-invariants.ts
+++ b/test/sim/cloud-invariants.ts
@@ -4,15 +4,16 @@
 import type { Cluster } from './cluster.js';
 import { decodeCloudRequest } from './wire/cloud.js';
 
+/** The level of the feature that lets duties act by stored intents; see `FEATURES` in `src/build.ts`. */
 const FEATURE_LEVEL = 3;
-/** Rollout settings, as in the operators' file. */
+/** Rollout settings, as in the operators' file: only operators change the feature level. */
 export const MANUAL_ROLLOUT = {
   mode: 'manual',
   announcement_lease_s: 3,
   stall_s: 15,
   ungated_builds_retired: true,
 } as const;
-/** Duty settings, as in the operators' file. */
+/** Duty settings of a complete cluster, as in the operators' file. */
 export const CLUSTER_DUTY_SETTINGS = {
   mode: 'on',
   lease_s: 2,
@@ -21,7 +22,7 @@
   retention_s: 10,
 } as const;
 
-/** Stores a raised feature level, before the cluster starts to run. */
+/** Stores the raised feature level. To be called before the cluster runs. */
 export function putFeatureLevel(cluster: Cluster): void {
   cluster.state.putDirectly('rollout/level', {
     state: 'stable',
@@ -112,7 +113,7 @@
   }
 }
 
-/** The machines that the intent deletes, or the pool that it rents from. */
+/** Returns the machines that the intent deletes, or the pool that it rents from. */
 function subjectsOf({ action }: Intent): string[] {
   return action.kind === 'delete'
     ? action.machines
--- a/test/sim/cluster-config.ts
+++ b/test/sim/cluster-config.ts
@@ -25,26 +25,26 @@
   seed: number;
   /** Whether the controllers have a price objective. */
   minimizeCost?: boolean;
-  /** Number of machines that the cloud has per zone, ordinary and spot each; ignored if `pools` is set. */
+  /** Capacity of the cloud per zone, in ordinary machines and in as many spot machines; ignored if `pools` is set. */
   capacity?: number;
   /** Machine types and their pools; by default there is one type in all zones. */
   types?: CloudType[];
   pools?: CloudPool[];
   /** Zones that have machines; controllers are in `a` and `b` only. */
   zones?: string[];
-  /** Number of ordinary machines that run from the start. */
+  /** Number of ordinary machines that have booted when the simulation starts. */
   ordinaryUp?: number;
   /** Maximum number of CPUs that a team may use. */
   teamLimit?: number;
-  /** Number of controllers. */
+  /** Number of controllers, called nodes in the settings. */
   nodes?: number;
-  /** Interval of the workers' heartbeats. */
+  /** Average interval of each worker's heartbeats, in milliseconds. */
   reportMs?: number;
-  /** Duration of the workers' leases. */
+  /** Duration of the workers' leases, in milliseconds. */
   leaseMs?: number;
-  /** Maximum time from a confirmed cancellation until no task of the job runs. */
+  /** Maximum time in milliseconds from a confirmed cancellation until no task of the job runs. */
   cancelMs?: number;
-  /** Interval at which workers check whether a heartbeat is due; longer in large fleets. */
+  /** Interval in milliseconds at which workers check whether a heartbeat is due; longer in large fleets. */
   pollMs?: number;
   /** Calls per second that the cloud accepts. */
   cloudRps?: number;
--- a/test/sim/cluster-faults.ts
+++ b/test/sim/cluster-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of machines and of the network in a simulated deployment. */
+/** Faults of the machines and the network of a simulated cluster, available as `Cluster.faults`. */
 import type { VirtualClock } from './clock.js';
 import { zoneOf } from './cluster-config.js';
 import type { CloudService } from './cloud.js';
@@ -54,7 +54,7 @@
     });
   }
 
-  /** Ids of the jobs that have tasks on machines and are not to be cancelled. */
+  /** Returns the ids of the jobs that have started tasks and that no user has cancelled. */
   runningJobs(): string[] {
     const ids = [...this.deps.invariants.placesByTask.keys()].map((task) =>
       task.slice(0, task.lastIndexOf('/')),
@@ -62,7 +62,7 @@
     return [...new Set(ids)].filter((id) => !this.deps.invariants.jobs.get(id)!.cancelRequested);
   }
 
-  /** Users cancel the first `count` running jobs at once; the machines of these jobs hang for `hangMs`. */
+  /** Makes users cancel the first `count` running jobs at once, and the machines of these jobs hang for `hangMs`. */
   cancelRunning(count: number, hangMs: number, via?: string): void {
     for (const id of this.runningJobs().slice(0, count)) {
       void this.deps.users.cancel(id, via);
@@ -72,7 +72,7 @@
     }
   }
 
-  /** The machine hangs for this time; afterwards its tasks continue only if the worker's lease has not expired. */
+  /** Makes the machine hang for `ms`; afterwards its tasks continue only if the worker's lease has not expired. */
   hangMachine(machine: string, ms: number): void {
     this.deps.network.hosts.get(`w-${machine}:9000`)!.hangsUntil = this.deps.clock.time + ms;
   }
--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -1,4 +1,4 @@
-/** A complete deployment in virtual time: controllers, state service, cloud, workers and users. */
+/** A simulated cluster in virtual time: controllers (also called nodes), state service, cloud, workers and users. */
 import type { Build } from '@millring/rollout';
 import { BUILD } from '../../src/build.js';
 import { ControllerNode } from '../../src/node.js';
@@ -56,9 +56,12 @@
   nextMachineSlowness = 1;
   /** Additional checks that run after each step. */
   readonly checks: (() => void)[] = [];
-  /** Nodes that behave, from their next start on, like a build from before feature levels; see `responseToUngatedBuild`. */
+  /** Nodes that simulate, from their next start on, a build without feature levels; see `responseToUngatedBuild`. */
   readonly ungated = new Set<string>();
-  /** Virtual time at which the last fault ended; unless null, `run` also checks that jobs get responses and start. */
+  /**
+   * Virtual time, possibly in the future, by which the last fault has ended. Unless it is null, `run` also checks that
+   * users get responses about their jobs and that waiting jobs start; waiting before this time is tolerated.
+   */
   faultsEndedAt: number | null = null;
 
   private readonly config: CompleteClusterConfig;
@@ -136,11 +139,11 @@
   /** Builds by node that run from the node's next start on; nodes that are missing run `BUILD`. */
   readonly builds: Map<string, Build>;
 
-  /** The build that each current process runs, by node. */
+  /** The build that each node's current process runs. */
   readonly runningBuilds = new Map<string, Build>();
   private readonly runningUngated = new Set<string>();
 
-  /** Whether the node's current process behaves like a build from before feature levels. */
+  /** Whether the node's current process simulates a build without feature levels. */
   runsUngated(name: string): boolean {
     return this.runningUngated.has(name);
   }
@@ -257,19 +260,19 @@
     return this.nodeNames.find((name) => this.isLeading(name));
   }
 
-  /** Number of nodes that consider themselves leader; must never exceed one. */
+  /** Returns the number of nodes that consider themselves the leader; it must never exceed one. */
   countLeaders(): number {
     return this.nodeNames.filter((name) => this.isLeading(name)).length;
   }
 
-  /** Tasks on all machines that have started and still fetch their images. */
+  /** Returns the tasks that workers have accepted but not started, because they still fetch their images. */
   private fetching(): string[] {
     return [...this.cloud.machines.values()].flatMap(
       (machine) => machine.worker?.tasks.fetching() ?? [],
     );
   }
 
-  /** The running machines that are not faulty, with the free capacity of each. */
+  /** Returns the running machines that are not faulty, with the free capacity of each. */
   private machineCapacities(): MachineCapacity[] {
     const used = new Map<string, number>();
     for (const [task, places] of this.invariants.placesByTask)
--- a/test/sim/controller-builds.ts
+++ b/test/sim/controller-builds.ts
@@ -6,7 +6,7 @@
 
 const DECLARED = 'export const BUILD: Build =';
 
-/** `old` supports only the base level, `new` one level more, `latest` two more. */
+/** `old` supports only feature level 1, the base level; `new` supports levels 1 and 2; `latest` supports 1 to 3. */
 export type BuildName = 'old' | 'new' | 'latest';
 
 /** The declaration of each build, which replaces this program's own declaration. */
--- a/test/sim/controller-processes.ts
+++ b/test/sim/controller-processes.ts
@@ -147,12 +147,12 @@
     return this.until(`${name} is healthy`, async () => (await this.health(name)).status === 200);
   }
 
-  /** Runs `millring rollout ...` with the settings of a controller. */
+  /** Runs `millring rollout ...` of the build `new`, with the settings of a controller. */
   runRolloutCommand(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('new', name, ['rollout', ...args]);
   }
 
-  /** Runs `millring duties ...` with the settings of a controller. */
+  /** Runs `millring duties ...` of the build `latest`, with the settings of a controller. */
   runDutiesCommand(name: string, ...args: string[]): Promise<CommandResult> {
     return this.command('latest', name, ['duties', ...args]);
   }
@@ -172,7 +172,7 @@
     });
   }
 
-  /** The stored cluster level, or the initial level if none is stored. */
+  /** The stored feature level of the cluster, or the initial level if none is stored. */
   get level(): { state: string; active: number } {
     const stored = this.services.state.value('rollout/level') as
       { state: string; active: number } | undefined;
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,6 +1,4 @@
-/**
- * Initial clusters, faults, and small queries that several tests use. All random choices derive from the cluster's seed.
- */
+/** Initial clusters, faults and queries that several tests use. All random choices derive from the cluster's seed. */
 import assert from 'node:assert/strict';
 import { Cluster } from './cluster.js';
 import { type ClusterConfig, LEASE_MS } from './cluster-config.js';
@@ -27,8 +25,8 @@
 }
 
 /**
- * Returns a cluster of default size, but with 6 ordinary machines, that runs one service of 3 tasks. Its network loses and
- * repeats no messages at random.
+ * Returns a cluster of default size, but with 6 ordinary machines, that runs one service of 3 tasks. Its network loses
+ * and repeats no messages at random.
  */
 export async function clusterWithService(seed: number): Promise<Cluster> {
   const cluster = new Cluster({ seed, ordinaryUp: 6 });
--- a/test/sim/fenced-provider.ts
+++ b/test/sim/fenced-provider.ts
@@ -33,13 +33,14 @@
   dropsResponses: boolean;
 }
 
-/** Rejects a token that is lower than the highest that it has seen for the same duty. */
+/** Rejects requests with a token lower than the highest token seen for the same duty. */
 export class FencedProvider {
   readonly calls: ProviderCall[] = [];
   readonly machines = new Set<string>();
   failure: ProviderFailure = { unavailable: false, dropsResponses: false };
   /** Awaited between the arrival of a request and its execution. */
   delay: () => Promise<void> = () => Promise.resolve();
+  /** The highest token seen, by duty. */
   private readonly highestTokens = new Map<Duty, number>();
   private readonly rented = new Map<string, string[]>();
   private nextMachine = 1;
--- a/test/sim/observed-job.ts
+++ b/test/sim/observed-job.ts
@@ -21,8 +21,8 @@
   /** Time at which the first of its tasks started on a machine; null if none has started. */
   firstStartAt: number | null;
   /**
-   * Time since when all checks have found a waiting task although a machine had capacity for it, without a start of a task
-   * of the job in between; null if the last check found none.
+   * Time since when every check has found a waiting task although a machine had capacity for it, with no start of any
+   * of the job's tasks in between; null if the last check found none.
    */
   waitingSince: number | null;
   /** For a gang: the progress that is saved in a checkpoint, in milliseconds. */
--- a/test/sim/platform-settings.ts
+++ b/test/sim/platform-settings.ts
@@ -24,7 +24,7 @@
   listLagS: number;
 }
 
-/** Returns the settings file as TOML. */
+/** Returns the text of the settings file, in TOML. */
 export function settingsToml(settings: TestSettings): string {
   const { self, others, teams } = settings;
   const other = ({ name, zone, peerAddress }: ControllerAddresses): string =>
--- a/test/sim/rolling-upgrade.ts
+++ b/test/sim/rolling-upgrade.ts
@@ -15,12 +15,13 @@
 import { clientRuntime } from './client-runtime.js';
 import { RolloutInvariants } from './rollout-invariants.js';
 
-/** The build that ran before. It has the gate for feature levels, and supports the base level only. */
+/** A build that checks the cluster's feature level, but supports only the base level, 1. */
 export const OLD_BUILD: Build = { version: '0.0.9', reads: { from: 1, to: 1 }, writes: 1 };
-/** A build that supports no level above the first feature's, so that a raised level stays where the tests expect it. */
+/** A build that supports levels 1 and 2, but not `BUILD`'s 3, so that the level is raised to 2 and no further. */
 export const NEW_BUILD: Build = { ...BUILD, reads: { from: 1, to: 2 }, writes: 2 };
 export const NAMES = ['n0', 'n1', 'n2'];
 
+/** Rollout settings, as in the operators' file: the leader raises the feature level automatically. */
 export const AUTOMATIC_ROLLOUT: RolloutSettings = {
   mode: 'automatic',
   soak_s: 2,
@@ -31,7 +32,7 @@
 };
 
 const STEP_S = 0.05;
-/** Longer than a change of level takes while all controllers are up, in seconds. */
+/** Upper bound of the time that a change of the feature level takes while all controllers are up, in seconds. */
 export const LEVEL_CHANGE_S = 15;
 
 /** Returns the client that an operator's command uses, apart from the controllers. */
@@ -52,7 +53,7 @@
   });
 }
 
-/** A cluster whose controllers are replaced by tests, and its feature level, which follows. */
+/** Replaces the builds of a cluster's controllers, and observes how its feature level changes. */
 export class RollingUpgrade {
   readonly cluster: Cluster;
   readonly invariants: RolloutInvariants;
@@ -69,7 +70,7 @@
     this.invariants = new RolloutInvariants(this.cluster);
   }
 
-  /** The stored cluster level, or the initial level if none is stored. */
+  /** The stored feature level of the cluster, or the initial level if none is stored. */
   get level(): Pick<ClusterLevel, 'state' | 'active' | 'reason' | 'held'> {
     return this.invariants.level ?? { state: 'stable', active: 1, reason: null, held: null };
   }
@@ -89,6 +90,7 @@
     );
   }
 
+  /** Waits until the feature level has this state and active level. */
   reaches(state: ClusterLevel['state'], active: number): Promise<void> {
     return this.until(
       `${state} ${active}`,
--- a/test/sim/rollout-invariants.ts
+++ b/test/sim/rollout-invariants.ts
@@ -1,4 +1,4 @@
-/** Invariants of the cluster level after each step, under any fault, checked from outside the controllers. */
+/** Invariants of the cluster's feature level after each step, under any fault, checked from outside the controllers. */
 import type { ClusterLevel } from '@millring/rollout';
 import { BUILD, COMPACT_FINISHED_TASKS } from '../../src/build.js';
 import type { Cluster } from './cluster.js';
@@ -22,7 +22,7 @@
   );
 }
 
-/** Checks the stored cluster level and each controller after each step of the cluster. */
+/** Checks the stored feature level and each controller after each step of the cluster. */
 export class RolloutInvariants {
   /** All levels that were ever stored, in order. */
   readonly history: ClusterLevel[] = [];
--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -54,8 +54,8 @@
 }
 
 /**
- * Asserts that no invariant was violated and that tasks started. Unless `expectAllDone` is false, also checks the service
- * level and that all arrays and gangs are done.
+ * Asserts that no invariant was violated and that tasks started. Unless `expectAllDone` is false, also checks the
+ * service level and that all arrays and gangs are done.
  */
 export function assertInvariantsHeld(outcome: ScenarioOutcome, expectAllDone = true): void {
   if (expectAllDone) outcome.cluster.invariants.checkServed();
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -29,13 +29,13 @@
   lease: number | null;
 }
 
-/** Selects the transactions that are executed late. */
+/** Selects the transactions that are executed late. `share` is a probability, `until` a virtual time. */
 export interface LateWrites {
   share: number;
   until: number;
   /** Delay in milliseconds; random by default. */
   byMs?: number;
-  /** Limits the selection to transactions that change a key with this prefix. */
+  /** Limits the selection to transactions that put or delete a key with this prefix. */
   prefix?: string;
 }
 
@@ -50,7 +50,7 @@
   private readonly waiters = new Set<() => void>();
   private downUntil = 0;
   private readonly rejectUntil = new Map<string, number>();
-  /** Number of requests and changes received, and of requests beyond the rate limits, which got status 429. */
+  /** Number of requests and mutations received, and of requests beyond the rate limits, which got status 429. */
   readonly received = { requests: 0, changes: 0, tooMany: 0 };
   private readonly limits: { requests: RateLimit; writes: RateLimit } | null;
 
@@ -79,7 +79,7 @@
     this.rejectUntil.set(host, this.clock.time + forMs);
   }
 
-  /** Until the given time, a share of transactions gets no response and is executed late, after newer ones. */
+  /** Until the given time, a share of transactions gets no response and is executed after a delay. */
   lateWrites: LateWrites | null = null;
   /** Larger values and transactions get status 400; `tooLarge` counts them. */
   bounds: TransactionBounds | null = null;
@@ -282,12 +282,12 @@
     await this.handle(method, path, body, 'operator');
   }
 
-  /** Returns all values that were put under the key, as far as changes are kept. */
+  /** Returns all values that were put under the key, as far as the event history goes back. */
   history(key: string): unknown[] {
     return this.events.valuesOf(key);
   }
 
-  /** Number of changes to keys with the prefix, as far as changes are kept. */
+  /** Returns the number of mutations of keys with the prefix, as far as the event history goes back. */
   changesUnder(prefix: string): number {
     return this.events.after(prefix, 0).length;
   }
--- a/test/sim/ungated-build.ts
+++ b/test/sim/ungated-build.ts
@@ -1,4 +1,7 @@
-/** How builds from before feature levels interpret the stored records. */
+/**
+ * Simulates an ungated build: one from before feature levels. It lacks the gate, i.e. the check of the cluster's
+ * feature level by which a build refuses to serve when it can't read the records of that level.
+ */
 import type { HttpResponse } from '../../src/runtime.js';
 import { decodeReadRequest, encodeRevision, mapPageValues } from './wire/state.js';
 
@@ -6,7 +9,7 @@
 const FINISHED_RECORDS = 'd/';
 
 /**
- * Returns the state service's response as a build from before feature levels interprets it: such a build never requests
+ * Returns the state service's response as an ungated build interprets it: such a build never requests
  * the rollout's records, and reads a record of finished tasks that is not text as a record without tasks.
  */
 export function responseToUngatedBuild(path: string, response: HttpResponse): HttpResponse {
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -1,6 +1,6 @@
 /**
- * The tasks on a simulated worker's machine. On a start command the worker accepts a task and fetches its image; the task
- * starts once the image is there. Further commands stop a task, which may save a checkpoint first, and remove it.
+ * The tasks on a simulated worker's machine. On a start command the worker accepts a task and fetches its image; the
+ * task starts once the image is there. Further commands stop a task, which may save a checkpoint first, and remove it.
  */
 import type { GangCoordinator } from './gang-coordinator.js';
 import type { Invariants } from './invariants.js';
