--- a/test/digest/deployments.ts
+++ b/test/digest/deployments.ts
@@ -46,7 +46,7 @@
   ],
 };
 
-/** Room for arrays of thousands of tasks. */
+/** Enough capacity for arrays of thousands of tasks. */
 export const largeCapacity: Partial<ClusterConfig> = {
   ordinaryUp: 24,
   capacity: 24,
--- a/test/digest/faults.ts
+++ b/test/digest/faults.ts
@@ -30,7 +30,7 @@
   preemptAfterNotice(cluster, cluster.random.pick(machines));
 }
 
-/** The cloud preempts, after a notice, a machine that runs a task of a gang. */
+/** The cloud preempts the machine of one task of a gang, `SPOT_NOTICE_MS` after a notice. */
 export function preemptGangMachine(cluster: Cluster): void {
   const { invariants, cloud } = cluster;
   for (const [task, places] of invariants.placesByTask) {
--- a/test/digest/recorded-digests.ts
+++ b/test/digest/recorded-digests.ts
@@ -1,7 +1,7 @@
 /** Digests stored in a file, one JSON object per line. */
 import { readFileSync, writeFileSync } from 'node:fs';
 
-/** The digest of all messages of a seed's run, and their number. */
+/** The digest of all messages that the controllers send in a seed's run, and their number. */
 export interface SeedDigest {
   seed: number;
   digest: string;
--- a/test/digest/scenario.ts
+++ b/test/digest/scenario.ts
@@ -5,7 +5,7 @@
 /** A deployment with its workload and faults. */
 export interface Scenario {
   config?: Partial<ClusterConfig>;
-  /** Duration of the phase with jobs and faults, in seconds; `BUSY_S` by default. */
+  /** Duration of the phase with jobs and faults, in seconds; `FAULT_PHASE_S` by default. */
   faultPhaseS?: number;
   /** Called before the cluster runs. */
   prepare?: (cluster: Cluster) => void;
--- a/test/digest/trace-digest.ts
+++ b/test/digest/trace-digest.ts
@@ -1,6 +1,6 @@
 /**
  * `npm run trace-digest -- --seeds 1-20` prints, for each seed, a hash of all messages that the controllers of a
- * simulated cluster send. A refactoring that does not change behaviour does not change the hashes.
+ * simulated cluster send. A refactoring that does not change behavior does not change the hashes.
  */
 import { Command, CommanderError } from 'commander';
 import { type SeedRange, parseSeedRange } from '../sim/seed-range.js';
@@ -21,8 +21,8 @@
 function readOptions(args: string[]): DigestOptions | null {
   const command = new Command('trace-digest')
     .requiredOption('--seeds <A-B>', 'seeds to run, for example 1-20', parseSeedRange)
-    .option('--record <FILE>', 'write the digests there')
-    .option('--expect <FILE>', 'compare with the digests recorded there')
+    .option('--record <FILE>', 'write the digests to FILE')
+    .option('--expect <FILE>', 'compare the digests with those in FILE')
     .exitOverride();
   try {
     return command.parse(args, { from: 'user' }).opts<DigestOptions>();
@@ -47,7 +47,7 @@
   if (different.length > 0) console.log(`different from ${path}: seeds ${different.join(' ')}`);
   if (unrecorded.length > 0) console.log(`not recorded in ${path}: seeds ${unrecorded.join(' ')}`);
   if (different.length + unrecorded.length > 0) process.exitCode = DIFFERENCES_FOUND;
-  else console.log(`all ${digests.length} as in ${path}`);
+  else console.log(`all ${digests.length} digests match ${path}`);
 }
 
 async function run({ seeds, record, expect }: DigestOptions): Promise<void> {
--- a/test/digest/traffic-digest.ts
+++ b/test/digest/traffic-digest.ts
@@ -6,9 +6,9 @@
 const HEX_DIGITS = 16;
 
 /**
- * Hashes the requests of controllers to workers, the state service and the cloud, their responses, and the messages
- * between controllers, each with its virtual time. It reads only what is sent over the network, so that renaming
- * anything else does not change the hash.
+ * Hashes all that controllers send, each message with its virtual time: requests to workers, the state service and the
+ * cloud, responses to users and workers, and messages to other controllers. It reads only what is sent over the
+ * network, so that renaming anything else does not change the hash.
  */
 export class TrafficDigest {
   private readonly hash: Hash = createHash('sha256');
--- a/test/digest/workload.ts
+++ b/test/digest/workload.ts
@@ -38,7 +38,7 @@
   });
 }
 
-/** More jobs than the cluster has room for, some of them urgent. */
+/** More jobs than the cluster has capacity for, some of them urgent. */
 export function excessJobs(cluster: Cluster, second: number): void {
   const { random } = cluster;
   const array = { ...BATCH, spot: true, tasks: random.int(4, 20), durationS: 4 };
@@ -48,14 +48,14 @@
   if (second % 10 === 5) submit(cluster, SERVICE);
 }
 
-/** Arrays that fill the fleet, and gangs that wait for room. */
+/** Arrays that fill the fleet, and gangs that wait for capacity. */
 export function gangsWaitingForArrays(cluster: Cluster, second: number): void {
   if (second % 4 === 0) submit(cluster, { ...BATCH, tasks: 14, durationS: 12 });
   if (second % 25 === 8)
     void cluster.users.run(cluster.users.newJob({ ...GANG, tasks: 6, cpus: 4 }), null);
 }
 
-/** A gang that exceeds its team's limit while the team's long-running arrays run. */
+/** A gang that waits because it would exceed its team's limit while the team's long-running arrays run. */
 export function gangWaitingForTeamLimit(cluster: Cluster, second: number): void {
   const team = 't0';
   if (second === 0)
--- a/test/runner/known-red.ts
+++ b/test/runner/known-red.ts
@@ -3,7 +3,7 @@
  * ignores only their failures, and a listed test that no longer fails is a problem.
  */
 
-/** One line of KNOWN-RED.txt: `FILE > TITLE | COMMAND AND SEED | WHAT WAS SEEN | ISSUE`. */
+/** A line `TEST | COMMAND | OBSERVED | ISSUE` of KNOWN-RED.txt, in which TEST is `FILE > TITLE`. */
 export interface KnownFailure {
   test: string;
   /** The command that reproduces the failure, with the seed if there is one. */
--- a/test/sim/duty-group.ts
+++ b/test/sim/duty-group.ts
@@ -1,4 +1,4 @@
-/** Simulated controllers that share the duties and do nothing else, in virtual time and under all faults. */
+/** Simulated controllers that share the duties and do nothing else, in virtual time, with injected faults. */
 import assert from 'node:assert/strict';
 import {
   DUTIES,
@@ -20,7 +20,7 @@
 import { SeededRandom } from './random.js';
 import { StateService } from './state-service.js';
 
-/** Settings of the members, as in the operators' file. */
+/** Default duty settings of the members of a duty group, as in the operators' file. */
 export const DUTY_GROUP_SETTINGS: DutySettings = {
   mode: 'on',
   held_here: [...DUTIES],
@@ -36,7 +36,10 @@
 const MAX_CLOCK_RATE = 1.001;
 const DAY_MS = 24 * 3600 * 1000;
 const STEP_S = 0.05;
-/** Key of the record that represents the decider's claim, which is a precondition of every intent. */
+/**
+ * Key of the record that takes the place of the leader's claim: its version is a precondition of every intent. Also the
+ * name of the simulated process that opens the intents, as the leader does in a complete cluster.
+ */
 const DECIDER_KEY = 'decider';
 
 interface MemberProcess extends SimulatedProcess {
@@ -48,7 +51,7 @@
   seed: number;
   size?: number;
   settings?: Partial<DutySettings>;
-  /** Name of the leading controller, which has other work to do. */
+  /** Name of the controller that the members regard as the leader, which gets fewer duties; none by default. */
   leader?: string;
 }
 
@@ -165,7 +168,7 @@
     });
   }
 
-  /** Replaces the decider's claim, as a new decider does: transactions that require the previous claim fail. */
+  /** Rewrites the decider's record, as a new leader rewrites the claim: intents that require the old version fail. */
   replaceDecider(): void {
     this.state.putDirectly(DECIDER_KEY, {});
   }
@@ -238,7 +241,7 @@
     return this.isUp(name) && !this.isFrozen(name) && this.member(name).holder(duty).isHeld();
   }
 
-  /** Names of the running controllers that consider themselves holders of the duty now. */
+  /** Returns the names of the running controllers that consider themselves holders of the duty now. */
   holders(duty: Duty): string[] {
     return this.names.filter((name) => this.isHolder(name, duty));
   }
@@ -247,7 +250,7 @@
     return this.names.find((name) => this.isHolder(name, duty));
   }
 
-  /** The stored holder record of the duty, or undefined if there is none. */
+  /** Returns the stored holder record of the duty, or undefined if there is none. */
   storedHolder(duty: Duty): { controller: string; token: number } | undefined {
     return this.state.value(`duties/holders/${duty}`) as
       { controller: string; token: number } | undefined;
--- a/test/sim/duty-invariants.ts
+++ b/test/sim/duty-invariants.ts
@@ -6,25 +6,25 @@
 
 const INTENTS_PREFIX = 'duties/intents/';
 
-/** What the invariants inspect. */
+/** The parts of a duty group that the invariants inspect. */
 export interface ObservedDutyGroup {
   readonly clock: VirtualClock;
   readonly state: StateService;
   readonly provider: FencedProvider;
-  /** Names of the running controllers that consider themselves holders of the duty now. */
+  /** Returns the names of the running controllers that consider themselves holders of the duty now. */
   holders(duty: Duty): string[];
-  /** The stored holder record of the duty, or undefined if there is none. */
+  /** Returns the stored holder record of the duty, or undefined if there is none. */
   storedHolder(duty: Duty): { controller: string; token: number } | undefined;
 }
 
-/** Checked after each step of a duty group. `violations` contains each violated invariant with its time. */
+/** Checks a duty group after each step. `violations` contains each violation with its virtual time. */
 export class DutyInvariants {
   readonly violations: string[] = [];
   private readonly tokens = new Map<Duty, number>();
   /** All intents that were ever stored, by id, in the form last seen. */
   readonly intents = new Map<string, Intent>();
   private callsSeen = 0;
-  /** Whether an operator has acted, who may remove the record of a duty while it is held. */
+  /** Whether an operator has acted. Operators may remove a holder record, so that a holder may be without a record. */
   operatorActed = false;
   private revisionSeen = 0;
 
@@ -41,7 +41,7 @@
     for (; this.callsSeen < calls.length; this.callsSeen++) this.checkCall(calls[this.callsSeen]);
   }
 
-  /** At most one controller may act, and the record names it at that moment, unless an operator removed the record. */
+  /** Checks that at most one controller holds each duty and that, unless an operator acted, the record names it. */
   private checkHolders(): void {
     const { group } = this;
     for (const duty of DUTIES) {
@@ -62,7 +62,7 @@
       if (key.startsWith(INTENTS_PREFIX)) this.checkIntent(value as Intent);
   }
 
-  /** Tokens only increase, even while no controller holds the duty. */
+  /** Checks that the duty's token never decreases, even while nobody holds the duty, and that the holder has it. */
   private checkToken(duty: Duty): void {
     const stored = this.group.state.value(`duties/tokens/${duty}`) as { token: number } | undefined;
     const before = this.tokens.get(duty) ?? 0;
@@ -73,7 +73,7 @@
       this.recordViolation('holder_token', `${duty}: ${holder.token}`);
   }
 
-  /** The outcome of a resolved intent does not change, and an intent is resolved under a token that was issued. */
+  /** Checks that a resolved intent keeps its outcome, and that the holder resolved it under a token that was issued. */
   private checkIntent(intent: Intent): void {
     const before = this.intents.get(intent.id)?.outcome ?? null;
     if (before !== null) this.checkOutcomeKept(intent, before);
@@ -92,7 +92,7 @@
     if (!isSameOutcome(before, outcome)) this.recordViolation('outcome_changed', id);
   }
 
-  /** The provider executes only what an intent requested before; it rejects decreasing tokens itself. */
+  /** Checks that an intent requested what the provider executed. The provider itself rejects decreasing tokens. */
   private checkCall(call: ProviderCall): void {
     if (!call.executed) return;
     const isRequested = [...this.intents.values()].some((intent) => matchesCall(intent, call));
--- a/test/sim/duty-processes.ts
+++ b/test/sim/duty-processes.ts
@@ -68,7 +68,7 @@
       { controller: string; token: number } | undefined;
   }
 
-  /** Adds a machine to the provider and stores an intent to delete it, as a leader stores it. */
+  /** Adds a machine to the provider and stores an open intent to delete it, in the leader's format. */
   storeDeletionIntent(id: string, machine: string): void {
     const intent: Intent = {
       id,
@@ -86,18 +86,19 @@
     return this.state.value(intentKey(id)) as Intent | undefined;
   }
 
+  /** Whether the intent is stored and has an outcome. */
   isResolved(id: string): boolean {
     return (this.intent(id)?.outcome ?? null) !== null;
   }
 
-  /** States of the duty that the process reported, in order. */
+  /** Returns the states of the duty that the process reported, in order. */
   states(name: string): string[] {
     return this.messages.flatMap(({ name: from, message }) =>
       from === name && message.kind === 'state' && message.duty === DUTY ? [message.to] : [],
     );
   }
 
-  /** Number of times that the process has passed the check of the holder. */
+  /** Returns the number of times that the process has passed the check of the holder. */
   checkCount(name: string): number {
     return this.messages.filter(
       ({ name: from, message }) => from === name && message.kind === 'checked',
--- a/test/sim/duty-scenarios.ts
+++ b/test/sim/duty-scenarios.ts
@@ -32,7 +32,7 @@
   return result ?? assert.fail();
 }
 
-/** Asserts that the old holder noticed the loss of the duty and became `vacant`, like any other controller. */
+/** Asserts that the controller `old` logged the loss of the duty, followed by `vacant`, the state of any non-holder. */
 export function assertLossNoticed(group: DutyGroup, old: string, duty: Duty): void {
   const states = group.logLines
     .filter(
@@ -44,5 +44,3 @@
   assert.ok(lost > 0, states.join(', '));
   assert.equal(states[lost + 1], 'vacant');
 }
-
-// Tests the holder's check by its own monotonic clock, and the loss of the duty once the record names another holder.
--- a/test/sim/gang-scenarios.ts
+++ b/test/sim/gang-scenarios.ts
@@ -21,7 +21,7 @@
   return cluster.invariants.jobs.get(job.id)!;
 }
 
-/** The machine of each task of the job that is on a machine. */
+/** Returns the machine of each task of the job that has started and not exited. */
 export const machinesOfJob = (cluster: Cluster, job: ObservedJob): string[] =>
   [...cluster.invariants.placesByTask]
     .filter(([task]) => task.startsWith(`${job.spec.id}/`))
--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -20,21 +20,21 @@
 /** Host names in the simulated network. */
 const STATE = 'state:1';
 const CLOUD = 'cloud:1';
-/** Longer than any controller waits for a response: watches of the state service take longest. */
+/** Longer than any controller waits for a response; it waits longest for watches of the state service. */
 const LONGEST_REQUEST_MS = 30_000;
 
 /** The controllers and the number of machines. Times are in milliseconds. */
 export interface LoopbackConfig {
   seed: number;
   controllers: { name: string; address: string }[];
-  /** Number of machines of each kind in each of the zones `a` and `b`. */
+  /** Number of ordinary machines, and also of spot machines, in each of the zones `a` and `b`. */
   machinesPerPool: number;
   reportMs: number;
   leaseMs: number;
   cancelMs: number;
   /** Maximum number of CPUs that the tasks of each team may use. */
   limits: Map<string, number>;
-  /** Whether controllers' requests pass the simulated network, with its partitions, delays, losses and repeats. */
+  /** Whether controllers' requests pass the simulated network, with its partitions, delays, losses and duplicates. */
   throughNetwork?: boolean;
   /** Port 0 selects any free port. */
   statePort?: number;
@@ -52,12 +52,12 @@
   readonly cloud: CloudService;
   private readonly random: SeededRandom;
   private readonly gangs: GangCoordinator;
-  /** The node that claimed leadership, by the revision of its claim, which the tokens of its commands contain. */
+  /** Nodes that claimed leadership, by the revision of their claim, which the tokens of their commands contain. */
   private readonly claims = new Map<number, string>();
   private readonly stateAddresses = new Map<string, string>();
   private readonly cloudAddresses = new Map<string, string>();
   private startedAt = 0;
-  /** Until `until`, commands that start tasks reach the machines `byMs` later. */
+  /** Until the virtual time `until`, commands that start tasks reach the machines `byMs` later. */
   lateStarts: { byMs: number; until: number } | null = null;
   private readonly http: HttpClient;
   private readonly servers: Server[] = [];
@@ -102,7 +102,11 @@
     return this.http.send(address, method, path, method === 'GET' ? null : body, TIMEOUT_MS);
   }
 
-  /** Exceeds the number of machines that are ever up at once, since machine names are never reused. */
+  /**
+   * Returns the number of machine addresses: four times the number of machines that can exist at once, in two zones with
+   * ordinary and spot machines. Machines get the addresses in turn, by their numbers, which are never reused. So an
+   * address is reused only after many later machines have been rented.
+   */
   private endpointCount(): number {
     return this.config.machinesPerPool * 16;
   }
@@ -126,16 +130,17 @@
     });
   }
 
-  /** The address at which this controller reaches the state service. */
+  /** Returns the address at which this controller reaches the state service. */
   stateAddressOf(name: string): string {
     return this.stateAddresses.get(name) ?? this.stateAddress;
   }
 
-  /** The address at which this controller reaches the cloud. */
+  /** Returns the address at which this controller reaches the cloud. */
   cloudAddressOf(name: string): string {
     return this.cloudAddresses.get(name) ?? this.cloudAddress;
   }
 
+  /** Serves the state service and the cloud for each controller at other addresses, which identify the sender. */
   private async serveServicesPerController(): Promise<void> {
     this.network.hosts.set(STATE, {
       handler: (...request) => this.state.handle(...request),
@@ -163,7 +168,10 @@
     }
   }
 
-  /** Returns a handler that passes a request to the network at its time of arrival, after all events due before. */
+  /**
+   * Returns a handler that sends a request through the simulated network at the virtual time that corresponds to its
+   * arrival in real time. Events that were due earlier, but have not run yet, run first.
+   */
   private viaNetwork(from: (body: Body) => string, to: string): Handler {
     return (method, path, body) =>
       new Promise((done) => {
@@ -179,7 +187,7 @@
       });
   }
 
-  /** The address of the controller whose leadership claim has the revision in the command's token. */
+  /** Returns the address of the controller whose leadership claim has the revision in the command's token. */
   private senderOf(body: Body): string {
     const revision = Math.floor((decodeCommandRequest(body).token ?? 0) / TOKENS_PER_EPOCH);
     const name = this.claims.get(revision);
@@ -197,7 +205,7 @@
     return this.endpoints.includes(host);
   }
 
-  /** The node whose leadership claim is stored, or null if there is none. */
+  /** Returns the node whose leadership claim is stored, or null if there is none. */
   leader(): string | null {
     const claim = this.state.items.get('leader');
     return claim && isMap(claim.value) ? String(claim.value.node) : null;
--- a/test/sim/process-users.ts
+++ b/test/sim/process-users.ts
@@ -20,7 +20,7 @@
   private submitting = false;
   /** Time from the first attempt to acceptance for each accepted submission, in milliseconds. */
   readonly latenciesMs: number[] = [];
-  /** Number of attempts that were not accepted. */
+  /** Number of submission attempts that were not accepted. */
   failedAttempts = 0;
 
   constructor(
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -29,7 +29,7 @@
   /** Whether at most half of the tasks may run in one zone. */
   spread: boolean;
   spot: boolean;
-  /** The owner's estimate of a task's run time, in seconds. */
+  /** The user's estimate of a task's run time, in seconds; simulated tasks run for about this time. */
   durationS: number;
   /** Interval at which a task saves a checkpoint, in seconds; 0 if the tasks never save. */
   checkpointIntervalS: number;
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -154,7 +154,7 @@
     }, downMs);
   }
 
-  /** Suspends the process for `forMs`, while its clocks continue. */
+  /** Suspends the process with SIGSTOP for `forMs`, while its clocks continue. */
   pause(name: string, forMs: number): void {
     const child = this.controllerNamed(name).process;
     child?.kill('SIGSTOP');
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -46,12 +46,15 @@
 /** Time for the controllers to start serving. */
 const STARTUP_MS = 3000;
 const FAULTS_MS = 24_000;
-/** Time after the last faults begin: they last, and machines boot, for some seconds more. */
+/** Time for the last faults to end and for machines to boot, which takes some seconds. */
 const RECOVERY_MS = 9000;
 /** Maximum time that a run waits for its jobs to reach a terminal state. */
 const SETTLE_TIMEOUT_MS = 90_000;
 const USER_RETRY_MS = 300;
-/** Margin for times that are recorded within one step of the simulation's clock. */
+/**
+ * Subtracted from the time at which a request is sent. The services' clock advances in steps, so that a response
+ * received before the sending and one received after it may have equal times; the margin keeps them apart.
+ */
 const STEP_MARGIN_MS = 50;
 const HISTORY_LINES = 400;
 /** Part of the log line of a controller that begins to serve as the leader. */
