--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -103,9 +103,9 @@
   }
 
   /**
-   * Returns the number of machine addresses: four times the number of machines that can exist at once, in two zones with
-   * ordinary and spot machines. Machines get the addresses in turn, by their numbers, which are never reused. So an
-   * address is reused only after many later machines have been rented.
+   * Returns the number of machine addresses: four times the number of machines that can exist at once, in two zones
+   * with ordinary and spot machines. Machines get the addresses in turn, by their numbers, which are never reused. So
+   * an address is reused only after many later machines have been rented.
    */
   private endpointCount(): number {
     return this.config.machinesPerPool * 16;
