--- a/test/duties-level.test.ts
+++ b/test/duties-level.test.ts
@@ -6,7 +6,7 @@
 import {
   LARGE_CLUSTER,
   RollingUpgrade,
-  ROLLOUT_SETTINGS,
+  AUTOMATIC_ROLLOUT,
   submitArrays,
 } from './sim/rolling-upgrade.js';
 
@@ -14,7 +14,7 @@
 test('lowering the feature level below the one that duties need waits for open intents, and the leader then rents without intents', async () => {
   const upgrade = new RollingUpgrade(19, BUILD, {
     ordinaryUp: 0,
-    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
+    rollout: { ...AUTOMATIC_ROLLOUT, ungated_builds_retired: true },
     duties: { mode: 'on', lease_s: 2, settle_s: 3, rebalance_s: 15, retention_s: 10 },
   });
   const { state } = upgrade.cluster;
@@ -27,7 +27,7 @@
     [...state.items].filter(([key, { value }]) => isOpenIntent(key, value)).length;
   await upgrade.until('an intent is open', () => open() > 0);
   assert.equal((await upgrade.runOperatorCommand('downgrade')).kind, 'done');
-  await upgrade.staysAt(3, 10);
+  await upgrade.assertStaysAt(3, 10);
   assert.equal(upgrade.level.state, 'lowering');
   const openBefore = open();
   assert.equal(upgrade.cluster.cloud.machines.size, 0);
@@ -54,7 +54,7 @@
 test('lowering the feature level below the one that duties need leaves segments unchanged', async () => {
   const upgrade = new RollingUpgrade(20, BUILD, {
     ...LARGE_CLUSTER,
-    rollout: { ...ROLLOUT_SETTINGS, ungated_builds_retired: true },
+    rollout: { ...AUTOMATIC_ROLLOUT, ungated_builds_retired: true },
   });
   await upgrade.reaches('stable', 3);
   upgrade.submitLargeArray(8);
--- a/test/duties-processes.test.ts
+++ b/test/duties-processes.test.ts
@@ -47,10 +47,10 @@
   processes.signal(initialHolder, 'SIGSTOP');
   processes.storeDeletionIntent('i-1', 'm-1');
   await processes.untilReplaced(initialHolder, token);
-  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  await processes.until('the intent is done', () => processes.isResolved('i-1'));
   processes.signal(initialHolder, 'SIGCONT');
   processes.storeDeletionIntent('i-2', 'm-2');
-  await processes.until('the next intent is done', () => processes.isDone('i-2'));
+  await processes.until('the next intent is done', () => processes.isResolved('i-2'));
   await expectFenced(processes, initialHolder, token);
   assert.equal(processes.checkCount(initialHolder), 0);
 });
@@ -62,12 +62,12 @@
   processes.signal(initialHolder, 'SIGSTOP');
   assert.equal(processes.provider.calls.length, 0);
   await processes.untilReplaced(initialHolder, token);
-  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  await processes.until('the intent is done', () => processes.isResolved('i-1'));
   assert.ok((processes.intent('i-1')?.token ?? 0) > token);
   processes.signal(initialHolder, 'SIGCONT');
   await processes.until(
     'a request of the former holder is rejected as stale',
-    () => processes.provider.refused().length > 0,
+    () => processes.provider.rejectedCalls().length > 0,
   );
   await expectFenced(processes, initialHolder, token);
 });
@@ -82,11 +82,11 @@
   await processes.until('the request has arrived', () => arrived > 0);
   processes.signal(initialHolder, 'SIGSTOP');
   await processes.untilReplaced(initialHolder, token);
-  await processes.until('the intent is done', () => processes.isDone('i-1'));
+  await processes.until('the intent is done', () => processes.isResolved('i-1'));
   release();
   await processes.until(
     'the late request is rejected as stale',
-    () => processes.provider.refused().length > 0,
+    () => processes.provider.rejectedCalls().length > 0,
   );
   processes.signal(initialHolder, 'SIGCONT');
   await expectFenced(processes, initialHolder, token);
@@ -112,7 +112,7 @@
   deployment: ControllerProcesses,
   from: string,
 ): Promise<StatusOutput['duties']> {
-  const output = await deployment.duties(from, 'status', '--json');
+  const output = await deployment.runDutiesCommand(from, 'status', '--json');
   assert.equal(output.code, 0, output.stderr);
   return (JSON.parse(output.stdout) as StatusOutput).duties;
 }
@@ -121,7 +121,7 @@
   const deployment = new ControllerProcesses();
   context.after(() => deployment.stop());
   await deployment.start('latest', ROLLOUT, DUTY_SETTINGS);
-  void deployment.users.stream(300);
+  void deployment.users.submitRegularly(300);
   await deployment.until('the level is raised', () => deployment.level.active === DUTIES_LEVEL);
   const rentDutyStatus = async (from: string): Promise<StatusOutput['duties'][number]> =>
     (await statusOf(deployment, from)).find(({ duty }) => duty === 'rent') ?? assert.fail();
@@ -140,24 +140,24 @@
   deployment.signal(holder, 'SIGCONT');
   await deployment.untilHealthy(holder);
 
-  const hold = await deployment.duties(from, 'hold', 'return');
+  const hold = await deployment.runDutiesCommand(from, 'hold', 'return');
   assert.deepEqual([hold.code, hold.stdout], [0, 'return is on hold\n']);
-  const again = await deployment.duties(from, 'hold', 'return');
+  const again = await deployment.runDutiesCommand(from, 'hold', 'return');
   assert.deepEqual([again.code, again.stderr], [3, 'refused: return is on hold already\n']);
   assert.match(
-    (await deployment.duties(from, 'status')).stdout,
+    (await deployment.runDutiesCommand(from, 'status')).stdout,
     /^return: on hold by operator-\S+, token \d+/m,
   );
-  const release = await deployment.duties(from, 'release', 'return');
+  const release = await deployment.runDutiesCommand(from, 'release', 'return');
   assert.deepEqual([release.code, release.stdout], [0, 'return may be held again\n']);
   for (const args of [[], ['dance'], ['hold'], ['hold', 'dance'], ['status', '--loud']]) {
-    const bad = await deployment.duties(from, ...args);
+    const bad = await deployment.runDutiesCommand(from, ...args);
     assert.deepEqual(
       [bad.code, bad.stdout, bad.stderr.split('\n').length],
       [2, '', 2],
       args.join(' '),
     );
   }
-  await deployment.users.endStream();
+  await deployment.users.stopSubmitting();
   deployment.users.checkHistory();
 });
--- a/test/duty-fencing.test.ts
+++ b/test/duty-fencing.test.ts
@@ -73,7 +73,10 @@
   await group.until('the request is in flight', () => requests > 0);
   group.rejectStateRequests(initialHolder, 10_000);
   await untilResolved(group, opened);
-  await group.until('the request is rejected as stale', () => group.provider.refused().length > 0);
+  await group.until(
+    'the request is rejected as stale',
+    () => group.provider.rejectedCalls().length > 0,
+  );
   await group.run(0.3);
   assert.equal(group.member(initialHolder).counters().refused, 1);
   assert.notEqual(group.member(initialHolder).holder('return').state(), 'suspended');
@@ -95,7 +98,7 @@
     await untilResolved(group, opened);
     assert.ok((group.storedHolder('return')?.token ?? 0) > tokenBefore);
     await group.run(12);
-    const refused = group.provider.refused();
+    const refused = group.provider.rejectedCalls();
     assert.ok(refused.length > 0 && refused.every((call) => call.token === tokenBefore));
     assertLossNoticed(group, initialHolder, 'return');
     assert.deepEqual(group.invariants.violations, []);
--- a/test/gang-capacity.test.ts
+++ b/test/gang-capacity.test.ts
@@ -45,7 +45,7 @@
       tasks: 4,
       cpus: 8,
       durationS,
-      checkpointEveryS: 100,
+      checkpointIntervalS: 100,
     });
     await runUntil(cluster, () => cluster.gangs.begun === 1, 20);
     await cluster.run(1);
@@ -136,7 +136,7 @@
   for (const job of jobs) assert.notEqual(job.reportedDoneAt, null, job.spec.id);
   assert.equal(cluster.gangs.begun, jobs.length);
   assert.deepEqual(
-    [cluster.gangs.attempts(), cluster.gangs.incomplete, cluster.gangs.replaced],
+    [cluster.gangs.attempts(), cluster.gangs.incomplete, cluster.gangs.lostWhileGathering],
     [jobs.length, 0, 0],
   );
   assert.deepEqual(cluster.invariants.violations, []);
--- a/test/gangs.test.ts
+++ b/test/gangs.test.ts
@@ -28,7 +28,7 @@
   );
   cluster.cloud.preempt(cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!);
   await cluster.run(40);
-  assert.ok(cluster.gangs.replaced > 0);
+  assert.ok(cluster.gangs.lostWhileGathering > 0);
   assert.equal(cluster.gangs.begun, 1);
   assert.equal(cluster.gangs.attempts(), 1, 'the first attempt started');
   assert.notEqual(job.reportedDoneAt, null);
@@ -75,7 +75,13 @@
 
 test('a preemption notice stops all tasks of a running gang with a checkpoint, and no progress is lost', async () => {
   const cluster = await clusterWithoutLoss({ seed: 4 });
-  const job = submit(cluster, { ...GANG, tasks: 6, cpus: 8, durationS: 20, checkpointEveryS: 19 });
+  const job = submit(cluster, {
+    ...GANG,
+    tasks: 6,
+    cpus: 8,
+    durationS: 20,
+    checkpointIntervalS: 19,
+  });
   await runUntil(cluster, () => cluster.gangs.begun === 1, 15);
   await cluster.run(5);
   cluster.cloud.machines.get(machinesOfJob(cluster, job)[0])!.worker!.preemptionDeadline =
@@ -105,7 +111,7 @@
     cluster.cloud.preempt(leaving);
   });
   await cluster.run(40);
-  assert.ok(cluster.gangs.replaced > 0);
+  assert.ok(cluster.gangs.lostWhileGathering > 0);
   assert.deepEqual(
     [cluster.gangs.attempts(), cluster.gangs.begun, cluster.gangs.incomplete],
     [1, 1, 0],
--- a/test/rollout-faults.test.ts
+++ b/test/rollout-faults.test.ts
@@ -11,7 +11,7 @@
   OLD_BUILD,
   LEVEL_CHANGE_S,
   RollingUpgrade,
-  ROLLOUT_SETTINGS,
+  AUTOMATIC_ROLLOUT,
   submitArrays,
 } from './sim/rolling-upgrade.js';
 
@@ -75,7 +75,7 @@
   assert.match(upgrade.level.held!.reason, new RegExp(`no progress for 15 s: ${crashedFollower}`));
   await upgrade.reaches('stable', 1);
   // It returns with the same build.
-  await upgrade.staysAt(1, 30);
+  await upgrade.assertStaysAt(1, 30);
   assert.ok(upgrade.cluster.isUp(crashedFollower));
   assert.equal((await upgrade.runOperatorCommand('activate')).kind, 'done');
   await upgrade.reaches('stable', 2);
@@ -92,7 +92,7 @@
   }
   await upgrade.until('the change is aborted', () => upgrade.level.held !== null);
   assert.match(upgrade.level.held!.reason, new RegExp(`${restartingFollower} has started`));
-  await upgrade.staysAt(1, 20);
+  await upgrade.assertStaysAt(1, 20);
 });
 
 // Without the precondition on the level, the segment would be stored after the last one was converted.
@@ -103,7 +103,7 @@
   const id = upgrade.submitLargeArray(5);
   await upgrade.until('segments are stored', () => upgrade.invariants.segments().length > 0);
   const { state, clock } = upgrade.cluster;
-  state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, keys: `d/${id}/` };
+  state.lateWrites = { share: 1, until: clock.time + 6000, byMs: 25_000, prefix: `d/${id}/` };
   await upgrade.cluster.run(6);
   assert.equal((await upgrade.runOperatorCommand('downgrade')).kind, 'done');
   await upgrade.reaches('stable', 1);
@@ -124,13 +124,13 @@
   );
   const name = upgrade.follower();
   const keys = `rollout/controllers/${name}`;
-  state.lateWrites = { share: 1, until: Infinity, byMs: 1000, keys };
+  state.lateWrites = { share: 1, until: Infinity, byMs: 1000, prefix: keys };
   await upgrade.reaches('preparing', 1);
   await upgrade.cluster.run(0.3);
   state.lateWrites = null;
   assert.ok(clock.time < 20_000);
   upgrade.replace(name, OLD_BUILD, 250);
-  await upgrade.staysAt(1, 30);
+  await upgrade.assertStaysAt(1, 30);
   assert.deepEqual(upgrade.cluster.invariants.violations, []);
 });
 
@@ -139,10 +139,10 @@
   const upgrade = new RollingUpgrade(22, NEW_BUILD);
   await upgrade.reaches('activating', 1);
   const { state, clock, invariants } = upgrade.cluster;
-  state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, keys: 'rollout/level' };
+  state.lateWrites = { share: 1, until: clock.time + 600, byMs: 1500, prefix: 'rollout/level' };
   await upgrade.cluster.run(0.6);
   upgrade.replace(upgrade.follower(), OLD_BUILD, 50);
-  await upgrade.staysAt(1, LEVEL_CHANGE_S);
+  await upgrade.assertStaysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
@@ -151,7 +151,12 @@
   const upgrade = new RollingUpgrade(20, NEW_BUILD);
   await upgrade.reaches('preparing', 1);
   const { state, clock, invariants } = upgrade.cluster;
-  state.lateWrites = { share: 1, until: clock.time + 2000, byMs: 12_000, keys: 'rollout/level' };
+  state.lateWrites = {
+    share: 1,
+    until: clock.time + 2000,
+    byMs: 12_000,
+    prefix: 'rollout/level',
+  };
   upgrade.replace(upgrade.follower(), OLD_BUILD, 100);
   await upgrade.cluster.run(2);
   assert.equal(upgrade.level.state, 'preparing');
@@ -160,7 +165,7 @@
     () => upgrade.level.held !== null && upgrade.level.state === 'stable',
     10,
   );
-  await upgrade.staysAt(1, LEVEL_CHANGE_S);
+  await upgrade.assertStaysAt(1, LEVEL_CHANGE_S);
   assert.deepEqual(invariants.violations, []);
 });
 
@@ -179,7 +184,7 @@
     ...announcement,
     build: { reads: 'all' },
   });
-  await upgrade.staysAt(1, 10);
+  await upgrade.assertStaysAt(1, 10);
   assert.equal(lines.length, 1);
   assert.match(lines[0], /malformed/);
   // The next process of the controller writes a new announcement.
@@ -221,7 +226,7 @@
         seed,
         ordinaryUp: 20,
         capacity: 12,
-        rollout: { ...ROLLOUT_SETTINGS, stall_s: 8 },
+        rollout: { ...AUTOMATIC_ROLLOUT, stall_s: 8 },
         builds: Object.fromEntries(NAMES.map((name) => [name, OLD_BUILD])),
       },
       (cluster, second) => {
--- a/test/rollout.test.ts
+++ b/test/rollout.test.ts
@@ -10,7 +10,7 @@
   OLD_BUILD,
   LEVEL_CHANGE_S,
   RollingUpgrade,
-  ROLLOUT_SETTINGS,
+  AUTOMATIC_ROLLOUT,
   submitArrays,
 } from './sim/rolling-upgrade.js';
 
@@ -19,7 +19,7 @@
   await upgrade.cluster.run(6);
   submitArrays(upgrade);
   for (const name of NAMES) {
-    await upgrade.staysAt(1, 6);
+    await upgrade.assertStaysAt(1, 6);
     upgrade.replace(name, NEW_BUILD);
   }
   await upgrade.reaches('stable', 2);
@@ -38,7 +38,7 @@
       await upgrade.until('the change is aborted', () => upgrade.level.held !== null);
       assert.match(upgrade.level.held!.reason, new RegExp(`${name} runs build 0.0.9`));
       await upgrade.reaches('stable', 1);
-      await upgrade.staysAt(1, LEVEL_CHANGE_S);
+      await upgrade.assertStaysAt(1, LEVEL_CHANGE_S);
       assert.ok(
         upgrade.cluster.node(name).rollout.mayServe(),
         'no record was written that it cannot read',
@@ -87,11 +87,11 @@
   upgrade.cluster.crash('n2', 60_000);
   for (const name of ['n0', 'n1']) upgrade.replace(name, NEW_BUILD);
   submitArrays(upgrade);
-  await upgrade.staysAt(1, 55);
+  await upgrade.assertStaysAt(1, 55);
   assert.equal(upgrade.invariants.history.length, 0, 'no change was started');
   await upgrade.cluster.run(8);
   assert.ok(upgrade.cluster.node('n2').rollout.mayServe());
-  await upgrade.staysAt(1, LEVEL_CHANGE_S);
+  await upgrade.assertStaysAt(1, LEVEL_CHANGE_S);
   upgrade.replace('n2', NEW_BUILD);
   await upgrade.reaches('stable', 2);
   await upgrade.finish();
@@ -122,7 +122,7 @@
   await upgrade.reaches('lowering', 2);
   upgrade.cluster.crash(upgrade.leader(), 300);
   await upgrade.reaches('stable', 1);
-  await upgrade.staysAt(1, LEVEL_CHANGE_S);
+  await upgrade.assertStaysAt(1, LEVEL_CHANGE_S);
   await upgrade.finish();
 });
 
@@ -145,7 +145,7 @@
 
 test('commands of operators work without a leader, and refusals state a reason', async () => {
   const upgrade = new RollingUpgrade(14, NEW_BUILD, {
-    rollout: { ...ROLLOUT_SETTINGS, mode: 'manual' },
+    rollout: { ...AUTOMATIC_ROLLOUT, mode: 'manual' },
   });
   await upgrade.cluster.run(6);
   assert.deepEqual(await upgrade.runOperatorCommand('abort'), {
--- a/test/sim/faults.ts
+++ b/test/sim/faults.ts
@@ -1,23 +1,33 @@
-/** Faults and initial clusters that several tests use. All random choices derive from the cluster's seed. */
+/** Initial clusters, faults and queries that several tests use. All random choices derive from the cluster's seed. */
 import assert from 'node:assert/strict';
 import { Cluster } from './cluster.js';
 import { type ClusterConfig, LEASE_MS } from './cluster-config.js';
 import { SERVICE } from './jobs.js';
 import { HEARTBEAT_PATH } from './wire/workers.js';
 
-/** Returns a cluster that runs `jobs` services, with a network that loses and repeats no messages at random. */
-export async function clusterWithServices(config: ClusterConfig, jobs = 4): Promise<Cluster> {
+/**
+ * Returns a cluster that runs `serviceCount` services of 3 tasks, by default on 5 controllers and 8 ordinary machines.
+ * Its network loses and repeats no messages at random.
+ */
+export async function clusterWithServices(
+  config: ClusterConfig,
+  serviceCount = 4,
+): Promise<Cluster> {
   const cluster = new Cluster({ ordinaryUp: 8, nodes: 5, ...config });
   cluster.network.lossRate = 0;
   cluster.network.repeatRate = 0;
   await cluster.run(4);
-  for (let i = 0; i < jobs; i++) void cluster.users.run(cluster.users.newJob(SERVICE), null);
+  for (let i = 0; i < serviceCount; i++)
+    void cluster.users.run(cluster.users.newJob(SERVICE), null);
   await cluster.run(14);
-  assert.equal(cluster.invariants.placesByTask.size, 3 * jobs);
+  assert.equal(cluster.invariants.placesByTask.size, 3 * serviceCount);
   return cluster;
 }
 
-/** Returns a cluster that runs one service, with a network that loses and repeats no messages at random. */
+/**
+ * Returns a cluster of default size, but with 6 ordinary machines, that runs one service of 3 tasks. Its network loses
+ * and repeats no messages at random.
+ */
 export async function clusterWithService(seed: number): Promise<Cluster> {
   const cluster = new Cluster({ seed, ordinaryUp: 6 });
   cluster.network.lossRate = 0;
@@ -36,7 +46,7 @@
   starts: number;
 }
 
-/** Returns a log that adds the placement cost of all leaders to `cost`. */
+/** Returns a log handler that adds the placement cost of each round that a leader logs to `cost`. */
 export function logPlacementCost(cost: PlacementCost): NonNullable<ClusterConfig['log']> {
   return (_node, text, fields) => {
     if (text !== 'round') return;
@@ -53,7 +63,7 @@
 export const leaderOrRandomNode = (cluster: Cluster): string =>
   cluster.leader() ?? cluster.random.pick(cluster.nodeNames);
 
-/** Number of tasks of the job that are on machines. */
+/** Returns the number of tasks of the job that have started on machines and not exited. */
 export function runningTasksOf(cluster: Cluster, id: string): number {
   return [...cluster.invariants.placesByTask.keys()].filter((t) => t.startsWith(`${id}/`)).length;
 }
@@ -64,23 +74,26 @@
   cluster.network.partitions.push({ a: isNode, b: isNode, until: Infinity, mode: 'reset' });
 }
 
-/** The state service rejects the leader only, and another controller confirms a cancellation; takes 2 s. */
+/**
+ * Makes the state service reject the leader's requests for `rejectedMs`, and cancels a job through another controller.
+ * Runs the cluster for 2 s, within which the cancellation must be confirmed. Returns the job and the rejected leader.
+ */
 export async function cancelDuringRejection(
   cluster: Cluster,
   rejectedMs: number,
 ): Promise<{ cancelledJob: string; leader: string }> {
-  const old = cluster.leader()!;
-  cluster.state.rejectHost(`${old}:80`, rejectedMs);
+  const leader = cluster.leader()!;
+  cluster.state.rejectHost(`${leader}:80`, rejectedMs);
   await cluster.run(0.2);
-  const first = jobIds(cluster)[0];
-  void cluster.users.cancel(first, otherNode(cluster, old));
+  const cancelledJob = jobIds(cluster)[0];
+  void cluster.users.cancel(cancelledJob, otherNode(cluster, leader));
   await cluster.run(1.8);
   assert.notEqual(
-    cluster.invariants.jobs.get(first)!.reportedCancelledAt,
+    cluster.invariants.jobs.get(cancelledJob)!.reportedCancelledAt,
     null,
-    'the cancellation is confirmed before the outage',
+    'the cancellation is confirmed within 2 s of the rejection',
   );
-  return { cancelledJob: first, leader: old };
+  return { cancelledJob, leader };
 }
 
 /** Duplicates heartbeats with this probability, up to four leases later, to the node that leads when they are sent. */
@@ -101,13 +114,13 @@
   return (id) => chosen.has(id);
 }
 
-/** A random share of the running machines hangs for this time. */
+/** Makes a random share of the running machines hang for `ms`. */
 export function hangMachines(cluster: Cluster, share: number, ms: number): void {
   for (const machine of cluster.cloud.machines.values())
     if (machine.worker && cluster.random.chance(share)) cluster.faults.hangMachine(machine.id, ms);
 }
 
-/** Holds responses and commands to the machine for this time; what the machine sends still arrives. */
+/** Holds responses and commands to the machine for `forMs`; messages from the machine still arrive. */
 export function holdMessagesTo(cluster: Cluster, machine: string, forMs: number): void {
   cluster.network.partitions.push({
     a: () => true,
--- a/test/sim/platform-settings.ts
+++ b/test/sim/platform-settings.ts
@@ -24,8 +24,8 @@
   listLagS: number;
 }
 
-/** Returns the settings file as TOML. */
-export function settingsFile(settings: TestSettings): string {
+/** Returns the text of the settings file, in TOML. */
+export function settingsToml(settings: TestSettings): string {
   const { self, others, teams } = settings;
   const other = ({ name, zone, peerAddress }: ControllerAddresses): string =>
     `[[others]]\nnode_name = "${name}"\nlocation = "${zone}"\npeer_addr = "${peerAddress}"`;
--- a/test/sim/run-scenario.ts
+++ b/test/sim/run-scenario.ts
@@ -11,23 +11,26 @@
 export interface ScenarioOutcome {
   cluster: Cluster;
   /** Number of arrays and gangs that were not cancelled. */
-  countedJobs: number;
-  /** Number of those that were reported to their users as done. */
+  finiteJobs: number;
+  /** Number of these jobs that were reported to their users as done. */
   doneJobs: number;
 }
 
 function outcomeOf(cluster: Cluster): ScenarioOutcome {
-  const countedJobs = [...cluster.invariants.jobs.values()].filter(
+  const finiteJobs = [...cluster.invariants.jobs.values()].filter(
     (job) => job.spec.kind !== 'service' && !job.cancelRequested,
   );
   return {
     cluster,
-    countedJobs: countedJobs.length,
-    doneJobs: countedJobs.filter((job) => job.reportedDoneAt !== null).length,
+    finiteJobs: finiteJobs.length,
+    doneJobs: finiteJobs.filter((job) => job.reportedDoneAt !== null).length,
   };
 }
 
-/** Submits jobs and injects faults for 60 s, then runs the cluster for 120 s without them, so that jobs can finish. */
+/**
+ * Submits jobs and injects faults for 60 s, then runs the cluster for 120 s without new ones, so that jobs can finish.
+ * The last faults may continue after the 60 s: the checks of responses and waiting jobs allow 20 s for them to end.
+ */
 export async function runScenario(
   config: ClusterConfig,
   eachSecond: EachSecond,
@@ -51,16 +54,16 @@
 }
 
 /**
- * Asserts that no invariant was violated and that a task started. Unless `finished` is false, also asserts that the jobs
+ * Asserts that no invariant was violated and that a task started. Unless `expectAllDone` is false, also asserts that the jobs
  * are served: all arrays and gangs that were not cancelled are done, and the service level holds (see `unservedJobs`).
  * Services count as served once they have started, and only half of the jobs of each class and team need to be served.
  */
-export function assertInvariantsHeld(outcome: ScenarioOutcome, finished = true): void {
-  if (finished) outcome.cluster.invariants.checkServed();
+export function assertInvariantsHeld(outcome: ScenarioOutcome, expectAllDone = true): void {
+  if (expectAllDone) outcome.cluster.invariants.checkServed();
   assert.deepEqual(outcome.cluster.invariants.violations, []);
   assert.ok(outcome.cluster.invariants.starts > 0, 'at least one task started');
-  if (finished)
-    assert.equal(outcome.doneJobs, outcome.countedJobs, 'all arrays and gangs are done');
+  if (expectAllDone)
+    assert.equal(outcome.doneJobs, outcome.finiteJobs, 'all arrays and gangs are done');
 }
 
 /** Declares a test for each seed: a run under faults that violates no invariant and serves all jobs. */
--- a/test/sim/state-service.ts
+++ b/test/sim/state-service.ts
@@ -23,34 +23,34 @@
   encodeRevision,
 } from './wire/state.js';
 
-interface Item {
+interface StoredRecord {
   value: unknown;
   version: number;
   lease: number | null;
 }
 
-/** Selects the transactions that are executed late. */
+/** Selects the transactions that are executed late. `share` is a probability, `until` a virtual time. */
 export interface LateWrites {
   share: number;
   until: number;
   /** Delay in milliseconds; random by default. */
   byMs?: number;
-  /** Limits the selection to transactions that change a key with this prefix. */
-  keys?: string;
+  /** Limits the selection to transactions that put or delete a key with this prefix. */
+  prefix?: string;
 }
 
 const ok = (body: Body): HttpResponse => ({ status: 200, body });
 
 /** Simulated state service, as PROTOCOL specifies. */
 export class StateService {
-  readonly items = new Map<string, Item>();
+  readonly items = new Map<string, StoredRecord>();
   revision = 1;
   private readonly leases: LeaseTable;
   private readonly events = new EventHistory();
   private readonly waiters = new Set<() => void>();
   private downUntil = 0;
-  private readonly refusedUntil = new Map<string, number>();
-  /** Number of requests and changes received, and of requests beyond the rate limits, which got status 429. */
+  private readonly rejectUntil = new Map<string, number>();
+  /** Number of requests and mutations received, and of requests beyond the rate limits, which got status 429. */
   readonly received = { requests: 0, changes: 0, tooMany: 0 };
   private readonly limits: { requests: RateLimit; writes: RateLimit } | null;
 
@@ -76,10 +76,10 @@
   }
 
   rejectHost(host: string, forMs: number): void {
-    this.refusedUntil.set(host, this.clock.time + forMs);
+    this.rejectUntil.set(host, this.clock.time + forMs);
   }
 
-  /** Until the given time, a share of transactions gets no response and is executed late, after newer ones. */
+  /** Until the given time, a share of transactions gets no response and is executed after a delay. */
   lateWrites: LateWrites | null = null;
   /** Larger values and transactions get status 400; `tooLarge` counts them. */
   bounds: TransactionBounds | null = null;
@@ -104,7 +104,7 @@
   }
 
   private isUnavailable(from: string): boolean {
-    return this.clock.time < this.downUntil || this.clock.time < (this.refusedUntil.get(from) ?? 0);
+    return this.clock.time < this.downUntil || this.clock.time < (this.rejectUntil.get(from) ?? 0);
   }
 
   private expireLoop(): void {
@@ -174,9 +174,9 @@
     return new Promise(() => undefined);
   }
 
-  private isLate({ share, until, keys = '' }: LateWrites, { mutations }: Transaction): boolean {
+  private isLate({ share, until, prefix = '' }: LateWrites, { mutations }: Transaction): boolean {
     if (this.clock.time >= until) return false;
-    return mutations.some(({ key }) => key.startsWith(keys)) && this.random.chance(share);
+    return mutations.some(({ key }) => key.startsWith(prefix)) && this.random.chance(share);
   }
 
   private grantLease(ttlMs: number): HttpResponse {
@@ -282,12 +282,12 @@
     await this.handle(method, path, body, 'operator');
   }
 
-  /** Returns all values that were put under the key, as far as changes are kept. */
+  /** Returns all values that were put under the key, as far as the event history goes back. */
   history(key: string): unknown[] {
     return this.events.valuesOf(key);
   }
 
-  /** Number of changes to keys with the prefix, as far as changes are kept. */
+  /** Returns the number of mutations of keys with the prefix, as far as the event history goes back. */
   changesUnder(prefix: string): number {
     return this.events.after(prefix, 0).length;
   }
--- a/test/sim/wire/users.ts
+++ b/test/sim/wire/users.ts
@@ -29,12 +29,12 @@
   /** Whether at most half of the tasks may run in one zone. */
   spread: boolean;
   spot: boolean;
-  /** The owner's estimate of a task's run time, in seconds. */
+  /** The user's estimate of a task's run time, in seconds; simulated tasks run for about this time. */
   durationS: number;
   /** Interval at which a task saves a checkpoint, in seconds; 0 if the tasks never save. */
-  checkpointEveryS: number;
+  checkpointIntervalS: number;
   /** Time that a task takes to save when it is stopped, in seconds. */
-  checkpointS: number;
+  saveS: number;
   deadlineS: number | null;
 }
 
@@ -83,8 +83,8 @@
   spread: 'scatter',
   spot: 'loaned_stones',
   durationS: 'grind_s',
-  checkpointEveryS: 'bin_every_s',
-  checkpointS: 'bin_s',
+  checkpointIntervalS: 'bin_every_s',
+  saveS: 'bin_s',
   deadlineS: 'due_s',
 };
 const WIRE_KINDS: Readonly<Record<SubmittedKind, string>> = {
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -1,4 +1,7 @@
-/** The tasks on a simulated worker's machine, which it starts, saves, stops and removes on command. */
+/**
+ * The tasks on a simulated worker's machine. On a start command the worker accepts a task and fetches its image; the
+ * task starts once the image is there. Further commands stop a task, which may save a checkpoint first, and remove it.
+ */
 import type { GangCoordinator } from './gang-coordinator.js';
 import type { Invariants } from './invariants.js';
 import type { ObservedJob } from './observed-job.js';
@@ -19,8 +22,8 @@
   cancel: () => void;
 }
 
-/** Whether the task is on its machine: it has its image and has not exited. */
-const isPresent = ({ state }: Task): boolean =>
+/** Whether the task has started and not exited: it waits for its gang, runs, or saves a checkpoint. */
+const isExecuting = ({ state }: Task): boolean =>
   state === 'waiting' || state === 'running' || state === 'saving';
 
 const keyOf = (task: string, attempt: number): string => `${task}#${attempt}`;
@@ -33,12 +36,12 @@
   zone: string;
   spot: boolean;
   /** Factor by which everything takes longer on this machine. */
-  slow: number;
-  /** Whether tasks fail soon after they start. */
+  slowness: number;
+  /** Whether tasks of arrays and services fail soon after they start. */
   faulty: boolean;
 }
 
-/** The parts of the worker and of the simulation that the tasks depend on. */
+/** The worker's functions and the simulated services that the tasks depend on. */
 export interface WorkerTasksDependencies {
   machine: TaskMachine;
   random: SeededRandom;
@@ -72,11 +75,11 @@
     }));
   }
 
-  /** Removes all tasks, as their machine has ended or its lease has expired. */
+  /** Removes all tasks. Called when their machine no longer exists or the worker's lease has expired. */
   killAll(): void {
     for (const task of this.tasks.values()) {
       task.cancel();
-      if (isPresent(task)) this.deps.invariants.taskLeft(task.name, this.deps.machine.id, false);
+      if (isExecuting(task)) this.deps.invariants.taskLeft(task.name, this.deps.machine.id, false);
       const [job, taskNumber] = this.jobOf(task.name);
       if (job?.spec.kind === 'gang') this.deps.gangs.leave(job, task.attempt, taskNumber, null);
     }
@@ -88,7 +91,7 @@
     return [...this.tasks.values()].some((task) => task.name === name && task.state === 'saving');
   }
 
-  /** Returns the names of the tasks that have started and still fetch their images. */
+  /** Returns the names of the accepted tasks that have not started, because they still fetch their images. */
   fetching(): string[] {
     return [...this.tasks.values()]
       .filter(({ state }) => state === 'fetching')
@@ -106,7 +109,7 @@
     for (const command of commands) {
       const key = keyOf(command.task, command.attempt);
       const task = this.tasks.get(key);
-      if (command.kind === 'start' && !task) this.start(key, command.task, command.attempt);
+      if (command.kind === 'start' && !task) this.accept(key, command.task, command.attempt);
       if (command.kind === 'stop' && task && task.state !== 'exited')
         this.stop(task, command.graceS);
       if (command.kind === 'remove' && task?.state === 'exited') {
@@ -125,22 +128,22 @@
     const [job, taskNumber] = this.jobOf(task.name);
     if (job?.spec.kind === 'gang' && task.state !== 'fetching')
       this.deps.gangs.stop(job, task.attempt, taskNumber, graceS);
-    else if (job && this.canSave(task, job, graceS)) this.save(task, job.spec.checkpointS);
+    else if (job && this.canSave(task, job, graceS)) this.save(task, job.spec.saveS);
     else if (task.state !== 'saving' || graceS === 0) this.exit(task, 'stopped');
   }
 
   /** Whether the task can save a checkpoint within its grace period. */
   private canSave(task: Task, job: ObservedJob, graceS: number): boolean {
-    const { checkpointEveryS, checkpointS } = job.spec;
-    return task.state === 'running' && checkpointEveryS > 0 && graceS > 0 && graceS >= checkpointS;
+    const { checkpointIntervalS, saveS } = job.spec;
+    return task.state === 'running' && checkpointIntervalS > 0 && graceS > 0 && graceS >= saveS;
   }
 
   /** Saves a checkpoint and then exits; the task stays on its machine while it saves. */
-  private save(task: Task, checkpointS: number): void {
+  private save(task: Task, saveS: number): void {
     task.cancel();
     task.state = 'saving';
     this.deps.changed();
-    task.cancel = this.deps.after(checkpointS * 1000, () => {
+    task.cancel = this.deps.after(saveS * 1000, () => {
       this.exit(task, 'stopped');
     });
   }
@@ -168,37 +171,37 @@
         });
       },
       isHanging: () => this.deps.isHanging(),
-      slowness: this.deps.machine.slow,
+      slowness: this.deps.machine.slowness,
     });
   }
 
   private exit(task: Task, cause: ReportedExitCause): void {
     task.cancel();
-    if (isPresent(task))
+    if (isExecuting(task))
       this.deps.invariants.taskLeft(task.name, this.deps.machine.id, cause === 'done');
     task.state = 'exited';
     task.cause = cause;
     this.deps.changed();
   }
 
-  private start(key: string, name: string, attempt: number): void {
+  private accept(key: string, name: string, attempt: number): void {
     const task: Task = { name, attempt, state: 'fetching', cancel: () => undefined };
     const [job, taskNumber] = this.jobOf(name);
-    const refusal = this.refusalOf(name, job);
+    const rejection = this.rejectionOf(name, job);
     this.tasks.set(key, task);
     this.deps.changed();
-    if (!job || refusal) {
+    if (!job || rejection) {
       task.state = 'exited';
-      task.cause = refusal ?? 'unknown_task';
+      task.cause = rejection ?? 'unknown_task';
       return;
     }
     task.cancel = this.deps.after(this.fetchMs(job.spec), () => {
-      this.begin(task, job, taskNumber);
+      this.start(task, job, taskNumber);
     });
   }
 
-  /** Returns why the task can't start here, or null if it can. */
-  private refusalOf(name: string, job: ObservedJob | undefined): ReportedExitCause | null {
+  /** Returns the cause with which the worker rejects the task, or null if it accepts the task. */
+  private rejectionOf(name: string, job: ObservedJob | undefined): ReportedExitCause | null {
     if (!job?.submitted) return 'unknown_task';
     if ([...this.tasks.values()].some((task) => task.name === name)) return 'already_present';
     const isFull = this.usedCpus() + job.spec.cpus > this.deps.machine.cpus + 1e-6;
@@ -210,7 +213,7 @@
   }
 
   /** Starts the execution of a task that has its image. */
-  private begin(task: Task, job: ObservedJob, taskNumber: number): void {
+  private start(task: Task, job: ObservedJob, taskNumber: number): void {
     const { id, type, zone, spot, faulty } = this.deps.machine;
     const { kind, image } = job.spec;
     this.images.add(image);
@@ -231,9 +234,11 @@
     });
   }
 
-  /** Returns the run time of a task, 1 ms if it has finished before, since its result was kept. */
+  /** Returns a task's run time in milliseconds: 1 if it has finished before, since its result was kept, else random. */
   private runMs(job: ObservedJob, taskNumber: number): number {
     if (job.finishedTasks.has(taskNumber)) return 1;
-    return job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slow;
+    return (
+      job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slowness
+    );
   }
 }
--- a/test/soak/soak-deployment.ts
+++ b/test/soak/soak-deployment.ts
@@ -11,7 +11,7 @@
 import { GANG_PEER_MS, GANG_WAIT_MS } from '../sim/gang-coordinator.js';
 import { LoopbackServices } from '../sim/loopback-services.js';
 import { freePort } from '../sim/loopback-server.js';
-import { type ControllerAddresses, settingsFile } from '../sim/platform-settings.js';
+import { type ControllerAddresses, settingsToml } from '../sim/platform-settings.js';
 import { PeerRelay } from './peer-relay.js';
 
 /** Size of a run. */
@@ -45,7 +45,7 @@
     private readonly program: string,
     private readonly size: SoakSize,
     private readonly controllers: Controller[],
-    readonly simulation: LoopbackServices,
+    readonly services: LoopbackServices,
   ) {}
 
   static async start(program: string, seed: number, size: SoakSize): Promise<SoakDeployment> {
@@ -58,7 +58,7 @@
         peerAddress: `127.0.0.1:${await freePort()}`,
         process: null,
       });
-    const simulation = new LoopbackServices({
+    const services = new LoopbackServices({
       seed,
       controllers,
       machinesPerPool: size.machinesPerPool,
@@ -68,13 +68,13 @@
       limits: new Map(TEAMS.map((team) => [team, size.teamLimit])),
       throughNetwork: true,
     });
-    const deployment = new SoakDeployment(program, size, controllers, simulation);
+    const deployment = new SoakDeployment(program, size, controllers, services);
     await deployment.open();
     return deployment;
   }
 
   private async open(): Promise<void> {
-    await this.simulation.start();
+    await this.services.start();
     for (const from of this.controllers)
       for (const to of this.controllers) if (from !== to) await this.openRelay(from, to);
     writeFileSync(
@@ -105,11 +105,11 @@
       const relay = this.relayAddresses.get(`${controller.name}>${other.name}`);
       return { ...other, peerAddress: relay ?? other.peerAddress };
     };
-    return settingsFile({
+    return settingsToml({
       self: controller,
       others: this.controllers.filter((other) => other !== controller).map(viaRelay),
-      stateAddress: this.simulation.stateAddressOf(controller.name),
-      cloudAddress: this.simulation.cloudAddressOf(controller.name),
+      stateAddress: this.services.stateAddressOf(controller.name),
+      cloudAddress: this.services.cloudAddressOf(controller.name),
       teams: TEAMS.map((name) => ({ name, cpus: GUARANTEED_CPUS, cpusMax: teamLimit })),
       reportS,
       leaseS,
@@ -154,7 +154,7 @@
     }, downMs);
   }
 
-  /** Suspends the process for `forMs`, while its clocks continue. */
+  /** Suspends the process with SIGSTOP for `forMs`, while its clocks continue. */
   pause(name: string, forMs: number): void {
     const child = this.controllerNamed(name).process;
     child?.kill('SIGSTOP');
@@ -187,7 +187,7 @@
     this.stopping = true;
     for (const { process: child } of this.controllers) if (child) await killAndWait(child);
     for (const relay of this.relays.values()) relay.close();
-    this.simulation.stop();
+    this.services.stop();
     rmSync(this.directory, { recursive: true });
   }
 }
--- a/test/soak/soak-run.ts
+++ b/test/soak/soak-run.ts
@@ -46,12 +46,15 @@
 /** Time for the controllers to start serving. */
 const STARTUP_MS = 3000;
 const FAULTS_MS = 24_000;
-/** Time after the last faults begin: they last, and machines boot, for some seconds more. */
+/** Time for the last faults to end and for machines to boot, which takes some seconds. */
 const RECOVERY_MS = 9000;
 /** Maximum time that a run waits for its jobs to reach a terminal state. */
 const SETTLE_TIMEOUT_MS = 90_000;
 const USER_RETRY_MS = 300;
-/** Margin for times that are recorded within one step of the simulation's clock. */
+/**
+ * Subtracted from the time at which a request is sent. The services' clock advances in steps, so that a response
+ * received before the sending and one received after it may have equal times; the margin keeps them apart.
+ */
 const STEP_MARGIN_MS = 50;
 const HISTORY_LINES = 400;
 /** Part of the log line of a controller that begins to serve as the leader. */
@@ -79,12 +82,12 @@
     this.recordHistory();
   }
 
-  private get simulation(): SoakDeployment['simulation'] {
-    return this.deployment.simulation;
+  private get services(): SoakDeployment['services'] {
+    return this.deployment.services;
   }
 
   private recordHistory(): void {
-    const { invariants, clock } = this.simulation;
+    const { invariants, clock } = this.services;
     const addLine = (line: string): void => {
       this.history.push(`${Math.round(clock.time)} ${line}`);
       if (this.history.length > HISTORY_LINES) this.history.shift();
@@ -111,7 +114,7 @@
     await delay(FAULTS_MS);
     this.submitting = false;
     await delay(RECOVERY_MS);
-    this.simulation.network.duplicates = null;
+    this.services.network.duplicates = null;
     await this.settle();
   }
 
@@ -140,8 +143,8 @@
       machineTypes: null,
       zone: null,
       durationS: this.random.between(0.5, 5),
-      checkpointEveryS: 0,
-      checkpointS: 0,
+      checkpointIntervalS: 0,
+      saveS: 0,
       ...profile,
     };
     const serviceTasks = profile === SERVICE ? this.random.pick([1, 2]) : null;
@@ -150,7 +153,7 @@
 
   private async runUser(job: JobSubmission, cancelAfterMs: number | null): Promise<void> {
     const { id } = job;
-    const { invariants, clock } = this.simulation;
+    const { invariants, clock } = this.services;
     const observed = observedJob(job, clock.time);
     invariants.jobs.set(id, observed);
     while (!(await this.request(id, submitRequest(job)))) await delay(USER_RETRY_MS);
@@ -174,10 +177,10 @@
 
   /** Sends the request to a random controller. Returns false if the request must be retried. */
   private async request(id: string, { method, path, body }: UserRequest): Promise<boolean> {
-    const { invariants, clock } = this.simulation;
+    const { invariants, clock } = this.services;
     const sentAt = clock.time - STEP_MARGIN_MS;
     const address = this.deployment.addressOf(this.random.pick(CONTROLLER_NAMES));
-    const response = await this.simulation.sendToController(address, method, path, body);
+    const response = await this.services.sendToController(address, method, path, body);
     const isRejected = response.status === 400 || response.status === 422;
     if (isRejected) invariants.recordViolation('forgotten', `${id} got ${response.status}`);
     else if (response.status !== 0)
@@ -187,7 +190,7 @@
 
   /** Waits until each job is reported done or cancelled and no task runs; records a violation for each that remains. */
   private async settle(): Promise<void> {
-    const { invariants } = this.simulation;
+    const { invariants } = this.services;
     const deadline = performance.now() + SETTLE_TIMEOUT_MS;
     const unfinishedJobs = (): string[] =>
       [...invariants.jobs]
@@ -207,7 +210,7 @@
   }
 
   result(schedule: ScheduledFault[]): SoakResult {
-    const { invariants } = this.simulation;
+    const { invariants } = this.services;
     for (const name of this.deployment.unexpectedExits()) invariants.recordViolation('ended', name);
     const logs = this.deployment.logs();
     // The service continues after it logs a violated invariant; a test must fail.
