--- a/test/sim/cluster.ts
+++ b/test/sim/cluster.ts
@@ -125,7 +125,7 @@
       leaseMs: this.config.leaseMs,
       pollMs: this.config.pollMs,
       nodes: this.nodeNames.map((name) => ({ name, address: `${name}:80` })),
-      slowness: this.nextMachineSlowness,
+      slow: this.nextMachineSlowness,
       faulty: this.nextMachineFaulty,
     });
     this.nextMachineFaulty = false;
--- a/test/sim/loopback-services.ts
+++ b/test/sim/loopback-services.ts
@@ -243,7 +243,7 @@
       leaseMs: this.config.leaseMs,
       pollMs: POLL_MS,
       nodes: this.config.controllers,
-      slowness: 1,
+      slow: 1,
       faulty: false,
     });
     this.delayStarts(this.endpointOf(machine.id));
--- a/test/sim/worker-tasks.ts
+++ b/test/sim/worker-tasks.ts
@@ -36,7 +36,7 @@
   zone: string;
   spot: boolean;
   /** Factor by which everything takes longer on this machine. */
-  slowness: number;
+  slow: number;
   /** Whether tasks of arrays and services fail soon after they start. */
   faulty: boolean;
 }
@@ -171,7 +171,7 @@
         });
       },
       isHanging: () => this.deps.isHanging(),
-      slowness: this.deps.machine.slowness,
+      slowness: this.deps.machine.slow,
     });
   }
 
@@ -237,8 +237,6 @@
   /** Returns a task's run time in milliseconds: 1 if it has finished before, since its result was kept, else random. */
   private runMs(job: ObservedJob, taskNumber: number): number {
     if (job.finishedTasks.has(taskNumber)) return 1;
-    return (
-      job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slowness
-    );
+    return job.spec.durationS * 1000 * this.deps.random.between(0.7, 1.3) * this.deps.machine.slow;
   }
 }
