--- a/src/jobs/completion-batch.ts
+++ b/src/jobs/completion-batch.ts
@@ -4,24 +4,26 @@
 import type { Layout } from './record-layout.js';
 import { FINISHED_PREFIX, liveKey } from './records.js';
 
-/** Records of a job's finished tasks that a batch writes. */
-export interface BatchedProgress {
+/** The records of a job's finished tasks that a batch writes. */
+export interface BatchedFinishedRecords {
   job: Job;
-  /** Chunks of tasks that the records make durable. */
-  chunks: number[];
+  /** Blocks of tasks that the records make durable. */
+  blocks: number[];
   layout: Layout;
   /** Number of finished tasks of the job when the records were created. */
   finishedCount: number;
 }
 
-/** Moves of jobs to their terminal state, progress of other jobs, and removals of obsolete records. */
+/**
+ * One batch: it moves jobs to their terminal state, writes finished tasks of other jobs, and removes obsolete records.
+ */
 export class CompletionBatch {
   readonly preconditions: Precondition[];
   readonly mutations: Mutation[] = [];
   /** Jobs whose records are preconditions of the batch. */
   readonly jobs = new Set<Job>();
   readonly terminalJobs: Job[] = [];
-  readonly progress: BatchedProgress[] = [];
+  readonly finishedRecords: BatchedFinishedRecords[] = [];
   /** Keys of records that the batch removes because their job is terminal. */
   readonly orphanedKeys: string[] = [];
   /** Records of live jobs that the batch removes because other records contain their tasks. */
@@ -62,13 +64,14 @@
     this.preconditions.push(precondition);
   }
 
-  /** Whether a failed precondition is the one for this job, or the feature level's, which affects all jobs. */
+  /** Whether a failed precondition is that of this job, or that of the feature level, which affects all jobs. */
   concerns(failedKeys: string[], job: Job): boolean {
     return failedKeys.some((key) => key === liveKey(job.spec.id) || key === this.levelKey);
   }
 
-  covers(job: Job, chunk: number): boolean {
-    return this.progress.some((entry) => entry.job === job && entry.chunks.includes(chunk));
+  /** Whether the batch makes the block durable. */
+  covers(job: Job, block: number): boolean {
+    return this.finishedRecords.some((entry) => entry.job === job && entry.blocks.includes(block));
   }
 
   /** Size of the largest segment in bytes of JSON, or 0 if there is none. */
--- a/src/jobs/completion-writer.ts
+++ b/src/jobs/completion-writer.ts
@@ -6,8 +6,8 @@
 import { CompletionBatch } from './completion-batch.js';
 import type { Job } from './job.js';
 import type { JobTable } from './job-table.js';
-import { ProgressRecords } from './progress-records.js';
-import { ProgressWriter } from './progress-writer.js';
+import { FinishedRecordTable } from './finished-record-table.js';
+import { FinishedRecordWriter } from './finished-record-writer.js';
 import { isSegment } from './record-layout.js';
 import { terminalKey, finishedKey, liveKey } from './records.js';
 
@@ -17,28 +17,29 @@
   store: StateStore;
   jobs: JobTable;
   /** Maximum number of mutations of one compare-and-swap. */
-  txnOps: number;
+  maxMutations: number;
   /** Mutations per second that all nodes together may request of the state service. */
-  writeRps: number;
+  writesPerS: number;
   /** Maximum size of a value, in bytes of JSON. */
-  valueBytes: number;
+  maxValueBytes: number;
   isLeader(): boolean;
   leaderPrecondition(): Precondition;
   /** Precondition of every write of a segment, see `record-layout.ts`; null while no segments may be written. */
   segmentPrecondition(): Precondition | null;
-  /** Whether no attempt of the job can be on any machine: only then may a cancelled job become terminal. */
+  /** Whether no attempt of the job can be on any machine. Only then may a cancelled job become terminal. */
   hasNoAttempts(job: Job): boolean;
-  jobEnded(job: Job): void;
+  /** Called once the terminal state of a job is stored. */
+  jobBecameTerminal(job: Job): void;
 }
 
-/** A job that becomes terminal has one record removed and another put. */
-const MUTATIONS_PER_JOB_END = 2;
+/** The live record of a job that becomes terminal is removed, and its terminal record is put. */
+const MUTATIONS_PER_TERMINAL_JOB = 2;
 /** The state service allows this many preconditions per mutation of a compare-and-swap. */
 const PRECONDITIONS_PER_MUTATION = 4;
 
 type Failure = Exclude<CompareAndSwapResult, { kind: 'committed' }>;
 
-/** Delay until the jobs of a batch that was not committed are retried, by the kind of failure. */
+/** Delay until the jobs of a batch that was not committed are written again, by the kind of failure. */
 const RETRY_DELAY_MS: Record<Failure['kind'], number> = {
   rejected: 200,
   conflict: 700,
@@ -50,22 +51,26 @@
   return isSegment(Number(key.slice(key.lastIndexOf('/') + 1)));
 }
 
-/** Stores the finished tasks that the leader knows, in compact form and in batches, with terminal jobs first. */
+/** Stores terminal states and finished tasks of jobs in batches, with terminal jobs first. */
 export class CompletionWriter {
   private writing = false;
-  private readonly records: ProgressRecords;
-  private readonly progress: ProgressWriter;
-  /** Earliest time of the next write for a job, by the job's index. */
-  private readonly notBefore = new Map<number, number>();
+  private readonly records: FinishedRecordTable;
+  private readonly finishedRecordWriter: FinishedRecordWriter;
+  /** Earliest time of the next write for a job, by the index of the job. */
+  private readonly nextWriteAt = new Map<number, number>();
   /** Keys of stored records of finished tasks whose job is terminal. */
   private readonly orphanedKeys = new Set<string>();
   /** Maximum number of mutations of one batch; reduced after a batch was refused because of its size. */
   private maxMutations: number;
 
   constructor(private readonly deps: CompletionWriterDependencies) {
-    this.maxMutations = deps.txnOps;
-    this.records = new ProgressRecords(deps.jobs, deps.valueBytes);
-    this.progress = new ProgressWriter(this.records, deps.runtime.clock, deps.writeRps);
+    this.maxMutations = deps.maxMutations;
+    this.records = new FinishedRecordTable(deps.jobs, deps.maxValueBytes);
+    this.finishedRecordWriter = new FinishedRecordWriter(
+      this.records,
+      deps.runtime.clock,
+      deps.writesPerS,
+    );
   }
 
   /** Notes that a record of the job's finished tasks is stored. */
@@ -78,7 +83,10 @@
     this.orphanedKeys.add(key);
   }
 
-  /** Returns the progress of replacing segments by records in the older form. */
+  /**
+   * Returns how far the replacement of segments by chunks has come, including the removal of segments whose job is
+   * terminal.
+   */
   conversion(): Conversion {
     const conversion = this.records.conversion();
     const orphans = [...this.orphanedKeys].filter(isSegmentKey).length;
@@ -87,17 +95,17 @@
     return { kind: 'running', remaining: orphans + ofLiveJobs };
   }
 
-  /** Writes what is due, unless a write is in progress. */
+  /** Writes the mutations that are due, unless a write is in progress. */
   tick(): void {
     if (this.writing || !this.deps.isLeader()) return;
     const now = this.deps.runtime.clock.now();
     const batch = new CompletionBatch(
       this.deps.leaderPrecondition(),
       this.maxMutations,
-      this.deps.txnOps * PRECONDITIONS_PER_MUTATION,
+      this.deps.maxMutations * PRECONDITIONS_PER_MUTATION,
     );
     this.addTerminalJobs(batch, now);
-    this.addProgress(batch, now);
+    this.addFinishedRecords(batch, now);
     this.addOrphans(batch);
     if (batch.mutations.length > 0) void this.write(batch);
   }
@@ -114,11 +122,14 @@
     }
   }
 
-  /** Records of a large job that exceed one batch are removed later: no node reads them once the job is terminal. */
+  /**
+   * Returns the mutations that make a job terminal and remove its records of finished tasks. Records that exceed one
+   * batch are removed later as orphans: no node reads them once the job is terminal.
+   */
   private terminalMutations(job: Job): Mutation[] {
     const { id, tasks } = job.spec;
-    const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_JOB_END);
-    const recordNumbers = [...this.records.numbersOf(job)].slice(0, maxRecords);
+    const maxRecords = Math.max(0, this.maxMutations - MUTATIONS_PER_TERMINAL_JOB);
+    const recordNumbers = [...this.records.recordNumbersOf(job)].slice(0, maxRecords);
     const value = { state: job.jobCancelled ? 'cancelled' : 'done', tasks };
     return [
       { remove: liveKey(id) },
@@ -127,11 +138,11 @@
     ];
   }
 
-  private addProgress(batch: CompletionBatch, now: number): void {
+  private addFinishedRecords(batch: CompletionBatch, now: number): void {
     const segmentPrecondition = this.deps.segmentPrecondition();
     for (const job of this.deps.jobs.all()) {
       if (job.jobCancelled || job.isComplete() || this.mustWait(job, now)) continue;
-      this.progress.addTo(batch, job, segmentPrecondition, now);
+      this.finishedRecordWriter.addTo(batch, job, segmentPrecondition, now);
     }
   }
 
@@ -144,7 +155,7 @@
   }
 
   private mustWait(job: Job, now: number): boolean {
-    return (this.notBefore.get(job.index) ?? 0) > now;
+    return (this.nextWriteAt.get(job.index) ?? 0) > now;
   }
 
   private async write(batch: CompletionBatch): Promise<void> {
@@ -159,19 +170,19 @@
   }
 
   private committed(batch: CompletionBatch): void {
-    this.progress.committed(batch, this.deps.runtime.clock.now());
+    this.finishedRecordWriter.committed(batch, this.deps.runtime.clock.now());
     for (const key of batch.orphanedKeys) this.orphanedKeys.delete(key);
-    for (const job of batch.terminalJobs) this.jobEnded(job, batch);
+    for (const job of batch.terminalJobs) this.jobBecameTerminal(job, batch);
   }
 
-  private jobEnded(job: Job, batch: CompletionBatch): void {
-    for (const number of this.records.numbersOf(job)) {
+  private jobBecameTerminal(job: Job, batch: CompletionBatch): void {
+    for (const number of this.records.recordNumbersOf(job)) {
       const key = finishedKey(job.spec.id, number);
       if (!batch.removes(key)) this.orphanedKeys.add(key);
     }
     this.records.forget(job);
-    this.notBefore.delete(job.index);
-    this.deps.jobEnded(job);
+    this.nextWriteAt.delete(job.index);
+    this.deps.jobBecameTerminal(job);
   }
 
   private failed(batch: CompletionBatch, result: Failure): void {
@@ -180,19 +191,20 @@
     // After a conflict or a missing response, the watch reports the actual state of these jobs.
     for (const job of batch.jobs)
       if (result.kind !== 'conflict' || batch.concerns(result.failed, job))
-        this.notBefore.set(job.index, now + RETRY_DELAY_MS[result.kind]);
+        this.nextWriteAt.set(job.index, now + RETRY_DELAY_MS[result.kind]);
   }
 
   /**
    * Makes later batches smaller after one was refused although it was within the known limits. A batch of the minimum
-   * size cannot shrink further; its jobs are retried only after the long delay for `invalid`.
+   * size cannot shrink further: its jobs are retried only after the long delay for `invalid`, and its orphaned records
+   * are given up, since no delay applies to them and each tick would try to remove them again.
    */
   private shrink(batch: CompletionBatch): void {
     const { length } = batch.mutations;
     const largestBytes = batch.largestSegmentBytes();
     if (largestBytes > 0) this.records.noteValueRefused(largestBytes);
-    if (length > MUTATIONS_PER_JOB_END)
-      this.maxMutations = Math.max(MUTATIONS_PER_JOB_END, length >> 1);
+    if (length > MUTATIONS_PER_TERMINAL_JOB)
+      this.maxMutations = Math.max(MUTATIONS_PER_TERMINAL_JOB, length >> 1);
     else for (const key of batch.orphanedKeys) this.orphanedKeys.delete(key);
   }
 }
--- a/src/placement/reservations.ts
+++ b/src/placement/reservations.ts
@@ -58,7 +58,7 @@
 
   /** CPUs under the team's limit that an array leaves to the next service of its team. */
   serviceHeadroom(job: Job, now: number): number {
-    if (job.spec.kind !== 'array' || now - job.startedAt > SERVICE_HEADROOM_MS) return 0;
+    if (job.spec.kind !== 'array' || now - job.lastStartAt > SERVICE_HEADROOM_MS) return 0;
     return this.serviceCpus.get(job.spec.team) ?? 0;
   }
 
@@ -109,7 +109,7 @@
   }
 
   private ignoresReservations(job: Job, now: number): boolean {
-    return now - job.startedAt > MAX_YIELD_MS;
+    return now - job.lastStartAt > MAX_YIELD_MS;
   }
 }
 
@@ -120,7 +120,8 @@
 function slotsWithoutArrays(gang: Job, machine: Machine): number {
   let cpus = machine.freeCpus();
   for (const attempt of machine.attempts.values())
-    if (attempt.onMachine() && attempt.job?.spec.kind === 'array') cpus += attempt.job.spec.cpus;
+    if (attempt.mayBeOnMachine() && attempt.job?.spec.kind === 'array')
+      cpus += attempt.job.spec.cpus;
   return Math.floor(cpus / Math.max(gang.spec.cpus, ROUNDING_TOLERANCE) + ROUNDING_TOLERANCE);
 }
 
--- a/src/workers/fencing-tokens.ts
+++ b/src/workers/fencing-tokens.ts
@@ -21,28 +21,29 @@
   }
 
   /**
-   * Returns the token for a heartbeat response. It is raised once the last confirmation is older than `intervalMs`, so
-   * that the next heartbeat shows whether responses reach the machine. A machine whose heartbeats arrive, but that
-   * receives no responses, would otherwise seem healthy until its lease expires.
+   * Returns the token for a heartbeat response. It is advanced once the last acknowledgement is older than
+   * `intervalMs`, so that the next heartbeat shows whether responses reach the machine. A machine whose heartbeats
+   * arrive, but that receives no responses, would otherwise seem healthy until its lease expires.
    */
   requestAck(machine: Machine, now: number, intervalMs: number): number {
     if (machine.pendingTokenAck) {
       machine.pendingTokenAck.heartbeats++;
       return this.tokenFor(machine);
     }
-    const isDue = now - machine.tokenConfirmedAt > intervalMs;
-    if (isDue && !machine.inFlight && machine.shownToken >= this.tokenFor(machine))
+    const isDue = now - machine.tokenAcknowledgedAt > intervalMs;
+    if (isDue && !machine.inFlight && machine.reportedToken >= this.tokenFor(machine))
       this.advance(machine);
     const token = this.tokenFor(machine);
-    if (machine.shownToken < token) machine.pendingTokenAck = { token, since: now, heartbeats: 0 };
+    if (machine.reportedToken < token)
+      machine.pendingTokenAck = { token, since: now, heartbeats: 0 };
     return token;
   }
 }
 
-/** Records a token that a heartbeat contained, so that the machine has seen it. */
-export function recordShownToken(machine: Machine, token: number, now: number): void {
-  machine.shownToken = Math.max(machine.shownToken, token);
-  if (!machine.pendingTokenAck || machine.shownToken < machine.pendingTokenAck.token) return;
+/** Records the token that a heartbeat reported: the machine refuses lower ones from now on. */
+export function recordReportedToken(machine: Machine, token: number, now: number): void {
+  machine.reportedToken = Math.max(machine.reportedToken, token);
+  if (!machine.pendingTokenAck || machine.reportedToken < machine.pendingTokenAck.token) return;
   machine.pendingTokenAck = null;
-  machine.tokenConfirmedAt = now;
+  machine.tokenAcknowledgedAt = now;
 }
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,4 +1,4 @@
-/** Failovers while machines are unreachable: team limits, cancellations and deletions. */
+/** Unreachable machines, with and without a failover: team limits, cancellations and deletions. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -43,7 +43,7 @@
 }
 
 // Tasks that no heartbeat has reported to the new leader yet count against their team's limit: see `unconfirmedUsage`.
-test('a new job does not take its team over the limit while earlier tasks run on unreachable machines', async () => {
+test('a team whose earlier tasks run on unreachable machines stays within its limit when it submits a new job', async () => {
   const cluster = await clusterWithUnreachableMachines(3);
   await cluster.run(3);
   for (const team of ['t0', 't1'])
@@ -64,7 +64,7 @@
   assert.deepEqual(cluster.invariants.violations, []);
 });
 
-test('a job cancelled while its machines are unreachable stops in time, and none of its tasks starts again', async () => {
+test('a job cancelled while its machines are unreachable stops in time, and none of its tasks is restarted', async () => {
   const cluster = await clusterWithUnreachableMachines(4);
   const id = [...cluster.invariants.jobs.keys()][0];
   cluster.invariants.jobs.get(id)!.cancelRequested = true;
@@ -72,9 +72,9 @@
     const node = cluster.nodeNames.find((name) => name === cluster.leader()) ?? 'n1';
     const requestedAt = cluster.clock.time;
     const { method, path, body } = cancelRequest(id);
-    const reply = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
-    cluster.invariants.recordResponse(id, decodeJobResponse(reply), requestedAt);
-    if (reply.status !== 200) cluster.clock.after(500, () => void cancel());
+    const response = await cluster.network.send('user', `${node}:80`, method, path, body, 5000);
+    cluster.invariants.recordResponse(id, decodeJobResponse(response), requestedAt);
+    if (response.status !== 200) cluster.clock.after(500, () => void cancel());
   };
   cluster.clock.after(3800, () => void cancel());
   await cluster.run(40);
--- a/test/machine-records.test.ts
+++ b/test/machine-records.test.ts
@@ -1,4 +1,4 @@
-/** Machine records without a leader, with a state service whose requests can be delayed. */
+/** The store of machine records alone, outside a controller, with a state service whose requests can be delayed. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Cluster } from './sim/cluster.js';
@@ -8,7 +8,7 @@
 import { type Machine } from '../src/workers/machine.js';
 import { MachineTable } from '../src/workers/machine-table.js';
 
-/** A store of machine records without a leader, and a simulated state service whose requests can be delayed. */
+/** Creates a store that always acts as the leader's, on a table of machines and a simulated state service. */
 function machineRecordsFixture(): {
   cluster: Cluster;
   table: MachineTable;
@@ -41,8 +41,8 @@
     runtime,
     store,
     table,
-    txnOps: 12,
-    valueBytes: 4096,
+    maxMutations: 12,
+    maxValueBytes: 4096,
     isLeader: () => true,
     leaderPrecondition: () => ({ key: 'boss', version: cluster.state.items.get('boss')!.version }),
     machinesStored: () => undefined,
@@ -73,7 +73,7 @@
   await cluster.run(2.4);
   cluster.network.partitions = [];
   add('i-2');
-  for (let second = 0; second < 35; second++) {
+  for (let step = 0; step < 35; step++) {
     machineRecords.tick();
     await cluster.run(0.2);
   }
@@ -87,7 +87,7 @@
 test('a removed machine counts as stored only after it has been written again', async () => {
   const { cluster, machineRecords, add, stored } = machineRecordsFixture();
   const run = async (seconds: number): Promise<void> => {
-    for (let second = 0; second < seconds * 5; second++) {
+    for (let step = 0; step < seconds * 5; step++) {
       machineRecords.tick();
       await cluster.run(0.2);
     }
@@ -96,7 +96,7 @@
   await run(1);
   const machine = add('i-2');
   // Removed while the write that contains it is in flight.
-  machineRecords.machineRemoved(machine);
+  machineRecords.removeRecord(machine);
   machine.reported = false;
   await run(1);
   assert.equal(machine.stored, false);
@@ -106,6 +106,6 @@
   await run(2);
   assert.equal(machine.stored, true);
   assert.deepEqual(stored(), ['i-1', 'i-2']);
-  machineRecords.machineRemoved(machine);
+  machineRecords.removeRecord(machine);
   assert.equal(machine.stored, false);
 });
--- a/test/measure-rollout.ts
+++ b/test/measure-rollout.ts
@@ -5,11 +5,11 @@
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { build as histogram } from 'hdr-histogram-js';
-import { recordsOfChunk } from '../src/jobs/finished-records.js';
+import { recordsOfBlock } from '../src/jobs/finished-records.js';
 import {
   CHUNK_LAYOUT,
   type Layout,
-  TASKS_PER_CHUNK,
+  TASKS_PER_BLOCK,
   finerLayout,
 } from '../src/jobs/record-layout.js';
 import { ControllerProcesses } from './sim/controller-processes.js';
@@ -74,7 +74,7 @@
   await deployment.start('old', ROLLOUT);
   void deployment.users.stream(SUBMISSION_INTERVAL_MS);
   await delay(PAUSE_MS);
-  print('no roll', await measure(deployment, () => delay(BASELINE_MS)));
+  print('baseline', await measure(deployment, () => delay(BASELINE_MS)));
   let activationMs = 0;
   const figures = await measure(deployment, async () => {
     for (const name of NAMES) {
@@ -86,7 +86,7 @@
     await deployment.until('the level is raised', () => deployment.level.active === 2);
     activationMs = performance.now() - healthy;
   });
-  print('roll', figures);
+  print('rolling upgrade', figures);
   print('from the last healthy controller to activation', { ms: activationMs });
   await deployment.users.endStream();
   deployment.users.checkHistory();
@@ -100,10 +100,11 @@
   layout: Layout,
 ): { records: number; bytes: number } {
   const values = new Map<number, number>();
-  for (let chunk = 0; chunk * TASKS_PER_CHUNK < tasks; chunk++) {
-    const made = recordsOfChunk(finished, tasks, chunk, layout, VALUE_BYTES);
-    if (made.kind === 'too-large') return storedSize(finished, tasks, finerLayout(layout));
-    for (const { number, value } of made.records) values.set(number, JSON.stringify(value).length);
+  for (let chunk = 0; chunk * TASKS_PER_BLOCK < tasks; chunk++) {
+    const packed = recordsOfBlock(finished, tasks, chunk, layout, VALUE_BYTES);
+    if (packed.kind === 'too-large') return storedSize(finished, tasks, finerLayout(layout));
+    for (const { number, value } of packed.records)
+      values.set(number, JSON.stringify(value).length);
   }
   return {
     records: values.size,
@@ -129,7 +130,7 @@
     for (const [name, isFinished] of patterns) {
       const bits = bitmapOf(tasks, (task) => isFinished(task, tasks));
       const chunks = storedSize(bits, tasks, CHUNK_LAYOUT);
-      const segments = storedSize(bits, tasks, { kind: 'segments', split: 0 });
+      const segments = storedSize(bits, tasks, { kind: 'segments', splitLevel: 0 });
       console.log(`${tasks} tasks, ${name}:`, JSON.stringify({ chunks, segments }));
     }
 }
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -1,9 +1,9 @@
-/** Deployments of hundreds of machines with five controllers: the invariants hold, and the work stays within bounds. */
+/** Deployments of hundreds of machines with five controllers: the invariants hold, and the load stays within bounds. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CloudMachine } from './sim/cloud.js';
 import { Cluster } from './sim/cluster.js';
-import { logPlacementWork } from './sim/faults.js';
+import { logPlacementCost } from './sim/faults.js';
 
 const submitService = (cluster: Cluster): void =>
   void cluster.users.run(
@@ -46,8 +46,8 @@
   if (second === 45) cluster.crash(cluster.leader()!, 200);
 }
 
-test('with hundreds of machines, invariants hold and work is proportional to events', async () => {
-  const work = { cycles: 0, candidatesExamined: 0, starts: 0 };
+test('hundreds of machines, crashes and preemptions: placement cost per started task and state service load per job are bounded, and no invariant is violated', async () => {
+  const placementCost = { cycles: 0, candidatesExamined: 0, starts: 0 };
   const cluster = new Cluster({
     seed: 5,
     nodes: 5,
@@ -58,7 +58,7 @@
     reportMs: 3000,
     leaseMs: 15_000,
     state: { rps: 200, writeRps: 30 },
-    log: logPlacementWork(work),
+    log: logPlacementCost(placementCost),
   });
   await cluster.run(3);
   let submitted = 0;
@@ -76,8 +76,8 @@
   const { received } = cluster.state;
   // A scheduling cycle examines each machine at most once per waiting job, not once per task.
   assert.ok(
-    work.candidatesExamined < 150 * work.starts,
-    `${work.candidatesExamined} candidates examined for ${work.starts} starts`,
+    placementCost.candidatesExamined < 150 * placementCost.starts,
+    `${placementCost.candidatesExamined} candidates examined for ${placementCost.starts} starts`,
   );
   assert.ok(
     received.changes < 6 * submitted + 400,
@@ -119,7 +119,7 @@
     for (const name of cluster.nodeNames) cluster.crash(name, cluster.random.pick([200, 4000]));
 }
 
-test('with more than a thousand machines, invariants hold and work is bounded despite waves of killed and hanging machines, an isolated zone, a frozen leader and a crash of all controllers in an outage', async () => {
+test('more than a thousand machines, waves of killed and hanging machines, an isolated zone, a frozen leader and a crash of all controllers in an outage: load is bounded and no invariant is violated', async () => {
   let largestRound = { candidatesExamined: 0, starts: 1 };
   const cluster = new Cluster({
     seed: 8,
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -103,11 +103,11 @@
   assert.equal(readPeerMessage({ t: 'constructor', from: 'n1' }), null);
   assert.equal(readPeerMessage({ t: 'attest', from: 'n1', life: 'x' }), null);
   assert.equal(readPeerMessage({ t: 'served', from: 'n1', served: true, more: 1 })?.t, 'served');
-  const odd = encodeFrame({ t: 'served', from: 'n1', served: true });
+  const known = encodeFrame({ t: 'served', from: 'n1', served: true });
   const decoder = new FrameDecoder();
-  const future = encodeFrame({ t: 'future', from: 'n1' } as never);
+  const unknown = encodeFrame({ t: 'future', from: 'n1' } as never);
   assert.deepEqual(
-    decoder.push(Buffer.concat([future, odd]))?.map((m) => m.t),
+    decoder.push(Buffer.concat([unknown, known]))?.map((m) => m.t),
     ['served'],
   );
 });
@@ -163,19 +163,19 @@
           'cancelled',
         );
     assert.deepEqual(
-      cluster.invariants.violations.filter((b) => !b.includes('not_done')),
+      cluster.invariants.violations.filter((violation) => !violation.includes('not_done')),
       [],
     );
   });
 
 /** Stores a live job as a later version would, with fields that this version does not know. */
 function putRecordOfLaterVersion(cluster: Cluster, id: string): JobSpec {
-  const [, old] = Object.entries(OLDEST_VERSION.items).find(
+  const [, storedRecord] = Object.entries(OLDEST_VERSION.items).find(
     ([key, value]) => key.startsWith('j/') && !readLive(value)!.cancelled,
   )!;
-  const spec = (old as { spec: JobSpec }).spec;
+  const spec = (storedRecord as { spec: JobSpec }).spec;
   cluster.state.putDirectly(liveKey(id), {
-    ...(old as object),
+    ...(storedRecord as object),
     spec: { ...spec, id, hue: 3 },
     later: { deep: [1] },
   });
@@ -202,22 +202,22 @@
       [now.later, (now.spec as { hue?: number }).hue, now.cancelled],
       [{ deep: [1] }, 3, true],
     );
-  const seen = cluster.state
+  const cancelledRecord = cluster.state
     .history(liveKey(id))
     .find((v) => (v as { cancelled?: boolean }).cancelled);
-  assert.deepEqual((seen as { later: unknown }).later, { deep: [1] });
+  assert.deepEqual((cancelledRecord as { later: unknown }).later, { deep: [1] });
 
   const page = cluster.state.value('m/page-0') as { machines: { id: string }[] };
-  const rack = page.machines.map((m) => ({ ...m, rack: 7 }));
-  cluster.state.putDirectly('m/page-0', { machines: rack, note: 'kept' });
-  const before = cluster.state.history('m/page-0').length;
+  const machinesWithRack = page.machines.map((m) => ({ ...m, rack: 7 }));
+  cluster.state.putDirectly('m/page-0', { machines: machinesWithRack, note: 'kept' });
+  const versionsBefore = cluster.state.history('m/page-0').length;
   cluster.crash(cluster.leader()!, 150);
   await cluster.run(8);
   cluster.cloud.preempt(
-    rack.map((m) => cluster.cloud.machines.get(m.id)).find((m) => m !== undefined)!,
+    machinesWithRack.map((m) => cluster.cloud.machines.get(m.id)).find((m) => m !== undefined)!,
   );
   await cluster.run(12);
-  const after = cluster.state.history('m/page-0').slice(before) as {
+  const after = cluster.state.history('m/page-0').slice(versionsBefore) as {
     note?: string;
     machines: { rack?: number }[];
   }[];
