--- a/src/placement/decision-log.ts
+++ b/src/placement/decision-log.ts
@@ -71,7 +71,8 @@
 
   /**
    * Records an attempt that a heartbeat reported and that was not in the machine table: a former leader started it, or
-   * this leader had removed it. Unlike `TaskAttempt.discovered`, this includes attempts that are fetching or waiting.
+   * this leader had removed it. Unlike `TaskAttempt.startTimeUnknown`, this includes attempts that are fetching or
+   * waiting.
    */
   discovered(attempt: TaskAttempt, at: number): void {
     this.record({ ...attemptFields(attempt, at), kind: 'discovered', state: attempt.state });
